--- a/src/base/clock.cpp
+++ b/src/base/clock.cpp
@@ -3,32 +3,32 @@
 
 #include <time.h>
 
-namespace dt {
+namespace duneturn {
 
-static auto readClock(clockid_t clock) -> Us {
+static auto readClock(clockid_t clock) -> Microseconds {
     constexpr auto NANOSECONDS = 1000;  // in a microsecond
     auto time = timespec();
     clock_gettime(clock, &time);
-    return Us(time.tv_sec) * SEC + time.tv_nsec / NANOSECONDS;
+    return Microseconds(time.tv_sec) * SECOND + time.tv_nsec / NANOSECONDS;
 }
 
-auto bootNow() -> Us { return readClock(CLOCK_BOOTTIME); }
+auto bootNow() -> Microseconds { return readClock(CLOCK_BOOTTIME); }
 
-auto wallNow() -> Us { return readClock(CLOCK_REALTIME); }
+auto wallNow() -> Microseconds { return readClock(CLOCK_REALTIME); }
 
-auto wallText(Us t) -> Str {
-    auto seconds = time_t(t / SEC);
+auto wallText(Microseconds t) -> std::string {
+    auto seconds = time_t(t / SECOND);
     auto calendar = tm();
     gmtime_r(&seconds, &calendar);
     return fmt::format("{:04}-{:02}-{:02}T{:02}:{:02}:{:02}Z", calendar.tm_year + 1900, calendar.tm_mon + 1,
         calendar.tm_mday, calendar.tm_hour, calendar.tm_min, calendar.tm_sec);
 }
 
-auto wallParse(const Str& s) -> Us {
+auto wallParse(const std::string& s) -> Microseconds {
     auto calendar = tm();
     auto end = strptime(s.c_str(), "%Y-%m-%dT%H:%M:%SZ", &calendar);
     if (!end || *end) return -1;
-    return Us(timegm(&calendar)) * SEC;
+    return Microseconds(timegm(&calendar)) * SECOND;
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/base/counters.cpp
+++ b/src/base/counters.cpp
@@ -1,23 +1,23 @@
 // Counters of a process, and their text for Prometheus.
 #include "shared.hpp"
 
-namespace dt {
+namespace duneturn {
 
-auto Counters::add(View n, std::int64_t k) -> void {
+auto Counters::add(std::string_view n, std::int64_t k) -> void {
     auto found = c.find(n);
-    if (found == c.end()) found = c.emplace(Str(n), 0).first;
+    if (found == c.end()) found = c.emplace(std::string(n), 0).first;
     found->second += k;
 }
 
-auto Counters::set(View n, std::int64_t k) -> void { c[Str(n)] = k; }
+auto Counters::set(std::string_view n, std::int64_t k) -> void { c[std::string(n)] = k; }
 
-auto Counters::get(View n) const -> std::int64_t {
+auto Counters::get(std::string_view n) const -> std::int64_t {
     auto found = c.find(n);
     return found == c.end() ? 0 : found->second;
 }
 
-auto Counters::text() const -> Str {
-    auto lines = Str(), lastFamily = Str();
+auto Counters::text() const -> std::string {
+    auto lines = std::string(), lastFamily = std::string();
     for (auto& [name, value] : c) {
         auto family = name.substr(0, name.find('{'));
         if (family != lastFamily)
@@ -29,4 +29,4 @@
     return lines;
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/base/file.cpp
+++ b/src/base/file.cpp
@@ -4,9 +4,9 @@
 #include <fstream>
 #include <sstream>
 
-namespace dt {
+namespace duneturn {
 
-auto fileRead(const Str& p) -> tl::expected<Str, Str> {
+auto fileRead(const std::string& p) -> tl::expected<std::string, std::string> {
     auto file = std::ifstream(p, std::ios::binary);
     if (!file) return tl::make_unexpected(fmt::format("{}: cannot be read", p));
     auto text = std::stringstream();
@@ -14,4 +14,4 @@
     return text.str();
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/base/hash.cpp
+++ b/src/base/hash.cpp
@@ -3,13 +3,13 @@
 
 #include <xxhash.h>
 
-namespace dt {
+namespace duneturn {
 
-auto hash64(View s, std::uint64_t seed) -> std::uint64_t {
+auto hash64(std::string_view s, std::uint64_t seed) -> std::uint64_t {
     return XXH3_64bits_withSeed(s.data(), s.size(), seed);
 }
 
-auto rank(View key, View name) -> std::uint64_t { return hash64(name, hash64(key)); }
+auto rank(std::string_view key, std::string_view name) -> std::uint64_t { return hash64(name, hash64(key)); }
 
 // splitmix64: Steele, Lea and Flood, "Fast Splittable Pseudorandom Number Generators", 2014.
 auto Rng::next() -> std::uint64_t {
@@ -19,4 +19,4 @@
     return z ^ (z >> 31);
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/base/json.cpp
+++ b/src/base/json.cpp
@@ -5,24 +5,24 @@
 #include <rapidjson/stringbuffer.h>
 #include <rapidjson/writer.h>
 
-namespace dt {
+namespace duneturn {
 
 static constexpr auto MOST_DEPTH = 64;  // of nested objects and lists
 
-auto jsMember(const Val& v, const char* k) -> const Val* {
+auto jsMember(const rapidjson::Value& v, const char* k) -> const rapidjson::Value* {
     if (!v.IsObject()) return nullptr;
     auto found = v.FindMember(k);
     return found == v.MemberEnd() ? nullptr : &found->value;
 }
 
-auto js(const Val& v) -> Str {
+auto js(const rapidjson::Value& v) -> std::string {
     auto b = rapidjson::StringBuffer();
     auto w = rapidjson::Writer<rapidjson::StringBuffer>(b);
     v.Accept(w);
     return {b.GetString(), b.GetSize()};
 }
 
-auto jsPretty(const Val& v) -> Str {
+auto jsPretty(const rapidjson::Value& v) -> std::string {
     auto b = rapidjson::StringBuffer();
     auto w = rapidjson::PrettyWriter<rapidjson::StringBuffer>(b);
     w.SetIndent(' ', 2);
@@ -31,28 +31,28 @@
     return {b.GetString(), b.GetSize()};
 }
 
-auto jsStr(const Val& v, const char* k, View d) -> Str {
+auto jsStr(const rapidjson::Value& v, const char* k, std::string_view d) -> std::string {
     auto p = jsMember(v, k);
-    return p && p->IsString() ? Str(p->GetString(), p->GetStringLength()) : Str(d);
+    return p && p->IsString() ? std::string(p->GetString(), p->GetStringLength()) : std::string(d);
 }
 
-auto jsInt(const Val& v, const char* k, std::int64_t d) -> std::int64_t {
+auto jsInt(const rapidjson::Value& v, const char* k, std::int64_t d) -> std::int64_t {
     auto p = jsMember(v, k);
     return p && p->IsInt64() ? p->GetInt64() : d;
 }
 
-auto jsNum(const Val& v, const char* k, double d) -> double {
+auto jsNum(const rapidjson::Value& v, const char* k, double d) -> double {
     auto p = jsMember(v, k);
     return p && p->IsNumber() ? p->GetDouble() : d;
 }
 
-auto jsBool(const Val& v, const char* k, bool d) -> bool {
+auto jsBool(const rapidjson::Value& v, const char* k, bool d) -> bool {
     auto p = jsMember(v, k);
     return p && p->IsBool() ? p->GetBool() : d;
 }
 
-auto jsList(const Val& v, const char* k) -> std::vector<Str> {
-    auto o = std::vector<Str>();
+auto jsList(const rapidjson::Value& v, const char* k) -> std::vector<std::string> {
+    auto o = std::vector<std::string>();
     auto p = jsMember(v, k);
     if (p && p->IsArray())
         for (auto& e : p->GetArray())
@@ -60,13 +60,13 @@
     return o;
 }
 
-auto jsQuote(View s) -> Str {
-    auto v = Val(rapidjson::StringRef(s.data(), s.size()));
+auto jsQuote(std::string_view s) -> std::string {
+    auto v = rapidjson::Value(rapidjson::StringRef(s.data(), s.size()));
     return js(v);
 }
 
 // The depth is bounded before the recursive parts (schema, merge, writer) see the document.
-static auto nestsTooDeep(View s) -> bool {
+static auto nestsTooDeep(std::string_view s) -> bool {
     auto depth = 0;
     auto quoted = false;
     for (auto i = std::size_t(0); i < s.size(); i++) {
@@ -82,13 +82,13 @@
     return false;
 }
 
-auto jsParse(View s, Doc& d) -> bool {
+auto jsParse(std::string_view s, rapidjson::Document& d) -> bool {
     if (nestsTooDeep(s)) return false;
     d.Parse<rapidjson::kParseIterativeFlag | rapidjson::kParseValidateEncodingFlag>(s.data(), s.size());
     return !d.HasParseError();
 }
 
-auto jsMerge(Val& t, const Val& p, Doc::AllocatorType& al) -> void {
+auto jsMerge(rapidjson::Value& t, const rapidjson::Value& p, rapidjson::Document::AllocatorType& al) -> void {
     if (!p.IsObject()) {
         t.CopyFrom(p, al);
         return;
@@ -101,11 +101,11 @@
             continue;
         }
         if (i == t.MemberEnd()) {
-            t.AddMember(Val(m.name, al), Val(), al);
+            t.AddMember(rapidjson::Value(m.name, al), rapidjson::Value(), al);
             i = t.FindMember(m.name);
         }
         jsMerge(i->value, m.value, al);
     }
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/base/json.hpp
+++ b/src/base/json.hpp
@@ -2,9 +2,9 @@
 // Parts of the JSON helpers that only their own sources need; the others stand in shared.hpp.
 #include "shared.hpp"
 
-namespace dt {
+namespace duneturn {
 
 /// The member of an object; null if there is none, or `v` is no object.
-auto jsMember(const Val& v, const char* k) -> const Val*;
+auto jsMember(const rapidjson::Value& v, const char* k) -> const rapidjson::Value*;
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/base/json_schema.cpp
+++ b/src/base/json_schema.cpp
@@ -2,17 +2,19 @@
 // fault is named, the schema is walked beside the document and each value is checked by itself.
 #include "json.hpp"
 
-namespace dt {
+namespace duneturn {
 
 namespace {
 
-auto checkNode(const Val& value, const Val& schema, const Str& path, std::vector<Fault>& faults) -> void;
+auto checkNode(const rapidjson::Value& value, const rapidjson::Value& schema, const std::string& path,
+    std::vector<Fault>& faults) -> void;
 
-auto checkMembers(const Val& object, const Val& schema, const Str& path, std::vector<Fault>& faults) -> void {
+auto checkMembers(const rapidjson::Value& object, const rapidjson::Value& schema, const std::string& path,
+    std::vector<Fault>& faults) -> void {
     auto properties = jsMember(schema, "properties");
     auto others = jsMember(schema, "additionalProperties");
     for (auto& member : object.GetObject()) {
-        auto name = Str(member.name.GetString(), member.name.GetStringLength());
+        auto name = std::string(member.name.GetString(), member.name.GetStringLength());
         auto memberPath = fmt::format("{}/{}", path, name);
         auto own = properties ? jsMember(*properties, name.c_str()) : nullptr;
         if (own) checkNode(member.value, *own, memberPath, faults);
@@ -26,22 +28,25 @@
         if (!jsMember(object, name.GetString())) faults.push_back({path + "/" + name.GetString(), "missing"});
 }
 
-auto checkItems(const Val& list, const Val& schema, const Str& path, std::vector<Fault>& faults) -> void {
+auto checkItems(const rapidjson::Value& list, const rapidjson::Value& schema, const std::string& path,
+    std::vector<Fault>& faults) -> void {
     auto items = jsMember(schema, "items");
     if (!items || !items->IsObject()) return;
     for (auto i = 0u; i < list.Size(); i++) checkNode(list[i], *items, fmt::format("{}/{}", path, i), faults);
 }
 
 /// The value against the schema's keywords other than those of its members and items.
-auto checkOwn(const Val& value, const Val& schema, const Str& path, std::vector<Fault>& faults) -> void {
-    auto own = Doc();
+auto checkOwn(const rapidjson::Value& value, const rapidjson::Value& schema, const std::string& path,
+    std::vector<Fault>& faults) -> void {
+    auto own = rapidjson::Document();
     own.SetObject();
     auto& memory = own.GetAllocator();
     for (auto& keyword : schema.GetObject()) {
-        auto name = View(keyword.name.GetString());
+        auto name = std::string_view(keyword.name.GetString());
         if (name == "properties" || name == "additionalProperties" || name == "required" || name == "items")
             continue;
-        own.AddMember(Val(keyword.name, memory), Val(keyword.value, memory), memory);
+        own.AddMember(
+            rapidjson::Value(keyword.name, memory), rapidjson::Value(keyword.value, memory), memory);
     }
     auto document = rapidjson::SchemaDocument(own);
     auto validator = rapidjson::SchemaValidator(document);
@@ -52,7 +57,8 @@
         fmt::format("breaks \"{}\"{}", keyword ? keyword : "schema", limit ? ": " + js(*limit) : "")});
 }
 
-auto checkNode(const Val& value, const Val& schema, const Str& path, std::vector<Fault>& faults) -> void {
+auto checkNode(const rapidjson::Value& value, const rapidjson::Value& schema, const std::string& path,
+    std::vector<Fault>& faults) -> void {
     if (value.IsObject()) checkMembers(value, schema, path, faults);
     else if (value.IsArray()) checkItems(value, schema, path, faults);
     checkOwn(value, schema, path, faults);
@@ -60,12 +66,12 @@
 
 }  // namespace
 
-auto jsCheck(const Val& v, const char* schema) -> std::vector<Fault> {
-    auto parsed = Doc();
+auto jsCheck(const rapidjson::Value& v, const char* schema) -> std::vector<Fault> {
+    auto parsed = rapidjson::Document();
     if (!jsParse(schema, parsed)) return {{"/", "the schema itself is malformed"}};
     auto faults = std::vector<Fault>();
     checkNode(v, parsed, "", faults);
     return faults;
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -3,17 +3,17 @@
 
 #include <cstdio>
 
-namespace dt {
+namespace duneturn {
 
 static auto muted = false;
 
 auto logMute(bool on) -> void { muted = on; }
 
-auto logLine(View s) -> void {
+auto logLine(std::string_view s) -> void {
     if (muted) return;
     static std::mutex mutex;
     auto lock = std::lock_guard(mutex);
     fmt::print(stderr, "{} {}\n", wallText(wallNow()), s);
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/base/settings.cpp
+++ b/src/base/settings.cpp
@@ -6,11 +6,11 @@
 
 #include <rapidjson/error/en.h>
 
-namespace dt {
+namespace duneturn {
 
 namespace {
 
-using Names = std::vector<Str>;
+using Names = std::vector<std::string>;
 
 constexpr auto SETTINGS_SCHEMA = R"({
  "type":"object","additionalProperties":false,
@@ -28,12 +28,13 @@
   "probes":{"type":"boolean"},"beatUs":{"type":"integer","minimum":50000,"maximum":5000000}
  }})";
 
-auto oneFault(const Str& path, const Str& why) -> tl::unexpected<SettingsError> {
+auto oneFault(const std::string& path, const std::string& why) -> tl::unexpected<SettingsError> {
     return tl::make_unexpected(SettingsError{{{path, why}}});
 }
 
 /// The settings file as a document; an empty one without a file.
-auto readDocument(const Str& file, Doc& document) -> tl::expected<void, SettingsError> {
+auto readDocument(const std::string& file, rapidjson::Document& document)
+    -> tl::expected<void, SettingsError> {
     document.SetObject();
     if (file.empty()) return {};
     auto text = fileRead(file);
@@ -49,36 +50,38 @@
 }
 
 /// A flag's text as the value of its field.
-auto flagValue(const Str& name, const Str& text, Doc::AllocatorType& memory) -> Val {
+auto flagValue(const std::string& name, const std::string& text, rapidjson::Document::AllocatorType& memory)
+    -> rapidjson::Value {
     constexpr auto MOST_DIGITS = std::size_t(9);
     if (name == "seeds" || name == "roster" || name == "seats") {
-        auto list = Val(rapidjson::kArrayType);
+        auto list = rapidjson::Value(rapidjson::kArrayType);
         auto stream = std::stringstream(text);
-        for (auto word = Str(); std::getline(stream, word, ',');) list.PushBack(Val(word, memory), memory);
+        for (auto word = std::string(); std::getline(stream, word, ',');)
+            list.PushBack(rapidjson::Value(word, memory), memory);
         return list;
     }
     if ((name == "bootstrap" || name == "probes") && (text == "true" || text == "false"))
-        return Val(text == "true");
-    auto digits =
-        !text.empty() && text.size() <= MOST_DIGITS && text.find_first_not_of("0123456789") == Str::npos;
-    if (name == "beatUs" && digits) return Val(std::int64_t(std::stoll(text)));
-    return Val(text, memory);
+        return rapidjson::Value(text == "true");
+    auto digits = !text.empty() && text.size() <= MOST_DIGITS
+        && text.find_first_not_of("0123456789") == std::string::npos;
+    if (name == "beatUs" && digits) return rapidjson::Value(std::int64_t(std::stoll(text)));
+    return rapidjson::Value(text, memory);
 }
 
-auto layFlagsOver(const std::map<Str, Str>& flags, Doc& document) -> void {
+auto layFlagsOver(const std::map<std::string, std::string>& flags, rapidjson::Document& document) -> void {
     auto& memory = document.GetAllocator();
     for (auto& [name, text] : flags) {
         document.RemoveMember(name);
-        document.AddMember(Val(name, memory), flagValue(name, text, memory), memory);
+        document.AddMember(rapidjson::Value(name, memory), flagValue(name, text, memory), memory);
     }
 }
 
-auto checkAddresses(const Val& document, std::vector<Fault>& faults) -> void {
+auto checkAddresses(const rapidjson::Value& document, std::vector<Fault>& faults) -> void {
     for (auto name : {"peer", "sender", "operator"}) {
         auto member = jsMember(document, name);
         if (!member || !member->IsString()) continue;
         if (auto addr = addrParse(member->GetString()); !addr)
-            faults.push_back({Str("/") + name, addr.error()});
+            faults.push_back({std::string("/") + name, addr.error()});
     }
     auto number = 0;
     for (auto& seed : jsList(document, "seeds")) {
@@ -88,7 +91,7 @@
     }
 }
 
-auto settingsOf(const Val& document) -> Settings {
+auto settingsOf(const rapidjson::Value& document) -> Settings {
     auto settings = Settings();
     settings.node = jsStr(document, "node");
     settings.district = jsStr(document, "district");
@@ -125,8 +128,9 @@
 
 }  // namespace
 
-auto settingsRead(const Str& file, const std::map<Str, Str>& over) -> tl::expected<Settings, SettingsError> {
-    auto document = Doc();
+auto settingsRead(const std::string& file, const std::map<std::string, std::string>& over)
+    -> tl::expected<Settings, SettingsError> {
+    auto document = rapidjson::Document();
     if (auto read = readDocument(file, document); !read) return tl::make_unexpected(read.error());
     layFlagsOver(over, document);
     auto faults = jsCheck(document, SETTINGS_SCHEMA);
@@ -138,4 +142,4 @@
     return settings;
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/cli/compare.cpp
+++ b/src/cli/compare.cpp
@@ -4,21 +4,21 @@
 #include "http.hpp"
 #include "table.hpp"
 
-namespace dt {
+namespace duneturn {
 
 namespace {
 
 using Names = std::vector<const char*>;
 
-constexpr Us ANSWER_LIMIT = 5 * SEC;
+constexpr Microseconds ANSWER_LIMIT = 5 * SECOND;
 
-auto memberText(const Val& object, const char* name) -> Str {
+auto memberText(const rapidjson::Value& object, const char* name) -> std::string {
     return object.HasMember(name) ? cellText(object[name]) : "-";
 }
 
 /// The members of two objects that differ.
-auto compareMembers(const Str& path, const Val& first, const Val& second, const Names& members,
-    std::vector<Difference>& differences) -> void {
+auto compareMembers(const std::string& path, const rapidjson::Value& first, const rapidjson::Value& second,
+    const Names& members, std::vector<Difference>& differences) -> void {
     for (auto name : members) {
         auto left = memberText(first, name), right = memberText(second, name);
         if (left != right) differences.push_back({path + name, left, right});
@@ -26,9 +26,9 @@
 }
 
 /// Two lists of objects that `id` names: those known to one only, and the members that differ.
-auto compareLists(const Val& first, const Val& second, const char* list, const char* id, const Names& members,
-    std::vector<Difference>& differences) -> void {
-    auto pairs = std::map<Str, std::pair<const Val*, const Val*>>();
+auto compareLists(const rapidjson::Value& first, const rapidjson::Value& second, const char* list,
+    const char* id, const Names& members, std::vector<Difference>& differences) -> void {
+    auto pairs = std::map<std::string, std::pair<const rapidjson::Value*, const rapidjson::Value*>>();
     for (auto& item : first[list].GetArray()) pairs[jsStr(item, id)].first = &item;
     for (auto& item : second[list].GetArray()) pairs[jsStr(item, id)].second = &item;
     for (auto& [name, pair] : pairs) {
@@ -39,17 +39,18 @@
     }
 }
 
-auto compareRelays(const Val& first, const Val& second, std::vector<Difference>& differences) -> void {
+auto compareRelays(const rapidjson::Value& first, const rapidjson::Value& second,
+    std::vector<Difference>& differences) -> void {
     for (auto& relay : first.GetObject()) {
         auto other = second.FindMember(relay.name);
         auto known = other != second.MemberEnd();
         if (known && other->value == relay.value) continue;
-        differences.push_back({Str("relays/") + relay.name.GetString(), cellText(relay.value),
+        differences.push_back({std::string("relays/") + relay.name.GetString(), cellText(relay.value),
             known ? cellText(other->value) : "-"});
     }
 }
 
-auto askBeliefs(const Str& node, Doc& beliefs) -> bool {
+auto askBeliefs(const std::string& node, rapidjson::Document& beliefs) -> bool {
     auto answer = call(node, "GET", "/v1/beliefs", "", {}, ANSWER_LIMIT);
     if (answer && jsParse(answer->body(), beliefs)) return true;
     fmt::print(stderr, "duneturn compare: {}\n", answer ? node + ": not JSON" : answer.error().why);
@@ -57,7 +58,7 @@
 }
 
 auto printJson(const std::vector<Difference>& differences) -> void {
-    auto list = Str();
+    auto list = std::string();
     for (auto& difference : differences) {
         if (!list.empty()) list += ",";
         list += bodyOf({{"what", jsQuote(difference.path)}, {"a", jsQuote(difference.first)},
@@ -66,7 +67,8 @@
     fmt::print("{{\"differences\":[{}]}}\n", list);
 }
 
-auto printText(const Val& first, const Val& second, const std::vector<Difference>& differences) -> void {
+auto printText(const rapidjson::Value& first, const rapidjson::Value& second,
+    const std::vector<Difference>& differences) -> void {
     fmt::print("{} and {}: {} nodes, {} servers, {} differences\n", jsStr(first, "node"),
         jsStr(second, "node"), first["nodes"].Size(), first["servers"].Size(), differences.size());
     for (auto& difference : differences)
@@ -75,7 +77,8 @@
 
 }  // namespace
 
-auto compareBeliefs(const Val& first, const Val& second) -> std::vector<Difference> {
+auto compareBeliefs(const rapidjson::Value& first, const rapidjson::Value& second)
+    -> std::vector<Difference> {
     auto differences = std::vector<Difference>();
     compareMembers("", first, second,
         {"reign", "generation", "configGeneration", "wordHash", "leader", "empties", "fresh"}, differences);
@@ -89,8 +92,8 @@
     return differences;
 }
 
-auto compareRun(const Str& first, const Str& second, bool json) -> int {
-    auto firstBeliefs = Doc(), secondBeliefs = Doc();
+auto compareRun(const std::string& first, const std::string& second, bool json) -> int {
+    auto firstBeliefs = rapidjson::Document(), secondBeliefs = rapidjson::Document();
     if (!askBeliefs(first, firstBeliefs) || !askBeliefs(second, secondBeliefs)) return UNREACHED;
     auto differences = compareBeliefs(firstBeliefs, secondBeliefs);
     if (json) printJson(differences);
@@ -98,4 +101,4 @@
     return differences.empty() ? DONE : DENIED;
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/cli/ctl.cpp
+++ b/src/cli/ctl.cpp
@@ -9,12 +9,12 @@
 #include "http.hpp"
 #include "table.hpp"
 
-namespace dt {
+namespace duneturn {
 
 namespace {
 
-constexpr Us ANSWER_LIMIT = 5 * SEC;
-constexpr Us WATCH_PERIOD = 500 * MS;
+constexpr Microseconds ANSWER_LIMIT = 5 * SECOND;
+constexpr Microseconds WATCH_PERIOD = 500 * MILLISECOND;
 
 /// The exit code that an HTTP status of a node stands for.
 auto exitCode(int status) -> int {
@@ -25,13 +25,14 @@
 
 /// A node as another names it.
 struct NodeAddress {
-    Str name, address;
+    std::string name, address;
 };
 
 /// One run of a command: asks nodes, and holds the last answer and the exit code.
 class CtlCommand {
   public:
-    CtlCommand(const CtlOptions& options, const std::vector<Str>& words) : options_(options), words_(words) {}
+    CtlCommand(const CtlOptions& options, const std::vector<std::string>& words)
+        : options_(options), words_(words) {}
     auto run() -> int;
 
   private:
@@ -64,36 +65,39 @@
     auto watch() -> int;
 
     // ---- their common parts
-    auto wrongUse(const Str& why) -> int;
-    auto ask(const Str& node, const Str& method, const Str& path, const Str& body = "") -> bool;
-    auto printRefusal(const Str& key, int status) -> void;
-    auto get(const Str& path) -> bool { return ask(options_.node, "GET", path); }
-    auto showAnswer(const Str& method, const Str& path, const Str& body = "") -> int;
-    auto order(const Str& operation, const Str& body) -> int;
-    auto putConfig(const Str& method, const char* member) -> int;
-    auto readDocument(const Str& file, Doc& document) -> tl::expected<void, Str>;
-    auto show(const Val& value) -> void { fmt::print("{}\n", jsPretty(value)); }
+    auto wrongUse(const std::string& why) -> int;
+    auto ask(const std::string& node, const std::string& method, const std::string& path,
+        const std::string& body = "") -> bool;
+    auto printRefusal(const std::string& key, int status) -> void;
+    auto get(const std::string& path) -> bool { return ask(options_.node, "GET", path); }
+    auto showAnswer(const std::string& method, const std::string& path, const std::string& body = "") -> int;
+    auto order(const std::string& operation, const std::string& body) -> int;
+    auto putConfig(const std::string& method, const char* member) -> int;
+    auto readDocument(const std::string& file, rapidjson::Document& document)
+        -> tl::expected<void, std::string>;
+    auto show(const rapidjson::Value& value) -> void { fmt::print("{}\n", jsPretty(value)); }
     auto showRows(const char* list, const std::vector<const char*>& columns) -> void;
     auto showBeliefs(const char* list, const std::vector<const char*>& columns) -> int;
-    auto showDecision(const Val& decision) -> void;
+    auto showDecision(const rapidjson::Value& decision) -> void;
     auto aliveNodes() -> std::vector<NodeAddress>;
-    auto nodeOfExchange(const Str& exchange) -> Str;
+    auto nodeOfExchange(const std::string& exchange) -> std::string;
     /// Where nothing was reached: the exit code of the last question.
     auto unreached() const -> int { return exit_ ? exit_ : int(UNREACHED); }
 
     const CtlOptions& options_;
-    const std::vector<Str>& words_;
-    Doc answer_;
+    const std::vector<std::string>& words_;
+    rapidjson::Document answer_;
     int exit_ = DONE;
 };
 
-auto CtlCommand::wrongUse(const Str& why) -> int {
+auto CtlCommand::wrongUse(const std::string& why) -> int {
     fmt::print(stderr, "duneturn ctl: {}\n", why);
     return USAGE;
 }
 
 // Asks a node; true if it has done what was asked, with its reply in answer_.
-auto CtlCommand::ask(const Str& node, const Str& method, const Str& path, const Str& body) -> bool {
+auto CtlCommand::ask(const std::string& node, const std::string& method, const std::string& path,
+    const std::string& body) -> bool {
     auto headers = Headers();
     // The key is drawn here, so that an order whose reply never came can be looked up.
     auto key = options_.key.empty() ? fmt::format("ctl-{:x}-{:x}", wallNow(), getpid()) : options_.key;
@@ -116,7 +120,7 @@
     return exit_ == DONE;
 }
 
-auto CtlCommand::printRefusal(const Str& key, int status) -> void {
+auto CtlCommand::printRefusal(const std::string& key, int status) -> void {
     fmt::print(stderr, "duneturn ctl: {} ({}){}\n", jsStr(answer_, "error", "denied"), status,
         exit_ == UNKNOWN ? "; look it up with: order " + key : "");
     if (!answer_.IsObject()) return;
@@ -127,16 +131,18 @@
         fmt::print(stderr, "  the newest generation is {}\n", jsInt(answer_, "configGeneration"));
 }
 
-auto CtlCommand::showAnswer(const Str& method, const Str& path, const Str& body) -> int {
+auto CtlCommand::showAnswer(const std::string& method, const std::string& path, const std::string& body)
+    -> int {
     if (ask(options_.node, method, path, body)) show(answer_);
     return exit_;
 }
 
-auto CtlCommand::order(const Str& operation, const Str& body) -> int {
+auto CtlCommand::order(const std::string& operation, const std::string& body) -> int {
     return showAnswer("POST", "/v1/orders/" + operation, body);
 }
 
-auto CtlCommand::readDocument(const Str& file, Doc& document) -> tl::expected<void, Str> {
+auto CtlCommand::readDocument(const std::string& file, rapidjson::Document& document)
+    -> tl::expected<void, std::string> {
     auto text = fileRead(file);
     if (!text) return tl::make_unexpected(text.error());
     if (!jsParse(*text, document)) return tl::make_unexpected(file + ": not JSON");
@@ -183,8 +189,8 @@
 auto CtlCommand::config() -> int { return showAnswer("GET", "/v1/config"); }
 
 // Without --base the change rests on the newest configuration, which is asked for first.
-auto CtlCommand::putConfig(const Str& method, const char* member) -> int {
-    auto document = Doc();
+auto CtlCommand::putConfig(const std::string& method, const char* member) -> int {
+    auto document = rapidjson::Document();
     if (auto read = readDocument(words_[1], document); !read) return wrongUse(read.error());
     auto base = options_.base;
     if (base < 0) {
@@ -218,7 +224,7 @@
     auto& subject = words_[3];
     auto move = bodyOf({{"op", jsQuote(operation)}, {"district", jsQuote(subject)}});
     if (operation == "apply") {
-        auto document = Doc();
+        auto document = rapidjson::Document();
         if (auto read = readDocument(subject, document); !read) return wrongUse(read.error());
         move = bodyOf({{"op", "\"config\""}, {"config", js(document)}});
     }
@@ -251,32 +257,33 @@
 }
 
 auto CtlCommand::live() -> int {
-    auto all = Doc(rapidjson::kArrayType);
+    auto all = rapidjson::Document(rapidjson::kArrayType);
     auto& memory = all.GetAllocator();
     auto reached = false;
     for (auto& node : aliveNodes()) {
         if (!ask(node.address, "GET", "/v1/exchanges")) continue;
         reached = true;
         for (auto& exchange : answer_["exchanges"].GetArray()) {
-            auto named = Val(exchange, memory);
-            named.AddMember("node", Val(node.name, memory), memory);
+            auto named = rapidjson::Value(exchange, memory);
+            named.AddMember("node", rapidjson::Value(node.name, memory), memory);
             all.PushBack(named, memory);
         }
     }
     if (!reached) return unreached();
     answer_.SetObject();
-    answer_.AddMember("exchanges", Val(all, answer_.GetAllocator()), answer_.GetAllocator());
+    answer_.AddMember("exchanges", rapidjson::Value(all, answer_.GetAllocator()), answer_.GetAllocator());
     showRows("exchanges",
         {"exchange", "mapping", "phase", "server", "ageUs", "sends", "migrationsLeft", "lastEventId"});
     return DONE;
 }
 
 // NODE-BOOT-NUMBER names its node; a bare number is of the asked one.
-auto CtlCommand::nodeOfExchange(const Str& exchange) -> Str {
+auto CtlCommand::nodeOfExchange(const std::string& exchange) -> std::string {
     auto number = exchange.rfind('-');
-    auto boot = number == Str::npos || number == 0 ? Str::npos : exchange.rfind('-', number - 1);
+    auto boot =
+        number == std::string::npos || number == 0 ? std::string::npos : exchange.rfind('-', number - 1);
     auto address = options_.node;
-    if (boot == Str::npos) return address;
+    if (boot == std::string::npos) return address;
     for (auto& node : aliveNodes())
         if (node.name == exchange.substr(0, boot)) address = node.address;
     return address;
@@ -293,14 +300,14 @@
     return exit_;
 }
 
-auto CtlCommand::showDecision(const Val& decision) -> void {
+auto CtlCommand::showDecision(const rapidjson::Value& decision) -> void {
     if (options_.json) return fmt::print("{}\n", js(decision));
     fmt::print("{} {} {}\n", jsStr(decision, "exchange"), jsStr(decision, "mapping"), jsStr(decision, "end"));
     for (auto& step : decision["steps"].GetArray()) fmt::print("  {}\n", step.GetString());
 }
 
 auto CtlCommand::watch() -> int {
-    auto seen = std::map<Str, std::int64_t>();
+    auto seen = std::map<std::string, std::int64_t>();
     while (true) {
         auto reached = false;
         for (auto& node : aliveNodes()) {
@@ -356,11 +363,11 @@
 
 }  // namespace
 
-auto ctlRun(const CtlOptions& options, const std::vector<Str>& words) -> int {
+auto ctlRun(const CtlOptions& options, const std::vector<std::string>& words) -> int {
     return CtlCommand(options, words).run();
 }
 
-auto ctlHelp() -> Str {
+auto ctlHelp() -> std::string {
     return R"(duneturn ctl --node IP:PORT COMMAND…   (the operator address of any node)
 
   status                      this node in a few words
@@ -392,4 +399,4 @@
 )";
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/cli/ctl.hpp
+++ b/src/cli/ctl.hpp
@@ -4,19 +4,19 @@
 
 #include "shared.hpp"
 
-namespace dt {
+namespace duneturn {
 
 /// Exit codes of the operators' commands.
 enum Exit { DONE = 0, DENIED = 1, USAGE = 2, UNREACHED = 3, UNKNOWN = 4 };
 
 struct CtlOptions {
-    Str node;  // any node's operator address
-    Str key;
+    std::string node;  // any node's operator address
+    std::string key;
     std::int64_t base = -1;
     bool json = false, once = false, here = false;
 };
 /// Runs one command, given as its words; an Exit code.
-auto ctlRun(const CtlOptions& options, const std::vector<Str>& words) -> int;
-auto ctlHelp() -> Str;
+auto ctlRun(const CtlOptions& options, const std::vector<std::string>& words) -> int;
+auto ctlHelp() -> std::string;
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/cli/table.hpp
+++ b/src/cli/table.hpp
@@ -2,11 +2,11 @@
 // JSON values as text for a terminal.
 #include "shared.hpp"
 
-namespace dt {
+namespace duneturn {
 
 /// A string as it is, null as "-", anything else as JSON.
-auto cellText(const Val& value) -> Str;
+auto cellText(const rapidjson::Value& value) -> std::string;
 /// A list of objects as a table with these members as columns; "-" where one has no such member.
-auto tableText(const Val& rows, const std::vector<const char*>& columns) -> Str;
+auto tableText(const rapidjson::Value& rows, const std::vector<const char*>& columns) -> std::string;
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/compress.cpp
+++ b/src/compress.cpp
@@ -4,7 +4,7 @@
 #include <thrift/transport/TBufferTransports.h>
 #include <zlib.h>
 
-namespace dt {
+namespace duneturn {
 
 namespace tt = apache::thrift;
 using Memory = tt::transport::TMemoryBuffer;
@@ -28,10 +28,10 @@
     auto len = std::uint32_t(0);
     m->getBuffer(&raw, &len);
     auto l = std::lock_guard(mu_);
-    auto key = std::pair(hash64(View(reinterpret_cast<char*>(raw), len)), std::size_t(len));
+    auto key = std::pair(hash64(std::string_view(reinterpret_cast<char*>(raw), len)), std::size_t(len));
     if (last_.empty() || key != key_) {
         auto z = uLongf(compressBound(len));
-        auto to = Str(z, 0);
+        auto to = std::string(z, 0);
         if (compress2(reinterpret_cast<Bytef*>(to.data()), &z, raw, len, Z_BEST_SPEED) != Z_OK) return {};
         last_.assign(to.data(), z);
         key_ = key;
@@ -52,7 +52,7 @@
     s.next_in = reinterpret_cast<Bytef*>(in.data());
     s.avail_in = uInt(in.size());
     if (inflateInit(&s) != Z_OK) return {};
-    auto out = Str();
+    auto out = std::string();
     auto rc = Z_OK;
     while (rc == Z_OK && out.size() < LONGEST) {
         auto was = out.size();
@@ -77,4 +77,4 @@
     }
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/compress.hpp
+++ b/src/compress.hpp
@@ -6,7 +6,7 @@
 #include "shared.hpp"
 #include "wire_types.h"
 
-namespace dt {
+namespace duneturn {
 
 /// The wire version from which on a process reads compressed envelopes.
 constexpr std::int32_t COMPRESSING = 2;
@@ -23,10 +23,10 @@
   private:
     std::mutex mu_;
     std::pair<std::uint64_t, std::size_t> key_;
-    Str last_;
+    std::string last_;
 };
 
 /// What a compressed envelope holds; nullopt if that cannot be read or is longer than 32 MiB.
 auto decompressed(const wire::Envelope& e) -> std::optional<wire::Envelope>;
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/consensus/disk.hpp
+++ b/src/consensus/disk.hpp
@@ -7,13 +7,13 @@
 #include "shared.hpp"
 #include "wire_types.h"
 
-namespace dt {
+namespace duneturn {
 
 /// What a voter's disk holds.
 struct DiskState {
-    Str disk;  // the voter's identity; empty before the first write
+    std::string disk;  // the voter's identity; empty before the first write
     std::int64_t reign = 0, term = 0, commit = 0, snapIdx = 0, snapTerm = 0;
-    Str vote, snapDoc;
+    std::string vote, snapDoc;
     std::vector<wire::Entry> log;  // from snapIdx + 1
 };
 
@@ -26,7 +26,7 @@
     std::vector<wire::Entry> add;
     bool snap = false;   // meta.snapIdx, snapTerm and doc replace all up to snapIdx
     bool reset = false;  // everything kept before goes
-    Str doc;
+    std::string doc;
 };
 
 /// After a failed write, refuses the writes that were issued before the voter learnt of the
@@ -40,4 +40,4 @@
 /// Applies a write to a state, as a store must.
 auto diskApply(DiskState& state, const DiskWrite& write) -> void;
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/consensus/election.cpp
+++ b/src/consensus/election.cpp
@@ -2,9 +2,9 @@
 #include "consensus/role.hpp"
 #include "consensus/voter.hpp"
 
-namespace dt {
+namespace duneturn {
 
-auto Voter::follow(Us now) -> void {
+auto Voter::follow(Microseconds now) -> void {
     if (leads()) {
         logf("core: no longer leader in term {}", term_);
         for (auto& r : reads_) port_.voterRead(r.id, false);
@@ -14,7 +14,7 @@
     restartElectionTimer(now);
 }
 
-auto Voter::adoptTerm(std::int64_t term, Us now) -> void {
+auto Voter::adoptTerm(std::int64_t term, Microseconds now) -> void {
     if (term <= term_) return;
     term_ = term;
     vote_.clear();
@@ -26,7 +26,7 @@
     return majority([&](auto& disk) { return votes_.count(disk) > 0; });
 }
 
-auto Voter::campaign(bool preVote, bool transferred, Us now) -> void {
+auto Voter::campaign(bool preVote, bool transferred, Microseconds now) -> void {
     votes_.clear();
     voteSeq_ = 0;
     restartElectionTimer(now);
@@ -60,7 +60,7 @@
     campaign(false, false, now);
 }
 
-auto Voter::becomeLeader(Us now) -> void {
+auto Voter::becomeLeader(Microseconds now) -> void {
     if (!role_->process(ElectionWon{}, counters_)) return;
     leader_ = disk_;
     quorumAt_ = leadSince_ = now;
@@ -74,9 +74,9 @@
     append(ENTRY_NOOP, "", now);
 }
 
-auto Voter::handOver(Us now) -> bool {
+auto Voter::handOver(Microseconds now) -> bool {
     if (!leads()) return false;
-    auto best = Str();
+    auto best = std::string();
     for (auto& v : voters_) {  // while a change is under way, only one who stays
         if (v.disk == disk_ || now - peers_[v.disk].heard >= ELECTION_TIMEOUT) continue;
         if (best.empty() || peers_[v.disk].match > peers_[best].match) best = v.disk;
@@ -99,7 +99,7 @@
 }
 
 // Whether a leader stands as far as this voter knows; then nobody else is voted for.
-auto Voter::hearsLeader(Us now) const -> bool {
+auto Voter::hearsLeader(Microseconds now) const -> bool {
     if (leads()) return now - quorumAt_ < QUORUM_TIMEOUT;
     return !leader_.empty() && now - heardLeader_ < ELECTION_TIMEOUT;
 }
@@ -107,7 +107,7 @@
 // A program that doesn't know joint configurations would count one majority only.
 auto Voter::candidateMayCount(const wire::VoteAsk& ask) const -> bool { return !joint() || ask.joint; }
 
-auto Voter::onPreVoteAsk(const Str& from, const wire::VoteAsk& ask, Us now) -> void {
+auto Voter::onPreVoteAsk(const std::string& from, const wire::VoteAsk& ask, Microseconds now) -> void {
     // Two that ask at the same time would split the vote: the lower identity gives way.
     auto precedes = role() == Role::Asking && now - preVoteAt_ < ELECTION_TIMEOUT / 2 && disk_ > from
         && ask.lastTerm == termAt(last()) && ask.lastIdx == last();
@@ -122,7 +122,7 @@
     port_.voterTell(from, message);
 }
 
-auto Voter::onVoteAsk(const Str& from, const wire::VoteAsk& ask, Us now) -> void {
+auto Voter::onVoteAsk(const std::string& from, const wire::VoteAsk& ask, Microseconds now) -> void {
     if (!ask.handed && hearsLeader(now) && ask.term > term_) return;
     auto message = envelope();
     auto reply = wire::VoteReply();
@@ -139,7 +139,7 @@
     sendAfter(writeIfUnsaved(now), from, message);
 }
 
-auto Voter::onVoteReply(const Str& from, const wire::VoteReply& reply, Us now) -> void {
+auto Voter::onVoteReply(const std::string& from, const wire::VoteReply& reply, Microseconds now) -> void {
     if (!reply.granted) {
         if (isVoter(from)) adoptTerm(reply.term, now);  // one that is no voter deposes nobody
         return;
@@ -155,10 +155,10 @@
     }
 }
 
-auto Voter::onTakeOver(const Str& from, const wire::TakeOver& message, Us now) -> void {
+auto Voter::onTakeOver(const std::string& from, const wire::TakeOver& message, Microseconds now) -> void {
     if (from != leader_) return refuse("transfer_refused_total", from);
     if (message.term != term_ || role() != Role::Follower || !isVoter(disk_) || diskBad_) return;
     if (role_->process(LeadershipReceived{}, counters_)) campaign(false, true, now);
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/consensus/log.cpp
+++ b/src/consensus/log.cpp
@@ -2,7 +2,7 @@
 #include "consensus/role.hpp"
 #include "consensus/voter.hpp"
 
-namespace dt {
+namespace duneturn {
 
 auto diskApply(DiskState& state, const DiskWrite& write) -> void {
     if (write.reset) state = DiskState();
@@ -28,7 +28,7 @@
     return at(index).term;
 }
 
-auto Voter::write(DiskWrite w, Us now) -> std::int64_t {
+auto Voter::write(DiskWrite w, Microseconds now) -> std::int64_t {
     w.seq = ++seq_;
     w.epoch = writeEpoch_;
     if (cutNext_ >= 0 && (w.cut < 0 || w.cut > cutNext_)) w.cut = cutNext_;
@@ -61,7 +61,7 @@
 }
 
 // The write that a promise of this term rests on.
-auto Voter::writeIfUnsaved(Us now) -> std::int64_t { return unsaved() ? write({}, now) : seq_; }
+auto Voter::writeIfUnsaved(Microseconds now) -> std::int64_t { return unsaved() ? write({}, now) : seq_; }
 
 auto Voter::owe(const PendingWrite& w) -> void {
     owedReset_ = owedReset_ || w.reset;
@@ -69,7 +69,7 @@
 }
 
 // What must not be said before the disk holds what it rests on.
-auto Voter::sendAfter(std::int64_t seq, const Str& to, wire::Envelope e) -> void {
+auto Voter::sendAfter(std::int64_t seq, const std::string& to, wire::Envelope e) -> void {
     if (broken.ackBeforeSync || pendingWrites_.empty() || seq < pendingWrites_.front().seq) {
         port_.voterTell(to, e);
         return;
@@ -77,7 +77,7 @@
     deferred_.push_back({seq, to, std::move(e)});
 }
 
-auto Voter::diskDone(std::int64_t seq, bool ok, Us now) -> void {
+auto Voter::diskDone(std::int64_t seq, bool ok, Microseconds now) -> void {
     while (!pendingWrites_.empty() && pendingWrites_.front().seq <= seq) {
         auto w = pendingWrites_.front();
         pendingWrites_.pop_front();
@@ -88,7 +88,7 @@
     if (leads()) advanceCommit(now);
 }
 
-auto Voter::writeFailed(const PendingWrite& w, Us now) -> void {
+auto Voter::writeFailed(const PendingWrite& w, Microseconds now) -> void {
     if (w.epoch < writeEpoch_) return;  // one of those behind the failed one
     writeEpoch_++;
     if (!diskBad_) logf("disk: a write failed; orders are denied until one succeeds");
@@ -110,7 +110,7 @@
     if (leads()) follow(now);
 }
 
-auto Voter::writeSucceeded(const PendingWrite& w, Us now) -> void {
+auto Voter::writeSucceeded(const PendingWrite& w, Microseconds now) -> void {
     if (diskBad_ && pendingWrites_.empty()) {
         diskBad_ = false;
         logf("disk: writes succeed again");
@@ -141,4 +141,4 @@
         if (at(i).kind == ENTRY_ORDER) head_.apply(at(i).body);
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/consensus/membership.cpp
+++ b/src/consensus/membership.cpp
@@ -4,21 +4,21 @@
 #include "consensus/role.hpp"
 #include "consensus/voter.hpp"
 
-namespace dt {
+namespace duneturn {
 
 // A round that has not ended by then shows that the learner is too slow.
-constexpr Us CATCH_UP_ROUND_LIMIT = 10 * SEC;
+constexpr Microseconds CATCH_UP_ROUND_LIMIT = 10 * SECOND;
 
-static auto votersParse(const Str& body) -> std::vector<Seat> {
+static auto votersParse(const std::string& body) -> std::vector<Seat> {
     auto voters = std::vector<Seat>();
-    auto d = Doc();
+    auto d = rapidjson::Document();
     if (!jsParse(body, d) || !d.IsArray()) return voters;
     for (auto& v : d.GetArray()) voters.push_back({jsStr(v, "seat"), jsStr(v, "disk")});
     return voters;
 }
 
-static auto votersText(const std::vector<Seat>& voters) -> Str {
-    auto list = Str();
+static auto votersText(const std::vector<Seat>& voters) -> std::string {
+    auto list = std::string();
     for (auto& v : voters)
         list += (list.empty() ? "" : ",") + bodyOf({{"seat", jsQuote(v.seat)}, {"disk", jsQuote(v.disk)}});
     return "[" + list + "]";
@@ -29,12 +29,12 @@
     std::vector<Seat> before, after;
 };
 
-static auto jointText(const JointVoters& joint) -> Str {
+static auto jointText(const JointVoters& joint) -> std::string {
     return bodyOf({{"before", votersText(joint.before)}, {"after", votersText(joint.after)}});
 }
 
-static auto jointParse(const Str& body) -> JointVoters {
-    auto d = Doc();
+static auto jointParse(const std::string& body) -> JointVoters {
+    auto d = rapidjson::Document();
     if (!jsParse(body, d) || !d.IsObject() || !d.HasMember("before") || !d.HasMember("after")) return {};
     return {votersParse(js(d["before"])), votersParse(js(d["after"]))};
 }
@@ -65,22 +65,22 @@
     outgoing_ = joint.before;
 }
 
-auto Voter::members() const -> std::vector<Str> {
-    auto disks = std::vector<Str>();
+auto Voter::members() const -> std::vector<std::string> {
+    auto disks = std::vector<std::string>();
     for (auto set : {&voters_, &outgoing_})
         for (auto& v : *set)
             if (std::find(disks.begin(), disks.end(), v.disk) == disks.end()) disks.push_back(v.disk);
     return disks;
 }
 
-auto Voter::isVoter(const Str& disk) const -> bool {
+auto Voter::isVoter(const std::string& disk) const -> bool {
     auto is = [&](auto& v) { return v.disk == disk; };
     return std::any_of(voters_.begin(), voters_.end(), is)
         || std::any_of(outgoing_.begin(), outgoing_.end(), is);
 }
 
 // Of a joint configuration both majorities are needed, for votes, commit, reads and check-quorum.
-auto Voter::majority(const std::function<bool(const Str&)>& has) const -> bool {
+auto Voter::majority(const std::function<bool(const std::string&)>& has) const -> bool {
     auto count = [&](const std::vector<Seat>& voters) {
         return std::size_t(std::count_if(voters.begin(), voters.end(), [&](auto& v) { return has(v.disk); }));
     };
@@ -91,9 +91,9 @@
 
 auto Voter::applyEntry(const wire::Entry& e) -> void {
     if (e.kind == ENTRY_ORDER) {
-        auto d = Doc();
+        auto d = rapidjson::Document();
         auto outcome = word_.apply(e.body);
-        auto key = jsParse(e.body, d) ? jsStr(d, "key") : Str();
+        auto key = jsParse(e.body, d) ? jsStr(d, "key") : std::string();
         counters_.add("orders_applied_total");
         port_.voterWord(word_, key, outcome);
     } else if (e.kind == ENTRY_JOINT) {
@@ -107,7 +107,7 @@
     }
 }
 
-auto Voter::found(const Word& state, std::int64_t term, Us now) -> void {
+auto Voter::found(const Word& state, std::int64_t term, Microseconds now) -> void {
     // A disk of an earlier cluster leaves it with the same write.
     if (leads()) follow(now);
     if (!blank()) role_->process(Erased{}, counters_);
@@ -120,7 +120,7 @@
     snapIdx_ = commit_ = applied_ = 1;
     snapTerm_ = term;
     setLogBase(snapIdx_, snapTerm_);
-    snapDoc_ = std::make_shared<const Str>(state.text());
+    snapDoc_ = std::make_shared<const std::string>(state.text());
     transfers_.clear();
     word_ = head_ = state;
     snapVoters_ = state.voters();
@@ -136,13 +136,13 @@
     counters_.add("reigns_begun_total");
 }
 
-auto Voter::abandon(bool force, Us now) -> bool {
+auto Voter::abandon(bool force, Microseconds now) -> bool {
     if (leads() && force) follow(now);
     if (blank() || leads() || (!force && !vote_.empty())) return false;
     if (!role_->process(Erased{}, counters_)) return false;
     reign_ = term_ = commit_ = applied_ = snapIdx_ = snapTerm_ = synced_ = 0;
     setLogBase(0, 0);
-    snapDoc_ = std::make_shared<const Str>();
+    snapDoc_ = std::make_shared<const std::string>();
     transfers_.clear();
     assembly_ = {};
     leader_.clear();
@@ -163,7 +163,7 @@
 // behind its end. A disk that this log counts as a voter and a later state does not was removed
 // since, and no leader has told it what came after: none can be counting on it. It takes a new
 // identity, so that what it once promised is never mixed up with what it promises next.
-auto Voter::retire(std::int64_t gen, const Str& fresh, Us now) -> bool {
+auto Voter::retire(std::int64_t gen, const std::string& fresh, Microseconds now) -> bool {
     if (blank() || leads() || !isVoter(disk_) || gen <= word_.gen + (last() - applied_)) return false;
     logf("core: disk {} was replaced; it is blank again, as {}", disk_, fresh);
     disk_ = fresh;
@@ -171,7 +171,7 @@
     return abandon(true, now);
 }
 
-auto Voter::heard(const Str& disk) const -> Us {
+auto Voter::heard(const std::string& disk) const -> Microseconds {
     auto i = peers_.find(disk);
     return i == peers_.end() ? 0 : i->second.heard;
 }
@@ -179,7 +179,7 @@
 // One change at a time, and none before an entry of this term is committed (the erratum of
 // single-server changes; it holds for joint ones too). A change that an earlier leader began
 // is ended first.
-auto Voter::changeVoters(Us now) -> void {
+auto Voter::changeVoters(Microseconds now) -> void {
     auto mayChange = broken.changeBeforeNoop ? leads() : ready();
     if (!mayChange || diskBad_ || configIdx_ > commit_) return;
     if (joint()) {
@@ -191,7 +191,7 @@
 }
 
 // Two disks of one seat: the former procedure added the newer one behind the one it replaces.
-auto Voter::removeReplaced(Us now) -> bool {
+auto Voter::removeReplaced(Microseconds now) -> bool {
     for (auto i = std::size_t(0); i < voters_.size(); i++)
         for (auto j = i + 1; j < voters_.size(); j++) {
             if (voters_[i].seat != voters_[j].seat) continue;
@@ -203,7 +203,7 @@
 }
 
 // A disk that may take a seat is sent the log without a vote, and votes once it has caught up.
-auto Voter::addLearner(Us now) -> void {
+auto Voter::addLearner(Microseconds now) -> void {
     for (auto& [seat, disk] : spares_) {
         if (isVoter(disk)) continue;
         auto voters = voters_;
@@ -222,7 +222,7 @@
 
 // Raft, 4.2.1: replication to a learner goes in rounds, each of what the log held at its start.
 // One that ends within an election timeout shows that the learner keeps up with the changes.
-auto Voter::caughtUp(Peer& peer, Us now) -> bool {
+auto Voter::caughtUp(Peer& peer, Microseconds now) -> bool {
     if (peer.match == 0 || peer.roundTarget == 0) {
         if (peer.match > 0) {
             peer.roundTarget = last();
@@ -244,8 +244,8 @@
 }
 
 // False if a member or newcomer that is heard runs a program without joint configurations.
-auto Voter::beginChange(std::vector<Seat> voters, Us now) -> bool {
-    auto unfit = [&](const Str& disk) {
+auto Voter::beginChange(std::vector<Seat> voters, Microseconds now) -> bool {
+    auto unfit = [&](const std::string& disk) {
         return disk != disk_ && peers_[disk].heard && !peers_[disk].knowsJoint;
     };
     auto disks = members();
@@ -259,4 +259,4 @@
     return true;
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/consensus/replication.cpp
+++ b/src/consensus/replication.cpp
@@ -4,9 +4,9 @@
 #include "consensus/role.hpp"
 #include "consensus/voter.hpp"
 
-namespace dt {
+namespace duneturn {
 
-auto Voter::append(int kind, const Str& body, Us now) -> void {
+auto Voter::append(int kind, const std::string& body, Microseconds now) -> void {
     auto e = wire::Entry();
     e.term = term_;
     e.idx = last() + 1;
@@ -21,13 +21,13 @@
     sendAppends(now);
 }
 
-auto Voter::propose(int kind, const Str& body, Us now) -> bool {
+auto Voter::propose(int kind, const std::string& body, Microseconds now) -> bool {
     if (!leads() || diskBad_ || transferDue_ > now) return false;
     append(kind, body, now);
     return true;
 }
 
-auto Voter::read(std::int64_t id, Us now) -> void {
+auto Voter::read(std::int64_t id, Microseconds now) -> void {
     if (!ready()) {
         port_.voterRead(id, false);
         return;
@@ -37,12 +37,12 @@
     advanceCommit(now);
 }
 
-auto Voter::sendAppends(Us now) -> void {
+auto Voter::sendAppends(Microseconds now) -> void {
     for (auto& disk : members())
         if (disk != disk_) sendAppend(disk, now);
 }
 
-auto Voter::sendAppend(const Str& disk, Us now) -> void {
+auto Voter::sendAppend(const std::string& disk, Microseconds now) -> void {
     auto& peer = peers_[disk];
     if (peer.next == 0) peer.next = last() + 1;
     peer.sent = now;
@@ -57,17 +57,18 @@
 }
 
 // What is unanswered for longer than a slow link needs is sent again.
-auto Voter::dropLostBatches(Peer& peer, Us now) -> void {
+auto Voter::dropLostBatches(Peer& peer, Microseconds now) -> void {
     auto bytes = std::size_t(0);
     for (auto& batch : peer.inFlight) bytes += batch.bytes;
-    if (peer.inFlight.empty() || now - peer.progressAt < RETRY_BASE + Us(bytes) * RETRY_PER_BYTE) return;
+    if (peer.inFlight.empty() || now - peer.progressAt < RETRY_BASE + Microseconds(bytes) * RETRY_PER_BYTE)
+        return;
     peer.next = std::max(peer.match + 1, peer.inFlight.front().first);
     peer.inFlight.clear();
     counters_.add("append_batches_resent_total");
 }
 
 // One message: a batch of entries, or a heartbeat if there are none or enough are on their way.
-auto Voter::sendBatch(const Str& disk, Peer& peer) -> void {
+auto Voter::sendBatch(const std::string& disk, Peer& peer) -> void {
     auto ask = wire::AppendAsk();
     ask.term = term_;
     ask.prevIdx = peer.next - 1;
@@ -92,7 +93,7 @@
     port_.voterTell(disk, message);
 }
 
-auto Voter::advanceCommit(Us now) -> void {
+auto Voter::advanceCommit(Microseconds now) -> void {
     if (!leads()) return;
     auto held = majorityMatch(voters_);
     if (joint() && !broken.newMajorityOnly) held = std::min(held, majorityMatch(outgoing_));
@@ -122,7 +123,9 @@
 auto Voter::answerReads() -> void {
     for (auto i = std::size_t(0); i < reads_.size();) {
         auto r = reads_[i];
-        auto confirmed = [&](const Str& disk) { return disk == disk_ || peers_[disk].round >= r.round; };
+        auto confirmed = [&](const std::string& disk) {
+            return disk == disk_ || peers_[disk].round >= r.round;
+        };
         if (applied_ >= r.commit && (majority(confirmed) || broken.skipReadQuorum)) {
             reads_.erase(reads_.begin() + std::ptrdiff_t(i));
             port_.voterRead(r.id, true);
@@ -130,7 +133,7 @@
     }
 }
 
-auto Voter::applyUpTo(std::int64_t index, Us now) -> void {
+auto Voter::applyUpTo(std::int64_t index, Microseconds now) -> void {
     auto any = applied_ < index && applied_ < last();
     while (applied_ < index && applied_ < last()) {
         applied_++;
@@ -146,7 +149,7 @@
 }
 
 // A message that no sound member sends in this state.
-auto Voter::refuse(const char* counter, const Str& from) -> void {
+auto Voter::refuse(const char* counter, const std::string& from) -> void {
     counters_.add(counter);
     logf("core: a message of disk {} was refused ({})", from, counter);
 }
@@ -173,7 +176,7 @@
         ask.entries.begin(), ask.entries.end(), [&](auto& e) { return contradicts(e.idx, e.term); });
 }
 
-auto Voter::onAppendAsk(const Str& from, const wire::AppendAsk& ask, Us now) -> void {
+auto Voter::onAppendAsk(const std::string& from, const wire::AppendAsk& ask, Microseconds now) -> void {
     auto reply = wire::AppendReply();
     auto message = envelope();
     if (ask.term < term_) {
@@ -240,7 +243,7 @@
     return w;
 }
 
-auto Voter::onAppendReply(const Str& from, const wire::AppendReply& reply, Us now) -> void {
+auto Voter::onAppendReply(const std::string& from, const wire::AppendReply& reply, Microseconds now) -> void {
     if (reply.ok) endTransfer(from, reply.match);
     if (reply.term > term_) {
         // One that is no voter deposes nobody.
@@ -265,7 +268,8 @@
     advanceCommit(now);
 }
 
-auto Voter::onRejected(const Str& from, Peer& peer, const wire::AppendReply& reply, Us now) -> void {
+auto Voter::onRejected(const std::string& from, Peer& peer, const wire::AppendReply& reply, Microseconds now)
+    -> void {
     // What counts is the answer to the first unanswered batch: `next` has run ahead of it.
     auto first = peer.inFlight.empty() ? peer.next : peer.inFlight.front().first;
     auto stale = reply.prevIdx > 0 && reply.prevIdx != first - 1;
@@ -278,4 +282,4 @@
     advanceCommit(now);
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/consensus/role.hpp
+++ b/src/consensus/role.hpp
@@ -6,7 +6,7 @@
 
 #include "shared.hpp"
 
-namespace dt {
+namespace duneturn {
 
 namespace msm = boost::msm;
 namespace mpl = boost::mpl;
@@ -65,4 +65,4 @@
     }
 };
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/consensus/snapshot.cpp
+++ b/src/consensus/snapshot.cpp
@@ -2,7 +2,7 @@
 #include "consensus/role.hpp"
 #include "consensus/voter.hpp"
 
-namespace dt {
+namespace duneturn {
 
 auto Voter::setLogBase(std::int64_t index, std::int64_t term) -> void {
     log_.clear();
@@ -20,10 +20,10 @@
     return bytes > std::max(COMPACTION_BYTES, snapDoc_->size());
 }
 
-auto Voter::compact(Us now) -> void {
+auto Voter::compact(Microseconds now) -> void {
     snapTerm_ = termAt(applied_);
     snapIdx_ = applied_;
-    snapDoc_ = std::make_shared<const Str>(word_.text());
+    snapDoc_ = std::make_shared<const std::string>(word_.text());
     snapVoters_ = word_.voters();
     trimTail();
     auto w = DiskWrite();
@@ -54,15 +54,16 @@
     return index > snapIdx_ && termAt(index) != term;
 }
 
-auto Voter::checkSnapshot(const Str& from, std::int64_t reign, const wire::SnapTell& snapshot, Word& state)
-    -> bool {
+auto Voter::checkSnapshot(
+    const std::string& from, std::int64_t reign, const wire::SnapTell& snapshot, Word& state) -> bool {
     auto sound = snapshot.idx > 0 && snapshot.idxTerm > 0 && snapshot.idxTerm <= snapshot.term
         && state.load(snapshot.doc) && state.reign == reign && !state.voters().empty();
     if (!sound) refuse("snapshot_malformed_total", from);
     return sound;
 }
 
-auto Voter::onSnapshot(const Str& from, std::int64_t reign, const wire::SnapTell& snapshot, Us now) -> void {
+auto Voter::onSnapshot(
+    const std::string& from, std::int64_t reign, const wire::SnapTell& snapshot, Microseconds now) -> void {
     auto other = reign != reign_;
     if (!other && (snapshot.term < term_ || (leads() && snapshot.term == term_))) return;
     auto lacking = other || lacks(snapshot.idx, snapshot.idxTerm);
@@ -82,14 +83,14 @@
     answerInstalled(from, snapshot, now);
 }
 
-auto Voter::hearSender(std::int64_t term, Us now) -> void {
+auto Voter::hearSender(std::int64_t term, Microseconds now) -> void {
     adoptTerm(term, now);
     if (role() != Role::Follower) follow(now);
     heardLeader_ = now;
     restartElectionTimer(now);
 }
 
-auto Voter::answerInstalled(const Str& to, const wire::SnapTell& snapshot, Us now) -> void {
+auto Voter::answerInstalled(const std::string& to, const wire::SnapTell& snapshot, Microseconds now) -> void {
     auto reply = wire::AppendReply();
     reply.term = term_;
     reply.ok = true;
@@ -101,12 +102,12 @@
     sendAfter(writeIfUnsaved(now), to, answer);
 }
 
-auto Voter::installSnapshot(const wire::SnapTell& snapshot, const Word& state, Us now) -> void {
+auto Voter::installSnapshot(const wire::SnapTell& snapshot, const Word& state, Microseconds now) -> void {
     word_ = head_ = state;
     snapIdx_ = applied_ = commit_ = synced_ = snapshot.idx;
     snapTerm_ = snapshot.idxTerm;
     setLogBase(snapIdx_, snapTerm_);
-    snapDoc_ = std::make_shared<const Str>(snapshot.doc);
+    snapDoc_ = std::make_shared<const std::string>(snapshot.doc);
     snapVoters_ = state.voters();
     appliedJoint_ = false;
     refreshVoters();
@@ -117,4 +118,4 @@
     counters_.add("snapshots_installed_total");
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/consensus/transfer.cpp
+++ b/src/consensus/transfer.cpp
@@ -6,7 +6,7 @@
 #include "consensus/role.hpp"
 #include "consensus/voter.hpp"
 
-namespace dt {
+namespace duneturn {
 
 // A receiver that never answered a chunk may run a program that reads whole snapshots only.
 constexpr int STALLS_BEFORE_WHOLE = 4;
@@ -16,7 +16,7 @@
     return std::int64_t(hash64(chunk.data, seed));
 }
 
-auto Voter::sendSnapshot(const Str& disk, Us now) -> void {
+auto Voter::sendSnapshot(const std::string& disk, Microseconds now) -> void {
     auto& transfer = transfers_[disk];
     // One that was begun goes on while the entries behind it are still at hand.
     if (!transfer.doc || transfer.idx < logBase_) {
@@ -36,11 +36,11 @@
         sendChunk(disk, transfer);
 }
 
-auto Voter::retryTransfer(const Str& disk, SnapshotTransfer& transfer, Us now) -> void {
+auto Voter::retryTransfer(const std::string& disk, SnapshotTransfer& transfer, Microseconds now) -> void {
     auto unanswered = transfer.sent - transfer.acked;
     auto complete = transfer.acked == transfer.doc->size();
     if (unanswered == 0 && !complete) return;
-    if (now - transfer.progressAt < RETRY_BASE + Us(unanswered) * RETRY_PER_BYTE) return;
+    if (now - transfer.progressAt < RETRY_BASE + Microseconds(unanswered) * RETRY_PER_BYTE) return;
     // All of it is there but the word that it was installed: the last chunk asks for that.
     if (complete) transfer.acked -= std::min(CHUNK_BYTES, transfer.acked);
     transfer.sent = transfer.acked;
@@ -50,7 +50,7 @@
     if (!transfer.readsChunks && transfer.stalls % STALLS_BEFORE_WHOLE == 0) sendWholeSnapshot(disk);
 }
 
-auto Voter::sendWholeSnapshot(const Str& disk) -> void {
+auto Voter::sendWholeSnapshot(const std::string& disk) -> void {
     auto snapshot = wire::SnapTell();
     snapshot.term = term_;
     snapshot.idx = snapIdx_;
@@ -63,7 +63,7 @@
     counters_.add("snapshots_sent_whole_total");
 }
 
-auto Voter::sendChunk(const Str& disk, SnapshotTransfer& transfer) -> void {
+auto Voter::sendChunk(const std::string& disk, SnapshotTransfer& transfer) -> void {
     auto chunk = wire::SnapshotChunk();
     chunk.term = term_;
     chunk.idx = transfer.idx;
@@ -82,7 +82,7 @@
 }
 
 // The disks that a new cluster counts on are told of it until they hold it.
-auto Voter::tellBlankVoters(Us now) -> void {
+auto Voter::tellBlankVoters(Microseconds now) -> void {
     if (now - toldAt_ < UNTOLD_INTERVAL) return;
     toldAt_ = now;
     for (auto& disk : untold_)
@@ -97,7 +97,7 @@
     return chunk.checksum == chunkChecksum(chunk);
 }
 
-auto Voter::onChunk(const wire::Envelope& message, Us now) -> void {
+auto Voter::onChunk(const wire::Envelope& message, Microseconds now) -> void {
     auto& chunk = message.snapshotChunk;
     auto& from = message.disk;
     if (!chunkSound(chunk)) return refuse("snapshot_chunk_malformed_total", from);
@@ -120,7 +120,7 @@
     assemble(message, now);
 }
 
-auto Voter::assemble(const wire::Envelope& message, Us now) -> void {
+auto Voter::assemble(const wire::Envelope& message, Microseconds now) -> void {
     auto& chunk = message.snapshotChunk;
     auto& a = assembly_;
     auto same = a.reign == message.reign && a.idx == chunk.idx && a.idxTerm == chunk.idxTerm
@@ -166,7 +166,8 @@
     port_.voterTell(message.disk, answer);
 }
 
-auto Voter::onChunkReply(const Str& from, const wire::SnapshotChunkReply& reply, Us now) -> void {
+auto Voter::onChunkReply(const std::string& from, const wire::SnapshotChunkReply& reply, Microseconds now)
+    -> void {
     if (reply.term > term_) {
         if (isVoter(from)) adoptTerm(reply.term, now);
         return;
@@ -194,9 +195,9 @@
     if (transfer.acked < transfer.doc->size()) sendSnapshot(from, now);
 }
 
-auto Voter::endTransfer(const Str& disk, std::int64_t match) -> void {
+auto Voter::endTransfer(const std::string& disk, std::int64_t match) -> void {
     auto found = transfers_.find(disk);
     if (found != transfers_.end() && match >= found->second.idx) transfers_.erase(found);
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/consensus/voter.cpp
+++ b/src/consensus/voter.cpp
@@ -3,7 +3,7 @@
 
 #include "consensus/role.hpp"
 
-namespace dt {
+namespace duneturn {
 
 Voter::Voter(VoterPort& port, Counters& counters, std::uint64_t seed)
     : port_(port), counters_(counters), rng_{seed}, role_(std::make_unique<RoleMachine>()) {}
@@ -11,7 +11,7 @@
 
 auto Voter::role() const -> Role { return Role(role_->machine.current_state()[0]); }
 
-auto Voter::start(const DiskState& state, const Str& fresh, Us now) -> void {
+auto Voter::start(const DiskState& state, const std::string& fresh, Microseconds now) -> void {
     disk_ = state.disk.empty() ? fresh : state.disk;
     heardLeader_ = now;
     restartElectionTimer(now);
@@ -25,7 +25,7 @@
     commit_ = state.commit;
     snapIdx_ = state.snapIdx;
     snapTerm_ = state.snapTerm;
-    snapDoc_ = std::make_shared<const Str>(state.snapDoc);
+    snapDoc_ = std::make_shared<const std::string>(state.snapDoc);
     setLogBase(snapIdx_, snapTerm_);
     log_ = state.log;
     word_.load(*snapDoc_);
@@ -47,18 +47,18 @@
     return e;
 }
 
-auto Voter::restartElectionTimer(Us now) -> void {
-    electionDue_ = now + ELECTION_TIMEOUT + Us(rng_.below(ELECTION_TIMEOUT));
+auto Voter::restartElectionTimer(Microseconds now) -> void {
+    electionDue_ = now + ELECTION_TIMEOUT + Microseconds(rng_.below(ELECTION_TIMEOUT));
 }
 
-auto Voter::tick(Us now) -> void {
+auto Voter::tick(Microseconds now) -> void {
     tickDisk(now);
     if (blank()) return;
     if (leads()) tickLeader(now);
     else tickFollower(now);
 }
 
-auto Voter::tickDisk(Us now) -> void {
+auto Voter::tickDisk(Microseconds now) -> void {
     auto stalled = !pendingWrites_.empty() && now - pendingWrites_.front().at > WRITE_STALLED;
     if (stalled && !diskBad_) {
         diskBad_ = true;
@@ -71,8 +71,8 @@
     }
 }
 
-auto Voter::tickLeader(Us now) -> void {
-    auto heardLately = [&](const Str& disk) {
+auto Voter::tickLeader(Microseconds now) -> void {
+    auto heardLately = [&](const std::string& disk) {
         return disk == disk_ || (peers_[disk].heard && now - peers_[disk].heard < QUORUM_TIMEOUT);
     };
     if (majority(heardLately)) quorumAt_ = now;
@@ -91,14 +91,14 @@
     changeVoters(now);
 }
 
-auto Voter::tickFollower(Us now) -> void {
+auto Voter::tickFollower(Microseconds now) -> void {
     tellBlankVoters(now);
     if (now < electionDue_) return;
     if (!isVoter(disk_) || diskBad_) electionDue_ = now + ELECTION_TIMEOUT;
     else if (role_->process(ElectionTimeout{}, counters_)) campaign(true, false, now);
 }
 
-auto Voter::hear(const wire::Envelope& message, Us now) -> void {
+auto Voter::hear(const wire::Envelope& message, Microseconds now) -> void {
     if (message.disk == disk_) return;
     auto hasSnapshot = message.__isset.snapTell || message.__isset.snapshotChunk;
     // A disk that its cluster no longer counts on may be told of a newer one.
@@ -120,4 +120,4 @@
     else if (message.__isset.snapshotChunkReply) onChunkReply(from, message.snapshotChunkReply, now);
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/consensus/voter.hpp
+++ b/src/consensus/voter.hpp
@@ -20,7 +20,7 @@
 #include "wire_types.h"
 #include "word.hpp"
 
-namespace dt {
+namespace duneturn {
 
 /// The kinds of log entries, as stored and sent; never renumbered.
 enum EntryKind : std::int32_t {
@@ -30,35 +30,37 @@
     ENTRY_JOINT = 3,   // the voters before and after a change, of which both majorities count
 };
 
-constexpr Us HEARTBEAT_INTERVAL = 100 * MS;
-constexpr Us ELECTION_TIMEOUT = 600 * MS;  // the shortest; a draw of as much again is added
-constexpr Us QUORUM_TIMEOUT = 1 * SEC;     // a leader that hears no majority for this long steps down
-constexpr Us WRITE_STALLED = 1 * SEC;      // a write outstanding for this long makes a disk bad
-constexpr Us DISK_PROBE_INTERVAL = 1 * SEC;
-constexpr Us UNTOLD_INTERVAL = 300 * MS;           // between two tries to initialize a blank voter
-constexpr std::int64_t COMPACTION_ENTRIES = 256;   // applied entries before a snapshot is taken
-constexpr std::size_t COMPACTION_BYTES = 1 << 20;  // or their bytes, if the snapshot is not larger
-constexpr std::int64_t TAIL_ENTRIES = 256;         // kept in memory behind a snapshot, for members
-constexpr std::size_t TAIL_BYTES = 1 << 20;        // that are slightly behind
+constexpr Microseconds HEARTBEAT_INTERVAL = 100 * MILLISECOND;
+constexpr Microseconds ELECTION_TIMEOUT =
+    600 * MILLISECOND;  // the shortest; a draw of as much again is added
+constexpr Microseconds QUORUM_TIMEOUT =
+    1 * SECOND;  // a leader that hears no majority for this long steps down
+constexpr Microseconds WRITE_STALLED = 1 * SECOND;  // a write outstanding for this long makes a disk bad
+constexpr Microseconds DISK_PROBE_INTERVAL = 1 * SECOND;
+constexpr Microseconds UNTOLD_INTERVAL = 300 * MILLISECOND;  // between two tries to initialize a blank voter
+constexpr std::int64_t COMPACTION_ENTRIES = 256;             // applied entries before a snapshot is taken
+constexpr std::size_t COMPACTION_BYTES = 1 << 20;            // or their bytes, if the snapshot is not larger
+constexpr std::int64_t TAIL_ENTRIES = 256;                   // kept in memory behind a snapshot, for members
+constexpr std::size_t TAIL_BYTES = 1 << 20;                  // that are slightly behind
 constexpr std::size_t BATCH_ENTRIES = 64;
 constexpr std::size_t BATCH_BYTES = 64 * 1024;    // one entry may be larger
 constexpr std::size_t MAX_BATCHES_IN_FLIGHT = 2;  // to one member
 constexpr std::size_t CHUNK_BYTES = 64 * 1024;    // of a snapshot
 constexpr std::size_t MAX_CHUNKS_IN_FLIGHT = 4;   // to one member
 constexpr std::size_t MAX_SNAPSHOT_BYTES = 32 << 20;
-constexpr Us RETRY_BASE = 400 * MS;      // what is unanswered for this long, and for
-constexpr Us RETRY_PER_BYTE = 4;         // its bytes at 2 Mbit/s, counts as lost
-constexpr int MAX_CATCH_UP_ROUNDS = 10;  // of a learner, see addLearner()
-constexpr Us LEARNER_RETRY = 5 * SEC;    // after a learner that was too slow
-constexpr std::size_t MIN_VOTERS = 3;    // a smaller set of voters is filled up
+constexpr Microseconds RETRY_BASE = 400 * MILLISECOND;  // what is unanswered for this long, and for
+constexpr Microseconds RETRY_PER_BYTE = 4;              // its bytes at 2 Mbit/s, counts as lost
+constexpr int MAX_CATCH_UP_ROUNDS = 10;                 // of a learner, see addLearner()
+constexpr Microseconds LEARNER_RETRY = 5 * SECOND;      // after a learner that was too slow
+constexpr std::size_t MIN_VOTERS = 3;                   // a smaller set of voters is filled up
 
 struct VoterPort {
     virtual ~VoterPort() = default;
-    virtual auto voterTell(const Str& disk, wire::Envelope& e) -> void = 0;
+    virtual auto voterTell(const std::string& disk, wire::Envelope& e) -> void = 0;
     virtual auto voterDisk(const DiskWrite& w) -> void = 0;
     /// The state machine advanced to `w`, which this disk holds; `key` and `o` are set when the
     /// entry was a command.
-    virtual auto voterWord(const Word& w, const Str& key, const Outcome& o) -> void = 0;
+    virtual auto voterWord(const Word& w, const std::string& key, const Outcome& o) -> void = 0;
     virtual auto voterRead(std::int64_t id, bool ok) -> void = 0;
 };
 
@@ -75,41 +77,41 @@
     ~Voter();
 
     /// Starts from what the disk holds; an empty state makes a blank voter with the identity `fresh`.
-    auto start(const DiskState& state, const Str& fresh, Us now) -> void;
-    auto tick(Us now) -> void;
-    auto hear(const wire::Envelope& message, Us now) -> void;
-    auto diskDone(std::int64_t seq, bool ok, Us now) -> void;
+    auto start(const DiskState& state, const std::string& fresh, Microseconds now) -> void;
+    auto tick(Microseconds now) -> void;
+    auto hear(const wire::Envelope& message, Microseconds now) -> void;
+    auto diskDone(std::int64_t seq, bool ok, Microseconds now) -> void;
     /// Begins a new cluster with this state on this disk alone, leaving any earlier one; the
     /// other voters are told of it.
-    auto found(const Word& state, std::int64_t term, Us now) -> void;
+    auto found(const Word& state, std::int64_t term, Microseconds now) -> void;
     /// Appends a command to the log; false unless this is the leader.
-    auto propose(int kind, const Str& body, Us now) -> bool;
+    auto propose(int kind, const std::string& body, Microseconds now) -> bool;
     /// Asks whether this is still the leader; answered through voterRead.
-    auto read(std::int64_t id, Us now) -> void;
+    auto read(std::int64_t id, Microseconds now) -> void;
     /// Spare disks that could take a seat (seat, disk).
-    auto offer(const std::vector<std::pair<Str, Str>>& spares) -> void { spares_ = spares; }
+    auto offer(const std::vector<std::pair<std::string, std::string>>& spares) -> void { spares_ = spares; }
     /// Voters' disks that say they are blank.
-    auto untold(const std::vector<Str>& disks) -> void { untold_ = disks; }
+    auto untold(const std::vector<std::string>& disks) -> void { untold_ = disks; }
     /// Transfers leadership to the voter that is furthest along; for a planned stop.
-    auto handOver(Us now) -> bool;
+    auto handOver(Microseconds now) -> bool;
     /// Leaves a cluster that never had a vote from this disk, or any if `force`.
-    auto abandon(bool force, Us now) -> bool;
+    auto abandon(bool force, Microseconds now) -> bool;
     /// A committed state of this cluster, of generation `gen`, names the voters without this disk.
     /// If that is behind all this log holds, the disk becomes a blank one, under the identity `fresh`.
-    auto retire(std::int64_t gen, const Str& fresh, Us now) -> bool;
+    auto retire(std::int64_t gen, const std::string& fresh, Microseconds now) -> bool;
     /// When this leader last heard of a disk; 0 if never.
-    auto heard(const Str& disk) const -> Us;
-    auto leadSince() const -> Us { return leadSince_; }
+    auto heard(const std::string& disk) const -> Microseconds;
+    auto leadSince() const -> Microseconds { return leadSince_; }
 
     auto role() const -> Role;
     auto blank() const -> bool { return role() == Role::Blank; }
     auto leads() const -> bool { return role() == Role::Leader; }
     /// Leads, and has applied an entry of its own term.
     auto ready() const -> bool { return leads() && applied_ >= termStart_; }
-    auto disk() const -> const Str& { return disk_; }
+    auto disk() const -> const std::string& { return disk_; }
     auto term() const -> std::int64_t { return term_; }
     auto reign() const -> std::int64_t { return reign_; }
-    auto leader() const -> const Str& { return leader_; }
+    auto leader() const -> const std::string& { return leader_; }
     auto word() const -> const Word& { return word_; }
     /// The state with everything that is in the log, committed or not.
     auto head() const -> const Word& { return head_; }
@@ -117,7 +119,7 @@
     /// The last index whose entry is in word().
     auto applied() const -> std::int64_t { return applied_; }
     auto last() const -> std::int64_t { return logBase_ + std::int64_t(log_.size()); }
-    auto quorumAt() const -> Us { return quorumAt_; }
+    auto quorumAt() const -> Microseconds { return quorumAt_; }
     auto diskBad() const -> bool { return diskBad_; }
     /// The newest set in the log, committed or not.
     auto voters() const -> const std::vector<Seat>& { return voters_; }
@@ -143,43 +145,43 @@
     /// What the leader knows of another member.
     struct Peer {
         std::int64_t next = 0, match = 0, round = 0;
-        Us heard = 0, sent = 0;
+        Microseconds heard = 0, sent = 0;
         struct Batch {
             std::int64_t first, last;
             std::size_t bytes;
         };
-        std::deque<Batch> inFlight;  // entries that were sent and not answered
-        Us progressAt = 0;           // when the first of them was sent, or one was answered
-        bool knowsJoint = false;     // said that it reads joint configurations
+        std::deque<Batch> inFlight;   // entries that were sent and not answered
+        Microseconds progressAt = 0;  // when the first of them was sent, or one was answered
+        bool knowsJoint = false;      // said that it reads joint configurations
         // A learner's current round: it ends when what the log held at its start is replicated.
         std::int64_t roundTarget = 0;
-        Us roundStart = 0, retryAt = 0;
+        Microseconds roundStart = 0, retryAt = 0;
         int rounds = 0;
     };
     struct PendingWrite {
         std::int64_t seq, last, lastTerm, commit, epoch, term;
-        Us at;
+        Microseconds at;
         bool reset, snap;
     };
     /// A message that may leave only when a write is on disk.
     struct DeferredMessage {
         std::int64_t seq;
-        Str to;
+        std::string to;
         wire::Envelope envelope;
     };
     /// A snapshot on its way to another member.
     struct SnapshotTransfer {
         std::int64_t idx = 0, idxTerm = 0, digest = 0;
-        std::shared_ptr<const Str> doc;
+        std::shared_ptr<const std::string> doc;
         std::size_t acked = 0, sent = 0;  // bytes
-        Us progressAt = 0;
+        Microseconds progressAt = 0;
         int stalls = 0;            // retries since the last progress
         bool readsChunks = false;  // the receiver has answered a chunk
     };
     /// The part of a snapshot that has come here.
     struct SnapshotAssembly {
         std::int64_t reign = 0, idx = 0, idxTerm = 0, size = 0, digest = 0;
-        Str data;
+        std::string data;
     };
     struct PendingRead {
         std::int64_t id, round, commit;
@@ -187,101 +189,104 @@
 
     // voter.cpp
     auto envelope() const -> wire::Envelope;
-    auto restartElectionTimer(Us now) -> void;
-    auto tickDisk(Us now) -> void;
-    auto tickLeader(Us now) -> void;
-    auto tickFollower(Us now) -> void;
+    auto restartElectionTimer(Microseconds now) -> void;
+    auto tickDisk(Microseconds now) -> void;
+    auto tickLeader(Microseconds now) -> void;
+    auto tickFollower(Microseconds now) -> void;
 
     // log.cpp
     auto termAt(std::int64_t index) const -> std::int64_t;
     auto at(std::int64_t index) const -> const wire::Entry& {
         return log_[std::size_t(index - logBase_ - 1)];
     }
-    auto write(DiskWrite w, Us now) -> std::int64_t;
-    auto writeIfUnsaved(Us now) -> std::int64_t;
+    auto write(DiskWrite w, Microseconds now) -> std::int64_t;
+    auto writeIfUnsaved(Microseconds now) -> std::int64_t;
     auto unsaved() const -> bool;
     auto owe(const PendingWrite& w) -> void;
-    auto sendAfter(std::int64_t seq, const Str& to, wire::Envelope e) -> void;
-    auto writeFailed(const PendingWrite& w, Us now) -> void;
-    auto writeSucceeded(const PendingWrite& w, Us now) -> void;
+    auto sendAfter(std::int64_t seq, const std::string& to, wire::Envelope e) -> void;
+    auto writeFailed(const PendingWrite& w, Microseconds now) -> void;
+    auto writeSucceeded(const PendingWrite& w, Microseconds now) -> void;
     auto rebuildHead() -> void;
 
     // election.cpp
-    auto follow(Us now) -> void;
-    auto adoptTerm(std::int64_t term, Us now) -> void;
-    auto campaign(bool preVote, bool transferred, Us now) -> void;
-    auto becomeLeader(Us now) -> void;
+    auto follow(Microseconds now) -> void;
+    auto adoptTerm(std::int64_t term, Microseconds now) -> void;
+    auto campaign(bool preVote, bool transferred, Microseconds now) -> void;
+    auto becomeLeader(Microseconds now) -> void;
     auto hasVotes() const -> bool;
     auto logIsCurrent(const wire::VoteAsk& ask) const -> bool;
-    auto hearsLeader(Us now) const -> bool;
-    auto onPreVoteAsk(const Str& from, const wire::VoteAsk& ask, Us now) -> void;
-    auto onVoteAsk(const Str& from, const wire::VoteAsk& ask, Us now) -> void;
-    auto onVoteReply(const Str& from, const wire::VoteReply& reply, Us now) -> void;
-    auto onTakeOver(const Str& from, const wire::TakeOver& message, Us now) -> void;
+    auto hearsLeader(Microseconds now) const -> bool;
+    auto onPreVoteAsk(const std::string& from, const wire::VoteAsk& ask, Microseconds now) -> void;
+    auto onVoteAsk(const std::string& from, const wire::VoteAsk& ask, Microseconds now) -> void;
+    auto onVoteReply(const std::string& from, const wire::VoteReply& reply, Microseconds now) -> void;
+    auto onTakeOver(const std::string& from, const wire::TakeOver& message, Microseconds now) -> void;
     auto candidateMayCount(const wire::VoteAsk& ask) const -> bool;
 
     // replication.cpp
-    auto append(int kind, const Str& body, Us now) -> void;
-    auto sendAppend(const Str& disk, Us now) -> void;
-    auto sendBatch(const Str& disk, Peer& peer) -> void;
-    auto dropLostBatches(Peer& peer, Us now) -> void;
-    auto onRejected(const Str& from, Peer& peer, const wire::AppendReply& reply, Us now) -> void;
-    auto sendAppends(Us now) -> void;
-    auto advanceCommit(Us now) -> void;
+    auto append(int kind, const std::string& body, Microseconds now) -> void;
+    auto sendAppend(const std::string& disk, Microseconds now) -> void;
+    auto sendBatch(const std::string& disk, Peer& peer) -> void;
+    auto dropLostBatches(Peer& peer, Microseconds now) -> void;
+    auto onRejected(const std::string& from, Peer& peer, const wire::AppendReply& reply, Microseconds now)
+        -> void;
+    auto sendAppends(Microseconds now) -> void;
+    auto advanceCommit(Microseconds now) -> void;
     auto majorityMatch(const std::vector<Seat>& voters) const -> std::int64_t;
     auto answerReads() -> void;
-    auto applyUpTo(std::int64_t index, Us now) -> void;
+    auto applyUpTo(std::int64_t index, Microseconds now) -> void;
     auto applyEntry(const wire::Entry& e) -> void;
-    auto onAppendAsk(const Str& from, const wire::AppendAsk& ask, Us now) -> void;
+    auto onAppendAsk(const std::string& from, const wire::AppendAsk& ask, Microseconds now) -> void;
     auto wellFormed(const wire::AppendAsk& ask) const -> bool;
     auto contradictsCommitted(const wire::AppendAsk& ask) const -> bool;
-    auto refuse(const char* counter, const Str& from) -> void;
+    auto refuse(const char* counter, const std::string& from) -> void;
     auto storeEntries(const wire::AppendAsk& ask) -> DiskWrite;
-    auto onAppendReply(const Str& from, const wire::AppendReply& reply, Us now) -> void;
+    auto onAppendReply(const std::string& from, const wire::AppendReply& reply, Microseconds now) -> void;
 
     // membership.cpp
     auto refreshVoters() -> void;
-    auto isVoter(const Str& disk) const -> bool;
-    auto majority(const std::function<bool(const Str&)>& has) const -> bool;
-    auto members() const -> std::vector<Str>;
-    auto changeVoters(Us now) -> void;
-    auto removeReplaced(Us now) -> bool;
-    auto addLearner(Us now) -> void;
-    auto caughtUp(Peer& peer, Us now) -> bool;
-    auto beginChange(std::vector<Seat> voters, Us now) -> bool;
+    auto isVoter(const std::string& disk) const -> bool;
+    auto majority(const std::function<bool(const std::string&)>& has) const -> bool;
+    auto members() const -> std::vector<std::string>;
+    auto changeVoters(Microseconds now) -> void;
+    auto removeReplaced(Microseconds now) -> bool;
+    auto addLearner(Microseconds now) -> void;
+    auto caughtUp(Peer& peer, Microseconds now) -> bool;
+    auto beginChange(std::vector<Seat> voters, Microseconds now) -> bool;
 
     // snapshot.cpp
     auto compactionDue() const -> bool;
-    auto compact(Us now) -> void;
+    auto compact(Microseconds now) -> void;
     auto trimTail() -> void;
     auto setLogBase(std::int64_t index, std::int64_t term) -> void;
     auto lacks(std::int64_t index, std::int64_t term) const -> bool;
-    auto onSnapshot(const Str& from, std::int64_t reign, const wire::SnapTell& snapshot, Us now) -> void;
-    auto checkSnapshot(const Str& from, std::int64_t reign, const wire::SnapTell& snapshot, Word& state)
-        -> bool;
-    auto hearSender(std::int64_t term, Us now) -> void;
-    auto answerInstalled(const Str& to, const wire::SnapTell& snapshot, Us now) -> void;
-    auto installSnapshot(const wire::SnapTell& snapshot, const Word& state, Us now) -> void;
+    auto onSnapshot(const std::string& from, std::int64_t reign, const wire::SnapTell& snapshot,
+        Microseconds now) -> void;
+    auto checkSnapshot(
+        const std::string& from, std::int64_t reign, const wire::SnapTell& snapshot, Word& state) -> bool;
+    auto hearSender(std::int64_t term, Microseconds now) -> void;
+    auto answerInstalled(const std::string& to, const wire::SnapTell& snapshot, Microseconds now) -> void;
+    auto installSnapshot(const wire::SnapTell& snapshot, const Word& state, Microseconds now) -> void;
 
     // transfer.cpp
-    auto sendSnapshot(const Str& disk, Us now) -> void;
-    auto sendWholeSnapshot(const Str& disk) -> void;
-    auto sendChunk(const Str& disk, SnapshotTransfer& transfer) -> void;
-    auto retryTransfer(const Str& disk, SnapshotTransfer& transfer, Us now) -> void;
-    auto tellBlankVoters(Us now) -> void;
-    auto onChunk(const wire::Envelope& message, Us now) -> void;
+    auto sendSnapshot(const std::string& disk, Microseconds now) -> void;
+    auto sendWholeSnapshot(const std::string& disk) -> void;
+    auto sendChunk(const std::string& disk, SnapshotTransfer& transfer) -> void;
+    auto retryTransfer(const std::string& disk, SnapshotTransfer& transfer, Microseconds now) -> void;
+    auto tellBlankVoters(Microseconds now) -> void;
+    auto onChunk(const wire::Envelope& message, Microseconds now) -> void;
     auto chunkSound(const wire::SnapshotChunk& chunk) const -> bool;
     auto answerChunk(const wire::Envelope& message, std::size_t received, bool refused) -> void;
-    auto assemble(const wire::Envelope& message, Us now) -> void;
-    auto onChunkReply(const Str& from, const wire::SnapshotChunkReply& reply, Us now) -> void;
-    auto endTransfer(const Str& disk, std::int64_t match) -> void;
+    auto assemble(const wire::Envelope& message, Microseconds now) -> void;
+    auto onChunkReply(const std::string& from, const wire::SnapshotChunkReply& reply, Microseconds now)
+        -> void;
+    auto endTransfer(const std::string& disk, std::int64_t match) -> void;
 
     VoterPort& port_;
     Counters& counters_;
     Rng rng_;
     std::unique_ptr<RoleMachine> role_;
-    Str disk_, vote_, leader_;
-    std::shared_ptr<const Str> snapDoc_ = std::make_shared<const Str>();
+    std::string disk_, vote_, leader_;
+    std::shared_ptr<const std::string> snapDoc_ = std::make_shared<const std::string>();
     std::int64_t reign_ = 0, term_ = 0, commit_ = 0, applied_ = 0, snapIdx_ = 0, snapTerm_ = 0;
     std::int64_t synced_ = 0;        // the last entry that this disk holds
     std::int64_t termStart_ = 0;     // this leader's first entry
@@ -291,26 +296,26 @@
     std::int64_t writtenTerm_ = -1;  // the term and vote of the newest write
     std::int64_t voteSeq_ = 0;       // the write of this candidate's own vote
     std::int64_t configIdx_ = 0;     // the entry of the voters in force
-    Str writtenVote_;
+    std::string writtenVote_;
     bool owedReset_ = false, owedSnap_ = false;  // parts of failed writes, for the next one
     bool appliedJoint_ = false;                  // the newest applied configuration is a joint one
     std::int64_t seq_ = 0, round_ = 0;
     std::int64_t logBase_ = 0, logBaseTerm_ = 0;  // the entry before the first in log_
     std::vector<wire::Entry> log_;
-    std::map<Str, SnapshotTransfer> transfers_;
+    std::map<std::string, SnapshotTransfer> transfers_;
     SnapshotAssembly assembly_;
-    std::map<Str, Peer> peers_;
-    std::set<Str> votes_;
-    std::vector<Str> untold_;
-    std::vector<std::pair<Str, Str>> spares_;
+    std::map<std::string, Peer> peers_;
+    std::set<std::string> votes_;
+    std::vector<std::string> untold_;
+    std::vector<std::pair<std::string, std::string>> spares_;
     std::vector<Seat> voters_, outgoing_, snapVoters_;
     Word word_, head_;
-    Us preVoteAt_ = 0, leadSince_ = 0, electionDue_ = 0, heardLeader_ = 0, quorumAt_ = 0, heartbeatAt_ = 0,
-       toldAt_ = 0, transferDue_ = 0, probeAt_ = 0;
+    Microseconds preVoteAt_ = 0, leadSince_ = 0, electionDue_ = 0, heardLeader_ = 0, quorumAt_ = 0,
+                 heartbeatAt_ = 0, toldAt_ = 0, transferDue_ = 0, probeAt_ = 0;
     std::deque<PendingWrite> pendingWrites_;
     std::deque<DeferredMessage> deferred_;
     std::vector<PendingRead> reads_;
     bool diskBad_ = false;
 };
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/control/order_client.cpp
+++ b/src/control/order_client.cpp
@@ -2,9 +2,10 @@
 
 #include <algorithm>
 
-namespace dt {
+namespace duneturn {
 
-auto OrderClient::start(std::int64_t id, const Str& body, bool read, Us timeout, Us now) -> void {
+auto OrderClient::start(
+    std::int64_t id, const std::string& body, bool read, Microseconds timeout, Microseconds now) -> void {
     auto pending = Pending();
     pending.id = id;
     pending.request = ++lastRequest_;
@@ -15,12 +16,13 @@
     pending_.push_back(std::move(pending));
 }
 
-auto OrderClient::order(std::int64_t id, const Str& op, const Str& key, const Str& body, Us now) -> void {
+auto OrderClient::order(std::int64_t id, const std::string& op, const std::string& key,
+    const std::string& body, Microseconds now) -> void {
     auto text = bodyOf({{"op", jsQuote(op)}, {"key", jsQuote(key)}, {"body", jsQuote(body)}});
     start(id, text, false, ORDER_TIMEOUT, now);
 }
 
-auto OrderClient::read(std::int64_t id, const StateQuery& query, Us now) -> void {
+auto OrderClient::read(std::int64_t id, const StateQuery& query, Microseconds now) -> void {
     start(id, query.text(), true, READ_TIMEOUT, now);
 }
 
@@ -44,7 +46,7 @@
         if (pending.id == id) return finish(pending.request, outcomeUnknown());
 }
 
-auto OrderClient::answered(const wire::OrderReply& reply, std::int64_t boot, Us now) -> void {
+auto OrderClient::answered(const wire::OrderReply& reply, std::int64_t boot, Microseconds now) -> void {
     // An answer to an earlier life of this node. One of an older program names no life; numbers begin
     // elsewhere in each life, too.
     if (reply.boot != 0 && reply.boot != boot) return;
@@ -69,9 +71,9 @@
     return outcomeUnknown();
 }
 
-auto OrderClient::step(Pending& pending, std::int64_t boot, Us now) -> void {
+auto OrderClient::step(Pending& pending, std::int64_t boot, Microseconds now) -> void {
     auto due = now >= pending.next;
-    auto leader = due ? port_.findLeader(now) : retry_.followsLeader ? port_.lastLeader() : Str();
+    auto leader = due ? port_.findLeader(now) : retry_.followsLeader ? port_.lastLeader() : std::string();
     auto moved = pending.sent && !leader.empty() && leader != pending.to;
     if (!due && !(retry_.followsLeader && moved)) return;
     if (leader.empty()) {
@@ -90,7 +92,7 @@
     port_.sendOrder(leader, ask, now);  // may answer, and so end `pending`
 }
 
-auto OrderClient::tick(std::int64_t boot, Us now) -> void {
+auto OrderClient::tick(std::int64_t boot, Microseconds now) -> void {
     auto requests = std::vector<std::int64_t>();
     for (auto& pending : pending_) requests.push_back(pending.request);
     for (auto request : requests) {
@@ -101,4 +103,4 @@
     }
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/control/order_client.hpp
+++ b/src/control/order_client.hpp
@@ -5,26 +5,27 @@
 
 #include "control/order_service.hpp"
 
-namespace dt {
+namespace duneturn {
 
-constexpr Us ORDER_TIMEOUT = 4500 * MS;  // an order not acknowledged within this is of unknown outcome
-constexpr Us READ_TIMEOUT = 4 * SEC;
-constexpr Us LEADER_SILENCE = 1 * SEC;  // after this an order is sent again
+constexpr Microseconds ORDER_TIMEOUT =
+    4500 * MILLISECOND;  // an order not acknowledged within this is of unknown outcome
+constexpr Microseconds READ_TIMEOUT = 4 * SECOND;
+constexpr Microseconds LEADER_SILENCE = 1 * SECOND;  // after this an order is sent again
 
 /// How soon an order is sent again.
 struct OrderRetry {
-    Us notLeader = 200 * MS;     // after a node that said that it does not lead
-    Us noLeader = 100 * MS;      // while no leader is known
-    bool followsLeader = false;  // at once, when another leader becomes known
+    Microseconds notLeader = 200 * MILLISECOND;  // after a node that said that it does not lead
+    Microseconds noLeader = 100 * MILLISECOND;   // while no leader is known
+    bool followsLeader = false;                  // at once, when another leader becomes known
 };
 
 struct OrderClientPort {
     virtual ~OrderClientPort() = default;
     /// The node that leads as far as known, looked up now or as last seen; empty if none.
-    virtual auto findLeader(Us now) -> Str = 0;
-    virtual auto lastLeader() -> Str = 0;
+    virtual auto findLeader(Microseconds now) -> std::string = 0;
+    virtual auto lastLeader() -> std::string = 0;
     /// Brings a request to a node, which may be this one.
-    virtual auto sendOrder(const Str& node, wire::OrderAsk& ask, Us now) -> void = 0;
+    virtual auto sendOrder(const std::string& node, wire::OrderAsk& ask, Microseconds now) -> void = 0;
     virtual auto orderDone(std::int64_t id, const Outcome& outcome) -> void = 0;
 };
 
@@ -35,28 +36,30 @@
         : port_(port), retry_(retry), lastRequest_(firstRequest) {}
 
     /// Begins an order or a read, known to the caller as `id`; answered through orderDone.
-    auto order(std::int64_t id, const Str& op, const Str& key, const Str& body, Us now) -> void;
-    auto read(std::int64_t id, const StateQuery& query, Us now) -> void;
+    auto order(std::int64_t id, const std::string& op, const std::string& key, const std::string& body,
+        Microseconds now) -> void;
+    auto read(std::int64_t id, const StateQuery& query, Microseconds now) -> void;
     /// The caller has gone: what is not sent yet is not sent any more. Answered at once.
     auto cancel(std::int64_t id) -> void;
-    auto answered(const wire::OrderReply& reply, std::int64_t boot, Us now) -> void;
+    auto answered(const wire::OrderReply& reply, std::int64_t boot, Microseconds now) -> void;
     /// `boot`: this node's life, which answers must name.
-    auto tick(std::int64_t boot, Us now) -> void;
+    auto tick(std::int64_t boot, Microseconds now) -> void;
 
   private:
     struct Pending {
         std::int64_t id = 0, request = 0;
-        Str body;
+        std::string body;
         bool read = false;
-        Us due = 0, next = 0;
+        Microseconds due = 0, next = 0;
         bool sent = false;
-        Str to;               // the node it was sent to last
+        std::string to;       // the node it was sent to last
         int outstanding = 0;  // sends that no node has said to have done nothing with
     };
-    auto start(std::int64_t id, const Str& body, bool read, Us timeout, Us now) -> void;
+    auto start(std::int64_t id, const std::string& body, bool read, Microseconds timeout, Microseconds now)
+        -> void;
     auto find(std::int64_t request) -> Pending*;
     auto finish(std::int64_t request, const Outcome& outcome) -> void;
-    auto step(Pending& pending, std::int64_t boot, Us now) -> void;
+    auto step(Pending& pending, std::int64_t boot, Microseconds now) -> void;
     static auto timedOut(const Pending& pending) -> Outcome;
 
     OrderClientPort& port_;
@@ -65,4 +68,4 @@
     std::vector<Pending> pending_;
 };
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/control/order_service.cpp
+++ b/src/control/order_service.cpp
@@ -2,32 +2,32 @@
 
 #include <algorithm>
 
-namespace dt {
+namespace duneturn {
 
 namespace order_answer {
 
 auto notLeader() -> Outcome { return {NOT_LEADER, bodyOf({{"error", jsQuote("not the leader")}})}; }
-auto notLogged(View why) -> Outcome { return {503, bodyOf({{"error", jsQuote(why)}})}; }
-auto readUnconfirmed(View why) -> Outcome { return {503, bodyOf({{"error", jsQuote(why)}})}; }
+auto notLogged(std::string_view why) -> Outcome { return {503, bodyOf({{"error", jsQuote(why)}})}; }
+auto readUnconfirmed(std::string_view why) -> Outcome { return {503, bodyOf({{"error", jsQuote(why)}})}; }
 
 }  // namespace order_answer
 
 // ---- orders
 
-auto OrderService::parse(const Str& text) -> OrderText {
-    auto document = Doc();
+auto OrderService::parse(const std::string& text) -> OrderText {
+    auto document = rapidjson::Document();
     if (!jsParse(text, document) || !document.IsObject()) return {};
     return {jsStr(document, "op"), jsStr(document, "key"), jsStr(document, "body")};
 }
 
 // One of an earlier term may have been dropped from the log, and would be waited for in vain.
-auto OrderService::find(const Str& key, std::int64_t term) -> PendingOrder* {
+auto OrderService::find(const std::string& key, std::int64_t term) -> PendingOrder* {
     for (auto& order : orders_)
         if (order.key == key && order.term == term && !order.applied) return &order;
     return nullptr;
 }
 
-auto OrderService::awaitOutcome(Voter& voter, const Requester& from, const Str& key, Us now)
+auto OrderService::awaitOutcome(Voter& voter, const Requester& from, const std::string& key, Microseconds now)
     -> PendingOrder& {
     auto order = PendingOrder();
     order.key = key;
@@ -37,7 +37,8 @@
     return orders_.emplace_back(std::move(order));
 }
 
-auto OrderService::order(Voter& voter, const Requester& from, const Str& text, Us wall, Us now) -> void {
+auto OrderService::order(Voter& voter, const Requester& from, const std::string& text, Microseconds wall,
+    Microseconds now) -> void {
     if (!voter.ready()) return port_.answer(from, order_answer::notLeader());
     auto order = parse(text);
     if (order.op.empty()) return;
@@ -60,15 +61,15 @@
     refuse(from, entry.error());
 }
 
-auto OrderService::propose(Voter& voter, const Requester& from, const Str& key, const Str& entry, Us now)
-    -> void {
+auto OrderService::propose(Voter& voter, const Requester& from, const std::string& key,
+    const std::string& entry, Microseconds now) -> void {
     awaitOutcome(voter, from, key, now);
     if (voter.propose(1, entry, now)) return;
     orders_.pop_back();
     port_.answer(from, order_answer::notLogged("the leader's disk takes nothing; the order was not logged"));
 }
 
-auto OrderService::applied(const Str& key, std::int64_t generation, const Outcome& outcome) -> void {
+auto OrderService::applied(const std::string& key, std::int64_t generation, const Outcome& outcome) -> void {
     if (key.empty()) return;
     for (auto& order : orders_) {
         if (order.key != key || order.applied) continue;
@@ -83,7 +84,7 @@
     port_.answer(from, outcome);
 }
 
-auto OrderService::tickOrders(Us now) -> void {
+auto OrderService::tickOrders(Microseconds now) -> void {
     for (auto i = std::size_t(0); i < orders_.size();) {
         auto& order = orders_[i];
         auto answer = Outcome();
@@ -105,8 +106,8 @@
 
 // ---- refusals
 
-auto OrderService::confirmRefusal(Voter& voter, const Requester& from, const OrderText& order, Us now)
-    -> void {
+auto OrderService::confirmRefusal(
+    Voter& voter, const Requester& from, const OrderText& order, Microseconds now) -> void {
     auto refusal = PendingRefusal();
     refusal.readId = ++lastReadId_;
     refusal.from = from;
@@ -118,7 +119,8 @@
     voter.read(refusal.readId, now);
 }
 
-auto OrderService::judgeAnew(Voter& voter, const PendingRefusal& refusal, Us wall, Us now) -> void {
+auto OrderService::judgeAnew(Voter& voter, const PendingRefusal& refusal, Microseconds wall, Microseconds now)
+    -> void {
     auto& order = refusal.order;
     auto& state = voter.word();
     if (auto known = state.accepted(order.key); known.status) return port_.answer(refusal.from, known);
@@ -127,7 +129,7 @@
     refuse(refusal.from, entry.error());
 }
 
-auto OrderService::tickRefusals(Voter& voter, Us wall, Us now) -> void {
+auto OrderService::tickRefusals(Voter& voter, Microseconds wall, Microseconds now) -> void {
     for (auto i = std::size_t(0); i < refusals_.size();) {
         auto& refusal = refusals_[i];
         auto judged = refusal.confirmed && voter.ready() && voter.applied() >= refusal.logEnd;
@@ -145,7 +147,8 @@
 
 // ---- reads
 
-auto OrderService::read(Voter& voter, const Requester& from, const StateQuery& query, Us now) -> void {
+auto OrderService::read(Voter& voter, const Requester& from, const StateQuery& query, Microseconds now)
+    -> void {
     if (!voter.ready()) return port_.answer(from, order_answer::notLeader());
     auto read = PendingRead();
     read.id = ++lastReadId_;
@@ -184,7 +187,7 @@
     }
 }
 
-auto OrderService::tickReads(Us now) -> void {
+auto OrderService::tickReads(Microseconds now) -> void {
     for (auto i = std::size_t(0); i < reads_.size();) {
         auto& read = reads_[i];
         auto answer = Outcome();
@@ -202,10 +205,10 @@
     }
 }
 
-auto OrderService::tick(Voter& voter, Us wall, Us now) -> void {
+auto OrderService::tick(Voter& voter, Microseconds wall, Microseconds now) -> void {
     tickRefusals(voter, wall, now);
     tickOrders(now);
     tickReads(now);
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/control/order_service.hpp
+++ b/src/control/order_service.hpp
@@ -10,13 +10,14 @@
 #include "core.hpp"
 #include "state/state_query.hpp"
 
-namespace dt {
+namespace duneturn {
 
-constexpr Us ORDER_SERVICE_TIMEOUT = 4 * SEC;  // below the waiting node's own, so that the answer is in time
+constexpr Microseconds ORDER_SERVICE_TIMEOUT =
+    4 * SECOND;  // below the waiting node's own, so that the answer is in time
 
 /// Who waits for an answer: a node's peer address, and the request's number in one life of that node.
 struct Requester {
-    Str address;
+    std::string address;
     std::int64_t boot = 0;
     std::int64_t request = 0;
 };
@@ -24,8 +25,8 @@
 /// That a majority of voters and of the roster hold something at one same moment: each was seen
 /// holding it by `begun`, and again, in the same life, after `begun`.
 struct MajorityProof {
-    Us begun = 0;
-    std::map<Str, std::int64_t> boots;
+    Microseconds begun = 0;
+    std::map<std::string, std::int64_t> boots;
 };
 
 /// Answers that the order service gives beside the state's own outcomes.
@@ -34,15 +35,15 @@
 constexpr int NOT_LEADER = 421;
 auto notLeader() -> Outcome;
 /// The order is not in the log by this request.
-auto notLogged(View why) -> Outcome;
-auto readUnconfirmed(View why) -> Outcome;
+auto notLogged(std::string_view why) -> Outcome;
+auto readUnconfirmed(std::string_view why) -> Outcome;
 }  // namespace order_answer
 
 struct OrderServicePort {
     virtual ~OrderServicePort() = default;
     virtual auto answer(const Requester& to, const Outcome& outcome) -> void = 0;
     /// Whether the state of `generation` is held by all the majorities that an acknowledgement needs.
-    virtual auto acknowledged(MajorityProof& proof, std::int64_t generation, Us now) -> bool = 0;
+    virtual auto acknowledged(MajorityProof& proof, std::int64_t generation, Microseconds now) -> bool = 0;
 };
 
 class OrderService {
@@ -50,14 +51,15 @@
     OrderService(OrderServicePort& port, Counters& counters) : port_(port), counters_(counters) {}
 
     /// An order as OrderClient encodes it; `wall`: calendar time.
-    auto order(Voter& voter, const Requester& from, const Str& text, Us wall, Us now) -> void;
-    auto read(Voter& voter, const Requester& from, const StateQuery& query, Us now) -> void;
+    auto order(Voter& voter, const Requester& from, const std::string& text, Microseconds wall,
+        Microseconds now) -> void;
+    auto read(Voter& voter, const Requester& from, const StateQuery& query, Microseconds now) -> void;
     /// The voter's answer to Voter::read.
     auto readDone(Voter& voter, std::int64_t id, bool confirmed) -> void;
     /// An order was applied and made `generation`, or was refused on it.
-    auto applied(const Str& key, std::int64_t generation, const Outcome& outcome) -> void;
+    auto applied(const std::string& key, std::int64_t generation, const Outcome& outcome) -> void;
     /// Answers what can be answered by now.
-    auto tick(Voter& voter, Us wall, Us now) -> void;
+    auto tick(Voter& voter, Microseconds wall, Microseconds now) -> void;
 
     /// Deliberate faults that the tests' oracles must see; none is set outside tests.
     struct Broken {
@@ -68,13 +70,13 @@
 
   private:
     struct OrderText {
-        Str op, key, body;
+        std::string op, key, body;
     };
     struct PendingOrder {
-        Str key;
+        std::string key;
         std::vector<Requester> waiting;
         std::int64_t term = 0;  // in which it was put into the log
-        Us due = 0;
+        Microseconds due = 0;
         bool applied = false;
         std::int64_t generation = 0;
         Outcome outcome;
@@ -84,7 +86,7 @@
         std::int64_t id = 0;
         Requester from;
         StateQuery query;
-        Us due = 0;
+        Microseconds due = 0;
         bool confirmed = false;
         std::int64_t generation = 0;
         Outcome outcome;
@@ -96,20 +98,23 @@
         Requester from;
         OrderText order;
         std::int64_t logEnd = 0;  // the log's last index when the order came
-        Us due = 0;
+        Microseconds due = 0;
         bool confirmed = false;
     };
 
-    static auto parse(const Str& text) -> OrderText;
-    auto find(const Str& key, std::int64_t term) -> PendingOrder*;
-    auto awaitOutcome(Voter& voter, const Requester& from, const Str& key, Us now) -> PendingOrder&;
-    auto propose(Voter& voter, const Requester& from, const Str& key, const Str& entry, Us now) -> void;
-    auto confirmRefusal(Voter& voter, const Requester& from, const OrderText& order, Us now) -> void;
-    auto judgeAnew(Voter& voter, const PendingRefusal& refusal, Us wall, Us now) -> void;
+    static auto parse(const std::string& text) -> OrderText;
+    auto find(const std::string& key, std::int64_t term) -> PendingOrder*;
+    auto awaitOutcome(Voter& voter, const Requester& from, const std::string& key, Microseconds now)
+        -> PendingOrder&;
+    auto propose(Voter& voter, const Requester& from, const std::string& key, const std::string& entry,
+        Microseconds now) -> void;
+    auto confirmRefusal(Voter& voter, const Requester& from, const OrderText& order, Microseconds now)
+        -> void;
+    auto judgeAnew(Voter& voter, const PendingRefusal& refusal, Microseconds wall, Microseconds now) -> void;
     auto refuse(const Requester& from, const Outcome& outcome) -> void;
-    auto tickOrders(Us now) -> void;
-    auto tickReads(Us now) -> void;
-    auto tickRefusals(Voter& voter, Us wall, Us now) -> void;
+    auto tickOrders(Microseconds now) -> void;
+    auto tickReads(Microseconds now) -> void;
+    auto tickRefusals(Voter& voter, Microseconds wall, Microseconds now) -> void;
 
     OrderServicePort& port_;
     Counters& counters_;
@@ -119,4 +124,4 @@
     std::int64_t lastReadId_ = 0;
 };
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/control/request_age.hpp
+++ b/src/control/request_age.hpp
@@ -2,18 +2,18 @@
 // How long after a request came its order may still be begun.
 #include "shared.hpp"
 
-namespace dt {
+namespace duneturn {
 
 /// Callers go on to another node after a second of silence, and may give other orders there. The end of
 /// their connection can be late: it is sent again in growing steps after a cut.
-constexpr Us CALLER_PATIENCE = 800 * MS;
+constexpr Microseconds CALLER_PATIENCE = 800 * MILLISECOND;
 
 /// Whether the caller of a request that came at `arrived` may have given up, so that `op` must not be
 /// begun any more. A configuration may: it names its base, so one that is begun late undoes nothing, and
 /// callers wait longer for a large one.
-inline auto tooLateToBegin(View op, Us arrived, Us now) -> bool {
+inline auto tooLateToBegin(std::string_view op, Microseconds arrived, Microseconds now) -> bool {
     auto evacuation = op == "empty" || op == "give-back";
     return evacuation && now - arrived > CALLER_PATIENCE;
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/control/request_watch.hpp
+++ b/src/control/request_watch.hpp
@@ -8,7 +8,7 @@
 
 #include "http.hpp"
 
-namespace dt {
+namespace duneturn {
 
 /// Whether the other end of `socket` has closed: its end of stream, or a broken connection.
 inline auto peerClosed(int socket) -> bool {
@@ -22,7 +22,7 @@
 class RequestWatch : public std::enable_shared_from_this<RequestWatch> {
   public:
     /// `arrived`: when the request was read; `onGone` is called once, if the caller goes.
-    RequestWatch(tcp::socket& socket, Us arrived, std::function<void(RequestWatch&)> onGone)
+    RequestWatch(tcp::socket& socket, Microseconds arrived, std::function<void(RequestWatch&)> onGone)
         : arrived(arrived), socket_(socket), onGone_(std::move(onGone)) {}
 
     auto start() -> void {
@@ -39,7 +39,7 @@
         return gone_;
     }
 
-    const Us arrived;
+    const Microseconds arrived;
     std::int64_t call = 0;  // the node's number of the order or read under way; 0 if none is
 
   private:
@@ -54,4 +54,4 @@
     bool gone_ = false, over_ = false;
 };
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/daemon.cpp
+++ b/src/daemon.cpp
@@ -30,7 +30,7 @@
 #include "routing/kept_connections.hpp"
 #include "storage/store.hpp"
 
-namespace dt {
+namespace duneturn {
 
 namespace tt = apache::thrift;
 using asio::awaitable;
@@ -40,13 +40,14 @@
 // Lock order: Daemon::mu_ (the logic), then any one of PeerSender::mutex_, Daemon::dmu_, Daemon::qmu_,
 // Down::mu; none of these four is held while another is taken.
 
-static auto clip(const Str& s) -> Str { return s.substr(0, 200); }
-constexpr Us UNHEARD_SERVER = 2 * SEC;   // sent bytes without an acknowledgement
-constexpr Us UNHEARD_SENDER = 10 * SEC;  // longer: a sender that reads nothing for a while counts too
-constexpr Us TICK = 20 * MS;
-constexpr Us CONNECT = 1 * SEC;
-constexpr Us WRITE = 30 * SEC;            // for a sender to take what it is given
-constexpr Us BODY_READ = 20 * SEC;        // for a sender to give its request's body
+static auto clip(const std::string& s) -> std::string { return s.substr(0, 200); }
+constexpr Microseconds UNHEARD_SERVER = 2 * SECOND;  // sent bytes without an acknowledgement
+constexpr Microseconds UNHEARD_SENDER =
+    10 * SECOND;  // longer: a sender that reads nothing for a while counts too
+constexpr Microseconds TICK = 20 * MILLISECOND;
+constexpr Microseconds CONNECT = 1 * SECOND;
+constexpr Microseconds WRITE = 30 * SECOND;      // for a sender to take what it is given
+constexpr Microseconds BODY_READ = 20 * SECOND;  // for a sender to give its request's body
 constexpr std::size_t HELD = 256 * 1024;  // bytes held for a slow sender before its server is held back
 constexpr std::size_t READ = 8 * 1024;
 constexpr std::size_t AHEAD = 64 * 1024;  // bytes taken of requests that a sender sends ahead
@@ -60,30 +61,30 @@
     bool headReady = false, stream = false, ended = false, whole = false;
     int status = 0;
     Headers h;
-    std::deque<Str> parts;
+    std::deque<std::string> parts;
     std::size_t bytes = 0;
     std::function<void()> wake;
 };
 
 // One request as it goes to a server, and how its answer is read.
 struct ServerRequest {
-    Str head, body;
+    std::string head, body;
     AnswerOptions answer;
 };
 
 struct Up {
     asio::any_io_executor ex;
     std::shared_ptr<beast::tcp_stream> s;
-    Str server, key;      // key: of the server's kept connections
-    bool kept = false;    // its connection has carried another exchange before
-    bool broken = false;  // a write on it failed
+    std::string server, key;  // key: of the server's kept connections
+    bool kept = false;        // its connection has carried another exchange before
+    bool broken = false;      // a write on it failed
     std::atomic<bool> dropped = false;
 };
 
 // Who speaks at a listening address.
 struct Listen {
     enum Kind { Sender, Operator, Adapted } kind;
-    Str addr;
+    std::string addr;
     tcp::acceptor ac;
 };
 
@@ -94,7 +95,7 @@
     }
 
     // ---- NodePort
-    auto tell(const Str& addr, const wire::Envelope& e) -> void override {
+    auto tell(const std::string& addr, const wire::Envelope& e) -> void override {
         if (addr == op.st.peer) return;
         auto l = std::lock_guard(qmu_);
         auto i = outs_.find(addr);
@@ -119,19 +120,19 @@
         calls_.erase(i);
         f(o);
     }
-    auto book(const std::vector<Str>& v) -> void override {
-        auto s = Str();
+    auto book(const std::vector<std::string>& v) -> void override {
+        auto s = std::string();
         for (auto& a : v) s += a + "\n";
         auto l = std::lock_guard(dmu_);
         book_ = s;
         dcv_.notify_one();
     }
-    auto probe(const Str& server, const Str& addr) -> void override {
+    auto probe(const std::string& server, const std::string& addr) -> void override {
         asio::co_spawn(io, probeRun(server, addr), asio::detached);
     }
 
     // ---- EdgePort
-    auto send(std::int64_t x, int a, const Str& server, const Str& addr) -> void override {
+    auto send(std::int64_t x, int a, const std::string& server, const std::string& addr) -> void override {
         auto u = std::make_shared<Up>();
         u->server = server;
         u->key = server + " " + addr;
@@ -185,32 +186,34 @@
     auto head(std::int64_t x, int status, const Headers& h) -> void override {
         push(x, [&](Down& d) { d.status = status, d.h = h, d.stream = d.headReady = true; });
     }
-    auto part(std::int64_t x, const Str& s) -> void override {
+    auto part(std::int64_t x, const std::string& s) -> void override {
         push(x, [&](Down& d) { d.parts.push_back(s), d.bytes += s.size(); });
     }
     auto end(std::int64_t x, bool whole) -> void override {
         push(x, [&](Down& d) { d.ended = true, d.whole = whole; });
     }
-    auto reply(std::int64_t x, int status, const Headers& h, const Str& body) -> void override {
+    auto reply(std::int64_t x, int status, const Headers& h, const std::string& body) -> void override {
         push(x, [&](Down& d) {
             d.status = status, d.h = h, d.parts = {body}, d.headReady = d.ended = d.whole = true;
         });
     }
 
     // ---- Shell
-    auto order(const Str& o, const Str& key, const Str& body) -> awaitable<Outcome> override {
+    auto order(const std::string& o, const std::string& key, const std::string& body)
+        -> awaitable<Outcome> override {
         co_return co_await watchedOrder(nullptr, o, key, body);
     }
     auto readState(const StateQuery& query) -> awaitable<Outcome> override {
         co_return co_await watchedRead(nullptr, query);
     }
     /// The same for the caller of one request, if a watch is given: see RequestShell.
-    auto watchedOrder(RequestWatch* watch, Str o, Str key, Str body) -> awaitable<Outcome>;
+    auto watchedOrder(RequestWatch* watch, std::string o, std::string key, std::string body)
+        -> awaitable<Outcome>;
     auto watchedRead(RequestWatch* watch, StateQuery query) -> awaitable<Outcome>;
-    auto list(const Str& body) -> awaitable<Outcome> override {
+    auto list(const std::string& body) -> awaitable<Outcome> override {
         co_return co_await await([&](std::int64_t id) { node->list(id, body, bootNow()); });
     }
-    auto where(const Str& region, const Str& district) -> Str override {
+    auto where(const std::string& region, const std::string& district) -> std::string override {
         auto l = std::lock_guard(mu_);
         return node->where(region, district, bootNow());
     }
@@ -222,13 +225,13 @@
         auto l = std::lock_guard(mu_);
         return node->duty(bootNow());
     }
-    auto word() -> Str override {
+    auto word() -> std::string override {
         auto l = std::lock_guard(mu_);
         return node->word().text();
     }
-    auto fetch(const Str& addr, const Str& target, Us limit)
+    auto fetch(const std::string& addr, const std::string& target, Microseconds limit)
         -> awaitable<tl::expected<Res, CallError>> override {
-        return dt::fetch(addr, "GET", target, "", {}, limit);
+        return duneturn::fetch(addr, "GET", target, "", {}, limit);
     }
     auto settings() -> const Settings& override { return op.st; }
 
@@ -246,22 +249,24 @@
     }
 
     auto run() -> int;
-    auto bind() -> Str;
+    auto bind() -> std::string;
     auto coreStart(const DiskState& s) -> void;
     auto diskLoop() -> void;
-    auto bookWrite(const Str& s) -> void;
-    auto upRun(std::int64_t x, int a, Str addr, std::shared_ptr<Up> u) -> awaitable<void>;
-    auto connectServer(std::int64_t x, int a, const Str& addr, Up& u) -> awaitable<bool>;
-    auto requestFor(std::int64_t x, int a, const Str& addr, const Up& u) -> std::optional<ServerRequest>;
+    auto bookWrite(const std::string& s) -> void;
+    auto upRun(std::int64_t x, int a, std::string addr, std::shared_ptr<Up> u) -> awaitable<void>;
+    auto connectServer(std::int64_t x, int a, const std::string& addr, Up& u) -> awaitable<bool>;
+    auto requestFor(std::int64_t x, int a, const std::string& addr, const Up& u)
+        -> std::optional<ServerRequest>;
     auto readAnswer(std::int64_t x, int a, Up& u, const AnswerOptions& options) -> awaitable<void>;
     auto waitForSender(std::int64_t x, int a, Up& u) -> awaitable<bool>;
-    auto keep(Up& u, Us life) -> void;
-    auto probeRun(Str server, Str addr) -> awaitable<void>;
+    auto keep(Up& u, Microseconds life) -> void;
+    auto probeRun(std::string server, std::string addr) -> awaitable<void>;
     auto listen(Listen& at) -> awaitable<void>;
     auto session(tcp::socket s, Listen& at) -> awaitable<void>;
-    auto exchange(beast::tcp_stream& s, beast::flat_buffer& b, const Req& q, Us arrived) -> awaitable<bool>;
+    auto exchange(beast::tcp_stream& s, beast::flat_buffer& b, const Req& q, Microseconds arrived)
+        -> awaitable<bool>;
     auto operate(const Req& q, Shell& sh) -> awaitable<Res>;
-    auto adapted(const Str& at, const Req& q, Shell& sh) -> awaitable<Res>;
+    auto adapted(const std::string& at, const Req& q, Shell& sh) -> awaitable<Res>;
     auto duties() -> awaitable<void>;
     auto await(std::function<void(std::int64_t)> f, RequestWatch* watch = nullptr) -> awaitable<Outcome>;
     auto callerGone(RequestWatch& watch) -> void;
@@ -269,7 +274,7 @@
     auto work() -> void;
     auto ticker() -> awaitable<void>;
     auto stopBegin() -> void;
-    auto stopStep(Us now) -> bool;
+    auto stopStep(Microseconds now) -> bool;
     auto hup() -> void;
     auto idleClose() -> void;
 
@@ -280,11 +285,11 @@
     Counters ct_, ct2_;
     std::unique_ptr<Node> node;
     std::unique_ptr<Edge> edge;
-    std::map<Str, std::unique_ptr<PeerSender>> outs_;
-    std::set<Str> compressing_;  // peers that read compressed envelopes
+    std::map<std::string, std::unique_ptr<PeerSender>> outs_;
+    std::set<std::string> compressing_;  // peers that read compressed envelopes
     Compressor compressor_;
     std::deque<DiskWrite> dq_;
-    Str book_;  // to be written; empty if nothing is
+    std::string book_;  // to be written; empty if nothing is
     std::condition_variable dcv_;
     std::map<std::int64_t, std::function<void(const Outcome&)>> calls_;
     std::int64_t callId_ = 0;
@@ -295,10 +300,10 @@
         [](auto& s) { return quietSocket(s->socket().native_handle()); }};
     std::set<std::shared_ptr<beast::tcp_stream>> idle_;  // senders' connections between requests
     Limits lim_;
-    std::map<Str, std::int64_t> conns_;  // the most that a pool's servers accept
+    std::map<std::string, std::int64_t> conns_;  // the most that a pool's servers accept
     std::size_t nodes_ = 1;
     std::int64_t limReign_ = -1, limGen_ = -1;
-    Us sweptAt_ = 0;
+    Microseconds sweptAt_ = 0;
     std::vector<std::unique_ptr<Listen>> listens_;
     std::unique_ptr<asio::signal_set> hup_;
     std::atomic<int> sessions_ = 0;
@@ -313,20 +318,21 @@
 // The shell as one request sees it: orders and reads end when the request's caller is gone.
 struct RequestShell : Shell {
     RequestShell(Daemon& d, RequestWatch& w) : daemon(d), watch(w) {}
-    auto order(const Str& op, const Str& key, const Str& body) -> awaitable<Outcome> override {
+    auto order(const std::string& op, const std::string& key, const std::string& body)
+        -> awaitable<Outcome> override {
         return daemon.watchedOrder(&watch, op, key, body);
     }
     auto readState(const StateQuery& query) -> awaitable<Outcome> override {
         return daemon.watchedRead(&watch, query);
     }
-    auto list(const Str& body) -> awaitable<Outcome> override { return daemon.list(body); }
-    auto where(const Str& region, const Str& district) -> Str override {
+    auto list(const std::string& body) -> awaitable<Outcome> override { return daemon.list(body); }
+    auto where(const std::string& region, const std::string& district) -> std::string override {
         return daemon.where(region, district);
     }
     auto ready() -> bool override { return daemon.ready(); }
     auto duty() -> bool override { return daemon.duty(); }
-    auto word() -> Str override { return daemon.word(); }
-    auto fetch(const Str& addr, const Str& target, Us limit)
+    auto word() -> std::string override { return daemon.word(); }
+    auto fetch(const std::string& addr, const std::string& target, Microseconds limit)
         -> awaitable<tl::expected<Res, CallError>> override {
         return daemon.fetch(addr, target, limit);
     }
@@ -338,10 +344,10 @@
 
 // Makes this a core by what its disk holds.
 auto Daemon::coreStart(const DiskState& s) -> void {
-    auto ps = std::vector<Str>();
+    auto ps = std::vector<std::string>();
     if (auto t = fileRead(op.st.data + "/peers")) {
         auto in = std::stringstream(*t);
-        for (auto a = Str(); std::getline(in, a);)
+        for (auto a = std::string(); std::getline(in, a);)
             if (addrParse(a)) ps.push_back(a);
     }
     auto rd = std::random_device();
@@ -394,7 +400,7 @@
 }
 
 // Hints only: written aside, synced and renamed, so that a half-written one is never read.
-auto Daemon::bookWrite(const Str& s) -> void {
+auto Daemon::bookWrite(const std::string& s) -> void {
     auto to = op.st.data + "/peers", tmp = to + ".new";
     auto fd = ::open(tmp.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0644);
     if (fd < 0) return;
@@ -411,7 +417,7 @@
 // only if that may run again and nothing but the first one's whole reply has come on it.
 
 // A connection that its exchange left clean. With mu_ held.
-auto Daemon::keep(Up& u, Us life) -> void {
+auto Daemon::keep(Up& u, Microseconds life) -> void {
     if (!reuse_ || u.dropped || stop_.at) return;
     auto most = std::size_t(4);
     if (auto i = node->servers().find(u.server); i != node->servers().end())
@@ -420,7 +426,7 @@
 }
 
 // A connection on which nothing has come before the first byte is written; false if there is none.
-auto Daemon::connectServer(std::int64_t x, int a, const Str& addr, Up& u) -> awaitable<bool> {
+auto Daemon::connectServer(std::int64_t x, int a, const std::string& addr, Up& u) -> awaitable<bool> {
     if (u.kept && quietSocket(u.s->socket().native_handle())) co_return true;
     if (u.kept) {  // it ended, or brought bytes that nobody asked for, since it was taken
         auto l = std::lock_guard(mu_);
@@ -442,7 +448,8 @@
 }
 
 // The request, if it may still be sent. From here on it counts as sent.
-auto Daemon::requestFor(std::int64_t x, int a, const Str& addr, const Up& u) -> std::optional<ServerRequest> {
+auto Daemon::requestFor(std::int64_t x, int a, const std::string& addr, const Up& u)
+    -> std::optional<ServerRequest> {
     auto l = std::lock_guard(mu_);
     auto e = edge->find(x);
     if (u.dropped || !e || !edge->maySend(x, a, bootNow(), u.kept)) return std::nullopt;
@@ -496,7 +503,7 @@
     }
 }
 
-auto Daemon::upRun(std::int64_t x, int a, Str addr, std::shared_ptr<Up> u) -> awaitable<void> {
+auto Daemon::upRun(std::int64_t x, int a, std::string addr, std::shared_ptr<Up> u) -> awaitable<void> {
     auto connected = co_await connectServer(x, a, addr, *u);
     auto request = connected ? requestFor(x, a, addr, *u) : std::nullopt;
     if (request) {
@@ -509,14 +516,14 @@
             auto l = std::lock_guard(mu_);
             edge->written(x, a);
         }
-        request->head = request->body = Str();
+        request->head = request->body = std::string();
         co_await readAnswer(x, a, *u, request->answer);
     }
     auto l = std::lock_guard(mu_);
     ups_.erase({x, a});
 }
 
-auto Daemon::probeRun(Str server, Str addr) -> awaitable<void> {
+auto Daemon::probeRun(std::string server, std::string addr) -> awaitable<void> {
     auto s = beast::tcp_stream(co_await asio::this_coro::executor);
     auto ok = false, refused = false;
     auto d = wire::Load();
@@ -530,7 +537,7 @@
         auto b = beast::flat_buffer(64 * 1024);
         auto r = Res();
         co_await http::async_read(s, b, r, use_awaitable);
-        auto j = Doc();
+        auto j = rapidjson::Document();
         if (r.result_int() == 200 && jsParse(r.body(), j) && j.IsObject()) {
             ok = true;
             d.prefill = std::int32_t(jsInt(j, "prefill"));
@@ -550,9 +557,11 @@
 // ---- towards the senders
 
 // A reply's head. What the logic gives is kept as it is, less what concerns one connection.
-static auto headText(const Req& q, int status, const Headers& h, bool keep, Us idle) -> Str {
-    auto t = fmt::format("HTTP/1.1 {} {}\r\n", status, Str(http::obsolete_reason(http::status(status))));
-    auto names = Str();
+static auto headText(const Req& q, int status, const Headers& h, bool keep, Microseconds idle)
+    -> std::string {
+    auto t =
+        fmt::format("HTTP/1.1 {} {}\r\n", status, std::string(http::obsolete_reason(http::status(status))));
+    auto names = std::string();
     for (auto& [k, v] : h)
         if (beast::iequals(k, "Connection")) names += (names.empty() ? "" : ",") + v;
     auto head = q.method() == http::verb::head;
@@ -561,30 +570,31 @@
     if (!keep) t += "Connection: close\r\n";
     else if (q.version() == 10) t += "Connection: keep-alive\r\n";
     // A second less than what is kept to, so that a request and the close do not cross.
-    if (keep && idle >= 2 * SEC) t += fmt::format("Keep-Alive: timeout={}\r\n", idle / SEC - 1);
+    if (keep && idle >= 2 * SECOND) t += fmt::format("Keep-Alive: timeout={}\r\n", idle / SECOND - 1);
     return t;
 }
 
-auto Daemon::exchange(beast::tcp_stream& s, beast::flat_buffer& b, const Req& q, Us arrived)
+auto Daemon::exchange(beast::tcp_stream& s, beast::flat_buffer& b, const Req& q, Microseconds arrived)
     -> awaitable<bool> {
     auto ex = co_await asio::this_coro::executor;
     auto tm = std::make_shared<asio::steady_timer>(ex);
     auto h = Headers();
-    auto hop = Str();
+    auto hop = std::string();
     for (auto [i, e] = q.equal_range(http::field::connection); i != e; ++i)
-        hop += (hop.empty() ? "" : ",") + Str(i->value());
+        hop += (hop.empty() ? "" : ",") + std::string(i->value());
     for (auto& f : q) {
         // What concerns this connection only is not passed on, nor what its Connection names.
-        auto k = View(f.name_string().data(), f.name_string().size());
-        if (!hopByHop(k, hop)) h.emplace_back(Str(k), Str(f.value()));
+        auto k = std::string_view(f.name_string().data(), f.name_string().size());
+        if (!hopByHop(k, hop)) h.emplace_back(std::string(k), std::string(f.value()));
     }
     auto id = std::int64_t(0);
     auto d = std::shared_ptr<Down>();
-    auto idle = Us(0);
+    auto idle = Microseconds(0);
     {
         auto l = std::lock_guard(mu_);
         if (ad) idle = lim_.idle;
-        id = edge->accept(Str(q.method_string()), Str(q.target()), h, q.body(), bootNow(), arrived);
+        id = edge->accept(
+            std::string(q.method_string()), std::string(q.target()), h, q.body(), bootNow(), arrived);
         d = down(id);
         auto l2 = std::lock_guard(d->mu);
         d->wake = [this, ex, tm] {
@@ -627,7 +637,7 @@
     auto keep = q.keep_alive();
     auto noBody = q.method() == http::verb::head;
     while (good) {
-        auto parts = std::deque<Str>();
+        auto parts = std::deque<std::string>();
         auto ready = false, fin = false, wh = false, st = false;
         {
             auto l = std::lock_guard(d->mu);
@@ -644,7 +654,7 @@
             good = false;
             break;
         }
-        auto out = Str();
+        auto out = std::string();
         if (ready && !begun) {
             begun = true;
             keep = keep && !closing_ && !(st && plain);
@@ -654,7 +664,7 @@
                 auto len = parts.empty() ? std::size_t(0) : parts.front().size();
                 if (!none && !noBody) out += fmt::format("Content-Length: {}\r\n", len);
                 out += "\r\n";
-                auto body = none || noBody || parts.empty() ? Str() : std::move(parts.front());
+                auto body = none || noBody || parts.empty() ? std::string() : std::move(parts.front());
                 s.expires_after(std::chrono::microseconds(WRITE));
                 std::tie(ec, n) =
                     co_await asio::async_write(s, std::array{asio::buffer(out), asio::buffer(body)}, quiet);
@@ -740,10 +750,11 @@
         p.body_limit(lim.bodyBytes);
         s.expires_after(std::chrono::microseconds(lim.headerRead));
         std::tie(ec, n) = co_await http::async_read_header(s, b, p, quiet);
-        auto deny = [&](http::status st, Str why) -> awaitable<void> {
+        auto deny = [&](http::status st, std::string why) -> awaitable<void> {
             auto r = Res(st, 11);
             r.set(http::field::content_type, "application/json");
-            if (auto k = ad ? ad->dialect.notExecuted : Str("X-Not-Executed"); !k.empty()) r.set(k, "true");
+            if (auto k = ad ? ad->dialect.notExecuted : std::string("X-Not-Executed"); !k.empty())
+                r.set(k, "true");
             r.keep_alive(false);
             r.body() = errorBody({{"/", why}});
             r.prepare_payload();
@@ -793,7 +804,7 @@
         auto q = p.release();
         if (chunked) static_cast<http::fields&>(q) = std::move(header);
         s.expires_never();
-        auto path = Str(q.target());
+        auto path = std::string(q.target());
         if (at.kind == Listen::Sender
             && (ad || !(path.starts_with("/v1/where") || path == "/healthz" || path == "/readyz"))) {
             if (!co_await exchange(s, b, q, arrived)) break;
@@ -840,8 +851,8 @@
 }
 
 // Opens every address once; the reason if that fails.
-auto Daemon::bind() -> Str {
-    auto add = [&](Listen::Kind k, const Str& a) {
+auto Daemon::bind() -> std::string {
+    auto add = [&](Listen::Kind k, const std::string& a) {
         if (a.empty()) return;
         for (auto& l : listens_)
             if (l->addr == a) return;
@@ -863,11 +874,11 @@
     return "";
 }
 
-auto Daemon::adapted(const Str& at, const Req& q, Shell& sh) -> awaitable<Res> {
+auto Daemon::adapted(const std::string& at, const Req& q, Shell& sh) -> awaitable<Res> {
     try {
         co_return co_await ad->serve(at, q, sh);
     } catch (const std::exception& e) {
-        logf("adapter: {}: {}", clip(Str(q.target())), e.what());
+        logf("adapter: {}: {}", clip(std::string(q.target())), e.what());
     }
     co_return Res(http::status::internal_server_error, 11);
 }
@@ -889,7 +900,8 @@
 
 // A caller who is gone, or whose request may have lain unread while this process was stopped, may have
 // been served elsewhere since: what it asks for now could undo that.
-auto Daemon::watchedOrder(RequestWatch* watch, Str o, Str key, Str body) -> awaitable<Outcome> {
+auto Daemon::watchedOrder(RequestWatch* watch, std::string o, std::string key, std::string body)
+    -> awaitable<Outcome> {
     if (watch && watch->callerGone()) co_return order_answer::notLogged("the caller is gone");
     if (watch && tooLateToBegin(o, watch->arrived, bootNow()))
         co_return order_answer::notLogged("it took too long to begin; send it again");
@@ -937,13 +949,13 @@
     co_return *out;
 }
 
-static auto query(const Str& target, const Str& k) -> Str {
+static auto query(const std::string& target, const std::string& k) -> std::string {
     auto i = target.find('?');
-    while (i != Str::npos) {
+    while (i != std::string::npos) {
         auto j = target.find('&', i + 1);
-        auto kv = target.substr(i + 1, j == Str::npos ? Str::npos : j - i - 1);
+        auto kv = target.substr(i + 1, j == std::string::npos ? std::string::npos : j - i - 1);
         auto e = kv.find('=');
-        if (kv.substr(0, e) == k) return e == Str::npos ? "" : kv.substr(e + 1);
+        if (kv.substr(0, e) == k) return e == std::string::npos ? "" : kv.substr(e + 1);
         i = j;
     }
     return "";
@@ -952,7 +964,7 @@
 auto Daemon::operate(const Req& q, Shell& sh) -> awaitable<Res> {
     auto r = Res(http::status::ok, 11);
     r.set(http::field::content_type, "application/json");
-    auto target = Str(q.target());
+    auto target = std::string(q.target());
     auto path = target.substr(0, target.find('?'));
     auto get = q.method() == http::verb::get;
     auto now = bootNow();
@@ -961,8 +973,8 @@
         r.body() = o.body;
         if (o.status == 503 || o.status == 504) r.set(http::field::retry_after, "1");
     };
-    auto key = Str(q["Idempotency-Key"]);
-    auto ordered = [&](const Str& o) -> awaitable<Outcome> {
+    auto key = std::string(q["Idempotency-Key"]);
+    auto ordered = [&](const std::string& o) -> awaitable<Outcome> {
         auto k = key.empty() ? fmt::format("{}-{:x}-{}", op.st.node, node->me().boot, ++keys_) : clip(key);
         r.set("Idempotency-Key", k);
         auto body = q.body();
@@ -1032,7 +1044,7 @@
     } else if (path.starts_with("/v1/orders/") && q.method() == http::verb::post) {
         set(co_await ordered(path.substr(11)));
     } else if (path == "/v1/rescue" && q.method() == http::verb::post) {
-        auto j = Doc();
+        auto j = rapidjson::Document();
         if (!jsParse(q.body(), j)) set({400, errorBody({{"/", "malformed JSON"}})});
         else if (!j.IsObject() || !jsInt(j, "reign") || !jsInt(j, "generation"))
             set({422, errorBody({{"/", "wants the reign and generation that this node holds"}})});
@@ -1045,7 +1057,7 @@
     } else if (path.starts_with("/v1/platform/servers/") && path.ends_with("/leaving")
         && q.method() == http::verb::post) {
         auto n = path.substr(21, path.size() - 21 - 8);
-        auto j = Doc();
+        auto j = rapidjson::Document();
         auto rev = std::int64_t(0);
         if (!q.body().empty()) {
             if (!jsParse(q.body(), j) || !j.IsObject())
@@ -1075,7 +1087,7 @@
         limGen_ = w.gen;
         limReign_ = w.reign;
     }
-    if (now - sweptAt_ > 200 * MS) {
+    if (now - sweptAt_ > 200 * MILLISECOND) {
         sweptAt_ = now;
         ct_.set("sessions", sessions_);
         nodes_ = node->aliveNodes(now).size();
@@ -1129,7 +1141,7 @@
     else edge->drain();
 }
 // True once the process may end. With mu_ held.
-auto Daemon::stopStep(Us now) -> bool {
+auto Daemon::stopStep(Microseconds now) -> bool {
     // A reply that its session has not written yet is as unfinished as its exchange was.
     // Nor is a voter's seat without its successor.
     auto busy = edge->busy() > 0 || !downs_.empty() || !node->seatHandedOver(now);
@@ -1143,9 +1155,9 @@
         }
     };
     if (!ad) {
-        if (now - stop_.at < 500 * MS) return false;  // the duty's handing over takes a moment
+        if (now - stop_.at < 500 * MILLISECOND) return false;  // the duty's handing over takes a moment
         if (now - stop_.at >= stop_.grace) cut();
-        return !busy || now - stop_.at >= stop_.grace + 200 * MS;
+        return !busy || now - stop_.at >= stop_.grace + 200 * MILLISECOND;
     }
     auto st = stop_.step(now, busy);
     if (st == StopSchedule::Serve) return false;
@@ -1199,7 +1211,7 @@
     // Two lives of one node never share a number, and a later one's is higher.
     node = std::make_unique<Node>(op.st, *this, ct_, wallNow(), seed);
     edge = std::make_unique<Edge>(*node, *this, ct_, seed ^ 0x5a5a, ad ? ad->dialect : Dialect());
-    auto dt = std::thread();
+    auto duneturn = std::thread();
     if (op.core) {
         if (auto r = store.open(op.st.data)) coreStart(*r);
         else if (auto newer = r.error().kind == StoreError::Kind::NewerFormat; !ad || newer) {
@@ -1215,7 +1227,7 @@
     auto ss = std::make_shared<tt::transport::TServerSocket>(pa.ip, pa.port);
     ss->setRecvTimeout(45000);  // longer than a peer's own thread stays idle
     ss->setSendTimeout(2000);
-    ss->setAcceptCallback([](int fd) { socketSet(fd, 2 * SEC); });
+    ss->setAcceptCallback([](int fd) { socketSet(fd, 2 * SECOND); });
     auto conf = std::make_shared<tt::TConfiguration>(8 << 20, 8 << 20, 64);
     struct Framed : tt::transport::TFramedTransportFactory {
         std::shared_ptr<tt::TConfiguration> c;
@@ -1240,7 +1252,7 @@
             io.stop();
         }
     });
-    if (op.core) dt = std::thread([this] { diskLoop(); });
+    if (op.core) duneturn = std::thread([this] { diskLoop(); });
     logf("{} {} starts: district {}, region {}, peer {}, sender {}, operator {}", op.core ? "core" : "edge",
         op.st.node, op.st.district, op.st.region, op.st.peer, op.st.sender, op.st.opr);
     auto sig = asio::signal_set(io, SIGTERM, SIGINT);
@@ -1263,7 +1275,7 @@
         stopDisk_ = true;
     }
     dcv_.notify_all();
-    if (dt.joinable()) dt.join();
+    if (duneturn.joinable()) duneturn.join();
     {
         auto l = std::lock_guard(qmu_);
         outs_.clear();
@@ -1277,4 +1289,4 @@
 
 auto daemonRun(const DaemonOptions& o) -> int { return Daemon(o).run(); }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/daemon.hpp
+++ b/src/daemon.hpp
@@ -2,19 +2,19 @@
 // The shell of edge and core: sockets, disk and threads round the roles' logic.
 #include "shell.hpp"
 
-namespace dt {
+namespace duneturn {
 
 struct DaemonOptions {
     Settings st;
-    bool core = false;    // with an adapter: a core is what has a data folder
-    Us drain = 10 * SEC;  // how long streams in flight may go on after SIGTERM
-    int workers = 3;      // with an adapter: one
+    bool core = false;                 // with an adapter: a core is what has a data folder
+    Microseconds drain = 10 * SECOND;  // how long streams in flight may go on after SIGTERM
+    int workers = 3;                   // with an adapter: one
     Adapter* adapter = nullptr;
-    bool operatorListens = true;  // false: no operator's address is opened
-    Us grace = 8 * SEC;           // with an adapter: the time from SIGTERM to SIGKILL
-    bool reuse = true;            // with an adapter: connections to servers carry several exchanges
+    bool operatorListens = true;      // false: no operator's address is opened
+    Microseconds grace = 8 * SECOND;  // with an adapter: the time from SIGTERM to SIGKILL
+    bool reuse = true;                // with an adapter: connections to servers carry several exchanges
 };
 /// Runs until SIGTERM or SIGINT; the process's exit code.
 auto daemonRun(const DaemonOptions& o) -> int;
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/edge.cpp
+++ b/src/edge.cpp
@@ -5,7 +5,7 @@
 #include "routing/request_phases.hpp"
 #include "routing/tuning.hpp"
 
-namespace dt {
+namespace duneturn {
 
 Edge::Edge(Node& n, EdgePort& p, Counters& c, std::uint64_t seed, const Dialect& d)
     : n_(n), po_(p), ct_(c), rng_{seed}, di_(d) {
@@ -47,37 +47,39 @@
     return i == xs_.end() ? nullptr : &i->second;
 }
 
-auto Edge::note(Exchange& x, Str s) -> void {
+auto Edge::note(Exchange& x, std::string s) -> void {
     if (x.trace.size() < 200) x.trace.push_back(std::move(s));
 }
 
-auto Edge::tally(const Exchange& x, View what) -> void {
+auto Edge::tally(const Exchange& x, std::string_view what) -> void {
     ct_.add(fmt::format("exchanges_total{{mapping=\"{}\",outcome=\"{}\"}}", x.m.name, what));
 }
 
 // How long a silence is borne by what may move. Where the configuration does not say, it is moved
 // while it may still come in time, unless the whole pool is that slow.
-auto Edge::patience(const Exchange& x) const -> Us {
+auto Edge::patience(const Exchange& x) const -> Microseconds {
     if (x.m.idleSaid) return x.m.idle;
     if (x.phase() == Phase::Delivering) {
         if (!x.m.gap) return x.m.idle;
-        return Us(std::max({0.6 * double(x.m.gap), 8 * median(x.m.pool, &Fitness::pace), double(150 * MS)}));
+        return Microseconds(std::max(
+            {0.6 * double(x.m.gap), 8 * median(x.m.pool, &Fitness::pace), double(150 * MILLISECOND)}));
     }
     if (!x.m.aim) return x.m.idle;
-    auto usual = std::max({0.7 * double(x.m.aim), 4 * median(x.m.pool, &Fitness::first), double(200 * MS)});
-    return Us(usual + 2 * double(x.unread) / READ);
+    auto usual =
+        std::max({0.7 * double(x.m.aim), 4 * median(x.m.pool, &Fitness::first), double(200 * MILLISECOND)});
+    return Microseconds(usual + 2 * double(x.unread) / READ);
 }
 
-auto Edge::tick(Us now) -> void {
+auto Edge::tick(Microseconds now) -> void {
     if (!born_) born_ = now;
     if (!listedAt_ && !n_.servers().empty()) listedAt_ = now;
-    if (auto k = n_.rows().size() + 1; k >= peak_ || now - peakAt_ > 120 * SEC) peak_ = k, peakAt_ = now;
+    if (auto k = n_.rows().size() + 1; k >= peak_ || now - peakAt_ > 120 * SECOND) peak_ = k, peakAt_ = now;
     if (emptiedAt_ < 0) emptiedAt_ = now;
     for (auto i = givenBack_.begin(); i != givenBack_.end();) {
         if (i->second < 0) i->second = now;
-        i = now - i->second > 5 * SEC || emptied_.count(i->first) ? givenBack_.erase(i) : std::next(i);
+        i = now - i->second > 5 * SECOND || emptied_.count(i->first) ? givenBack_.erase(i) : std::next(i);
     }
-    if (di_.senderNames && now - prunedAt_ > 10 * SEC) {
+    if (di_.senderNames && now - prunedAt_ > 10 * SECOND) {
         prunedAt_ = now;
         std::erase_if(fit_, [&](auto& f) { return f.second.inflight == 0 && !n_.servers().count(f.first); });
     }
@@ -93,17 +95,17 @@
         if (di_.senderNames) {
             // Silence ends nothing here; it moves what may move, and only where it can.
             if (x.phase() != Phase::Sending && x.phase() != Phase::Delivering) continue;
-            if (now - x.lastByte < 150 * MS || now < x.lookAt) continue;
+            if (now - x.lastByte < 150 * MILLISECOND || now < x.lookAt) continue;
             // Nothing of it has left yet: any may go elsewhere, as if it had been refused.
             if (!x.attempt.written()) {
                 if (now - x.sentAt < CONNECT) continue;
-                x.lookAt = now + 50 * MS;
+                x.lookAt = now + 50 * MILLISECOND;
                 if (x.refusals < 3 && movable(x, AttemptEvent::ConnectionRefused, now)) refused(id, x.a, now);
                 continue;
             }
             auto mayMove = x.rights().repeatable || broken.silenceIsNoArrival;
             if (!mayMove || now - x.lastByte < patience(x)) continue;
-            x.lookAt = now + 50 * MS;
+            x.lookAt = now + 50 * MILLISECOND;
             if (!movable(x, AttemptEvent::Silence, now)) continue;
             hurt(x.server, 0.4, now);
             ct_.add("stalls_total");
@@ -119,9 +121,9 @@
     pump(now);
     for (auto i : gone_) xs_.erase(i);
     gone_.clear();
-    n_.setCredit(credit_, wantAt_ && now - wantAt_ < 2 * SEC ? 1 : 0);
+    n_.setCredit(credit_, wantAt_ && now - wantAt_ < 2 * SECOND ? 1 : 0);
     // Spare credit goes to a node that lacks it: taken off here first, so none is minted.
-    if (now - grantAt_ > 200 * MS && credit_ > 8 * ONE) {
+    if (now - grantAt_ > 200 * MILLISECOND && credit_ > 8 * ONE) {
         grantAt_ = now;
         for (auto& [n, k] : n_.rows()) {
             if (now - k.at >= ALIVE || !k.r.want || k.r.credit >= 2 * ONE || credit_ <= 8 * ONE) continue;
@@ -140,4 +142,4 @@
     ct_.set("exchanges_live", std::int64_t(xs_.size()));
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/edge.hpp
+++ b/src/edge.hpp
@@ -10,9 +10,9 @@
 #include "node.hpp"
 #include "routing/attempt_state.hpp"
 
-namespace dt {
+namespace duneturn {
 
-using Headers = std::vector<std::pair<Str, Str>>;
+using Headers = std::vector<std::pair<std::string, std::string>>;
 
 /// One step of a mapping's program. Steps narrow the servers that an exchange may go
 /// to, in order; the last picks. Each leaves a line that says what it did.
@@ -25,9 +25,9 @@
 /// The names that a deployment's wire gives to what travels in headers; what is empty is not
 /// spoken. Urgency travels as 0 to 9, of which 0 goes first.
 struct Dialect {
-    Str exchange = "X-Exchange-Id", notExecuted = "X-Not-Executed", weights = "X-Weights",
-        lastEvent = "Last-Event-Id", target, deadlineMs, urgency, load, serverId, coldMs, parts, tokens,
-        model;
+    std::string exchange = "X-Exchange-Id", notExecuted = "X-Not-Executed", weights = "X-Weights",
+                lastEvent = "Last-Event-Id", target, deadlineMs, urgency, load, serverId, coldMs, parts,
+                tokens, model;
     /// The sender names the exchange, and servers repeat that name. With it come the customs of
     /// such a wire: a further try is another exchange, ids of events rise but not by one, and 503
     /// is a promise that nothing ran.
@@ -39,7 +39,7 @@
 /// What the configuration says of a pool's servers. 0: nothing.
 struct PoolRule {
     int maxConns = 0, slots = 0, stride = 0;
-    Us coldUs = 0;
+    Microseconds coldUs = 0;
     double coldRate = 0;  // exchanges a second that a cold one bears
     std::int64_t kvTokens = 0;
     bool engine = false;
@@ -50,16 +50,16 @@
 };
 
 struct Mapping {
-    Str name, host, method, path, pool, model;
-    std::vector<std::pair<Str, std::int64_t>> pools;  // by share, instead of the one pool
-    std::vector<Str> homes, spill;
+    std::string name, host, method, path, pool, model;
+    std::vector<std::pair<std::string, std::int64_t>> pools;  // by share, instead of the one pool
+    std::vector<std::string> homes, spill;
     double spillAt = 0.9;
     bool prefix = false, stream = false, resumable = false, repeatable = false;
     int maxTries = 1, urgency = 5, limit = 0;
     std::int64_t maxSequence = 4096;
-    Us deadline = 30 * SEC, idle = 5 * SEC, queueUs = 2 * SEC;
-    Us aim = 0, gap = 0;    // to the reply's beginning, and between events; 0: nothing is said
-    bool idleSaid = false;  // idle is the configuration's, not ours
+    Microseconds deadline = 30 * SECOND, idle = 5 * SECOND, queueUs = 2 * SECOND;
+    Microseconds aim = 0, gap = 0;  // to the reply's beginning, and between events; 0: nothing is said
+    bool idleSaid = false;          // idle is the configuration's, not ours
     std::size_t queue = 64, affinity = 0;
     std::vector<Step> prog;
     /// May it run again though it may have run?
@@ -69,23 +69,23 @@
 struct Rules {
     std::int64_t gen = 0, reign = 0;
     std::vector<Mapping> ms;
-    std::map<Str, PoolRule> pools;
-    std::map<Str, ModelRule> models;
+    std::map<std::string, PoolRule> pools;
+    std::map<std::string, ModelRule> models;
     double slack = -1;  // spare sends of each pool over all nodes; below 0: the cap counts instead
     double coldOverrun = 1.5, coldSlack = 5;
     double share = 0.2;
     std::int64_t cap = 50;
-    Us rampOver = 20 * SEC;
+    Microseconds rampOver = 20 * SECOND;
     int rampFirst = 2;
     /// The mapping of an exchange, -1 if there is none: of its host, the longest path.
-    auto match(View method, View host, View path) const -> int;
+    auto match(std::string_view method, std::string_view host, std::string_view path) const -> int;
 
     struct Hash {
         using is_transparent = void;
-        auto operator()(View s) const -> std::size_t { return hash64(s); }
+        auto operator()(std::string_view s) const -> std::size_t { return hash64(s); }
     };
     template <class T>
-    using Table = std::unordered_map<Str, T, Hash, std::equal_to<>>;
+    using Table = std::unordered_map<std::string, T, Hash, std::equal_to<>>;
     struct Host {
         Table<std::vector<int>> exact, prefix;
         std::set<std::size_t, std::greater<>> lengths;  // of the prefixes
@@ -93,24 +93,24 @@
     Table<Host> hosts;  // by name in lower case; "" for mappings of any host
 };
 /// The rules of a configuration that configCheck found sound.
-auto compile(const Val& config, std::int64_t gen) -> Rules;
+auto compile(const rapidjson::Value& config, std::int64_t gen) -> Rules;
 
 struct Event {
-    Str id, type, data, raw;
+    std::string id, type, data, raw;
     auto done() const -> bool { return type == "done" || data == "[DONE]"; }
 };
 
 struct EdgePort {
     virtual ~EdgePort() = default;
     /// Connects to `addr` and sends; EdgeLogic::maySend is asked just before the first byte.
-    virtual auto send(std::int64_t x, int a, const Str& server, const Str& addr) -> void = 0;
+    virtual auto send(std::int64_t x, int a, const std::string& server, const std::string& addr) -> void = 0;
     /// Closes the send `a` for good; what still comes of it is ignored.
     virtual auto drop(std::int64_t x, int a) -> void = 0;
     virtual auto head(std::int64_t x, int status, const Headers& h) -> void = 0;
-    virtual auto part(std::int64_t x, const Str& s) -> void = 0;
+    virtual auto part(std::int64_t x, const std::string& s) -> void = 0;
     /// Ends a stream: whole, or visibly cut.
     virtual auto end(std::int64_t x, bool whole) -> void = 0;
-    virtual auto reply(std::int64_t x, int status, const Headers& h, const Str& body) -> void = 0;
+    virtual auto reply(std::int64_t x, int status, const Headers& h, const std::string& body) -> void = 0;
 };
 
 /// Which parts of prompts a server was sent lately, as far as its memory goes.
@@ -127,20 +127,20 @@
 
 struct Fitness {
     int inflight = 0, atSeen = 0;
-    Us lostAt = 0;  // when a send to it was last refused or broke
+    Microseconds lostAt = 0;  // when a send to it was last refused or broke
     double fit = 1;
-    Us at = 0, seen = 0;
+    Microseconds at = 0, seen = 0;
     double first = 0;  // smoothed time to the first byte
     double pace = 0;   // smoothed time from one event to the next
     // What it said of itself in a reply, and how many of ours it had then.
     int running = 0, waiting = 0, slots = 0, atLoad = 0;
-    Us loadAt = 0;
-    Us fullTill = 0;             // it said that it was full
-    Us avoidTill = 0;            // it did not connect, or broke
-    int strikes = 0;             // how often since it last replied
-    Us asked = 0, heard = 0;     // the first send since it was last heard
-    std::int64_t wrongGen = -1;  // the listing under which another server replied at its address
-    Us coldTill = 0, coldAt = 0;
+    Microseconds loadAt = 0;
+    Microseconds fullTill = 0;          // it said that it was full
+    Microseconds avoidTill = 0;         // it did not connect, or broke
+    int strikes = 0;                    // how often since it last replied
+    Microseconds asked = 0, heard = 0;  // the first send since it was last heard
+    std::int64_t wrongGen = -1;         // the listing under which another server replied at its address
+    Microseconds coldTill = 0, coldAt = 0;
     double coldLeft = 1;  // the bucket of what a cold one may still be sent
     double tokens = 0;    // that ours hold of its memory, beside what they share
     double unread = 0;    // prompt tokens sent to it that it has not begun to answer
@@ -154,9 +154,9 @@
 struct Exchange {
     std::int64_t id = 0;
     Mapping m;
-    Str method, path, body, exid, region;
+    std::string method, path, body, exid, region;
     Headers h;
-    Str host, askedModel;
+    std::string host, askedModel;
     std::vector<std::pair<std::uint64_t, std::int64_t>> parts;  // of the prompt, with their tokens
     std::int64_t tokensIn = 0, tokensOut = 0, sharedTokens = 0, unread = 0;
     /// The tokens that only this exchange needs.
@@ -167,25 +167,25 @@
     int status = 200;  // of the first server's head, and its headers
     Headers head;
     std::uint64_t key = 0;  // of the shared prompt's beginning
-    Us born = 0, due = 0, queuedTill = 0, lastByte = 0, sentAt = 0, lookAt = 0;
+    Microseconds born = 0, due = 0, queuedTill = 0, lastByte = 0, sentAt = 0, lookAt = 0;
     int tries = 0, moved = 0, a = 0, replans = 0, refusals = 0;
     std::int64_t epoch = 0;  // of the rules that bind it
     bool fixed = false;      // it can no longer move, whatever the limit
     bool resumed = false;    // the sender lost its node and picks its stream up here
     bool first = true;       // no send has been counted yet
     bool headSent = false, counted = false;
-    AttemptTracker attempt;   // the present send, and what is known of those before it
-    bool sentOnce = false;    // sent while the configuration said that it may not be repeated
-    bool reusedLink = false;  // the present send goes on a connection that carried another before
-    double pace = 0;          // smoothed time between events of the present send
-    int paced = 0;            // how many of them there were
-    std::int64_t last = -1;   // id of the newest event delivered; -1: none was
-    bool counting = true;     // ids so far were whole numbers rising by one
-    std::int64_t seq = 0;     // prompt and events so far, in tokens as estimated here
-    std::vector<Str> events;  // delivered, kept while the exchange may still move
-    Str server, weights, sentWeights, queuedIn;
-    std::vector<Str> tried, denied;
-    std::vector<Str> trace;
+    AttemptTracker attempt;           // the present send, and what is known of those before it
+    bool sentOnce = false;            // sent while the configuration said that it may not be repeated
+    bool reusedLink = false;          // the present send goes on a connection that carried another before
+    double pace = 0;                  // smoothed time between events of the present send
+    int paced = 0;                    // how many of them there were
+    std::int64_t last = -1;           // id of the newest event delivered; -1: none was
+    bool counting = true;             // ids so far were whole numbers rising by one
+    std::int64_t seq = 0;             // prompt and events so far, in tokens as estimated here
+    std::vector<std::string> events;  // delivered, kept while the exchange may still move
+    std::string server, weights, sentWeights, queuedIn;
+    std::vector<std::string> tried, denied;
+    std::vector<std::string> trace;
     std::unique_ptr<ExchangeMachine> pm;
     Exchange();
     Exchange(Exchange&&) noexcept;
@@ -203,44 +203,46 @@
 
     /// A sender's request, whole, its Host among the headers. Gives its number.
     /// `arrived`: when its first byte was read, if that was earlier; its time runs from there.
-    auto accept(const Str& method, const Str& path, const Headers& h, const Str& body, Us now, Us arrived = 0)
-        -> std::int64_t;
+    auto accept(const std::string& method, const std::string& path, const Headers& h, const std::string& body,
+        Microseconds now, Microseconds arrived = 0) -> std::int64_t;
     /// The sender reads slower than the server writes; not the server's silence.
-    auto waiting(std::int64_t x, int a, Us now) -> void;
+    auto waiting(std::int64_t x, int a, Microseconds now) -> void;
     /// The sender has gone.
-    auto gone(std::int64_t x, Us now) -> void;
-    auto tick(Us now) -> void;
+    auto gone(std::int64_t x, Microseconds now) -> void;
+    auto tick(Microseconds now) -> void;
     auto drain() -> void { draining_ = true; }
     /// From now on what is new is refused at once. A Dialect with senderNames serves on after
     /// drain() until this is said.
     auto refuseNew() -> void { refuseNew_ = true; }
     auto busy() const -> std::size_t { return xs_.size(); }
     /// Ends what still runs, visibly; the stop's limit is over.
-    auto cutAll(Us now) -> void;
+    auto cutAll(Microseconds now) -> void;
 
     // What becomes of send `a` of exchange `x`.
     /// The last check, just before the first byte; true: it is sent now. `reused`: on a connection
     /// that carried another exchange before, where an answer must prove whose it is.
-    auto maySend(std::int64_t x, int a, Us now, bool reused = false) -> bool;
+    auto maySend(std::int64_t x, int a, Microseconds now, bool reused = false) -> bool;
     /// The whole request has been written.
     auto written(std::int64_t x, int a) -> void;
     /// The headers of a send, complete but for what concerns length and connection.
-    auto outgoing(const Exchange& x, Us now) const -> Headers;
+    auto outgoing(const Exchange& x, Microseconds now) const -> Headers;
     /// May its send go on a connection that was used before, where a loss says nothing?
     auto reusable(const Exchange& x) const -> bool { return x.rights().repeatable; }
     /// The connection failed before the first byte of the request was written.
-    auto refused(std::int64_t x, int a, Us now) -> void;
+    auto refused(std::int64_t x, int a, Microseconds now) -> void;
     /// The reply's beginning; false if this reply is not for the exchange.
-    auto upHead(std::int64_t x, int a, int status, const Headers& h, Us now) -> bool;
-    auto upEvent(std::int64_t x, int a, const Event& e, Us now) -> void;
+    auto upHead(std::int64_t x, int a, int status, const Headers& h, Microseconds now) -> bool;
+    auto upEvent(std::int64_t x, int a, const Event& e, Microseconds now) -> void;
     /// The HTTP message of a stream is whole.
-    auto upEnd(std::int64_t x, int a, Us now) -> void;
-    auto upWhole(std::int64_t x, int a, int status, const Headers& h, const Str& body, Us now) -> void;
-    auto upLost(std::int64_t x, int a, const Str& why, Us now) -> void {
+    auto upEnd(std::int64_t x, int a, Microseconds now) -> void;
+    auto upWhole(std::int64_t x, int a, int status, const Headers& h, const std::string& body,
+        Microseconds now) -> void;
+    auto upLost(std::int64_t x, int a, const std::string& why, Microseconds now) -> void {
         upFailed(x, a, AttemptEvent::ConnectionReset, why, now);
     }
     /// The answer can no longer become whole.
-    auto upFailed(std::int64_t x, int a, AttemptEvent event, const Str& why, Us now) -> void;
+    auto upFailed(std::int64_t x, int a, AttemptEvent event, const std::string& why, Microseconds now)
+        -> void;
 
     auto find(std::int64_t x) const -> const Exchange*;
     auto rules() const -> const Rules& { return ru_; }
@@ -250,11 +252,11 @@
     auto queuedNow() const -> std::size_t;
     auto inflightNow() const -> int;
     /// The servers an exchange like `x` may go to now; the picked one first. Empty if none.
-    auto place(Exchange& x, Us now, bool dry) -> Str;
+    auto place(Exchange& x, Microseconds now, bool dry) -> std::string;
 
-    auto liveText(Us now) const -> Str;
-    auto explainText(const Str& name, Us now) const -> Str;
-    auto decisions(std::int64_t after) const -> Str;
+    auto liveText(Microseconds now) const -> std::string;
+    auto explainText(const std::string& name, Microseconds now) const -> std::string;
+    auto decisions(std::int64_t after) const -> std::string;
 
     struct Broken {
         bool resendAny = false, joinAny = false, ignoreHome = false, noBudget = false, noRamp = false,
@@ -267,12 +269,12 @@
   private:
     struct Past {
         std::int64_t seq, id;
-        Str exid, text;
+        std::string exid, text;
     };
     struct Seen {
         double held = 0, tokens = 0;  // smoothed: how long an exchange takes a server, and its own tokens
         double all = 0;               // exchanges of late, the older the less
-        std::map<Str, double> bound;  // those of them that may only go to one region, by that region
+        std::map<std::string, double> bound;  // those of them that may only go to one region, by that region
         std::int64_t loads = 0;
         double others = 0;  // and how many of other nodes' a server holds
     };
@@ -281,67 +283,68 @@
         bool open = false;
     };
     struct Cand {
-        const Str* n;
+        const std::string* n;
         const Server* s;
         double occ;  // of its slots, all that is known to be there
     };
     auto rebuild() -> void;
     auto adapt(Exchange& x, const Mapping& m) const -> Mapping;
-    auto described(const Str& pool) const -> const PoolRule*;
+    auto described(const std::string& pool) const -> const PoolRule*;
     auto nodes() const -> std::size_t;
-    auto settled(Us now) const -> bool { return born_ && now - born_ >= 3 * SEC; }
-    auto readLoad(const Str& server, const Headers& h, Us now) -> void;
-    auto load(const Str& name, const Server& s, Us now) -> double;
-    auto slots(const Str& name, const Server& s, const PoolRule& pr) -> int;
-    auto cold(const Str& name, const Server& s, const PoolRule& pr, Us now) -> bool;
-    auto coldLets(const Str& name, const Server& s, const PoolRule& pr, Us now, bool take) -> bool;
+    auto settled(Microseconds now) const -> bool { return born_ && now - born_ >= 3 * SECOND; }
+    auto readLoad(const std::string& server, const Headers& h, Microseconds now) -> void;
+    auto load(const std::string& name, const Server& s, Microseconds now) -> double;
+    auto slots(const std::string& name, const Server& s, const PoolRule& pr) -> int;
+    auto cold(const std::string& name, const Server& s, const PoolRule& pr, Microseconds now) -> bool;
+    auto coldLets(const std::string& name, const Server& s, const PoolRule& pr, Microseconds now, bool take)
+        -> bool;
     auto unread(const Fitness& f, const Exchange& x, bool home) const -> std::int64_t;
-    auto fits(const Cand& c, const Exchange& x, const PoolRule& pr, Us now) -> bool;
+    auto fits(const Cand& c, const Exchange& x, const PoolRule& pr, Microseconds now) -> bool;
     auto claim(const Exchange& x) -> void;
-    auto unclaimed(const std::vector<Cand>& cs, const Exchange& x) -> Str;
-    auto predict(const Cand& c, const Exchange& x, const PoolRule& pr, bool home, Us now) -> double;
-    auto pick(const std::vector<Cand>& cs, const Exchange& x, const PoolRule& pr, Us now, Str& how)
-        -> std::size_t;
-    auto strike(const Str& server, Us now) -> void;
-    auto silent(const Fitness& f, Us now) const -> bool;
+    auto unclaimed(const std::vector<Cand>& cs, const Exchange& x) -> std::string;
+    auto predict(const Cand& c, const Exchange& x, const PoolRule& pr, bool home, Microseconds now) -> double;
+    auto pick(const std::vector<Cand>& cs, const Exchange& x, const PoolRule& pr, Microseconds now,
+        std::string& how) -> std::size_t;
+    auto strike(const std::string& server, Microseconds now) -> void;
+    auto silent(const Fitness& f, Microseconds now) const -> bool;
     auto readDone(Exchange& x) -> void;
-    auto purse(const Str& pool, Us now) -> std::int64_t&;
-    auto pays(const Exchange& x, Us now) -> bool;
+    auto purse(const std::string& pool, Microseconds now) -> std::int64_t&;
+    auto pays(const Exchange& x, Microseconds now) -> bool;
     auto hopes(const Exchange& x) const -> bool;
-    auto patience(const Exchange& x) const -> Us;
-    auto movable(Exchange& x, AttemptEvent event, Us now) -> bool;
+    auto patience(const Exchange& x) const -> Microseconds;
+    auto movable(Exchange& x, AttemptEvent event, Microseconds now) -> bool;
     auto denial(int status, const Headers& h) const -> bool;
     auto forSender(const Headers& h) const -> Headers;
     auto headOut(Exchange& x) -> void;
-    auto beginning(View body) -> std::uint64_t;
-    auto occupancy(const Str& server, const Server& s) -> double;
-    auto rampShare(const Str& name, const Server& s, Us now) -> int;
-    auto fitOf(const Str& s, Us now) -> double;
-    auto hurt(const Str& s, double k, Us now) -> void;
+    auto beginning(std::string_view body) -> std::uint64_t;
+    auto occupancy(const std::string& server, const Server& s) -> double;
+    auto rampShare(const std::string& name, const Server& s, Microseconds now) -> int;
+    auto fitOf(const std::string& s, Microseconds now) -> double;
+    auto hurt(const std::string& s, double k, Microseconds now) -> void;
     auto bind(Exchange& x) -> bool;
-    auto bar(const Exchange& x, bool ran, bool more) const -> Str;
+    auto bar(const Exchange& x, bool ran, bool more) const -> std::string;
     auto keeps(const Step& st, const Exchange& x, const Server& s) const -> bool;
-    auto resume(Exchange& x, const Str& last, const Str& weights) -> Str;
-    auto count(Exchange& x, Us now) -> void;
-    auto queue(Exchange& x, Us now) -> bool;
+    auto resume(Exchange& x, const std::string& last, const std::string& weights) -> std::string;
+    auto count(Exchange& x, Microseconds now) -> void;
+    auto queue(Exchange& x, Microseconds now) -> bool;
     auto unqueue(Exchange& x) -> void;
-    auto start(Exchange& x, Us now) -> bool;
+    auto start(Exchange& x, Microseconds now) -> bool;
     auto release(Exchange& x) -> void;
-    auto slow(Exchange& x, Us gap, Us now) -> void;
-    auto median(const Str& pool, double Fitness::*what) const -> double;
-    auto unsent(const Exchange& x, Us now) const -> Str;
-    auto again(Exchange& x, AttemptEvent event, const Str& why, Us now) -> void;
+    auto slow(Exchange& x, Microseconds gap, Microseconds now) -> void;
+    auto median(const std::string& pool, double Fitness::*what) const -> double;
+    auto unsent(const Exchange& x, Microseconds now) const -> std::string;
+    auto again(Exchange& x, AttemptEvent event, const std::string& why, Microseconds now) -> void;
     auto apply(Exchange& x, AttemptEvent event) -> Execution;
     auto headRead(Exchange& x, int status, const Headers& h) -> void;
     auto wrongExchange(const Exchange& x, const Headers& h, int status) const -> bool;
     auto isExtraSend(Execution execution) const -> bool;
-    auto fail(Exchange& x, int status, const Str& why, Us now) -> void;
-    auto finish(Exchange& x, const Str& how, Us now) -> void;
+    auto fail(Exchange& x, int status, const std::string& why, Microseconds now) -> void;
+    auto finish(Exchange& x, const std::string& how, Microseconds now) -> void;
     auto cost(const Exchange& x) const -> std::int64_t;
-    auto note(Exchange& x, Str s) -> void;
-    auto pump(Us now) -> void;
+    auto note(Exchange& x, std::string s) -> void;
+    auto pump(Microseconds now) -> void;
     auto get(std::int64_t x, int a) -> Exchange*;
-    auto tally(const Exchange& x, View what) -> void;
+    auto tally(const Exchange& x, std::string_view what) -> void;
     auto dead(std::int64_t x) -> void;
 
     Node& n_;
@@ -353,18 +356,19 @@
     std::int64_t next_ = 0, credit_ = 0, decision_ = 0, epoch_ = 0;
     std::map<std::int64_t, Exchange> xs_;
     std::vector<std::int64_t> gone_;
-    std::map<Str, Fitness> fit_;
+    std::map<std::string, Fitness> fit_;
     std::set<std::uint64_t> begun_;  // prompts' beginnings that came lately
     std::deque<std::uint64_t> begunOrder_;
     std::vector<Past> past_;
-    std::map<Str, std::size_t> queued_;
-    std::map<Str, Purse> purses_;  // by pool, where the configuration names a slack
-    std::map<Str, Seen> seen_;     // by pool
-    std::map<Str, Us> givenBack_;  // districts given back lately
-    std::set<Str> emptied_;
+    std::map<std::string, std::size_t> queued_;
+    std::map<std::string, Purse> purses_;            // by pool, where the configuration names a slack
+    std::map<std::string, Seen> seen_;               // by pool
+    std::map<std::string, Microseconds> givenBack_;  // districts given back lately
+    std::set<std::string> emptied_;
     std::size_t roster_ = 0, peak_ = 0;
     bool draining_ = false, wanting_ = false, refuseNew_ = false;
-    Us wantAt_ = 0, grantAt_ = 0, emptiedAt_ = 0, born_ = 0, listedAt_ = 0, prunedAt_ = 0, peakAt_ = 0;
+    Microseconds wantAt_ = 0, grantAt_ = 0, emptiedAt_ = 0, born_ = 0, listedAt_ = 0, prunedAt_ = 0,
+                 peakAt_ = 0;
 };
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/fake_server.cpp
+++ b/src/fake_server.cpp
@@ -9,18 +9,18 @@
 
 #include "fakes.hpp"
 
-namespace dt {
+namespace duneturn {
 
 using asio::awaitable;
 using asio::use_awaitable;
 constexpr auto quiet = asio::as_tuple(asio::use_awaitable);
 
-auto fakePiece(View body, View w, std::int64_t i) -> Str {
+auto fakePiece(std::string_view body, std::string_view w, std::int64_t i) -> std::string {
     return fmt::format("{:016x}", hash64(body, hash64(w) + std::uint64_t(i)));
 }
-auto fakeWhole(View body, View w) -> Str { return fakePiece(body, w, 0); }
+auto fakeWhole(std::string_view body, std::string_view w) -> std::string { return fakePiece(body, w, 0); }
 
-auto dayKind(const Val& v) -> DayKind {
+auto dayKind(const rapidjson::Value& v) -> DayKind {
     auto k = DayKind();
     k.name = jsStr(v, "name");
     k.method = jsStr(v, "method", "POST");
@@ -33,16 +33,16 @@
     k.tokens = jsInt(v, "tokens");
     k.stream = jsBool(v, "stream");
     k.plain = jsBool(v, "plain");
-    k.patience = jsInt(v, "patienceUs", 60 * SEC);
+    k.patience = jsInt(v, "patienceUs", 60 * SECOND);
     return k;
 }
-auto quantile(std::vector<Us> v, double q) -> Us {
+auto quantile(std::vector<Microseconds> v, double q) -> Microseconds {
     if (v.empty()) return 0;
     std::sort(v.begin(), v.end());
     return v[std::min(v.size() - 1, std::size_t(q * double(v.size())))];
 }
 
-auto FakeCache::read(View body) -> std::int64_t {
+auto FakeCache::read(std::string_view body) -> std::int64_t {
     constexpr auto B = std::size_t(1024);
     auto left = std::int64_t(body.size() / 4);
     for (auto n = body.size() / B * B; n >= B; n -= B)
@@ -71,18 +71,18 @@
     FakeServerOptions op;
     asio::io_context io{1};
     int prefill = 0, decode = 0, denied = 0;
-    Us born = bootNow();
-    Str mode;  // the fault switched on
+    Microseconds born = bootNow();
+    std::string mode;  // the fault switched on
     std::int64_t faults = 0, after = 0, ran = 0;
     FakeCache cache;
     std::ofstream log;
 
     auto cold() const -> bool { return op.cold && bootNow() - born < op.warmUs; }
-    auto nap(Us t) -> awaitable<void> {
+    auto nap(Microseconds t) -> awaitable<void> {
         auto tm = asio::steady_timer(io, std::chrono::microseconds(t));
         co_await tm.async_wait(quiet);
     }
-    auto line(const Str& s) -> void {
+    auto line(const std::string& s) -> void {
         if (log.is_open()) log << s << std::endl;
     }
     auto session(tcp::socket sk) -> awaitable<void>;
@@ -93,9 +93,9 @@
 auto FakeServer::serve(beast::tcp_stream& s, const Req& q) -> awaitable<void> {
     auto ec = beast::error_code();
     std::size_t n = 0;
-    auto path = Str(q.target());
+    auto path = std::string(q.target());
     auto none = Headers();
-    auto send = [&](int st, Str body, const Headers& h) -> awaitable<void> {
+    auto send = [&](int st, std::string body, const Headers& h) -> awaitable<void> {
         auto r = Res(http::status(st), 11);
         r.set(http::field::content_type, "application/json");
         for (auto& [k, v] : h) r.set(k, v);
@@ -105,7 +105,7 @@
         co_await http::async_write(s, r, quiet);
     };
     if (path == "/load") {
-        if (mode == "dark") co_await nap(3600 * SEC);
+        if (mode == "dark") co_await nap(3600 * SECOND);
         auto load = bodyOf({{"prefill", fmt::to_string(prefill)}, {"decode", fmt::to_string(decode)},
             {"slots", fmt::to_string(op.slots)}, {"boot", fmt::to_string(born)},
             {"upUs", fmt::to_string(bootNow() - born)}, {"cold", cold() ? "true" : "false"},
@@ -114,7 +114,7 @@
         co_return;
     }
     if (path == "/fault") {
-        auto d = Doc();
+        auto d = rapidjson::Document();
         if (jsParse(q.body(), d)) {
             mode = jsStr(d, "mode");
             faults = jsInt(d, "count", INT64_MAX);
@@ -124,17 +124,17 @@
         co_await send(200, is, none);
         co_return;
     }
-    auto md = Str();
+    auto md = std::string();
     if (!mode.empty() && faults > 0) {
         md = mode;
         if (mode != "dark") faults--;
     }
     if (md == "dark") {
-        co_await nap(3600 * SEC);
+        co_await nap(3600 * SECOND);
         co_return;
     }
-    auto ex = Str(q["X-Exchange-Id"]);
-    auto d = Doc();
+    auto ex = std::string(q["X-Exchange-Id"]);
+    auto d = rapidjson::Document();
     auto model = jsParse(q.body(), d) && d.IsObject() && d.HasMember("prompt");
     if (md == "deny" || (model && prefill + decode >= op.slots)) {
         denied++;
@@ -146,16 +146,16 @@
         co_return;
     }
     ran++;
-    auto from = q.count("Last-Event-Id") ? std::atoll(Str(q["Last-Event-Id"]).c_str()) : 0;
+    auto from = q.count("Last-Event-Id") ? std::atoll(std::string(q["Last-Event-Id"]).c_str()) : 0;
     line(fmt::format("{} run {} {:016x} {} {}", bootNow(), ex, hash64(q.body()), from, path));
     auto hd = Headers();
-    hd.emplace_back("X-Exchange-Id", md == "wrong" ? Str("somebody-else") : ex);
+    hd.emplace_back("X-Exchange-Id", md == "wrong" ? std::string("somebody-else") : ex);
     hd.emplace_back("X-Weights", op.weights);
     if (!model) {
         co_await nap(op.plainUs);
         if (md == "cut") {
-            auto raw =
-                Str("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 100\r\n\r\n{\"re");
+            auto raw = std::string(
+                "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 100\r\n\r\n{\"re");
             co_await asio::async_write(s, asio::buffer(raw), quiet);
             co_return;
         }
@@ -166,7 +166,8 @@
     auto tokens = jsInt(d, "tokens", 16);
     auto slow = md == "slow" ? 20 : 1;
     prefill++;
-    co_await nap(std::max<Us>(MS, cache.read(q.body()) * op.prefillUs * slow * (cold() ? 2 : 1)));
+    co_await nap(
+        std::max<Microseconds>(MILLISECOND, cache.read(q.body()) * op.prefillUs * slow * (cold() ? 2 : 1)));
     prefill--;
     decode++;
     struct Less {
@@ -190,7 +191,7 @@
     for (auto i = from + 1; i <= tokens && !ec; i++) {
         co_await nap(op.tokenUs * slow);
         if (md == "cut" && i > from + after) co_return;
-        if (md == "stall" && i > from + after) co_await nap(3600 * SEC);
+        if (md == "stall" && i > from + after) co_await nap(3600 * SECOND);
         auto k = md == "skip" && i > from + after ? i + 1 : i;
         auto e = fmt::format(
             "id: {}\ndata: {}\n\n", k, bodyOf({{"text", jsQuote(fakePiece(q.body(), op.weights, k))}}));
@@ -250,4 +251,4 @@
     return s->run();
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/fakes.hpp
+++ b/src/fakes.hpp
@@ -4,30 +4,30 @@
 
 #include "http.hpp"
 
-namespace dt {
+namespace duneturn {
 
 /// What a server of these weights says as event `i` (from 1) to this body: the same on
 /// every server, so that a sender can tell a right reply from any other.
-auto fakePiece(View body, View weights, std::int64_t i) -> Str;
-auto fakeWhole(View body, View weights) -> Str;
+auto fakePiece(std::string_view body, std::string_view weights, std::int64_t i) -> std::string;
+auto fakeWhole(std::string_view body, std::string_view weights) -> std::string;
 
 /// One kind of request of a day, as an example's day.json tells it.
 struct DayKind {
-    Str name, method, path, region;
+    std::string name, method, path, region;
     double rate = 1;
     std::int64_t prompt = 0, shared = 0, tokens = 0, prefixes = 1;
     bool stream = false, plain = false;
-    Us patience = 0;
+    Microseconds patience = 0;
 };
-auto dayKind(const Val& v) -> DayKind;
+auto dayKind(const rapidjson::Value& v) -> DayKind;
 /// The value below which the part `q` of `v` lies; 0 of nothing.
-auto quantile(std::vector<Us> v, double q) -> Us;
+auto quantile(std::vector<Microseconds> v, double q) -> Microseconds;
 
 /// The KV cache of a stand-in: the prompt beginnings read last, in blocks of 256 tokens.
 struct FakeCache {
     std::size_t room = 96;
     /// Reads a prompt; the tokens that were not in the cache.
-    auto read(View body) -> std::int64_t;
+    auto read(std::string_view body) -> std::int64_t;
     auto clear() -> void { order_.clear(), at_.clear(); }
 
   private:
@@ -36,27 +36,27 @@
 };
 
 struct FakeServerOptions {
-    Str listen, name = "server", weights = "w1", pool = "model", log;
+    std::string listen, name = "server", weights = "w1", pool = "model", log;
     int slots = 8;
-    Us tokenUs = 20 * MS, prefillUs = 100, plainUs = 2 * MS, warmUs = 20 * SEC;
+    Microseconds tokenUs = 20 * MILLISECOND, prefillUs = 100, plainUs = 2 * MILLISECOND, warmUs = 20 * SECOND;
     bool cold = false;
 };
 auto fakeServerRun(const FakeServerOptions& o) -> int;
 
 struct FakeSenderOptions {
-    Str day, report;
-    std::vector<Str> nodes;
-    Us duration = 30 * SEC;
+    std::string day, report;
+    std::vector<std::string> nodes;
+    Microseconds duration = 30 * SECOND;
     double scale = 1;
     std::uint64_t seed = 1;
 };
 auto fakeSenderRun(const FakeSenderOptions& o) -> int;
 
 struct FakePlatformOptions {
-    Str servers, listen;
-    std::vector<Str> nodes;
-    Us every = SEC;
+    std::string servers, listen;
+    std::vector<std::string> nodes;
+    Microseconds every = SECOND;
 };
 auto fakePlatformRun(const FakePlatformOptions& o) -> int;
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/fakes/fake_platform.cpp
+++ b/src/fakes/fake_platform.cpp
@@ -4,7 +4,7 @@
 
 #include "fakes.hpp"
 
-namespace dt {
+namespace duneturn {
 
 using asio::awaitable;
 
@@ -12,54 +12,54 @@
 
 constexpr auto quiet = asio::as_tuple(asio::use_awaitable);
 
-constexpr Us TELL_LIMIT = 4 * SEC;
-constexpr Us SESSION_LIMIT = 20 * SEC;
+constexpr Microseconds TELL_LIMIT = 4 * SECOND;
+constexpr Microseconds SESSION_LIMIT = 20 * SECOND;
 constexpr auto EXIT_NOT_LISTENING = 1;
 constexpr auto EXIT_WRONG_USE = 2;
 
 struct FakePlatform {
     FakePlatformOptions options;
     asio::io_context io{1};
-    Doc listing;
+    rapidjson::Document listing;
     std::size_t nextNode = 0;
     std::int64_t told = 0, failed = 0, revision = 0;
 
-    auto findServer(const Str& name) -> Val*;
-    auto setMember(Val& server, const char* name, Val value) -> void;
+    auto findServer(const std::string& name) -> rapidjson::Value*;
+    auto setMember(rapidjson::Value& server, const char* name, rapidjson::Value value) -> void;
     /// False if there is no such order or server.
-    auto obey(const Str& order, const Str& server) -> bool;
+    auto obey(const std::string& order, const std::string& server) -> bool;
     /// Tells the listing to whichever node answers, beginning with the one that did last.
     auto tell() -> awaitable<bool>;
-    auto tellNode(Str node) -> awaitable<bool>;
+    auto tellNode(std::string node) -> awaitable<bool>;
     auto tellForever() -> awaitable<void>;
     auto session(tcp::socket socket) -> awaitable<void>;
     auto accept(tcp::acceptor& acceptor) -> awaitable<void>;
 };
 
-auto FakePlatform::findServer(const Str& name) -> Val* {
+auto FakePlatform::findServer(const std::string& name) -> rapidjson::Value* {
     for (auto& server : listing["servers"].GetArray())
         if (jsStr(server, "name") == name) return &server;
     return nullptr;
 }
 
-auto FakePlatform::setMember(Val& server, const char* name, Val value) -> void {
+auto FakePlatform::setMember(rapidjson::Value& server, const char* name, rapidjson::Value value) -> void {
     server.RemoveMember(name);
-    server.AddMember(Val(rapidjson::StringRef(name)), value, listing.GetAllocator());
+    server.AddMember(rapidjson::Value(rapidjson::StringRef(name)), value, listing.GetAllocator());
 }
 
-auto FakePlatform::obey(const Str& order, const Str& name) -> bool {
+auto FakePlatform::obey(const std::string& order, const std::string& name) -> bool {
     auto server = findServer(name);
     if (!server) return false;
-    if (order == "leave") setMember(*server, "state", Val("leaving"));
-    else if (order == "stay") setMember(*server, "state", Val("up"));
+    if (order == "leave") setMember(*server, "state", rapidjson::Value("leaving"));
+    else if (order == "stay") setMember(*server, "state", rapidjson::Value("up"));
     else if (order == "return") {
-        setMember(*server, "state", Val("up"));
-        setMember(*server, "incarnation", Val(jsInt(*server, "incarnation") + 1));
+        setMember(*server, "state", rapidjson::Value("up"));
+        setMember(*server, "incarnation", rapidjson::Value(jsInt(*server, "incarnation") + 1));
     } else return false;
     return true;
 }
 
-auto FakePlatform::tellNode(Str node) -> awaitable<bool> {
+auto FakePlatform::tellNode(std::string node) -> awaitable<bool> {
     auto stream = beast::tcp_stream(io);
     stream.expires_after(std::chrono::microseconds(TELL_LIMIT));
     auto target = endpoint(node);
@@ -80,7 +80,7 @@
     auto [readError, read] = co_await http::async_read(stream, buffer, reply, quiet);
     if (readError) co_return false;
     // Another platform's listing, or a clock that was set back: go on from what is known.
-    auto answer = Doc();
+    auto answer = rapidjson::Document();
     if (reply.result_int() == 409 && jsParse(reply.body(), answer) && answer.IsObject())
         revision = std::max(revision, jsInt(answer, "revision"));
     co_return reply.result_int() == 200;
@@ -115,10 +115,10 @@
     stream.expires_after(std::chrono::microseconds(SESSION_LIMIT));
     auto [readError, read] = co_await http::async_read(stream, buffer, request, quiet);
     if (readError) co_return;
-    auto path = Str(request.target());
+    auto path = std::string(request.target());
     auto slash = path.find('/', 1);
-    auto order = path.substr(1, slash == Str::npos ? Str::npos : slash - 1);
-    auto name = slash == Str::npos ? Str() : path.substr(slash + 1);
+    auto order = path.substr(1, slash == std::string::npos ? std::string::npos : slash - 1);
+    auto name = slash == std::string::npos ? std::string() : path.substr(slash + 1);
     auto reply = Res(http::status::ok, 11);
     auto held = true;
     if (order != "status") {
@@ -142,7 +142,7 @@
 }
 
 /// Reads the listing; the fault, or empty.
-auto readListing(FakePlatform& platform) -> Str {
+auto readListing(FakePlatform& platform) -> std::string {
     auto& listing = platform.listing;
     auto text = fileRead(platform.options.servers);
     if (!text) return "--servers: " + text.error();
@@ -154,7 +154,7 @@
 }
 
 /// The fault, or empty.
-auto listenAt(tcp::acceptor& acceptor, const Str& addr) -> Str {
+auto listenAt(tcp::acceptor& acceptor, const std::string& addr) -> std::string {
     try {
         acceptor.open(endpoint(addr).protocol());
         acceptor.set_option(tcp::acceptor::reuse_address(true));
@@ -166,7 +166,7 @@
     }
 }
 
-auto fail(const Str& why, int exitCode) -> int {
+auto fail(const std::string& why, int exitCode) -> int {
     fmt::print(stderr, "duneturn fake-platform: {}\n", why);
     return exitCode;
 }
@@ -192,4 +192,4 @@
     return 0;
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/fakes/fake_sender.cpp
+++ b/src/fakes/fake_sender.cpp
@@ -8,7 +8,7 @@
 
 #include "fakes.hpp"
 
-namespace dt {
+namespace duneturn {
 
 using asio::awaitable;
 
@@ -16,14 +16,14 @@
 
 constexpr auto quiet = asio::as_tuple(asio::use_awaitable);
 
-constexpr Us ADDRESSES_KEPT = 2 * SEC;
-constexpr Us ASK_LIMIT = SEC;
-constexpr Us CONNECT_LIMIT = 2 * SEC;
-constexpr Us NOBODY_PAUSE = 500 * MS;
-constexpr Us RESUME_PAUSE = 500 * MS;  // and as much again by chance
-constexpr Us RETRY_PAUSE = 500 * MS;   // and up to RETRY_SPREAD by chance
-constexpr Us RETRY_SPREAD = SEC;
-constexpr Us AFTER_THE_DAY = 90 * SEC;  // for what is under way at its end
+constexpr Microseconds ADDRESSES_KEPT = 2 * SECOND;
+constexpr Microseconds ASK_LIMIT = SECOND;
+constexpr Microseconds CONNECT_LIMIT = 2 * SECOND;
+constexpr Microseconds NOBODY_PAUSE = 500 * MILLISECOND;
+constexpr Microseconds RESUME_PAUSE = 500 * MILLISECOND;  // and as much again by chance
+constexpr Microseconds RETRY_PAUSE = 500 * MILLISECOND;   // and up to RETRY_SPREAD by chance
+constexpr Microseconds RETRY_SPREAD = SECOND;
+constexpr Microseconds AFTER_THE_DAY = 90 * SECOND;  // for what is under way at its end
 constexpr int MOST_TRIES = 4;
 constexpr int MOST_RESUMES = 3;
 constexpr std::int64_t MOST_LIVE = 5000;
@@ -35,7 +35,7 @@
 struct Tally {
     std::int64_t sent = 0, whole = 0, denied = 0, failed = 0, cut = 0, broken = 0, again = 0, broke = 0,
                  resumed = 0;  // streams cut, and whole all the same
-    std::vector<Us> took, first;
+    std::vector<Microseconds> took, first;
 };
 
 struct Kind : DayKind {
@@ -44,40 +44,40 @@
 
 /// The nodes that a region's senders were told of.
 struct KnownNodes {
-    std::vector<Str> addresses;
-    Us at = 0;
+    std::vector<std::string> addresses;
+    Microseconds at = 0;
 };
 
 struct FakeSender {
     FakeSenderOptions options;
     asio::io_context io{1};
     std::vector<Kind> kinds;
-    std::vector<Str> weights, regions;
+    std::vector<std::string> weights, regions;
     Rng rng{1};
     std::int64_t serial = 0, live = 0;
-    std::vector<Str> rulesBroken;
-    std::map<Str, KnownNodes> known;  // by region
+    std::vector<std::string> rulesBroken;
+    std::map<std::string, KnownNodes> known;  // by region
 
-    auto broke(Kind& kind, const Str& why) -> void {
+    auto broke(Kind& kind, const std::string& why) -> void {
         kind.tally.broken++;
         if (rulesBroken.size() < MOST_FAULTS_TOLD) rulesBroken.push_back(kind.name + ": " + why);
     }
-    auto pause(Us time) -> awaitable<void>;
+    auto pause(Microseconds time) -> awaitable<void>;
     /// Asks the nodes in turn where this region's senders should go.
-    auto ask(Str region) -> awaitable<void>;
-    auto askNode(Str node, Str region) -> awaitable<std::vector<Str>>;
-    auto drive(Kind& kind, Us end) -> awaitable<void>;
-    auto report() -> Str;
+    auto ask(std::string region) -> awaitable<void>;
+    auto askNode(std::string node, std::string region) -> awaitable<std::vector<std::string>>;
+    auto drive(Kind& kind, Microseconds end) -> awaitable<void>;
+    auto report() -> std::string;
 };
 
-auto FakeSender::pause(Us time) -> awaitable<void> {
+auto FakeSender::pause(Microseconds time) -> awaitable<void> {
     auto timer = asio::steady_timer(io);
     timer.expires_after(std::chrono::microseconds(time));
     co_await timer.async_wait(quiet);
 }
 
-auto FakeSender::askNode(Str node, Str region) -> awaitable<std::vector<Str>> {
-    auto addresses = std::vector<Str>();
+auto FakeSender::askNode(std::string node, std::string region) -> awaitable<std::vector<std::string>> {
+    auto addresses = std::vector<std::string>();
     auto stream = beast::tcp_stream(io);
     stream.expires_after(std::chrono::microseconds(ASK_LIMIT));
     auto target = endpoint(node);
@@ -91,7 +91,7 @@
     auto buffer = beast::flat_buffer();
     auto reply = Res();
     auto [readError, read] = co_await http::async_read(stream, buffer, reply, quiet);
-    auto answer = Doc();
+    auto answer = rapidjson::Document();
     if (readError || reply.result_int() != 200 || !jsParse(reply.body(), answer)
         || !answer.HasMember("nodes"))
         co_return addresses;
@@ -101,7 +101,7 @@
     co_return addresses;
 }
 
-auto FakeSender::ask(Str region) -> awaitable<void> {
+auto FakeSender::ask(std::string region) -> awaitable<void> {
     for (auto i = std::size_t(0); i < options.nodes.size(); i++) {
         auto node = options.nodes[rng.below(options.nodes.size())];
         auto addresses = co_await askNode(node, region);
@@ -131,13 +131,13 @@
         int status = 0;
         bool notExecuted = false, streamed = false;
         bool complete = false;  // read to its end, as HTTP sees it
-        Str text;               // of a reply that is no stream
+        std::string text;       // of a reply that is no stream
         // Of a stream: its closing marks, and whether it broke a rule.
         bool done = false, failed = false, wrong = false;
     };
 
     auto prepare() -> void;
-    auto prompt() -> Str;
+    auto prompt() -> std::string;
     auto attempt(int number) -> awaitable<Step>;
     auto connect(beast::tcp_stream& stream) -> awaitable<bool>;
     auto request() -> Req;
@@ -145,7 +145,7 @@
     auto takeEvents(EventSplit& events, Reply& reply) -> void;
     auto takeEvent(const Event& event, Reply& reply) -> void;
     auto judgeData(const Event& event, std::int64_t number, Reply& reply) -> void;
-    auto wrong(Reply& reply, const Str& why) -> void;
+    auto wrong(Reply& reply, const std::string& why) -> void;
     auto judgeStream(const Reply& reply) -> awaitable<Step>;
     auto judgeWhole(const Reply& reply) -> Step;
     /// Whether a stream that broke off may be picked up at another node; counts the break.
@@ -156,16 +156,16 @@
     FakeSender& sender_;
     Kind& kind_;
     Tally& tally_;
-    Str region_, path_, body_, node_;
-    Us born_ = 0;
+    std::string region_, path_, body_, node_;
+    Microseconds born_ = 0;
     std::int64_t serial_ = 0;
     // What the sender holds of a stream; a cut one it picks up at another node.
     std::int64_t lastEvent_ = 0;
-    Str weightsTold_, weightsSeen_;
+    std::string weightsTold_, weightsSeen_;
     int resumes_ = 0;
 };
 
-auto Exchange::prompt() -> Str {
+auto Exchange::prompt() -> std::string {
     auto prefixes = std::uint64_t(std::max<std::int64_t>(1, kind_.prefixes));
     auto text = fmt::format("shared {} ", sender_.rng.below(prefixes));
     while (std::int64_t(text.size()) < kind_.shared * LETTERS_A_TOKEN) text += "lorem dune turns ";
@@ -269,7 +269,7 @@
     // Refused and not run: told when to come back, it comes back a few times.
     if (number == MOST_TRIES - 1 || reply.status < 500) co_return Step::GiveUp;
     tally_.again++;
-    auto time = RETRY_PAUSE + Us(sender_.rng.below(RETRY_SPREAD));
+    auto time = RETRY_PAUSE + Microseconds(sender_.rng.below(RETRY_SPREAD));
     co_await sender_.pause(time);
     co_return Step::TryAgain;
 }
@@ -286,8 +286,8 @@
     if (headError) co_return false;
     reply.status = int(parser.get().result_int());
     reply.notExecuted = parser.get().count("X-Not-Executed") > 0;
-    reply.streamed = Str(parser.get()[http::field::content_type]).starts_with("text/event-stream");
-    if (reply.streamed) weightsTold_ = Str(parser.get()["X-Weights"]);
+    reply.streamed = std::string(parser.get()[http::field::content_type]).starts_with("text/event-stream");
+    if (reply.streamed) weightsTold_ = std::string(parser.get()["X-Weights"]);
     auto events = EventSplit();
     auto error = beast::error_code();
     char bytes[READ_BYTES];
@@ -296,7 +296,7 @@
         parser.get().body().size = sizeof bytes;
         auto [readError, count] = co_await http::async_read_some(stream, buffer, parser, quiet);
         error = readError == http::error::need_buffer ? beast::error_code() : readError;
-        auto received = View(bytes, sizeof bytes - parser.get().body().size);
+        auto received = std::string_view(bytes, sizeof bytes - parser.get().body().size);
         if (reply.streamed) {
             events.feed(received);
             takeEvents(events, reply);
@@ -306,7 +306,7 @@
     co_return true;
 }
 
-auto Exchange::wrong(Reply& reply, const Str& why) -> void {
+auto Exchange::wrong(Reply& reply, const std::string& why) -> void {
     reply.wrong = true;
     sender_.broke(kind_, why);
 }
@@ -337,8 +337,8 @@
 
 // All events of one request must be of the same weights.
 auto Exchange::judgeData(const Event& event, std::int64_t number, Reply& reply) -> void {
-    auto data = Doc();
-    auto text = jsParse(event.data, data) ? jsStr(data, "text") : Str();
+    auto data = rapidjson::Document();
+    auto text = jsParse(event.data, data) ? jsStr(data, "text") : std::string();
     if (weightsSeen_.empty())
         for (auto& candidate : sender_.weights)
             if (text == fakePiece(body_, candidate, number)) weightsSeen_ = candidate;
@@ -361,7 +361,7 @@
         tally_.cut++;
         co_return Step::Ended;
     }
-    auto time = RESUME_PAUSE + MS * Us(sender_.rng.below(RESUME_PAUSE / MS));
+    auto time = RESUME_PAUSE + MILLISECOND * Microseconds(sender_.rng.below(RESUME_PAUSE / MILLISECOND));
     co_await sender_.pause(time);
     co_return Step::Resume;
 }
@@ -373,8 +373,8 @@
         tally_.failed++;
         return Step::Ended;
     }
-    auto answer = Doc();
-    auto text = jsParse(reply.text, answer) ? jsStr(answer, "reply") : Str();
+    auto answer = rapidjson::Document();
+    auto text = jsParse(reply.text, answer) ? jsStr(answer, "reply") : std::string();
     auto asked = kind_.plain ? body_ + path_ : body_;
     auto sound = std::any_of(sender_.weights.begin(), sender_.weights.end(),
         [&](auto& weights) { return text == fakeWhole(asked, weights); });
@@ -394,18 +394,18 @@
 }
 
 // Sends this kind's requests at random times (Poisson) until the end.
-auto FakeSender::drive(Kind& kind, Us end) -> awaitable<void> {
+auto FakeSender::drive(Kind& kind, Microseconds end) -> awaitable<void> {
     auto next = bootNow();
     while (bootNow() < end) {
         auto uniform = double((rng.next() >> 11) + 1) * 0x1.0p-53;
-        next += Us(-std::log(uniform) / (kind.rate * options.scale) * double(SEC));
+        next += Microseconds(-std::log(uniform) / (kind.rate * options.scale) * double(SECOND));
         if (auto wait = next - bootNow(); wait > 0) co_await pause(wait);
         if (bootNow() >= end) break;
         if (live < MOST_LIVE) asio::co_spawn(io, runExchange(*this, kind), asio::detached);
     }
 }
 
-auto tallyText(const Tally& tally) -> Str {
+auto tallyText(const Tally& tally) -> std::string {
     return bodyOf({{"sent", fmt::to_string(tally.sent)}, {"whole", fmt::to_string(tally.whole)},
         {"denied", fmt::to_string(tally.denied)}, {"failed", fmt::to_string(tally.failed)},
         {"cut", fmt::to_string(tally.cut)}, {"brokeOff", fmt::to_string(tally.broke)},
@@ -416,8 +416,8 @@
         {"first99Us", fmt::to_string(quantile(tally.first, .99))}});
 }
 
-auto FakeSender::report() -> Str {
-    auto byKind = Str(), faults = Str();
+auto FakeSender::report() -> std::string {
+    auto byKind = std::string(), faults = std::string();
     for (auto& kind : kinds)
         byKind += (byKind.empty() ? "" : ",") + jsQuote(kind.name) + ":" + tallyText(kind.tally);
     for (auto& fault : rulesBroken) faults += (faults.empty() ? "" : ",") + jsQuote(fault);
@@ -425,10 +425,10 @@
 }
 
 /// Reads the day into the sender; the fault, or empty.
-auto readDay(FakeSender& sender) -> Str {
+auto readDay(FakeSender& sender) -> std::string {
     auto text = fileRead(sender.options.day);
     if (!text) return "--day: " + text.error();
-    auto day = Doc();
+    auto day = rapidjson::Document();
     if (!jsParse(*text, day) || !day.IsObject() || !day.HasMember("kinds") || !day["kinds"].IsArray())
         return "--day: wants {\"kinds\":[…]}";
     if (sender.options.nodes.empty()) return "--nodes: missing";
@@ -442,14 +442,14 @@
     return "";
 }
 
-auto stopAfter(FakeSender& sender, Us end) -> awaitable<void> {
+auto stopAfter(FakeSender& sender, Microseconds end) -> awaitable<void> {
     while (bootNow() < end || (sender.live > 0 && bootNow() < end + AFTER_THE_DAY))
-        co_await sender.pause(100 * MS);
+        co_await sender.pause(100 * MILLISECOND);
     sender.io.stop();
 }
 
-auto writeReport(const FakeSenderOptions& options, const Str& text) -> void {
-    auto report = Doc();
+auto writeReport(const FakeSenderOptions& options, const std::string& text) -> void {
+    auto report = rapidjson::Document();
     jsParse(text, report);
     if (options.report.empty()) fmt::print("{}\n", jsPretty(report));
     else std::ofstream(options.report) << jsPretty(report) << "\n";
@@ -478,4 +478,4 @@
     return sender->rulesBroken.empty() ? 0 : 1;
 }
 
-}  // namespace dt
+}  // namespace duneturn
