--- a/src/faults.cpp
+++ b/src/faults.cpp
@@ -3,7 +3,7 @@
 
 #include "world.hpp"
 
-namespace dt {
+namespace duneturn {
 
 // ---- faults
 
@@ -15,7 +15,7 @@
     swing = 0;
     for (auto& m : ms) {
         m->dk.full = m->dk.stalled = false;
-        m->dk.lat = 2 * MS;
+        m->dk.lat = 2 * MILLISECOND;
         if (m->up && m->core && !m->dk.busy) m->diskStep();
         if (m->up && m->frozen) wake(*m);
         if (!m->up) m->start();
@@ -49,7 +49,7 @@
     m.inbox.clear();
     for (auto& f : ib) to(m.i, m.life, 0, f);
 }
-auto World::restart(int i, Us d) -> void {
+auto World::restart(int i, Microseconds d) -> void {
     in(d, [this, i] {
         if (!ended) ms[std::size_t(i)]->start();
     });
@@ -78,18 +78,19 @@
         if (d.op == "config" && d.status == 200) g = std::max(g, d.gen);
     return g;
 }
-auto World::putConfig(int probe, std::int64_t base, std::function<void(int)> f, const Str& twist) -> void {
+auto World::putConfig(int probe, std::int64_t base, std::function<void(int)> f, const std::string& twist)
+    -> void {
     order("config", fmt::format("{{\"base\":{},\"config\":{}}}", base, probeConfig(probe, twist)),
         fmt::format("probe-{}", probe), base, std::move(f));
 }
-auto World::giveBack(const Str& z) -> void {
+auto World::giveBack(const std::string& z) -> void {
     order("give-back", bodyOf({{"district", jsQuote(z)}}), z, 0, [this, z](int st) {
         if (st == 200) emptiesOpen = 0;
-        else in(SEC, [this, z] { giveBack(z); });
+        else in(SECOND, [this, z] { giveBack(z); });
     });
 }
 
-auto World::fault(const Str& f) -> void {
+auto World::fault(const std::string& f) -> void {
     auto alone = f == "ruin" || f.starts_with("total-loss") || f.ends_with("-after-ack");
     if (!alone && t < calmTill) return;
     r.faults++;
@@ -97,7 +98,7 @@
     auto& m = *ms[std::size_t(n)];
     auto sv = int(frng.below(ss.size() - std::size_t(probes)));
     auto& s = ss[std::size_t(sv)];
-    auto span = SEC + Us(frng.below(5 * SEC));
+    auto span = SECOND + Microseconds(frng.below(5 * SECOND));
     auto cores = std::vector<int>();
     for (auto& x : ms)
         if (x->core) cores.push_back(x->i);
@@ -119,7 +120,8 @@
         restart(c, span);
     } else if (f == "crash-many") {
         for (auto& x : ms)
-            if (frng.chance(.4)) x->kill(frng.chance(.5)), restart(x->i, span + Us(frng.below(SEC)));
+            if (frng.chance(.4))
+                x->kill(frng.chance(.5)), restart(x->i, span + Microseconds(frng.below(SECOND)));
     } else if (f == "freeze") {
         auto i = frng.chance(.3) ? c : n;
         auto& x = *ms[std::size_t(i)];
@@ -127,7 +129,7 @@
         x.frozen = true;
         say(x.st.node + " freezes");
         auto l = x.life;
-        in(3 * SEC + span, [this, i, l] {
+        in(3 * SECOND + span, [this, i, l] {
             auto& x = *ms[std::size_t(i)];
             if (!x.up || x.life != l || !x.frozen) return;
             say(x.st.node + " wakes");
@@ -167,12 +169,12 @@
         loss = 0.2;
         in(span, [this] { loss = 0; });
     } else if (f == "clock") {
-        auto j = (frng.chance(.5) ? 1 : -1) * (10 * SEC + Us(frng.below(3600 * SEC)));
+        auto j = (frng.chance(.5) ? 1 : -1) * (10 * SECOND + Microseconds(frng.below(3600 * SECOND)));
         m.wallOff += j;
-        in(span + 10 * SEC, [this, n, j] { ms[std::size_t(n)]->wallOff -= j; });
+        in(span + 10 * SECOND, [this, n, j] { ms[std::size_t(n)]->wallOff -= j; });
     } else if (f == "disk-slow") {
-        k.dk.lat = 300 * MS;
-        in(span, [this, c] { ms[std::size_t(c)]->dk.lat = 2 * MS; });
+        k.dk.lat = 300 * MILLISECOND;
+        in(span, [this, c] { ms[std::size_t(c)]->dk.lat = 2 * MILLISECOND; });
     } else if (f == "disk-full") {
         k.dk.full = true;
         in(span, [this, c] { ms[std::size_t(c)]->dk.full = false; });
@@ -209,7 +211,7 @@
         if (md == "crash" || md == "cold") {
             say(s.name + " crashes");
             serverDown(sv, false);
-            in(md == "cold" ? SEC : span, [this, sv] { returnUnmarked(ss[std::size_t(sv)]); });
+            in(md == "cold" ? SECOND : span, [this, sv] { returnUnmarked(ss[std::size_t(sv)]); });
         } else if (md == "dark") {
             s.dark = true;
             say(s.name + " goes dark");
@@ -259,17 +261,17 @@
                         leavingTaken(sv);
                         say(s.name + " is listed as leaving");
                         auto l = s.life;
-                        in(8 * SEC, [this, sv, l] {
+                        in(8 * SECOND, [this, sv, l] {
                             if (ss[std::size_t(sv)].life != l) return;
                             say(ss[std::size_t(sv)].name + " is taken away");
                             serverDown(sv, false);
                         });
-                        in(14 * SEC, [this, sv] { returnUnmarked(ss[std::size_t(sv)]); });
+                        in(14 * SECOND, [this, sv] { returnUnmarked(ss[std::size_t(sv)]); });
                     } else (*mk)(tries - 1);
                 };
                 x.node->mark(id, ss[std::size_t(sv)].name, no, x.now());
             });
-            in(4 * SEC, [mk, tries, over] {
+            in(4 * SECOND, [mk, tries, over] {
                 if (*over) return;
                 *over = true;
                 (*mk)(tries - 1);
@@ -281,7 +283,7 @@
         emptiesOpen = 1;
         auto z = m.st.district;
         order("empty", bodyOf({{"district", jsQuote(z)}}), z, 0, {});
-        in(8 * SEC + span, [this, z] { giveBack(z); });
+        in(8 * SECOND + span, [this, z] { giveBack(z); });
     } else if (f == "config" || f == "race") {
         auto two = f == "race" ? 2 : 1 + int(frng.below(3));
         auto base = newestConfig();
@@ -299,35 +301,37 @@
                             broke("what was refused never takes effect", "an invalid one was taken");
                     });
             }
-            in(f == "race" ? Us(frng.below(5 * MS)) : i * 700 * MS, [this, p, b] { putConfig(p, b, {}); });
+            in(f == "race" ? Microseconds(frng.below(5 * MILLISECOND)) : i * 700 * MILLISECOND,
+                [this, p, b] { putConfig(p, b, {}); });
         }
     } else if (f == "plan") {
         if (emptiesOpen) return;
         emptiesOpen = 1;
         auto z = m.st.district;
         order("book",
-            bodyOf({{"at", jsQuote(wallText(t + 1800000000LL * SEC + 4 * SEC))},
+            bodyOf({{"at", jsQuote(wallText(t + 1800000000LL * SECOND + 4 * SECOND))},
                 {"move", bodyOf({{"op", "\"empty\""}, {"district", jsQuote(z)}})}}),
             z, 0, {});
-        in(12 * SEC, [this, z] { giveBack(z); });
+        in(12 * SECOND, [this, z] { giveBack(z); });
     } else if (f == "rules") {
         // Less is allowed for a while, under exchanges that run; then as much as before.
-        static const auto TWISTS = std::vector<Str>{"no-resume", "one-try", "home", "no-spill", "no-move"};
+        static const auto TWISTS =
+            std::vector<std::string>{"no-resume", "one-try", "home", "no-spill", "no-move"};
         auto tw = TWISTS[frng.below(TWISTS.size())];
-        auto put = [this](const Str& tw) {
+        auto put = [this](const std::string& tw) {
             auto p = int(rng.below(std::uint64_t(probes)));
             say("rules " + (tw.empty() ? "as ever" : tw));
             putConfig(p, newestConfig(), {}, tw);
         };
         put(tw);
-        in(5 * SEC + span, [this, put] {
+        in(5 * SECOND + span, [this, put] {
             if (!ended) put("");
         });
     } else if (f == "server-roll") {
         // Taken away and back with other weights, before the platform tells of it.
         if (!s.up || s.leaving) return;
         serverDown(sv, false);
-        in(SEC, [this, sv] {
+        in(SECOND, [this, sv] {
             auto& s = ss[std::size_t(sv)];
             if (!returnCold(s)) return;
             if (s.pool == "model") s.weights = s.weights == "w1" ? "w2" : "w1";
@@ -336,7 +340,7 @@
     } else if (f == "late-listing") {
         // What the platform said before is held up on its way, and comes whole.
         auto text = listing();
-        in(2 * SEC + span, [this, text] {
+        in(2 * SECOND + span, [this, text] {
             auto i = aliveMachine();
             if (i < 0 || ended) return;
             auto& x = *ms[std::size_t(i)];
@@ -368,7 +372,7 @@
         // What was acknowledged is put to the test at that very moment.
         auto wipe = f == "wipe-after-ack";
         if (!wipe)
-            for (auto i : cores) ms[std::size_t(i)]->dk.lat = 700 * MS;
+            for (auto i : cores) ms[std::size_t(i)]->dk.lat = 700 * MILLISECOND;
         auto base = newestConfig();
         auto p = int(frng.below(std::uint64_t(probes)));
         // Now and then two cores are alone when they are asked: two disks must not be enough.
@@ -378,9 +382,9 @@
         auto pb = [i1, i2](Machine& x) { return x.i != i1 && x.i != i2; };
         if (split) cutBoth(pa, pb, 1);
         askAt = split ? i1 : -1;
-        if (split) in(7 * SEC, [=] { cutBoth(pa, pb, -1); });
+        if (split) in(7 * SECOND, [=] { cutBoth(pa, pb, -1); });
         putConfig(p, base, [this, wipe, cores, i1, i2, split](int st) {
-            for (auto i : cores) ms[std::size_t(i)]->dk.lat = 2 * MS;
+            for (auto i : cores) ms[std::size_t(i)]->dk.lat = 2 * MILLISECOND;
             if (st != 200) return;
             auto n = 0;
             for (auto& x : ms) {
@@ -388,7 +392,7 @@
                 n++;
                 x->kill(true);
                 if (wipe) loseDisk(*x);
-                restart(x->i, SEC);
+                restart(x->i, SECOND);
             }
         });
     }
@@ -407,9 +411,9 @@
     for (auto& x : ms) x->kill(true);
     for (auto& x : ms) {
         if (x->core && x->i != l) loseDisk(*x);
-        restart(x->i, SEC + Us(frng.below(SEC)));
+        restart(x->i, SECOND + Microseconds(frng.below(SECOND)));
     }
-    in(8 * SEC, [this, l] {
+    in(8 * SECOND, [this, l] {
         auto& k = *ms[std::size_t(l)];
         if (ended || !k.up) return;
         for (auto& x : ms)
@@ -422,13 +426,13 @@
         if (o.status != 200) broke("a rescue founds a reign when no majority stands", o.body);
         lostAt = t;
         backAt.clear();
-        canary(t + 12 * SEC);
+        canary(t + 12 * SECOND);
     });
 }
 
 // All processes lose power at once, and come back a second or two later; one of the disks
 // lost besides, or one core machine replaced by another with a blank disk.
-auto World::totalLoss(const Str& f) -> void {
+auto World::totalLoss(const std::string& f) -> void {
     lostAt = t;
     backAt.clear();
     for (auto& x : ms) x->kill(true);
@@ -438,8 +442,8 @@
     auto& k = *ms[std::size_t(c)];
     if (f != "total-loss") loseDisk(k);
     if (f == "total-loss-moved") moveCore(k);
-    for (auto& x : ms) restart(x->i, SEC + Us(frng.below(SEC)));
-    canary(t + 12 * SEC);
+    for (auto& x : ms) restart(x->i, SECOND + Microseconds(frng.below(SECOND)));
+    canary(t + 12 * SECOND);
 }
 
 auto World::faults() -> void {
@@ -447,16 +451,16 @@
     std::erase(fs, "closing-wipe");
     // These are judged alone, at most one a day: what they leave is what the fleet promises
     // to live through, and another loss beside them may be too much.
-    auto alone = std::vector<Str>();
+    auto alone = std::vector<std::string>();
     for (auto a :
         {"power-after-ack", "wipe-after-ack", "total-loss", "total-loss-disk", "total-loss-moved", "ruin"})
         if (std::erase(fs, a)) alone.push_back(a);
-    auto from = 10 * SEC, till = op.duration - 15 * SEC;
+    auto from = 10 * SECOND, till = op.duration - 15 * SECOND;
     if (!fs.empty()) {
-        auto n = int(op.perMinute * double(till - from) / double(60 * SEC));
+        auto n = int(op.perMinute * double(till - from) / double(60 * SECOND));
         for (auto i = 0; i < std::max(1, n); i++) {
             auto f = fs[frng.below(fs.size())];
-            at(from + Us(frng.below(std::uint64_t(till - from))), [this, f] {
+            at(from + Microseconds(frng.below(std::uint64_t(till - from))), [this, f] {
                 if (!ended) fault(f);
             });
         }
@@ -464,11 +468,11 @@
     if (alone.empty()) return;
     auto k = frng.below(alone.size() + (fs.empty() ? 0 : 1));
     if (k == alone.size()) return;
-    at(from + (till - from) / 2 - 12 * SEC, [this, f = alone[k]] {
-        calmTill = t + 36 * SEC;
+    at(from + (till - from) / 2 - 12 * SECOND, [this, f = alone[k]] {
+        calmTill = t + 36 * SECOND;
         heal();
-        in(12 * SEC, [this, f] { fault(f); });
+        in(12 * SECOND, [this, f] { fault(f); });
     });
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/history.cpp
+++ b/src/history.cpp
@@ -4,13 +4,13 @@
 #include <functional>
 #include <set>
 
-namespace dt {
+namespace duneturn {
 
 // The search of Wing and Gong: of the operations not yet placed, one may come next if no
 // other was over before it began. What was tried once with the same operations placed and
 // the same register is not tried again.
-auto historyCheck(const std::vector<HistOp>& in, const Str& first) -> Str {
-    constexpr auto NEVER = std::numeric_limits<Us>::max();
+auto historyCheck(const std::vector<HistOp>& in, const std::string& first) -> std::string {
+    constexpr auto NEVER = std::numeric_limits<Microseconds>::max();
     auto ops = in;
     std::stable_sort(ops.begin(), ops.end(), [](auto& a, auto& b) { return a.from < b.from; });
     auto placed = std::vector<bool>(ops.size());
@@ -18,10 +18,10 @@
     auto sure = std::size_t(0);  // those that must be placed
     for (auto& o : ops) sure += o.to >= 0;
     auto far = std::size_t(0);
-    auto stuck = Str();
+    auto stuck = std::string();
     struct Reg {
         std::int64_t gen = 0;
-        Str what;
+        std::string what;
         std::vector<int> applied;
     };
     auto end = [&](const HistOp& o) { return o.to < 0 ? NEVER : o.to; };
@@ -30,7 +30,7 @@
         if (n == sure) return true;
         auto h = hash64(r.what, std::uint64_t(r.gen));
         for (auto i = std::size_t(0); i < ops.size(); i++)
-            if (placed[i]) h = hash64(View(reinterpret_cast<const char*>(&i), sizeof i), h);
+            if (placed[i]) h = hash64(std::string_view(reinterpret_cast<const char*>(&i), sizeof i), h);
         if (!known.insert(h).second) return false;
         while (from < ops.size() && placed[from]) from++;
         auto till = NEVER;
@@ -71,4 +71,4 @@
     return go({0, first, {}}, 0, 0) ? "" : stuck.empty() ? "no order of the operations explains them" : stuck;
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/http.cpp
+++ b/src/http.cpp
@@ -4,7 +4,7 @@
 #include <netinet/tcp.h>
 #include <sys/socket.h>
 
-namespace dt {
+namespace duneturn {
 
 auto replyEnds(http::response_parser<http::string_body>& p) -> beast::error_code {
     auto ec = beast::error_code();
@@ -14,8 +14,8 @@
     return ec;
 }
 
-auto requestHead(const Str& method, const Str& target, const Headers& headers, std::size_t bodySize,
-    const Str& address, bool keepAlive) -> Str {
+auto requestHead(const std::string& method, const std::string& target, const Headers& headers,
+    std::size_t bodySize, const std::string& address, bool keepAlive) -> std::string {
     auto head = method + " " + target + " HTTP/1.1\r\n";
     auto hasHost = false;
     for (auto& [name, value] : headers) {
@@ -35,7 +35,7 @@
     auto p = std::size_t(0);
     while (true) {
         auto n = buf.find('\n', p);
-        if (n == Str::npos) return false;
+        if (n == std::string::npos) return false;
         auto q = n + 1;
         if (q < buf.size() && buf[q] == '\r') q++;
         if (q >= buf.size()) return false;
@@ -49,37 +49,37 @@
     }
     for (auto i = std::size_t(0); i < e.raw.size();) {
         auto n = e.raw.find('\n', i);
-        auto l = View(e.raw).substr(i, n - i);
+        auto l = std::string_view(e.raw).substr(i, n - i);
         i = n + 1;
         if (!l.empty() && l.back() == '\r') l.remove_suffix(1);
         auto c = l.find(':');
         auto k = l.substr(0, c);
-        auto v = c == View::npos ? View() : l.substr(c + 1);
+        auto v = c == std::string_view::npos ? std::string_view() : l.substr(c + 1);
         if (!v.empty() && v[0] == ' ') v.remove_prefix(1);
-        if (k == "id") e.id = Str(v);
-        else if (k == "event") e.type = Str(v);
-        else if (k == "data") e.data += (e.data.empty() ? "" : "\n") + Str(v);
+        if (k == "id") e.id = std::string(v);
+        else if (k == "event") e.type = std::string(v);
+        else if (k == "data") e.data += (e.data.empty() ? "" : "\n") + std::string(v);
     }
     return true;
 }
 
-auto endpoint(const Str& addr) -> tcp::endpoint {
+auto endpoint(const std::string& addr) -> tcp::endpoint {
     auto a = addrParse(addr);
     if (!a) return {};
     return {asio::ip::make_address(a->ip), a->port};
 }
 
-auto socketSet(int fd, Us unheard) -> void {
+auto socketSet(int fd, Microseconds unheard) -> void {
     auto set = [&](int level, int what, int v) { ::setsockopt(fd, level, what, &v, sizeof v); };
     set(IPPROTO_TCP, TCP_NODELAY, 1);
-    set(IPPROTO_TCP, TCP_USER_TIMEOUT, int(unheard / MS));
+    set(IPPROTO_TCP, TCP_USER_TIMEOUT, int(unheard / MILLISECOND));
     set(SOL_SOCKET, SO_KEEPALIVE, 1);
-    set(IPPROTO_TCP, TCP_KEEPIDLE, int(std::max(unheard, SEC) / SEC));
+    set(IPPROTO_TCP, TCP_KEEPIDLE, int(std::max(unheard, SECOND) / SECOND));
     set(IPPROTO_TCP, TCP_KEEPINTVL, 1);
     set(IPPROTO_TCP, TCP_KEEPCNT, 3);
 }
 
-auto limitsOf(const Val& c) -> Limits {
+auto limitsOf(const rapidjson::Value& c) -> Limits {
     auto l = Limits();
     if (!c.IsObject() || !c.HasMember("limits") || !c["limits"].IsObject()) return l;
     auto& v = c["limits"];
@@ -94,8 +94,8 @@
     return l;
 }
 
-auto hopByHop(View n, View connection) -> bool {
-    auto is = [&](View x) { return beast::iequals(n, x); };
+auto hopByHop(std::string_view n, std::string_view connection) -> bool {
+    auto is = [&](std::string_view x) { return beast::iequals(n, x); };
     if (is("Connection") || is("Keep-Alive") || is("Transfer-Encoding") || is("Content-Length") || is("TE")
         || is("Trailer") || is("Upgrade") || is("Proxy-Connection") || is("Proxy-Authorization")
         || is("Proxy-Authenticate") || is("Expect"))
@@ -103,7 +103,7 @@
     return !connection.empty() && http::token_list(connection).exists(n);
 }
 
-auto keepAliveSeconds(View v) -> std::int64_t {
+auto keepAliveSeconds(std::string_view v) -> std::int64_t {
     for (auto i = std::size_t(0); i < v.size();) {
         auto j = std::min(v.find_first_of(",;", i), v.size());
         auto t = v.substr(i, j - i);
@@ -120,13 +120,14 @@
     return -1;
 }
 
-auto keepFor(const Headers& h) -> Us {
-    auto t = 4 * SEC;
+auto keepFor(const Headers& h) -> Microseconds {
+    auto t = 4 * SECOND;
     for (auto& [k, v] : h) {
         if (beast::iequals(k, "Connection") && http::token_list(v).exists("close")) return 0;
         if (beast::iequals(k, "Keep-Alive"))
             // The server counts from its last byte, which left it before it came here.
-            if (auto n = keepAliveSeconds(v); n >= 0) t = std::min(t, std::max<Us>(0, (n - 1) * SEC));
+            if (auto n = keepAliveSeconds(v); n >= 0)
+                t = std::min(t, std::max<Microseconds>(0, (n - 1) * SECOND));
     }
     return t;
 }
@@ -136,7 +137,7 @@
     return std::min<std::size_t>(4, std::size_t(maxConns) / (4 * std::max<std::size_t>(1, nodes)));
 }
 
-auto Pool::put(const Str& key, std::int64_t id, Us till, Us now, std::size_t most)
+auto Pool::put(const std::string& key, std::int64_t id, Microseconds till, Microseconds now, std::size_t most)
     -> std::vector<std::int64_t> {
     auto out = std::vector<std::int64_t>();
     most = std::min(most, perServer);
@@ -156,7 +157,7 @@
     n_++;
     return out;
 }
-auto Pool::take(const Str& key, Us now) -> std::int64_t {
+auto Pool::take(const std::string& key, Microseconds now) -> std::int64_t {
     auto i = m_.find(key);
     if (i == m_.end() || i->second.back().till <= now) return -1;  // expire() closes it
     auto id = i->second.back().id;
@@ -165,7 +166,7 @@
     if (i->second.empty()) m_.erase(i);
     return id;
 }
-auto Pool::expire(Us now) -> std::vector<std::int64_t> {
+auto Pool::expire(Microseconds now) -> std::vector<std::int64_t> {
     auto out = std::vector<std::int64_t>();
     for (auto i = m_.begin(); i != m_.end();) {
         std::erase_if(i->second, [&](auto& c) {
@@ -179,7 +180,7 @@
     return out;
 }
 
-auto StopSchedule::step(Us now, bool busy) const -> Step {
+auto StopSchedule::step(Microseconds now, bool busy) const -> Step {
     if (!at) return Serve;
     auto t = now - at;
     if (!busy && t >= std::min(FIRST, grace * 85 / 100)) return End;
@@ -187,15 +188,15 @@
     return t >= grace * 40 / 100 ? Refuse : Serve;
 }
 
-auto fetch(Str addr, Str method, Str path, Str body, Headers h, Us limit)
-    -> asio::awaitable<tl::expected<Res, CallError>> {
+auto fetch(std::string addr, std::string method, std::string path, std::string body, Headers h,
+    Microseconds limit) -> asio::awaitable<tl::expected<Res, CallError>> {
     auto a = addrParse(addr);
     if (!a) co_return tl::make_unexpected(CallError{addr + ": " + a.error()});
     try {
         auto s = beast::tcp_stream(co_await asio::this_coro::executor);
         s.expires_after(std::chrono::microseconds(limit));
         co_await s.async_connect(endpoint(addr), asio::use_awaitable);
-        socketSet(s.socket().native_handle(), 2 * SEC);
+        socketSet(s.socket().native_handle(), 2 * SECOND);
         auto q = Req(http::string_to_verb(method), path, 11);
         q.set(http::field::host, addr);
         for (auto& [k, v] : h) q.set(k, v);
@@ -214,8 +215,8 @@
     }
 }
 
-auto call(const Str& addr, const Str& method, const Str& path, const Str& body, const Headers& h, Us limit)
-    -> tl::expected<Res, CallError> {
+auto call(const std::string& addr, const std::string& method, const std::string& path,
+    const std::string& body, const Headers& h, Microseconds limit) -> tl::expected<Res, CallError> {
     auto io = asio::io_context();
     auto out = tl::expected<Res, CallError>(tl::make_unexpected(CallError{"no reply from " + addr}));
     asio::co_spawn(
@@ -225,4 +226,4 @@
     return out;
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/http.hpp
+++ b/src/http.hpp
@@ -6,7 +6,7 @@
 
 #include "edge.hpp"
 
-namespace dt {
+namespace duneturn {
 
 namespace asio = boost::asio;
 namespace beast = boost::beast;
@@ -17,9 +17,9 @@
 
 /// Splits a text/event-stream into its events, whatever the pieces it comes in.
 struct EventSplit {
-    Str buf;
+    std::string buf;
     std::size_t limit = 256 * 1024;
-    auto feed(View s) -> void { buf += s; }
+    auto feed(std::string_view s) -> void { buf += s; }
     /// The next whole event; false if there is none yet.
     auto next(Event& e) -> bool;
     auto tooLong() const -> bool { return buf.size() > limit; }
@@ -28,37 +28,37 @@
 /// What the configuration in force allows a sender: "limits".
 struct Limits {
     std::size_t headerBytes = 16 * 1024, bodyBytes = 8u << 20;
-    Us headerRead = 10 * SEC;  // from a request's first byte to its header's last
-    Us idle = 60 * SEC;        // how long a connection may say nothing between requests
+    Microseconds headerRead = 10 * SECOND;  // from a request's first byte to its header's last
+    Microseconds idle = 60 * SECOND;        // how long a connection may say nothing between requests
 };
-auto limitsOf(const Val& config) -> Limits;
+auto limitsOf(const rapidjson::Value& config) -> Limits;
 
 /// Whether a header concerns one connection only; `connection` is the Connection header's value.
-auto hopByHop(View name, View connection) -> bool;
+auto hopByHop(std::string_view name, std::string_view connection) -> bool;
 /// The seconds of a Keep-Alive header's timeout; -1 if it names none.
-auto keepAliveSeconds(View value) -> std::int64_t;
+auto keepAliveSeconds(std::string_view value) -> std::int64_t;
 /// How long a connection may be kept idle after a reply with these headers; 0: not at all.
-auto keepFor(const Headers& h) -> Us;
+auto keepFor(const Headers& h) -> Microseconds;
 
 /// Which idle connections to servers are kept. Bookkeeping only: they are numbers here.
 struct Pool {
     std::size_t perServer = 4, all = 512;
     /// Keeps connection `id` to `key` until `till`, of at most `most` there; those given back
     /// must be closed.
-    auto put(const Str& key, std::int64_t id, Us till, Us now, std::size_t most = 4)
-        -> std::vector<std::int64_t>;
+    auto put(const std::string& key, std::int64_t id, Microseconds till, Microseconds now,
+        std::size_t most = 4) -> std::vector<std::int64_t>;
     /// The one to `key` that was used last; -1 if there is none.
-    auto take(const Str& key, Us now) -> std::int64_t;
+    auto take(const std::string& key, Microseconds now) -> std::int64_t;
     /// Those whose time is over; they must be closed.
-    auto expire(Us now) -> std::vector<std::int64_t>;
+    auto expire(Microseconds now) -> std::vector<std::int64_t>;
     auto size() const -> std::size_t { return n_; }
 
   private:
     struct Idle {
         std::int64_t id;
-        Us till;
+        Microseconds till;
     };
-    std::map<Str, std::vector<Idle>> m_;
+    std::map<std::string, std::vector<Idle>> m_;
     std::size_t n_ = 0;
 };
 
@@ -69,33 +69,33 @@
 /// A planned stop within a grace: exchanges are taken for a while yet, for senders learn late
 /// that this node leaves; then they are refused, and at last what still runs is cut visibly.
 struct StopSchedule {
-    Us at = 0, grace = 0;  // at 0: no stop has begun
+    Microseconds at = 0, grace = 0;  // at 0: no stop has begun
     enum Step { Serve, Refuse, Cut, End };
     /// `busy`: an exchange is under way or its reply not wholly written.
-    auto step(Us now, bool busy) const -> Step;
-    static constexpr Us FIRST = 1500 * MS;
+    auto step(Microseconds now, bool busy) const -> Step;
+    static constexpr Microseconds FIRST = 1500 * MILLISECOND;
 };
 
 /// The head of a request to a server at `address`, with its length and Host if `headers` has none.
-auto requestHead(const Str& method, const Str& target, const Headers& headers, std::size_t bodySize,
-    const Str& address, bool keepAlive) -> Str;
+auto requestHead(const std::string& method, const std::string& target, const Headers& headers,
+    std::size_t bodySize, const std::string& address, bool keepAlive) -> std::string;
 
 /// A server's connection has ended: no error if the reply is whole.
 auto replyEnds(http::response_parser<http::string_body>& p) -> beast::error_code;
 
 struct CallError {
-    Str why;
+    std::string why;
 };
 /// One call of another process.
-auto fetch(Str addr, Str method, Str path, Str body, Headers h, Us limit)
-    -> asio::awaitable<tl::expected<Res, CallError>>;
+auto fetch(std::string addr, std::string method, std::string path, std::string body, Headers h,
+    Microseconds limit) -> asio::awaitable<tl::expected<Res, CallError>>;
 /// The same, blocking; for the command line.
-auto call(const Str& addr, const Str& method, const Str& path, const Str& body, const Headers& h, Us limit)
-    -> tl::expected<Res, CallError>;
+auto call(const std::string& addr, const std::string& method, const std::string& path,
+    const std::string& body, const Headers& h, Microseconds limit) -> tl::expected<Res, CallError>;
 
-auto endpoint(const Str& addr) -> tcp::endpoint;
+auto endpoint(const std::string& addr) -> tcp::endpoint;
 /// No delay, and limits on how long a peer may be without a sign of life, since a machine
 /// without power says nothing: `unheard` while sent bytes are unacknowledged, else probes.
-auto socketSet(int fd, Us unheard) -> void;
+auto socketSet(int fd, Microseconds unheard) -> void;
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -72,17 +72,17 @@
 DEFINE_bool(eager_disks, false, "check: writes are done at once, but for delayed disks");
 DEFINE_bool(trace, false, "simulate: print the trace as it goes");
 
-namespace dt {
+namespace duneturn {
 
-static auto commas(const Str& s) -> std::vector<Str> {
-    auto o = std::vector<Str>();
+static auto commas(const std::string& s) -> std::vector<std::string> {
+    auto o = std::vector<std::string>();
     auto ss = std::stringstream(s);
-    for (auto t = Str(); std::getline(ss, t, ',');)
+    for (auto t = std::string(); std::getline(ss, t, ',');)
         if (!t.empty()) o.push_back(t);
     return o;
 }
 
-static auto usage() -> Str {
+static auto usage() -> std::string {
     return R"(duneturn ROLE [flags]
 
   edge           serves senders on this machine
@@ -115,7 +115,7 @@
 }
 
 static auto daemonMain(bool core) -> int {
-    auto over = std::map<Str, Str>();
+    auto over = std::map<std::string, std::string>();
     for (auto k :
         {"node", "district", "region", "peer", "sender", "operator", "seeds", "roster", "seats", "data"}) {
         auto i = gflags::CommandLineFlagInfo();
@@ -148,7 +148,8 @@
     auto options = modelcheck::SearchOptions();
     auto bounds = modelcheck::budgetParse(FLAGS_bounds, options.model.budget);
     if (!bounds || FLAGS_depth < 0 || FLAGS_states < 1 || FLAGS_walks < 0) {
-        auto fault = bounds ? Str("--depth, --states and --walks want no negative number") : bounds.error();
+        auto fault =
+            bounds ? std::string("--depth, --states and --walks want no negative number") : bounds.error();
         fmt::print(stderr, "duneturn check: {}\n", fault);
         return 2;
     }
@@ -177,7 +178,7 @@
 }
 
 static auto run(int argc, char** argv) -> int {
-    auto role = Str(argc > 1 ? argv[1] : "");
+    auto role = std::string(argc > 1 ? argv[1] : "");
     if (role == "--version" || role == "version") {
         fmt::print("duneturn {} (wire {})\n", VERSION, WIRE);
         return 0;
@@ -187,7 +188,7 @@
         return role.empty() ? 2 : 0;
     }
     for (auto i = 2; i < argc; i++) {
-        auto a = Str(argv[i]);
+        auto a = std::string(argv[i]);
         if (a == "--help" || a == "-h") {
             fmt::print("{}", role == "ctl" ? ctlHelp() : usage());
             return 0;
@@ -203,10 +204,10 @@
             fmt::print(stderr, "duneturn: unknown flag --{}\n", n);
             return 2;
         }
-        auto val = eq == Str::npos ? (v.type == "bool" ? Str("true")
-                           : i + 1 < argc              ? Str(argv[i + 1])
-                                                       : Str())
-                                   : a.substr(a.find('=') + 1);
+        auto val = eq == std::string::npos ? (v.type == "bool" ? std::string("true")
+                           : i + 1 < argc                      ? std::string(argv[i + 1])
+                                                               : std::string())
+                                           : a.substr(a.find('=') + 1);
         if (gflags::SetCommandLineOption(v.name.c_str(), val.c_str()).empty()) {
             fmt::print(stderr, "duneturn: --{}: not a fitting value: {}\n", n, val);
             return 2;
@@ -215,7 +216,7 @@
     argc--;
     argv++;
     gflags::ParseCommandLineFlags(&argc, &argv, true);
-    auto args = std::vector<Str>(argv + 1, argv + argc);
+    auto args = std::vector<std::string>(argv + 1, argv + argc);
     if (role == "edge") return daemonMain(false);
     if (role == "core") return daemonMain(true);
     if (role == "platform") return platform::platformMain(FLAGS_check);
@@ -234,9 +235,9 @@
             }
     if (role == "fake-server")
         return fakeServerRun({FLAGS_listen, FLAGS_name, FLAGS_weights, "model", FLAGS_log, FLAGS_slots,
-            FLAGS_token_us, FLAGS_prefill_us, FLAGS_plain_us, 20 * SEC, FLAGS_cold});
+            FLAGS_token_us, FLAGS_prefill_us, FLAGS_plain_us, 20 * SECOND, FLAGS_cold});
     if (role == "fake-platform")
-        return fakePlatformRun({FLAGS_servers, FLAGS_listen, commas(FLAGS_nodes), SEC});
+        return fakePlatformRun({FLAGS_servers, FLAGS_listen, commas(FLAGS_nodes), SECOND});
     if (role == "fake-sender")
         return fakeSenderRun(
             {FLAGS_day, FLAGS_report, commas(FLAGS_nodes), FLAGS_duration_us, FLAGS_scale, FLAGS_seed});
@@ -271,6 +272,6 @@
     return 2;
 }
 
-}  // namespace dt
+}  // namespace duneturn
 
-auto main(int argc, char** argv) -> int { return dt::run(argc, argv); }
+auto main(int argc, char** argv) -> int { return duneturn::run(argc, argv); }
--- a/src/modelcheck/invariants.cpp
+++ b/src/modelcheck/invariants.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <optional>
 
-namespace dt::modelcheck {
+namespace duneturn::modelcheck {
 
 namespace {
 
@@ -12,7 +12,7 @@
     const StepView& step;
     const History& known;
     std::optional<History> changed;  // a copy of `known`, made at the first change
-    Str violation;
+    std::string violation;
 
     auto history() const -> const History& { return changed ? *changed : known; }
     auto edit() -> History& {
@@ -29,7 +29,7 @@
         return value;
     }
 
-    auto fail(Str text) -> void {
+    auto fail(std::string text) -> void {
         if (violation.empty()) violation = std::move(text);
     }
     auto node() const -> const ReplicaNode& { return step.graph.node(step.after); }
@@ -37,7 +37,7 @@
     auto before() const -> const Observation& { return step.graph.node(step.before).seen; }
 
     auto votes() -> void;
-    auto vote(std::int64_t term, const Str& candidate) -> void;
+    auto vote(std::int64_t term, const std::string& candidate) -> void;
     auto leaders() -> void;
     auto completeness(const Observation& leader) -> void;
     auto committed() -> void;
@@ -46,7 +46,7 @@
     auto applied() -> void;
     auto acknowledgements() -> void;
     auto acknowledgedOnMajority(std::uint32_t order) -> void;
-    auto heldByMajority(std::uint32_t order, const std::vector<Str>& voters) const -> bool;
+    auto heldByMajority(std::uint32_t order, const std::vector<std::string>& voters) const -> bool;
     auto nothingLost() -> void;
     auto membership() -> void;
     auto reads() -> void;
@@ -56,7 +56,7 @@
 auto isLeader(const Observation& seen) -> bool { return seen.role == Voter::Role::Leader; }
 
 // A voter votes once in a term, also across restarts.
-auto Check::vote(std::int64_t term, const Str& candidate) -> void {
+auto Check::vote(std::int64_t term, const std::string& candidate) -> void {
     auto first = remember(&History::votes, std::pair(seen().disk, term), candidate);
     if (first != candidate)
         fail(fmt::format(
@@ -139,7 +139,7 @@
     }
 }
 
-auto Check::heldByMajority(std::uint32_t order, const std::vector<Str>& voters) const -> bool {
+auto Check::heldByMajority(std::uint32_t order, const std::vector<std::string>& voters) const -> bool {
     auto holders = std::size_t(0);
     for (auto& disk : voters) {
         auto lost = history().wiped.find(disk);
@@ -228,7 +228,7 @@
     return place->second;
 }
 
-auto Monitor::observe(HistoryId id, const StepView& step, Str& violation) -> HistoryId {
+auto Monitor::observe(HistoryId id, const StepView& step, std::string& violation) -> HistoryId {
     auto check = Check{step, history(id), std::nullopt, ""};
     check.votes();
     check.leaders();
@@ -259,4 +259,4 @@
     return intern(std::move(history));
 }
 
-}  // namespace dt::modelcheck
+}  // namespace duneturn::modelcheck
--- a/src/modelcheck/invariants.hpp
+++ b/src/modelcheck/invariants.hpp
@@ -6,19 +6,19 @@
 
 #include "modelcheck/replica_graph.hpp"
 
-namespace dt::modelcheck {
+namespace duneturn::modelcheck {
 
 using HistoryId = std::uint32_t;
 
 /// What is remembered of a run.
 struct History {
-    std::map<std::int64_t, Str> leaders;                // term -> disk
-    std::map<std::pair<Str, std::int64_t>, Str> votes;  // (disk, term) -> candidate
-    std::map<std::int64_t, EntryView> committed;        // index -> entry
-    std::map<std::int64_t, std::uint64_t> applied;      // generation -> digest of the state
-    std::map<std::uint32_t, std::uint32_t> reads;       // open read -> orders it must show
-    std::map<Str, std::uint32_t> wiped;                 // lost disk -> orders it held
-    std::uint32_t acknowledged = 0;                     // bit set of order numbers
+    std::map<std::int64_t, std::string> leaders;                        // term -> disk
+    std::map<std::pair<std::string, std::int64_t>, std::string> votes;  // (disk, term) -> candidate
+    std::map<std::int64_t, EntryView> committed;                        // index -> entry
+    std::map<std::int64_t, std::uint64_t> applied;                      // generation -> digest of the state
+    std::map<std::uint32_t, std::uint32_t> reads;                       // open read -> orders it must show
+    std::map<std::string, std::uint32_t> wiped;                         // lost disk -> orders it held
+    std::uint32_t acknowledged = 0;                                     // bit set of order numbers
     auto operator<=>(const History&) const = default;
 };
 
@@ -35,7 +35,7 @@
   public:
     Monitor();
     /// The history after a step; `violation` is set if an invariant broke.
-    auto observe(HistoryId history, const StepView& step, Str& violation) -> HistoryId;
+    auto observe(HistoryId history, const StepView& step, std::string& violation) -> HistoryId;
     /// A read begins: it must show every order acknowledged by now.
     auto readBegins(HistoryId history, std::uint32_t read) -> HistoryId;
     /// A disk is lost with what it held.
@@ -49,4 +49,4 @@
     std::vector<const History*> histories_;
 };
 
-}  // namespace dt::modelcheck
+}  // namespace duneturn::modelcheck
--- a/src/modelcheck/model.cpp
+++ b/src/modelcheck/model.cpp
@@ -4,13 +4,13 @@
 #include <optional>
 #include <sstream>
 
-namespace dt::modelcheck {
+namespace duneturn::modelcheck {
 
 namespace {
 
 struct ActionName {
     ActionKind kind;
-    View name;
+    std::string_view name;
 };
 constexpr auto ACTION_NAMES =
     std::array{ActionName{ActionKind::Deliver, "deliver"}, ActionName{ActionKind::Lose, "lose"},
@@ -41,16 +41,16 @@
     return std::nullopt;
 }
 
-auto seatName(std::size_t seat) -> Str { return fmt::format("seat-{}", seat); }
-auto diskName(std::size_t replica) -> Str { return fmt::format("d{}", replica); }
+auto seatName(std::size_t seat) -> std::string { return fmt::format("seat-{}", seat); }
+auto diskName(std::size_t replica) -> std::string { return fmt::format("d{}", replica); }
 
 auto linkIndex(std::size_t from, std::size_t to) -> std::size_t { return from * REPLICAS + to; }
 
-auto contains(const std::vector<Str>& list, const Str& item) -> bool {
+auto contains(const std::vector<std::string>& list, const std::string& item) -> bool {
     return std::find(list.begin(), list.end(), item) != list.end();
 }
 
-auto roleName(Voter::Role role) -> View {
+auto roleName(Voter::Role role) -> std::string_view {
     switch (role) {
     case Voter::Role::Blank: return "blank";
     case Voter::Role::Follower: return "follower";
@@ -61,7 +61,7 @@
     return "";
 }
 
-auto brokenOf(const Str& name) -> Voter::Broken {
+auto brokenOf(const std::string& name) -> Voter::Broken {
     auto broken = Voter::Broken();
     setBroken(broken, name);
     return broken;
@@ -69,22 +69,23 @@
 
 }  // namespace
 
-auto boundedNames() -> const std::array<View, BOUNDED_KINDS>& {
-    static constexpr auto NAMES = std::array<View, BOUNDED_KINDS>{"timeouts", "heartbeats", "proposals",
-        "reads", "handovers", "offers", "losses", "failed-writes", "restarts", "wipes", "retires", "delays"};
+auto boundedNames() -> const std::array<std::string_view, BOUNDED_KINDS>& {
+    static constexpr auto NAMES =
+        std::array<std::string_view, BOUNDED_KINDS>{"timeouts", "heartbeats", "proposals", "reads",
+            "handovers", "offers", "losses", "failed-writes", "restarts", "wipes", "retires", "delays"};
     return NAMES;
 }
 
-auto actionText(const Action& action) -> Str {
+auto actionText(const Action& action) -> std::string {
     for (auto& known : ACTION_NAMES)
         if (known.kind == action.kind)
             return fmt::format("{} {} {} {}", known.name, action.replica, action.peer, action.position);
     return "";
 }
 
-auto actionParse(const Str& line) -> tl::expected<Action, Str> {
+auto actionParse(const std::string& line) -> tl::expected<Action, std::string> {
     auto words = std::istringstream(line);
-    auto name = Str();
+    auto name = std::string();
     auto replica = 0, peer = 0, position = 0;
     words >> name >> replica >> peer >> position;
     auto inRange = replica >= 0 && replica < int(REPLICAS) && peer >= 0 && peer < int(REPLICAS)
@@ -232,7 +233,7 @@
     return newest;
 }
 
-auto Model::apply(ClusterState& state, const Action& action) -> Str {
+auto Model::apply(ClusterState& state, const Action& action) -> std::string {
     auto bound = boundOf(action.kind);
     auto violation = perform(state, action);
     if (bound) state.left[std::size_t(*bound)]--;
@@ -241,7 +242,7 @@
     return violation;
 }
 
-auto Model::perform(ClusterState& state, const Action& action) -> Str {
+auto Model::perform(ClusterState& state, const Action& action) -> std::string {
     auto i = std::size_t(action.replica);
     auto fresh = [&] {
         auto lives = 1 + spent(state, Bounded::Wipe) + spent(state, Bounded::Retire);
@@ -286,14 +287,14 @@
     return "";
 }
 
-auto Model::syncAll(ClusterState& state, std::size_t replica) -> Str {
-    auto violation = Str();
+auto Model::syncAll(ClusterState& state, std::size_t replica) -> std::string {
+    auto violation = std::string();
     while (violation.empty() && seen(state, replica).pendingWrites > 0)
         violation = run(state, replica, {InputKind::WriteSynced, 0, "", ""});
     return violation;
 }
 
-auto Model::run(ClusterState& state, std::size_t replica, const InputKey& input) -> Str {
+auto Model::run(ClusterState& state, std::size_t replica, const InputKey& input) -> std::string {
     auto before = state.replicas[replica];
     state.replicas[replica] = graph_.step(before, input);
     auto violation = arrived(state, replica, before, true);
@@ -301,7 +302,7 @@
     return violation;
 }
 
-auto Model::reboot(ClusterState& state, std::size_t replica, ReplicaId started) -> Str {
+auto Model::reboot(ClusterState& state, std::size_t replica, ReplicaId started) -> std::string {
     auto before = state.replicas[replica];
     state.replicas[replica] = started;
     auto violation = arrived(state, replica, before, false);
@@ -309,8 +310,9 @@
     return violation;
 }
 
-auto Model::arrived(ClusterState& state, std::size_t replica, ReplicaId before, bool sameLife) -> Str {
-    auto violation = Str();
+auto Model::arrived(ClusterState& state, std::size_t replica, ReplicaId before, bool sameLife)
+    -> std::string {
+    auto violation = std::string();
     auto after = state.replicas[replica];
     auto cluster = std::vector<ReplicaId>(state.replicas.begin(), state.replicas.end());
     auto failed = sameLife && graph_.node(after).input.kind == InputKind::WriteFailed;
@@ -329,7 +331,7 @@
         }
 }
 
-auto Model::messageText(MessageId id) const -> Str {
+auto Model::messageText(MessageId id) const -> std::string {
     auto& m = graph_.message(id);
     if (m.__isset.voteAsk)
         return fmt::format("{}(term {}, last {}/{})", m.voteAsk.pre ? "PreVote" : "RequestVote",
@@ -351,8 +353,8 @@
     return "message";
 }
 
-auto Model::describe(const ClusterState& state) const -> Str {
-    auto text = Str();
+auto Model::describe(const ClusterState& state) const -> std::string {
+    auto text = std::string();
     for (auto i = std::size_t(0); i < REPLICAS; i++) {
         auto& replica = seen(state, i);
         text += fmt::format("  {} {} {}: term {}, commit {}, written {}, durable {}, {} writes pending\n", i,
@@ -366,4 +368,4 @@
     return text;
 }
 
-}  // namespace dt::modelcheck
+}  // namespace duneturn::modelcheck
--- a/src/modelcheck/model.hpp
+++ b/src/modelcheck/model.hpp
@@ -8,7 +8,7 @@
 #include "modelcheck/invariants.hpp"
 #include "modelcheck/replica_graph.hpp"
 
-namespace dt::modelcheck {
+namespace duneturn::modelcheck {
 
 constexpr std::size_t VOTERS = 3;
 constexpr std::size_t REPLICAS = 4;  // three voters and a spare disk
@@ -33,7 +33,7 @@
 constexpr std::uint8_t SCENARIO_LIMIT = 200;  // of each kind, within a scenario
 
 /// The names of the bounded events, in the order of the enumeration.
-auto boundedNames() -> const std::array<View, BOUNDED_KINDS>&;
+auto boundedNames() -> const std::array<std::string_view, BOUNDED_KINDS>&;
 
 enum class ActionKind : std::uint8_t {
     Deliver,
@@ -60,8 +60,8 @@
     auto operator==(const Action&) const -> bool = default;
 };
 
-auto actionText(const Action& action) -> Str;
-auto actionParse(const Str& line) -> tl::expected<Action, Str>;
+auto actionText(const Action& action) -> std::string;
+auto actionParse(const std::string& line) -> tl::expected<Action, std::string>;
 
 /// What is explored.
 struct ModelOptions {
@@ -69,7 +69,7 @@
     bool reorder = false;          // any message of a link may be next, not only the oldest
     bool eagerDisks = false;       // writes are done at once unless a delay is spent on the disk
     std::size_t linkCapacity = 6;  // further messages on a link are lost
-    Str broken;
+    std::string broken;
 };
 
 struct ClusterState {
@@ -95,22 +95,22 @@
     /// The actions possible in a state, in a fixed order.
     auto enabled(const ClusterState& state) -> std::vector<Action>;
     /// Performs an action; the violation that it brought about, or empty.
-    auto apply(ClusterState& state, const Action& action) -> Str;
+    auto apply(ClusterState& state, const Action& action) -> std::string;
     auto graph() const -> const ReplicaGraph& { return graph_; }
     auto seen(const ClusterState& state, std::size_t replica) const -> const Observation&;
     /// One line on each replica and the messages in flight.
-    auto describe(const ClusterState& state) const -> Str;
-    auto messageText(MessageId id) const -> Str;
+    auto describe(const ClusterState& state) const -> std::string;
+    auto messageText(MessageId id) const -> std::string;
     auto histories() const -> std::size_t { return monitor_.size(); }
 
   private:
     auto spent(const ClusterState& state, Bounded kind) const -> std::uint32_t;
-    auto run(ClusterState& state, std::size_t replica, const InputKey& input) -> Str;
-    auto reboot(ClusterState& state, std::size_t replica, ReplicaId started) -> Str;
-    auto arrived(ClusterState& state, std::size_t replica, ReplicaId before, bool sameLife) -> Str;
+    auto run(ClusterState& state, std::size_t replica, const InputKey& input) -> std::string;
+    auto reboot(ClusterState& state, std::size_t replica, ReplicaId started) -> std::string;
+    auto arrived(ClusterState& state, std::size_t replica, ReplicaId before, bool sameLife) -> std::string;
     auto route(ClusterState& state, std::size_t replica) -> void;
-    auto perform(ClusterState& state, const Action& action) -> Str;
-    auto syncAll(ClusterState& state, std::size_t replica) -> Str;
+    auto perform(ClusterState& state, const Action& action) -> std::string;
+    auto syncAll(ClusterState& state, std::size_t replica) -> std::string;
     auto retireGeneration(const ClusterState& state, std::size_t replica) const -> std::int64_t;
     auto addDeliveries(const ClusterState& state, std::vector<Action>& actions) const -> void;
     auto addLocal(const ClusterState& state, std::uint8_t replica, std::vector<Action>& actions) const
@@ -125,4 +125,4 @@
     Monitor monitor_;
 };
 
-}  // namespace dt::modelcheck
+}  // namespace duneturn::modelcheck
--- a/src/modelcheck/replica.cpp
+++ b/src/modelcheck/replica.cpp
@@ -1,21 +1,21 @@
 #include "modelcheck/replica.hpp"
 
-namespace dt::modelcheck {
+namespace duneturn::modelcheck {
 
 namespace {
 
-constexpr Us BOOT_TIME = 10 * SEC;
-constexpr Us HEARTBEAT_STEP = 100 * MS;
-constexpr Us TIMER_STEP = 50 * MS;
-constexpr Us ELECTION_LIMIT = 1300 * MS;  // longer than the longest election timeout
-constexpr Us QUORUM_STEP = 1300 * MS;     // longer than a leader waits for a quorum
+constexpr Microseconds BOOT_TIME = 10 * SECOND;
+constexpr Microseconds HEARTBEAT_STEP = 100 * MILLISECOND;
+constexpr Microseconds TIMER_STEP = 50 * MILLISECOND;
+constexpr Microseconds ELECTION_LIMIT = 1300 * MILLISECOND;  // longer than the longest election timeout
+constexpr Microseconds QUORUM_STEP = 1300 * MILLISECOND;     // longer than a leader waits for a quorum
 constexpr std::uint64_t VOTER_SEED = 1;
 constexpr std::uint32_t MAX_ORDERS = 8;
 constexpr std::int32_t VOTERS_ENTRY = 2;
 constexpr std::int32_t JOINT_VOTERS_ENTRY = 3;
 constexpr std::int32_t ORDER_ENTRY = 1;
 
-auto orderKey(std::uint32_t number) -> Str { return fmt::format("order-{}", number); }
+auto orderKey(std::uint32_t number) -> std::string { return fmt::format("order-{}", number); }
 
 auto digestOf(const wire::Entry& entry) -> std::uint64_t {
     return hash64(entry.body, hash64(fmt::format("{} {}", entry.term, entry.kind)));
@@ -37,23 +37,23 @@
     auto found = std::uint32_t(0);
     for (auto number = 0u; number < MAX_ORDERS; number++) {
         auto quoted = jsQuote(orderKey(number));
-        auto holds = state.snapDoc.find(quoted) != Str::npos;
+        auto holds = state.snapDoc.find(quoted) != std::string::npos;
         for (auto& entry : state.log)
-            holds = holds || (entry.kind == ORDER_ENTRY && entry.body.find(quoted) != Str::npos);
+            holds = holds || (entry.kind == ORDER_ENTRY && entry.body.find(quoted) != std::string::npos);
         if (holds) found |= 1u << number;
     }
     return found;
 }
 
-auto disksOf(const std::vector<Seat>& seats) -> std::vector<Str> {
-    auto disks = std::vector<Str>();
+auto disksOf(const std::vector<Seat>& seats) -> std::vector<std::string> {
+    auto disks = std::vector<std::string>();
     for (auto& seat : seats) disks.push_back(seat.disk);
     return disks;
 }
 
 }  // namespace
 
-auto setBroken(Voter::Broken& broken, const Str& name) -> bool {
+auto setBroken(Voter::Broken& broken, const std::string& name) -> bool {
     if (name == "ackBeforeSync") broken.ackBeforeSync = true;
     else if (name == "voteTwice") broken.voteTwice = true;
     else if (name == "noQuorum") broken.noQuorum = true;
@@ -65,7 +65,7 @@
     return true;
 }
 
-Replica::Replica(const DiskState& state, const Str& freshDisk, Voter::Broken broken)
+Replica::Replica(const DiskState& state, const std::string& freshDisk, Voter::Broken broken)
     : durable_(state), now_(BOOT_TIME), voter_(*this, counters_, VOTER_SEED) {
     voter_.broken = broken;
     voter_.start(state, freshDisk, now_);
@@ -130,7 +130,7 @@
     if (body) voter_.propose(ORDER_ENTRY, *body, now_);
 }
 
-auto Replica::voterTell(const Str& disk, wire::Envelope& envelope) -> void {
+auto Replica::voterTell(const std::string& disk, wire::Envelope& envelope) -> void {
     output_.sent.push_back({disk, envelope});
 }
 
@@ -139,7 +139,7 @@
     pending_.push_back(write);
 }
 
-auto Replica::voterWord(const Word& word, const Str&, const Outcome&) -> void {
+auto Replica::voterWord(const Word& word, const std::string&, const Outcome&) -> void {
     output_.applied.push_back({word.gen, hash64(word.text())});
 }
 
@@ -177,7 +177,7 @@
     return seen;
 }
 
-auto foundedDisk(const std::vector<Seat>& voters, const Str& disk) -> DiskState {
+auto foundedDisk(const std::vector<Seat>& voters, const std::string& disk) -> DiskState {
     auto word = Word();
     word.found({"node"}, voters);
     auto state = DiskState();
@@ -190,4 +190,4 @@
     return state;
 }
 
-}  // namespace dt::modelcheck
+}  // namespace duneturn::modelcheck
--- a/src/modelcheck/replica.hpp
+++ b/src/modelcheck/replica.hpp
@@ -8,10 +8,10 @@
 
 #include "consensus/voter.hpp"
 
-namespace dt::modelcheck {
+namespace duneturn::modelcheck {
 
 /// Deliberate faults of the voter by name; false if there is none of that name.
-auto setBroken(Voter::Broken& broken, const Str& name) -> bool;
+auto setBroken(Voter::Broken& broken, const std::string& name) -> bool;
 
 /// What is done to one voter or its disk.
 enum class InputKind : std::uint8_t {
@@ -32,12 +32,12 @@
 struct Input {
     InputKind kind = InputKind::Deliver;
     std::uint32_t number = 0;                 // order, read or generation
-    Str seat, disk;                           // Offer; Retire: the fresh identity
+    std::string seat, disk;                   // Offer; Retire: the fresh identity
     const wire::Envelope* message = nullptr;  // Deliver
 };
 
 struct SentMessage {
-    Str toDisk;
+    std::string toDisk;
     wire::Envelope envelope;
 };
 
@@ -83,7 +83,7 @@
 
 /// What can be seen of a replica between two steps.
 struct Observation {
-    Str disk;
+    std::string disk;
     Voter::Role role = Voter::Role::Blank;
     bool ready = false;
     std::int64_t term = 0, commit = 0, generation = 0;
@@ -91,13 +91,13 @@
     std::uint32_t ordersDurable = 0;
     LogView durable;  // what the disk holds
     LogView written;  // the same once all pending writes are done
-    std::vector<Str> appliedVoters, newestVoters;
+    std::vector<std::string> appliedVoters, newestVoters;
     std::size_t pendingWrites = 0;
 };
 
 class Replica : VoterPort {
   public:
-    Replica(const DiskState& state, const Str& freshDisk, Voter::Broken broken);
+    Replica(const DiskState& state, const std::string& freshDisk, Voter::Broken broken);
 
     /// Performs one input and returns what it did.
     auto step(const Input& input) -> StepOutput;
@@ -108,9 +108,9 @@
     auto diskAfterCrash(std::size_t kept) const -> DiskState;
 
   private:
-    auto voterTell(const Str& disk, wire::Envelope& envelope) -> void override;
+    auto voterTell(const std::string& disk, wire::Envelope& envelope) -> void override;
     auto voterDisk(const DiskWrite& write) -> void override;
-    auto voterWord(const Word& word, const Str& key, const Outcome& outcome) -> void override;
+    auto voterWord(const Word& word, const std::string& key, const Outcome& outcome) -> void override;
     auto voterRead(std::int64_t id, bool ok) -> void override;
     auto electionTimeout() -> void;
     auto finishWrite(bool ok) -> void;
@@ -121,11 +121,11 @@
     std::deque<DiskWrite> pending_;
     DiskGate gate_;
     StepOutput output_;
-    Us now_;
+    Microseconds now_;
     Voter voter_;
 };
 
 /// The disk of a voter of a new cluster with the voters given, as (seat, disk).
-auto foundedDisk(const std::vector<Seat>& voters, const Str& disk) -> DiskState;
+auto foundedDisk(const std::vector<Seat>& voters, const std::string& disk) -> DiskState;
 
-}  // namespace dt::modelcheck
+}  // namespace duneturn::modelcheck
--- a/src/modelcheck/replica_graph.cpp
+++ b/src/modelcheck/replica_graph.cpp
@@ -5,19 +5,19 @@
 #include <thrift/protocol/TBinaryProtocol.h>
 #include <thrift/transport/TBufferTransports.h>
 
-namespace dt::modelcheck {
+namespace duneturn::modelcheck {
 
 namespace {
 
 template <class T>
-auto serialized(const T& value) -> Str {
+auto serialized(const T& value) -> std::string {
     auto buffer = std::make_shared<apache::thrift::transport::TMemoryBuffer>();
     auto protocol = apache::thrift::protocol::TBinaryProtocol(buffer);
     value.write(&protocol);
     return buffer->getBufferAsString();
 }
 
-auto serialized(const DiskState& state) -> Str {
+auto serialized(const DiskState& state) -> std::string {
     auto text = fmt::format("{} {} {} {} {} {} {} {}\n", state.disk, state.reign, state.term, state.commit,
         state.snapIdx, state.snapTerm, state.vote, state.snapDoc);
     for (auto& entry : state.log) text += serialized(entry);
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-auto ReplicaGraph::boot(const DiskState& disk, const Str& freshDisk) -> ReplicaId {
+auto ReplicaGraph::boot(const DiskState& disk, const std::string& freshDisk) -> ReplicaId {
     auto key = serialized(disk) + "\n" + freshDisk;
     auto [place, isNew] = boots_.emplace(key, ReplicaId(nodes_.size()));
     if (!isNew) return place->second;
@@ -105,4 +105,4 @@
     return replica;
 }
 
-}  // namespace dt::modelcheck
+}  // namespace duneturn::modelcheck
--- a/src/modelcheck/replica_graph.hpp
+++ b/src/modelcheck/replica_graph.hpp
@@ -7,7 +7,7 @@
 
 #include "modelcheck/replica.hpp"
 
-namespace dt::modelcheck {
+namespace duneturn::modelcheck {
 
 using ReplicaId = std::uint32_t;  // a replica state of the graph
 using MessageId = std::uint32_t;  // a distinct message content
@@ -16,12 +16,12 @@
 struct InputKey {
     InputKind kind = InputKind::Deliver;
     std::uint32_t number = 0;  // order, read, generation or MessageId
-    Str seat, disk;
+    std::string seat, disk;
     auto operator<=>(const InputKey&) const = default;
 };
 
 struct RoutedMessage {
-    Str toDisk;
+    std::string toDisk;
     MessageId message = 0;
 };
 
@@ -41,7 +41,7 @@
     explicit ReplicaGraph(Voter::Broken broken) : broken_(broken) {}
 
     /// The state of a replica that starts from this disk.
-    auto boot(const DiskState& disk, const Str& freshDisk) -> ReplicaId;
+    auto boot(const DiskState& disk, const std::string& freshDisk) -> ReplicaId;
     auto step(ReplicaId from, const InputKey& input) -> ReplicaId;
     /// The start after a loss of power that the first `kept` pending writes survived.
     auto restart(ReplicaId id, std::size_t kept) -> ReplicaId;
@@ -52,7 +52,7 @@
   private:
     struct Start {
         DiskState disk;
-        Str freshDisk;
+        std::string freshDisk;
     };
     auto add(ReplicaNode node, StepOutput output, const Replica& replica) -> ReplicaId;
     auto internMessage(const wire::Envelope& envelope) -> MessageId;
@@ -62,13 +62,13 @@
     Voter::Broken broken_;
     std::deque<ReplicaNode> nodes_;
     std::vector<std::map<InputKey, ReplicaId>> children_;
-    std::map<Str, ReplicaId> boots_;  // by the disk's content
+    std::map<std::string, ReplicaId> boots_;  // by the disk's content
     std::unordered_map<ReplicaId, Start> starts_;
     std::map<std::pair<ReplicaId, std::size_t>, ReplicaId> restarts_;
     std::deque<wire::Envelope> messages_;
-    std::unordered_map<Str, MessageId> messageIds_;
+    std::unordered_map<std::string, MessageId> messageIds_;
     ReplicaId liveId_ = 0;  // the state that live_ is in
     std::unique_ptr<Replica> live_;
 };
 
-}  // namespace dt::modelcheck
+}  // namespace duneturn::modelcheck
--- a/src/modelcheck/search.cpp
+++ b/src/modelcheck/search.cpp
@@ -5,13 +5,13 @@
 #include <set>
 #include <sstream>
 
-namespace dt::modelcheck {
+namespace duneturn::modelcheck {
 
 namespace {
 
 auto hashOf(const std::vector<std::uint32_t>& words) -> std::uint64_t {
     auto bytes = reinterpret_cast<const char*>(words.data());
-    auto hash = hash64(View(bytes, words.size() * sizeof(std::uint32_t)));
+    auto hash = hash64(std::string_view(bytes, words.size() * sizeof(std::uint32_t)));
     return hash == 0 ? 1 : hash;
 }
 
@@ -97,7 +97,7 @@
   public:
     ClusterState state;
     std::vector<Action> trace;
-    Str violation;
+    std::string violation;
 };
 
 auto elect(Scenario& scenario) -> void {
@@ -145,7 +145,7 @@
     scenario.settle({0, 1}, 0);
 }
 
-auto enter(Model& model, const Str& name) -> Scenario {
+auto enter(Model& model, const std::string& name) -> Scenario {
     auto scenario = Scenario(model);
     if (name == "elected") elect(scenario);
     if (name == "diverged") diverge(scenario);
@@ -187,15 +187,15 @@
     return trace;
 }
 
-auto parseNumber(const Str& text, std::uint64_t limit) -> std::optional<std::uint64_t> {
+auto parseNumber(const std::string& text, std::uint64_t limit) -> std::optional<std::uint64_t> {
     if (text.empty() || text.size() > 18) return std::nullopt;
-    if (text.find_first_not_of("0123456789") != Str::npos) return std::nullopt;
+    if (text.find_first_not_of("0123456789") != std::string::npos) return std::nullopt;
     auto number = std::stoull(text);
     return number <= limit ? std::optional<std::uint64_t>(number) : std::nullopt;
 }
 
-auto budgetText(const Budget& budget) -> Str {
-    auto text = Str();
+auto budgetText(const Budget& budget) -> std::string {
+    auto text = std::string();
     for (auto i = std::size_t(0); i < BOUNDED_KINDS; i++)
         if (budget[i] > 0)
             text += fmt::format("{}{}={}", text.empty() ? "" : ",", boundedNames()[i], budget[i]);
@@ -204,7 +204,7 @@
 
 }  // namespace
 
-auto scenarioNames() -> std::vector<Str> {
+auto scenarioNames() -> std::vector<std::string> {
     return {"founded", "elected", "deposed", "diverged", "reelected"};
 }
 
@@ -297,7 +297,7 @@
     return result;
 }
 
-auto traceText(const SearchOptions& options, const SearchResult& result) -> Str {
+auto traceText(const SearchOptions& options, const SearchResult& result) -> std::string {
     auto text = fmt::format("scenario {}\n", options.scenario);
     if (!options.model.broken.empty()) text += fmt::format("broken {}\n", options.model.broken);
     if (options.model.reorder) text += "reorder\n";
@@ -307,14 +307,14 @@
     return text;
 }
 
-auto traceParse(const Str& text) -> tl::expected<ParsedTrace, Str> {
+auto traceParse(const std::string& text) -> tl::expected<ParsedTrace, std::string> {
     auto parsed = ParsedTrace();
     auto lines = std::istringstream(text);
-    for (auto line = Str(); std::getline(lines, line);) {
+    for (auto line = std::string(); std::getline(lines, line);) {
         if (line.empty() || line[0] == '#') continue;
         auto space = line.find(' ');
         auto word = line.substr(0, space);
-        auto rest = space == Str::npos ? Str() : line.substr(space + 1);
+        auto rest = space == std::string::npos ? std::string() : line.substr(space + 1);
         if (word == "scenario") parsed.options.scenario = rest;
         else if (word == "broken") parsed.options.model.broken = rest;
         else if (word == "reorder") parsed.options.model.reorder = true;
@@ -331,14 +331,14 @@
     return parsed;
 }
 
-auto budgetParse(const Str& text, Budget& budget) -> tl::expected<void, Str> {
+auto budgetParse(const std::string& text, Budget& budget) -> tl::expected<void, std::string> {
     auto items = std::istringstream(text);
-    for (auto item = Str(); std::getline(items, item, ',');) {
+    for (auto item = std::string(); std::getline(items, item, ',');) {
         auto equals = item.find('=');
         auto name = item.substr(0, equals);
         auto& names = boundedNames();
         auto place = std::find(names.begin(), names.end(), name);
-        auto number = equals == Str::npos ? std::nullopt : parseNumber(item.substr(equals + 1), 100);
+        auto number = equals == std::string::npos ? std::nullopt : parseNumber(item.substr(equals + 1), 100);
         if (place == names.end() || !number)
             return tl::make_unexpected("not a bound, such as losses=1: " + item);
         budget[std::size_t(place - names.begin())] = std::uint8_t(*number);
@@ -350,7 +350,7 @@
 
 namespace {
 
-auto validate(const SearchOptions& options) -> Str {
+auto validate(const SearchOptions& options) -> std::string {
     auto names = scenarioNames();
     auto broken = Voter::Broken();
     if (std::find(names.begin(), names.end(), options.scenario) == names.end())
@@ -375,7 +375,7 @@
     fmt::print("{}", traceText(options, result));
 }
 
-auto replayFile(const Str& file) -> int {
+auto replayFile(const std::string& file) -> int {
     auto text = fileRead(file);
     auto parsed = text ? traceParse(*text) : tl::make_unexpected(text.error());
     auto fault = parsed ? validate(parsed->options) : parsed.error();
@@ -384,13 +384,14 @@
         return 2;
     }
     auto result = replay(parsed->options, parsed->actions, true);
-    fmt::print("{}\n", result.violation.empty() ? Str("no violation") : "violation: " + result.violation);
+    fmt::print(
+        "{}\n", result.violation.empty() ? std::string("no violation") : "violation: " + result.violation);
     return result.violation.empty() ? 0 : 1;
 }
 
 }  // namespace
 
-auto checkMain(const SearchOptions& options, const Str& traceFile) -> int {
+auto checkMain(const SearchOptions& options, const std::string& traceFile) -> int {
     logMute(true);
     if (!traceFile.empty()) return replayFile(traceFile);
     if (auto fault = validate(options); !fault.empty()) {
@@ -402,4 +403,4 @@
     return result.violation.empty() ? 0 : 1;
 }
 
-}  // namespace dt::modelcheck
+}  // namespace duneturn::modelcheck
--- a/src/modelcheck/search.hpp
+++ b/src/modelcheck/search.hpp
@@ -3,19 +3,19 @@
 // random walks to greater depth, and the replay of a trace.
 #include "modelcheck/model.hpp"
 
-namespace dt::modelcheck {
+namespace duneturn::modelcheck {
 
 struct SearchOptions {
     ModelOptions model;
-    Str scenario = "elected";  // see scenarioNames
-    std::size_t depth = 10;    // actions after the scenario's own
+    std::string scenario = "elected";  // see scenarioNames
+    std::size_t depth = 10;            // actions after the scenario's own
     std::size_t maxStates = 1'000'000;
     std::size_t walks = 0;  // random walks instead of a search, each up to `depth`
     std::uint64_t seed = 1;
 };
 
 struct SearchResult {
-    Str violation;
+    std::string violation;
     std::vector<Action> trace;  // from the initial state, the scenario's actions first
     std::size_t scenarioLength = 0;
     std::size_t states = 0;  // told apart by a 64-bit hash; walks: steps taken
@@ -29,7 +29,7 @@
 /// leads and its first entry is committed), "diverged" (replicas 0 and 2 have each led a term and
 /// hold an entry that no other has; nobody leads), "deposed" (replica 2 leads, and replica 0 doesn't
 /// know it), "reelected" (replica 0 leads again after "diverged", and its disk lags).
-auto scenarioNames() -> std::vector<Str>;
+auto scenarioNames() -> std::vector<std::string>;
 
 auto search(const SearchOptions& options) -> SearchResult;
 auto randomWalks(const SearchOptions& options) -> SearchResult;
@@ -37,17 +37,17 @@
 auto replay(const SearchOptions& options, const std::vector<Action>& trace, bool verbose) -> SearchResult;
 
 /// A trace with the options it needs, one action a line, and back.
-auto traceText(const SearchOptions& options, const SearchResult& result) -> Str;
+auto traceText(const SearchOptions& options, const SearchResult& result) -> std::string;
 struct ParsedTrace {
     SearchOptions options;
     std::vector<Action> actions;
 };
-auto traceParse(const Str& text) -> tl::expected<ParsedTrace, Str>;
+auto traceParse(const std::string& text) -> tl::expected<ParsedTrace, std::string>;
 /// "timeouts=2,losses=1" onto a budget.
-auto budgetParse(const Str& text, Budget& budget) -> tl::expected<void, Str>;
+auto budgetParse(const std::string& text, Budget& budget) -> tl::expected<void, std::string>;
 
 /// The command `duneturn check`: searches, walks, or replays `traceFile` if one is named. 0 if
 /// nothing was found, 1 if a violation was, 2 on wrong use.
-auto checkMain(const SearchOptions& options, const Str& traceFile) -> int;
+auto checkMain(const SearchOptions& options, const std::string& traceFile) -> int;
 
-}  // namespace dt::modelcheck
+}  // namespace duneturn::modelcheck
--- a/src/net/peer_sender.cpp
+++ b/src/net/peer_sender.cpp
@@ -5,7 +5,7 @@
 #include "http.hpp"
 #include "socket.hpp"
 
-namespace dt {
+namespace duneturn {
 
 namespace protocol = apache::thrift::protocol;
 namespace transport = apache::thrift::transport;
@@ -13,11 +13,11 @@
 namespace {
 
 constexpr std::size_t QUEUE_LIMIT = 256;
-constexpr Us IDLE_LIMIT = 30 * SEC;
-constexpr Us ENVELOPE_LIFE = 2 * SEC;  // after which its state has been told again
-constexpr Us RETRY_AFTER = 100 * MS;
-constexpr Us PAUSE = SEC;         // after which a connection is looked at before it is written to
-constexpr Us UNHEARD_PEER = SEC;  // sent bytes without an acknowledgement
+constexpr Microseconds IDLE_LIMIT = 30 * SECOND;
+constexpr Microseconds ENVELOPE_LIFE = 2 * SECOND;  // after which its state has been told again
+constexpr Microseconds RETRY_AFTER = 100 * MILLISECOND;
+constexpr Microseconds PAUSE = SECOND;  // after which a connection is looked at before it is written to
+constexpr Microseconds UNHEARD_PEER = SECOND;  // sent bytes without an acknowledgement
 constexpr int CONNECT_LIMIT_MS = 400;
 constexpr int SEND_LIMIT_MS = 1000;
 
@@ -33,7 +33,7 @@
 }
 
 // After a pause: what is written to a connection that the peer has closed is lost.
-auto PeerSender::Connection::usable(Us now) -> bool {
+auto PeerSender::Connection::usable(Microseconds now) -> bool {
     if (!transport->isOpen()) return false;
     return now - lastSent <= PAUSE || quietSocket(socket->getSocketFD());
 }
@@ -52,7 +52,8 @@
     }
 }
 
-PeerSender::PeerSender(Str addr, Counters& counters, std::mutex& countersMutex, Compressor& compressor)
+PeerSender::PeerSender(
+    std::string addr, Counters& counters, std::mutex& countersMutex, Compressor& compressor)
     : addr_(std::move(addr)),
       counters_(counters),
       countersMutex_(countersMutex),
@@ -78,7 +79,7 @@
     changed_.notify_one();
 }
 
-auto PeerSender::idle(Us now) -> bool {
+auto PeerSender::idle(Microseconds now) -> bool {
     auto lock = std::lock_guard(mutex_);
     return queue_.empty() && now - lastPut_ > IDLE_LIMIT;
 }
@@ -106,7 +107,7 @@
     auto addr = addrParse(addr_);
     if (!addr) return;
     auto connection = Connection(*addr);
-    auto retryAt = Us(0);
+    auto retryAt = Microseconds(0);
     auto queued = Queued();
     while (next(queued)) {
         auto now = bootNow();
@@ -122,4 +123,4 @@
     }
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/net/peer_sender.hpp
+++ b/src/net/peer_sender.hpp
@@ -13,14 +13,14 @@
 #include "Peer.h"
 #include "compress.hpp"
 
-namespace dt {
+namespace duneturn {
 
 /// Sends envelopes to one peer, in order. What cannot be sent soon is dropped: state is told again, and
 /// an old message would only take the place of newer ones. Safe for use from several threads.
 class PeerSender {
   public:
     /// Starts the thread. `counters` are guarded by `countersMutex`.
-    PeerSender(Str addr, Counters& counters, std::mutex& countersMutex, Compressor& compressor);
+    PeerSender(std::string addr, Counters& counters, std::mutex& countersMutex, Compressor& compressor);
     /// Ends the thread, at the latest when a write under way has timed out.
     ~PeerSender();
     PeerSender(const PeerSender&) = delete;
@@ -29,13 +29,13 @@
     /// Queues an envelope; a full queue drops its oldest.
     auto put(const wire::Envelope& envelope) -> void;
     /// Whether nothing was put for so long that the thread may end.
-    auto idle(Us now) -> bool;
+    auto idle(Microseconds now) -> bool;
     /// Whether the peer reads compressed envelopes.
     auto setCompress(bool on) -> void { compress_ = on; }
 
   private:
     struct Queued {
-        Us at = 0;
+        Microseconds at = 0;
         wire::Envelope envelope;
     };
     /// The connection, opened when it is first needed and closed by any error.
@@ -43,12 +43,12 @@
         explicit Connection(const Addr& addr);
         auto open() -> void;
         auto close() -> void;
-        auto usable(Us now) -> bool;
+        auto usable(Microseconds now) -> bool;
 
         std::shared_ptr<apache::thrift::transport::TSocket> socket;
         std::shared_ptr<apache::thrift::transport::TFramedTransport> transport;
         wire::PeerClient client;
-        Us lastSent = 0;
+        Microseconds lastSent = 0;
     };
 
     auto run() -> void;
@@ -56,7 +56,7 @@
     auto next(Queued& queued) -> bool;
     auto send(Connection& connection, const wire::Envelope& envelope) -> void;
 
-    const Str addr_;
+    const std::string addr_;
     Counters& counters_;
     std::mutex& countersMutex_;
     Compressor& compressor_;
@@ -64,9 +64,9 @@
     std::mutex mutex_;
     std::condition_variable changed_;
     std::deque<Queued> queue_;
-    Us lastPut_ = 0;
+    Microseconds lastPut_ = 0;
     bool stop_ = false;
     std::thread thread_;
 };
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -4,7 +4,7 @@
 
 #include <cerrno>
 
-namespace dt {
+namespace duneturn {
 
 auto quietSocket(int descriptor) -> bool {
     auto byte = char();
@@ -12,4 +12,4 @@
     return received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/net/socket.hpp
+++ b/src/net/socket.hpp
@@ -1,9 +1,9 @@
 #pragma once
 // Looks at a socket's state beside its stream.
 
-namespace dt {
+namespace duneturn {
 
 /// Whether nothing waits to be read on a socket, not even the other side's end. Does not block.
 auto quietSocket(int descriptor) -> bool;
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/node.cpp
+++ b/src/node.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace dt {
+namespace duneturn {
 
 // The numbers of orders begin elsewhere in each life.
 static auto firstOrderNumber(std::int64_t boot, std::uint64_t seed) -> std::int64_t {
@@ -10,7 +10,7 @@
 }
 static auto orderRetry(const Settings& s) -> OrderRetry {
     if (!s.learnt) return {};
-    return {250 * MS, 250 * MS, true};
+    return {250 * MILLISECOND, 250 * MILLISECOND, true};
 }
 
 Node::Node(const Settings& s, NodePort& p, Counters& c, std::int64_t boot, std::uint64_t seed)
@@ -31,18 +31,18 @@
     hints_ = st_.seeds;
     beat_ = st_.beat ? st_.beat : st_.learnt ? LEARNT_BEAT : BEAT;
     if (st_.learnt) {
-        alive_ = beat_ * 7 / 2 + 250 * MS;
-        late_ = beat_ * 2 + 250 * MS;
+        alive_ = beat_ * 7 / 2 + 250 * MILLISECOND;
+        late_ = beat_ * 2 + 250 * MILLISECOND;
     }
 }
-auto Node::hints(const std::vector<Str>& v) -> void {
+auto Node::hints(const std::vector<std::string>& v) -> void {
     for (auto& a : v)
         if (std::find(hints_.begin(), hints_.end(), a) == hints_.end() && hints_.size() < 64)
             hints_.push_back(a);
 }
 Node::~Node() = default;
 
-auto Node::startCore(const DiskState& s, const Str& fresh, Us now) -> void {
+auto Node::startCore(const DiskState& s, const std::string& fresh, Microseconds now) -> void {
     now_ = now;
     vt_ = std::make_unique<Voter>(*this, ct_, rng_.next());
     vt_->start(s, fresh, now);
@@ -56,25 +56,25 @@
     return e;
 }
 
-auto Node::row(const Str& n) const -> const wire::Row* {
+auto Node::row(const std::string& n) const -> const wire::Row* {
     if (n == me_.node) return &me_;
     auto i = rows_.find(n);
     return i == rows_.end() ? nullptr : &i->second.r;
 }
-auto Node::alive(const Str& n, Us now) const -> bool {
+auto Node::alive(const std::string& n, Microseconds now) const -> bool {
     if (n == me_.node) return true;
     auto i = rows_.find(n);
     return i != rows_.end() && now - i->second.at < alive_;
 }
-auto Node::aliveNodes(Us now) const -> std::vector<Str> {
-    auto o = std::vector<Str>{me_.node};
+auto Node::aliveNodes(Microseconds now) const -> std::vector<std::string> {
+    auto o = std::vector<std::string>{me_.node};
     for (auto& [n, k] : rows_)
         if (now - k.at < alive_) o.push_back(n);
     std::sort(o.begin(), o.end());
     return o;
 }
-auto Node::leaderNode(Us now) const -> Str {
-    auto b = Str();
+auto Node::leaderNode(Microseconds now) const -> std::string {
+    auto b = std::string();
     auto bt = std::pair<std::int64_t, std::int64_t>(-1, -1);
     auto see = [&](const wire::Row& r) {
         if (r.leader && std::pair(r.reign, r.term) > bt) bt = {r.reign, r.term}, b = r.node;
@@ -87,8 +87,8 @@
 
 // ---- the tree of relays
 
-auto Node::Tree::kids(const Str& n) const -> std::vector<Str> {
-    auto o = std::vector<Str>();
+auto Node::Tree::kids(const std::string& n) const -> std::vector<std::string> {
+    auto o = std::vector<std::string>();
     for (auto& [k, u] : up)
         if (u == n) o.push_back(k);
     return o;
@@ -97,7 +97,7 @@
 // Every node works the same tree out of what it knows: the leader at the root, one
 // relay a district below it, the district's nodes below their relay, four to each.
 // Where two nodes know different things the tree has gaps; pulling closes them.
-auto Node::tree(Us now) const -> Tree {
+auto Node::tree(Microseconds now) const -> Tree {
     auto t = Tree();
     auto root = leaderNode(now);
     auto ns = aliveNodes(now);
@@ -105,7 +105,7 @@
         for (auto& n : ns)
             if (root.empty() || rank("root", n) > rank("root", root)) root = n;
     }
-    auto by = std::map<Str, std::vector<Str>>();
+    auto by = std::map<std::string, std::vector<std::string>>();
     for (auto& n : ns) by[row(n)->district].push_back(n);
     for (auto& [d, v] : by) {
         auto key = d + "/" + root;
@@ -125,7 +125,7 @@
 
 // ---- what is said to others
 
-auto Node::touchMe(Us) -> void {
+auto Node::touchMe(Microseconds) -> void {
     me_.blank = true;
     if (vt_) {
         me_.disk = vt_->disk();
@@ -150,7 +150,7 @@
         }
 }
 
-auto Node::beatText(Us now) -> wire::Envelope {
+auto Node::beatText(Microseconds now) -> wire::Envelope {
     auto e = env();
     auto b = wire::Beat();
     b.rows.push_back(me_);
@@ -159,7 +159,7 @@
     for (auto& [n, s] : servers_) {
         b.listings.push_back(s.l);
         b.listings.back().age = now - s.told;
-        b.listings.back().cold = std::max<Us>(0, s.coldTill - now);
+        b.listings.back().cold = std::max<Microseconds>(0, s.coldTill - now);
         if (s.seen && now - s.seen < SEEN) {
             b.loads.push_back(s.d);
             b.loads.back().age = now - s.seen;
@@ -169,7 +169,7 @@
     return e;
 }
 
-auto Node::sendBeat(Us now, bool all) -> void {
+auto Node::sendBeat(Microseconds now, bool all) -> void {
     me_.beat++;
     sentAt_[me_.beat] = now;
     while (sentAt_.size() > 64) sentAt_.erase(sentAt_.begin());
@@ -184,7 +184,7 @@
         c.beat = k.r.beat;
         me_.echo.push_back(c);
     }
-    auto to = std::set<Str>();
+    auto to = std::set<std::string>();
     auto t = tree(now);
     for (auto& n : t.kids(me_.node)) to.insert(n);
     if (all) {
@@ -209,7 +209,7 @@
     ct_.add("beats_sent_total");
 }
 
-auto Node::wordTo(const Str& addr) -> void {
+auto Node::wordTo(const std::string& addr) -> void {
     auto e = env();
     auto w = wire::Word();
     w.reign = word_.reign;
@@ -227,7 +227,7 @@
 
 // A majority of voters, or of the roster, was heard within the lease and knew of no
 // newer word than is held here. Every acknowledged order is held by a majority of both.
-auto Node::counted(Us now, bool settledVoters) const -> bool {
+auto Node::counted(Microseconds now, bool settledVoters) const -> bool {
     auto v = std::size_t(0), n = std::size_t(0);
     auto see = [&](const wire::Row& r) {
         if (std::pair(r.reign, r.gen) > std::pair(word_.reign, word_.gen)) return;
@@ -241,21 +241,22 @@
     return v * 2 > voterDisks_.size() || n * 2 > roster_.size();
 }
 
-auto Node::fresh(Us now) const -> bool {
+auto Node::fresh(Microseconds now) const -> bool {
     if (broken.noLease) return word_.gen > 0;
     if (st_.learnt && st_.serveOn) return word_.configGen() > 0;
     return word_.gen > 0 && me_.settled && counted(now, true);
 }
-auto Node::ready(Us now) const -> bool {
+auto Node::ready(Microseconds now) const -> bool {
     if (me_.stopping || !fresh(now) || word_.configGen() == 0) return false;
     return std::any_of(servers_.begin(), servers_.end(), [](auto& s) { return s.second.l.state == UP; });
 }
 
-auto Node::proven(MajorityProof& p, const std::function<bool(const wire::Row&)>& f, Us now) const -> bool {
+auto Node::proven(MajorityProof& p, const std::function<bool(const wire::Row&)>& f, Microseconds now) const
+    -> bool {
     if (broken.ackEarly) return true;
-    auto both = [&](const std::function<bool(const wire::Row&, Us)>& g) {
+    auto both = [&](const std::function<bool(const wire::Row&, Microseconds)>& g) {
         auto v = std::size_t(0), n = std::size_t(0);
-        auto see = [&](const wire::Row& r, Us t0) {
+        auto see = [&](const wire::Row& r, Microseconds t0) {
             if (!f(r) || !g(r, t0)) return;
             v += !r.blank && voterDisks_.count(r.disk);
             n += roster_.count(r.node);
@@ -265,25 +266,25 @@
         return v * 2 > voterDisks_.size() && n * 2 > roster_.size();
     };
     if (!p.begun) {
-        if (!both([](auto&, Us) { return true; })) return false;
+        if (!both([](auto&, Microseconds) { return true; })) return false;
         p.begun = now;
         p.boots[me_.node] = me_.boot;
         for (auto& [k, x] : rows_)
             if (f(x.r)) p.boots[k] = x.r.boot;
         return false;
     }
-    auto ok = both([&](const wire::Row& r, Us t0) {
+    auto ok = both([&](const wire::Row& r, Microseconds t0) {
         auto i = p.boots.find(r.node);
         return i != p.boots.end() && i->second == r.boot && t0 >= p.begun;
     });
     // One that fell away meanwhile must not hold the rest up for good.
-    if (!ok && now - p.begun > SEC) p = {};
+    if (!ok && now - p.begun > SECOND) p = {};
     return ok;
 }
 
 // ---- hearing
 
-auto Node::hear(const wire::Envelope& e, Us now) -> void {
+auto Node::hear(const wire::Envelope& e, Microseconds now) -> void {
     clock(now);
     if (e.wire < WIRE - 1 || e.wire > WIRE + 1) {
         ct_.add("wire_version_dropped_total");
@@ -316,7 +317,7 @@
 }
 
 // A gap in its own time tells a process that it was frozen.
-auto Node::clock(Us now) -> void {
+auto Node::clock(Microseconds now) -> void {
     if (now_ && now - now_ > FROZEN) {
         wokeAt_ = now;
         ct_.add("woke_total");
@@ -324,13 +325,13 @@
     now_ = now;
 }
 
-auto Node::frozenSince(Us arrived, Us now) const -> bool {
+auto Node::frozenSince(Microseconds arrived, Microseconds now) const -> bool {
     if (now_ && now - now_ > FROZEN) return true;  // and it has not been noticed yet
     return wokeAt_ && wokeAt_ + THAW > arrived;
 }
 
-auto Node::merge(const wire::Beat& b, const Str& from, Us now) -> void {
-    auto ask = Str();
+auto Node::merge(const wire::Beat& b, const std::string& from, Microseconds now) -> void {
+    auto ask = std::string();
     auto best0 = std::pair(newest().reign, newest().gen);
     auto best = best0;
     for (auto& r : b.rows) {
@@ -409,7 +410,7 @@
     }
     // A gap in the news is closed by pulling it from the one who is known to hold it.
     if (!ask.empty() && now >= pullAt_) {
-        pullAt_ = now + 50 * MS;
+        pullAt_ = now + 50 * MILLISECOND;
         auto e = env();
         auto w = wire::WordAsk();
         w.reign = best0.first;
@@ -420,7 +421,7 @@
     }
 }
 
-auto Node::takeWord(const wire::Word& w, Us now) -> void {
+auto Node::takeWord(const wire::Word& w, Microseconds now) -> void {
     // A voter takes its word from its own disk only: what it says it holds must last.
     if (vt_ && !vt_->blank()) {
         if (std::pair(w.reign, w.gen) > std::pair(heard_.reign, heard_.gen))
@@ -453,7 +454,7 @@
     voterWord(n, "", {});
 }
 
-auto Node::voterWord(const Word& w, const Str& key, const Outcome& o) -> void {
+auto Node::voterWord(const Word& w, const std::string& key, const Outcome& o) -> void {
     auto rose = std::pair(w.reign, w.gen) > std::pair(word_.reign, word_.gen);
     if (rose || broken.oldWord) {
         auto cg = word_.configGen();
@@ -475,18 +476,19 @@
             if (auto r = row(k);
                 r && !(st_.learnt && vt_ && vt_->leads() && !r->blank && voterDisks_.count(r->disk)))
                 wordTo(r->peer);
-        nextBeat_ = std::min(nextBeat_, now_ + 20 * MS);
+        nextBeat_ = std::min(nextBeat_, now_ + 20 * MILLISECOND);
     }
     orderService_.applied(key, w.gen, o);
 }
 
 // ---- orders
 
-auto Node::order(std::int64_t id, const Str& op, const Str& key, const Str& body, Us now) -> void {
+auto Node::order(std::int64_t id, const std::string& op, const std::string& key, const std::string& body,
+    Microseconds now) -> void {
     orderClient_.order(id, op, key, body, now);
     ct_.add("orders_taken_total");
 }
-auto Node::read(std::int64_t id, const StateQuery& query, Us now) -> void {
+auto Node::read(std::int64_t id, const StateQuery& query, Microseconds now) -> void {
     orderClient_.read(id, query, now);
 }
 auto Node::cancelOrder(std::int64_t id) -> void {
@@ -494,7 +496,7 @@
     orderClient_.cancel(id);
 }
 
-auto Node::serveOrder(const wire::OrderAsk& ask, Us now) -> void {
+auto Node::serveOrder(const wire::OrderAsk& ask, Microseconds now) -> void {
     auto from = Requester{ask.back, ask.boot, ask.id};
     if (!vt_) answer(from, order_answer::notLeader());
     else if (ask.readback) orderService_.read(*vt_, from, StateQuery::parse(ask.body), now);
@@ -513,17 +515,17 @@
     else po_.tell(to.address, e);
 }
 
-auto Node::acknowledged(MajorityProof& proof, std::int64_t generation, Us now) -> bool {
+auto Node::acknowledged(MajorityProof& proof, std::int64_t generation, Microseconds now) -> bool {
     // With learnt membership a majority of the voters' disks is enough, and those hold it.
     if (st_.learnt) return true;
     auto held = [&](const wire::Row& row) { return holds(row, generation); };
     return proven(proof, held, now);
 }
 
-auto Node::findLeader(Us now) -> Str { return leaderNode(now); }
-auto Node::lastLeader() -> Str { return led_; }
+auto Node::findLeader(Microseconds now) -> std::string { return leaderNode(now); }
+auto Node::lastLeader() -> std::string { return led_; }
 
-auto Node::sendOrder(const Str& node, wire::OrderAsk& ask, Us now) -> void {
+auto Node::sendOrder(const std::string& node, wire::OrderAsk& ask, Microseconds now) -> void {
     ask.back = me_.peer;
     if (node == me_.node) return serveOrder(ask, now);
     auto known = row(node);
@@ -556,7 +558,7 @@
             {"revision", fmt::to_string(listTop())}})};
 }
 
-auto Node::list(std::int64_t id, const Str& body, Us now) -> void {
+auto Node::list(std::int64_t id, const std::string& body, Microseconds now) -> void {
     static constexpr auto LISTING =
         R"({"type":"object","additionalProperties":false,"required":["servers"],"properties":{
       "revision":{"type":"integer","minimum":1},
@@ -566,7 +568,7 @@
         "pool":{"type":"string"},"weights":{"type":"string"},"slots":{"type":"integer","minimum":1,"maximum":10000},
         "state":{"type":"string","enum":["up","leaving"]},"incarnation":{"type":"integer"},
         "coldUs":{"type":"integer","minimum":0}}}}}})";
-    auto d = Doc();
+    auto d = rapidjson::Document();
     if (!jsParse(body, d)) return po_.done(id, {400, errorBody({{"/", "malformed JSON"}})});
     auto f = jsCheck(d, LISTING);
     if (f.empty()) {
@@ -581,8 +583,8 @@
     if (st_.learnt) return learntList(id, d, now);
     auto g = listNo(jsInt(d, "revision"));
     if (g < 0) return po_.done(id, lateBody());
-    auto has = std::set<Str>();
-    auto w = Wait{id, {}, now + 3 * SEC, {}};
+    auto has = std::set<std::string>();
+    auto w = Wait{id, {}, now + 3 * SECOND, {}};
     for (auto& v : d["servers"].GetArray()) {
         auto n = jsStr(v, "name");
         has.insert(n);
@@ -629,7 +631,7 @@
     waits_.push_back(w);
 }
 
-auto Node::mark(std::int64_t id, const Str& n, std::int64_t rev, Us now) -> void {
+auto Node::mark(std::int64_t id, const std::string& n, std::int64_t rev, Microseconds now) -> void {
     auto i = servers_.find(n);
     if (i == servers_.end()) return po_.done(id, {404, errorBody({{"/server", "not listed: " + n}})});
     auto g = st_.learnt ? raiseList(now) : listNo(rev);
@@ -647,10 +649,11 @@
     nextBeat_ = now;
     ct_.add("marks_taken_total");
     if (st_.learnt) return po_.done(id, {200, "{\"held\":true}"});
-    waits_.push_back({id, {m}, now + 3 * SEC, {}});
+    waits_.push_back({id, {m}, now + 3 * SECOND, {}});
 }
 
-auto Node::loadSeen(const Str& n, bool ok, bool refused, const wire::Load& d, Us now) -> void {
+auto Node::loadSeen(const std::string& n, bool ok, bool refused, const wire::Load& d, Microseconds now)
+    -> void {
     auto i = servers_.find(n);
     if (i == servers_.end()) return;
     auto& s = i->second;
@@ -668,7 +671,7 @@
 
 // ---- time
 
-auto Node::tick(Us now, Us wall) -> void {
+auto Node::tick(Microseconds now, Microseconds wall) -> void {
     clock(now);
     wall_ = wall;
     if (!started_) started_ = now;
@@ -681,13 +684,14 @@
     if (now >= nextBeat_) {
         nextBeat_ = now + beat_;
         // One that has just started and found nobody yet asks again soon.
-        if (st_.learnt && now - started_ < 3 * SEC && aliveNodes(now).size() < 2) nextBeat_ = now + beat_ / 5;
+        if (st_.learnt && now - started_ < 3 * SECOND && aliveNodes(now).size() < 2)
+            nextBeat_ = now + beat_ / 5;
         if (st_.learnt) learntSend(now);
         else sendBeat(now, true);
     }
     // Looking through all that is known is kept off most ticks where there may be hundreds of nodes.
     auto look = !st_.learnt || now >= lookAt_;
-    if (look) lookAt_ = now + 50 * MS;
+    if (look) lookAt_ = now + 50 * MILLISECOND;
     for (auto i = rows_.begin(); look && i != rows_.end();)
         // Told on for FORGET, kept for longer: what has been dropped is not learnt anew from one
         // that was told of it last.
@@ -712,9 +716,9 @@
         me_.settled = true;
         logf("settled: generation {} of reign {}", word_.gen, word_.reign);
     }
-    if (vt_ && now - bookAt_ > 2 * SEC) {
+    if (vt_ && now - bookAt_ > 2 * SECOND) {
         bookAt_ = now;
-        auto v = std::vector<Str>();
+        auto v = std::vector<std::string>();
         for (auto& [n, k] : rows_) v.push_back(k.r.peer);
         if (!v.empty() && v != booked_) po_.book(booked_ = v);
     }
@@ -726,7 +730,7 @@
         ct_.add(f ? "fresh_gained_total" : "fresh_lost_total");
     }
     if (st_.probes && now >= nextProbe_) {
-        nextProbe_ = now + 500 * MS;
+        nextProbe_ = now + 500 * MILLISECOND;
         auto ns = aliveNodes(now);
         for (auto& [n, s] : servers_) {
             if (s.l.state == GONE || s.l.address.empty()) continue;
@@ -761,13 +765,13 @@
     if (vt_) {
         if (st_.learnt) learntSeats(now);
         else if (vt_->leads()) {
-            auto of = std::vector<std::pair<Str, Str>>();
+            auto of = std::vector<std::pair<std::string, std::string>>();
             for (auto& [n, k] : rows_)
                 if (now - k.at < alive_ && !k.r.disk.empty() && !voterDisks_.count(k.r.disk))
                     of.emplace_back(n, k.r.disk);
             vt_->offer(of);
         }
-        auto un = std::vector<Str>();
+        auto un = std::vector<std::string>();
         for (auto& [n, k] : rows_)
             if (now - k.at < alive_ && k.r.blank && voterDisks_.count(k.r.disk)) un.push_back(k.r.disk);
         vt_->untold(un);
@@ -789,9 +793,9 @@
 
 // Booked moves fire by the median of the nodes' calendars: one clock that jumped
 // moves nothing. That a move fires once is settled in the log, by its state.
-auto Node::fire(Us now, Us wall) -> void {
-    if (!vt_->ready() || now - firedAt_ < 500 * MS) return;
-    auto ws = std::vector<Us>{wall};
+auto Node::fire(Microseconds now, Microseconds wall) -> void {
+    if (!vt_->ready() || now - firedAt_ < 500 * MILLISECOND) return;
+    auto ws = std::vector<Microseconds>{wall};
     for (auto& [n, k] : rows_)
         if (now - k.at < alive_) ws.push_back(k.r.wall + (now - (st_.learnt ? k.told : k.at)));
     std::nth_element(ws.begin(), ws.begin() + std::ptrdiff_t(ws.size() / 2), ws.end());
@@ -812,7 +816,7 @@
 // A blank core begins a reign when nothing is left to join: at first, when all seats are
 // blank and nobody holds a word; later, when a majority of disks is lost, from the
 // newest word that a majority of the roster holds.
-auto Node::beginReign(Us now) -> void {
+auto Node::beginReign(Microseconds now) -> void {
     if (!leaderNode(now).empty()) {
         aloneSince_ = 0;
         return;
@@ -821,7 +825,7 @@
     auto top = word_.gen > 0 ? word_.voters() : std::vector<Seat>();
     auto any = word_.gen > 0;
     for (auto& [n, k] : rows_) any = any || k.r.gen > 0;
-    auto go = [&](Us wait) {
+    auto go = [&](Microseconds wait) {
         if (!aloneSince_) aloneSince_ = now;
         return now - aloneSince_ >= wait;
     };
@@ -842,7 +846,7 @@
             aloneSince_ = 0;
             return;
         }
-        if (!go(SEC)) return;
+        if (!go(SECOND)) return;
         auto w = Word();
         w.found(st_.roster, vs);
         vt_->found(w, 1, now);
@@ -856,7 +860,7 @@
     // a disk of the old reign survives it is the one that rebuilds, and so leaves that
     // reign in the same step: no majority of it, nor of a change under way, can act again.
     auto best = std::pair(newest().reign, newest().gen);
-    auto lostSeat = Str(), keptSeat = Str();
+    auto lostSeat = std::string(), keptSeat = std::string();
     auto lost = std::size_t(0);
     for (auto& v : top) {
         auto r = row(v.seat);
@@ -882,7 +886,7 @@
         aloneSince_ = 0;
         return;
     }
-    if (!go(2 * SEC)) return;
+    if (!go(2 * SECOND)) return;
     ct_.add("rebuilt_total");
     logf("core: a majority of disks is lost; rebuilt from the roster at generation {}", best.second + 1);
     reignFrom(now);
@@ -893,7 +897,7 @@
 }
 
 // A new reign on this disk and on those that sit in the seats now, from the newest word known.
-auto Node::reignFrom(Us now) -> void {
+auto Node::reignFrom(Microseconds now) -> void {
     auto w = newest();
     auto vs = std::vector<Seat>();
     auto term = me_.term;
@@ -915,8 +919,8 @@
 
 // The last resort, by an operator who names what this survivor holds: a new reign from that,
 // whatever was acknowledged behind it. Never while a majority could still come together.
-auto Node::rescue(std::int64_t reign, std::int64_t gen, Us now) -> Outcome {
-    auto no = [&](const Str& why) {
+auto Node::rescue(std::int64_t reign, std::int64_t gen, Microseconds now) -> Outcome {
+    auto no = [&](const std::string& why) {
         ct_.add("rescues_denied_total");
         return Outcome{409,
             bodyOf({{"error", jsQuote(why)}, {"reign", fmt::to_string(newest().reign)},
@@ -929,7 +933,7 @@
     if (!leaderNode(now).empty() || (st_.learnt ? counted(now, false) : fresh(now)))
         return no("a majority stands: there is a leader");
     auto disks = std::size_t(0), nodes = std::size_t(0);
-    auto newer = Str();
+    auto newer = std::string();
     auto see = [&](const wire::Row& r) {
         disks += !r.blank && voterDisks_.count(r.disk);
         nodes += r.settled && roster_.count(r.node);
@@ -950,7 +954,7 @@
                 jsQuote(fmt::format("orders acknowledged after generation {} of reign {}", gen, reign))}})};
 }
 
-auto Node::leave(Us now) -> void {
+auto Node::leave(Microseconds now) -> void {
     me_.stopping = true;
     transferAt_ = now;
     if (vt_) vt_->handOver(now);
@@ -958,7 +962,7 @@
     else sendBeat(now, true);
 }
 
-auto Node::seatHandedOver(Us now) const -> bool {
+auto Node::seatHandedOver(Microseconds now) const -> bool {
     if (!st_.learnt || !vt_ || vt_->blank() || !voterDisks_.count(me_.disk)) return true;
     return std::none_of(rows_.begin(), rows_.end(), [&](auto& known) {
         auto& r = known.second.r;
@@ -967,21 +971,21 @@
     });
 }
 
-auto Node::diskDone(std::int64_t seq, bool ok, Us now) -> void {
+auto Node::diskDone(std::int64_t seq, bool ok, Microseconds now) -> void {
     clock(now);
     if (vt_) vt_->diskDone(seq, ok, now);
     touchMe(now);
     orderService_.tick(*vt_, wall_, now);
 }
 
-auto Node::voterTell(const Str& disk, wire::Envelope& e) -> void {
+auto Node::voterTell(const std::string& disk, wire::Envelope& e) -> void {
     e.node = me_.node;
     for (auto& [n, k] : rows_)
         if (k.r.disk == disk) return po_.tell(k.r.peer, e);
 }
 auto Node::voterDisk(const DiskWrite& w) -> void { po_.disk(w); }
 
-auto Node::grant(const Str& n, std::int64_t c, Us) -> void {
+auto Node::grant(const std::string& n, std::int64_t c, Microseconds) -> void {
     auto r = row(n);
     if (!r) return;
     auto e = env();
@@ -1002,9 +1006,9 @@
 
 static auto stateName(int s) -> const char* { return s == UP ? "up" : s == LEAVING ? "leaving" : "gone"; }
 
-auto Node::beliefs(Us now) const -> Str {
-    auto ns = Str(), ss = Str();
-    auto put = [&](const wire::Row& r, Us age, Us t0) {
+auto Node::beliefs(Microseconds now) const -> std::string {
+    auto ns = std::string(), ss = std::string();
+    auto put = [&](const wire::Row& r, Microseconds age, Microseconds t0) {
         ns += (ns.empty() ? "" : ",")
             + bodyOf({{"node", jsQuote(r.node)}, {"boot", fmt::to_string(r.boot)},
                 {"district", jsQuote(r.district)}, {"region", jsQuote(r.region)}, {"peer", jsQuote(r.peer)},
@@ -1023,7 +1027,7 @@
             ? bodyOf({{"prefill", fmt::to_string(s.d.prefill)}, {"decode", fmt::to_string(s.d.decode)},
                 {"slots", fmt::to_string(s.d.slots)}, {"dark", s.d.dark ? "true" : "false"},
                 {"watcher", jsQuote(s.d.watcher)}, {"ageUs", fmt::to_string(now - s.seen)}})
-            : Str("null");
+            : std::string("null");
         ss += (ss.empty() ? "" : ",")
             + bodyOf({{"server", jsQuote(n)}, {"address", jsQuote(s.l.address)},
                 {"region", jsQuote(s.l.region)}, {"district", jsQuote(s.l.district)},
@@ -1032,7 +1036,7 @@
                 {"toldUs", fmt::to_string(now - s.told)}, {"occupancy", l}});
     }
     auto t = tree(now);
-    auto tr = Str();
+    auto tr = std::string();
     for (auto& [k, u] : t.up) tr += fmt::format("{}{}:{}", tr.empty() ? "" : ",", jsQuote(k), jsQuote(u));
     return bodyOf({{"node", jsQuote(me_.node)}, {"reign", fmt::to_string(word_.reign)},
         {"generation", fmt::to_string(word_.gen)}, {"configGeneration", fmt::to_string(word_.configGen())},
@@ -1042,7 +1046,7 @@
         {"relays", "{" + tr + "}"}});
 }
 
-auto Node::status(Us now) -> Str {
+auto Node::status(Microseconds now) -> std::string {
     return bodyOf({{"node", jsQuote(me_.node)}, {"version", jsQuote(VERSION)},
         {"district", jsQuote(me_.district)}, {"region", jsQuote(me_.region)},
         {"ready", ready(now) ? "true" : "false"}, {"fresh", fresh(now) ? "true" : "false"},
@@ -1058,12 +1062,13 @@
                                    : "core, follower")}});
 }
 
-auto Node::planText(Us) const -> Str {
+auto Node::planText(Microseconds) const -> std::string {
     return bodyOf({{"generation", fmt::to_string(word_.gen)}, {"plan", js(word_.d["plan"])},
         {"empties", js(word_.d["empties"])}});
 }
 
-auto Node::where(const Str& region, const Str& district, Us now) const -> Str {
+auto Node::where(const std::string& region, const std::string& district, Microseconds now) const
+    -> std::string {
     auto rg = region.empty() ? me_.region : region;
     auto v = std::vector<std::pair<int, const wire::Row*>>();
     auto see = [&](const wire::Row& r) {
@@ -1077,11 +1082,11 @@
         if (lim == late_ || v.empty())
             for (auto& [n, k] : rows_)
                 if (now - k.at < lim) see(k.r);
-    auto key = rg + "/" + district + fmt::to_string(now / SEC);  // callers are spread
+    auto key = rg + "/" + district + fmt::to_string(now / SECOND);  // callers are spread
     std::sort(v.begin(), v.end(), [&](auto& a, auto& b) {
         return a.first != b.first ? a.first < b.first : rank(key, a.second->node) > rank(key, b.second->node);
     });
-    auto o = Str();
+    auto o = std::string();
     for (auto& [d, r] : v)
         o += (o.empty() ? "" : ",")
             + bodyOf({{"node", jsQuote(r->node)}, {"address", jsQuote(r->sender)},
@@ -1096,9 +1101,9 @@
 // a row when its version rose, a pulse when only its beat did. Nothing goes back to the one it
 // came from.
 
-auto Node::places() const -> std::vector<Str> {
+auto Node::places() const -> std::vector<std::string> {
     auto v = hints_;
-    auto put = [&](const Str& a) {
+    auto put = [&](const std::string& a) {
         if (std::find(v.begin(), v.end(), a) == v.end()) v.push_back(a);
     };
     for (auto& [n, k] : rows_) put(k.r.peer);
@@ -1107,7 +1112,7 @@
 }
 
 // The version of the own row rises with whatever others act on; the beat alone is a pulse.
-auto Node::ownVersion(Us now) -> void {
+auto Node::ownVersion(Microseconds now) -> void {
     touchMe(now);
     me_.wall = wall_;
     auto what = [](const wire::Row& r) {
@@ -1116,7 +1121,7 @@
     };
     auto off = wall_ - now;
     auto far = [](std::int64_t a, std::int64_t b) { return std::abs(a - b) * 4 > std::abs(b) + 4; };
-    if (me_.version && what(me_) == what(said_) && std::abs(off - saidOff_) < SEC
+    if (me_.version && what(me_) == what(said_) && std::abs(off - saidOff_) < SECOND
         && !far(me_.credit, said_.credit) && !far(me_.want, said_.want))
         return;
     me_.version++;
@@ -1128,7 +1133,7 @@
     saidOff_ = off;
 }
 
-auto Node::rowOf(const Str& n, Us now) const -> wire::Row {
+auto Node::rowOf(const std::string& n, Microseconds now) const -> wire::Row {
     if (n == me_.node) return me_;
     auto& k = rows_.at(n);
     auto r = k.r;
@@ -1138,12 +1143,12 @@
 }
 
 // Tells `n` what it lacks; `whole`: all that is alive here, `own`: of this node alone.
-auto Node::learntBeat(const Str& n, bool whole, bool own, Us now) -> bool {
+auto Node::learntBeat(const std::string& n, bool whole, bool own, Microseconds now) -> bool {
     auto to = row(n);
     if (!to || n == me_.node) return false;
     auto& t = told_[n];
     t.at = now;
-    if (now - t.wholeAt >= 15 * SEC) {  // what was told may have been lost
+    if (now - t.wholeAt >= 15 * SECOND) {  // what was told may have been lost
         t.wholeAt = now;
         t.rows.clear();
     }
@@ -1183,7 +1188,7 @@
                 if (s.l.gen > base) {
                     b.listings.push_back(s.l);
                     b.listings.back().age = now - s.told;
-                    b.listings.back().cold = std::max<Us>(0, s.coldTill - now);
+                    b.listings.back().cold = std::max<Microseconds>(0, s.coldTill - now);
                 }
             t.saidNo = listNo_;
             t.saidAt = now;
@@ -1207,7 +1212,7 @@
     return true;
 }
 
-auto Node::learntAsk(const Str& addr, Us) -> void {
+auto Node::learntAsk(const std::string& addr, Microseconds) -> void {
     auto e = env();
     auto b = wire::Beat();
     b.rows.push_back(me_);
@@ -1218,7 +1223,7 @@
     ct_.add("asked_total");
 }
 
-auto Node::treeNow(Us now) -> const Tree& {
+auto Node::treeNow(Microseconds now) -> const Tree& {
     if (!treeAt_ || now - treeAt_ >= beat_ / 4) {
         tree_ = tree(now);
         treeAt_ = now;
@@ -1226,17 +1231,17 @@
     return tree_;
 }
 
-auto Node::learntSend(Us now) -> void {
+auto Node::learntSend(Microseconds now) -> void {
     me_.beat++;
     ownVersion(now);
     auto& t = treeNow(now);
     auto up = t.up.find(me_.node);
-    auto p = up == t.up.end() ? Str() : up->second;
+    auto p = up == t.up.end() ? std::string() : up->second;
     if (p != parent_) {
         parent_ = p;
         parentSince_ = now;
     }
-    auto to = std::set<Str>();
+    auto to = std::set<std::string>();
     for (auto& n : t.kids(me_.node)) to.insert(n);
     if (!p.empty()) to.insert(p);
     for (auto& n : to) learntBeat(n, false, false, now);
@@ -1263,7 +1268,7 @@
     ct_.add("beats_sent_total");
 }
 
-auto Node::learntHear(const wire::Envelope& e, Us now) -> void {
+auto Node::learntHear(const wire::Envelope& e, Microseconds now) -> void {
     auto& b = e.beat;
     auto led = led_;
     learntRows(b, e.node, now);
@@ -1275,7 +1280,7 @@
     auto i = told_.find(e.node);
     if (b.fullAsk) {
         auto& t = told_[e.node];
-        if (!t.askedAt || now - t.askedAt >= 100 * MS) {
+        if (!t.askedAt || now - t.askedAt >= 100 * MILLISECOND) {
             t.askedAt = now;
             learntBeat(e.node, true, false, now);
             if (auto& r = k->second.r; std::pair(r.reign, r.gen) < std::pair(word_.reign, word_.gen))
@@ -1288,7 +1293,7 @@
     if (news) nextBeat_ = now;
 }
 
-auto Node::learntRows(const wire::Beat& b, const Str& from, Us now) -> void {
+auto Node::learntRows(const wire::Beat& b, const std::string& from, Microseconds now) -> void {
     auto seen = [&](Known& k, std::int64_t beat) {
         if (now - k.at >= alive_) {
             ct_.add("node_heard_again_total");
@@ -1298,7 +1303,7 @@
         k.at = now;
         k.from = from;
     };
-    auto self = [&](std::int64_t boot, std::int64_t beat, const Str& peer) {
+    auto self = [&](std::int64_t boot, std::int64_t beat, const std::string& peer) {
         if (std::pair(boot, beat) <= std::pair(me_.boot, me_.beat)) return;
         // An earlier life by a clock that has since been set back, or another of the same name.
         if (!peer.empty() && peer != me_.peer) ct_.add("own_name_elsewhere_total");
@@ -1332,13 +1337,13 @@
         k.told = now;
         if (newer) seen(k, r.beat);
         // Of one that was unknown it counts how long ago it was heard.
-        if (first) k.at = now - std::max<Us>(0, r.age);
+        if (first) k.at = now - std::max<Microseconds>(0, r.age);
         else if (!newer) k.at = at;
         if (led) led_ = leaderNode(now);
         if (first || led) treeAt_ = 0;
         // A gap in the news that the tree does not close by itself is closed by pulling.
         if (!pullDue_ && std::pair(r.reign, r.gen) > std::pair(word_.reign, word_.gen))
-            pullDue_ = now + 100 * MS;
+            pullDue_ = now + 100 * MILLISECOND;
     }
     for (auto& p : b.pulses) {
         if (p.node == me_.node) {
@@ -1359,7 +1364,7 @@
 // It is one thing with one number. Who does the duty raises the number when something changed; all
 // others take it whole, or take what changed since the very number that they hold.
 
-auto Node::raiseList(Us) -> std::int64_t {
+auto Node::raiseList(Microseconds) -> std::int64_t {
     // A later leader's numbers are above all of an earlier one's; the lowest bits tell whose it is.
     auto term = std::max(vt_ && vt_->leads() ? vt_->term() : 0, listNo_ >> 34);
     auto n = ((listNo_ >> 10) & 0xffffff) + 1;
@@ -1370,13 +1375,13 @@
     return listNo_;
 }
 
-auto Node::learntList(std::int64_t id, const Doc& d, Us now) -> void {
+auto Node::learntList(std::int64_t id, const rapidjson::Document& d, Microseconds now) -> void {
     // One that was superseded meanwhile may hold a listing older than what the others have.
     if (!duty(now) || (vt_ && vt_->leads() && vt_->term() < (listNo_ >> 34)))
         return po_.done(id, {409, bodyOf({{"error", jsQuote("another node does this duty now")}})});
     auto g = std::int64_t(0);
     auto no = [&] { return g ? g : g = raiseList(now); };
-    auto has = std::set<Str>();
+    auto has = std::set<std::string>();
     for (auto& v : d["servers"].GetArray()) {
         auto n = jsStr(v, "name");
         has.insert(n);
@@ -1393,7 +1398,7 @@
         l.inc = jsInt(v, "incarnation");
         auto cold = jsInt(v, "coldUs") > 0 ? now + jsInt(v, "coldUs") : 0;
         auto was = s.coldTill > now ? s.coldTill : 0;
-        auto same = l == s.l && std::abs(cold - was) < SEC;
+        auto same = l == s.l && std::abs(cold - was) < SECOND;
         s.told = now;
         if (same && !s.l.server.empty()) continue;
         if (s.l.server.empty() || s.l.inc != l.inc || s.l.state == GONE) s.first = now, s.seen = 0;
@@ -1415,12 +1420,12 @@
 }
 
 // True if there is something new in it.
-auto Node::learntListing(const wire::Beat& b, const Str& from, Us now) -> bool {
+auto Node::learntListing(const wire::Beat& b, const std::string& from, Microseconds now) -> bool {
     if (b.listNo)
         if (auto i = told_.find(from); i != told_.end()) i->second.listNo = b.listNo;
     for (auto& d : b.loads) {
         // What lay unheard while this process was frozen is older than it says.
-        if (wokeAt_ && now - wokeAt_ < SEC) break;
+        if (wokeAt_ && now - wokeAt_ < SECOND) break;
         auto i = servers_.find(d.server);
         if (i == servers_.end() || d.age < 0) continue;
         if (auto t = now - d.age; t > i->second.seen) {
@@ -1431,7 +1436,7 @@
         }
     }
     if (b.listBase < 0 || b.listNo <= listNo_ || (b.listBase && b.listBase != listNo_)) return false;
-    auto has = std::set<Str>();
+    auto has = std::set<std::string>();
     for (auto& l : b.listings) {
         if (l.server.empty() || l.server.size() > 256) continue;
         has.insert(l.server);
@@ -1439,7 +1444,7 @@
         auto& s = servers_[l.server];
         if (s.l.server.empty() || l.inc != s.l.inc || s.l.state == GONE) s.first = now, s.seen = 0;
         s.l = l;
-        s.told = now - std::max<Us>(0, l.age);
+        s.told = now - std::max<Microseconds>(0, l.age);
         s.coldTill = l.cold > 0 ? now + l.cold : 0;
     }
     if (!b.listBase) {
@@ -1457,17 +1462,17 @@
 
 // ---- duties and seats, where membership is learnt
 
-auto Node::duty(Us now) const -> bool {
-    if (vt_ && vt_->leads()) return now - vt_->quorumAt() < SEC;
+auto Node::duty(Microseconds now) const -> bool {
+    if (vt_ && vt_->leads()) return now - vt_->quorumAt() < SECOND;
     // After a start of all at once there is no leader yet, and nobody has a listing: each core that has
     // none asks for it, and the root of what is known by then doesn't wait for the election.
     if (vt_ && !led1_ && listNo_ == 0 && leaderNode(now).empty()) return true;
-    auto wait = led1_ ? 2 * SEC : 200 * MS;
+    auto wait = led1_ ? 2 * SECOND : 200 * MILLISECOND;
     if (!leaderNode(now).empty() || !leaderAt_ || now - leaderAt_ < wait) return false;
     return tree(now).up.count(me_.node) == 0;
 }
 
-auto Node::learntTick(Us now, bool look) -> void {
+auto Node::learntTick(Microseconds now, bool look) -> void {
     if (look) led_ = leaderNode(now);
     if (!led_.empty() || !leaderAt_) leaderAt_ = now;
     led1_ = led1_ || !led_.empty();
@@ -1483,7 +1488,7 @@
         auto d = r.district == me_.district ? 3 : r.region == me_.region ? 2 : 1;
         if (d > near || (d == near && rng_.chance(.5))) near = d, from = &r;
     }
-    pullDue_ = from ? now + 300 * MS : 0;
+    pullDue_ = from ? now + 300 * MILLISECOND : 0;
     if (!from) return;
     auto e = env();
     auto w = wire::WordAsk();
@@ -1496,9 +1501,9 @@
 
 // The fleet's first start: all processes are told the same seeds in the same order, and all of those
 // are up. The first of them that has a disk founds, so there is one founder only.
-auto Node::learntFound(Us now) -> void {
+auto Node::learntFound(Microseconds now) -> void {
     if (!st_.bootstrap || !vt_->blank() || word_.gen > 0) return;
-    auto founder = Str();
+    auto founder = std::string();
     for (auto& a : st_.seeds) {
         auto r = a == me_.peer ? &me_ : nullptr;
         for (auto& [n, k] : rows_)
@@ -1507,7 +1512,7 @@
         if (founder.empty() && !r->disk.empty()) founder = r->node;
     }
     if (founder != me_.node) return;
-    auto by = std::map<Str, std::vector<Seat>>();  // district -> its blank cores
+    auto by = std::map<std::string, std::vector<Seat>>();  // district -> its blank cores
     auto n = std::size_t(1);
     by[me_.district].push_back({me_.node, me_.disk});
     for (auto& [x, k] : rows_) {
@@ -1520,7 +1525,7 @@
         cores_ = n;
         coresAt_ = now;
     }
-    if (now - coresAt_ < 800 * MS) return;
+    if (now - coresAt_ < 800 * MILLISECOND) return;
     // In turn from each district, beginning with its own.
     auto vs = std::vector<Seat>();
     auto most = std::min<std::size_t>(5, n % 2 ? n : n - 1);
@@ -1539,18 +1544,18 @@
 
 // A seat whose disk has not been heard for long, or whose node is stopping, is offered a disk
 // that sits in none.
-auto Node::learntSeats(Us now) -> void {
-    auto of = std::vector<std::pair<Str, Str>>();
+auto Node::learntSeats(Microseconds now) -> void {
+    auto of = std::vector<std::pair<std::string, std::string>>();
     if (vt_->leads()) {
         auto vs = vt_->voters();
         auto spare = std::vector<const Known*>();
         for (auto& [n, k] : rows_)
-            if (now - k.at < alive_ && now - k.first >= 500 * MS && !k.r.disk.empty() && !k.r.stopping
-                && (k.r.blank || k.r.term <= vt_->term())
+            if (now - k.at < alive_ && now - k.first >= 500 * MILLISECOND && !k.r.disk.empty()
+                && !k.r.stopping && (k.r.blank || k.r.term <= vt_->term())
                 && std::none_of(vs.begin(), vs.end(), [&](auto& v) { return v.disk == k.r.disk; }))
                 spare.push_back(&k);
-        auto where = std::map<Str, int>();  // districts of the voters that live
-        auto lost = std::vector<Str>(), leaving = std::vector<Str>();
+        auto where = std::map<std::string, int>();  // districts of the voters that live
+        auto lost = std::vector<std::string>(), leaving = std::vector<std::string>();
         for (auto& v : vs) {
             auto at = std::max(vt_->heard(v.disk), vt_->leadSince());
             auto r = v.disk == me_.disk ? &me_ : nullptr;
@@ -1583,4 +1588,4 @@
     vt_->offer(of);
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/oracles.cpp
+++ b/src/oracles.cpp
@@ -4,7 +4,7 @@
 
 #include "world.hpp"
 
-namespace dt {
+namespace duneturn {
 
 // What an order says must hold of every send: judged by the servers' own hour.
 auto World::orderEffects(const Exec& e) -> void {
@@ -16,7 +16,7 @@
                 fmt::format("{} {} us after the mark was sent", s.name, t - s.leavingSent));
     }
     // Emptied districts: in the order of generations; an unknown outcome may stand or not.
-    auto since = Us(0);
+    auto since = Microseconds(0);
     auto sure = true;
     auto gen = std::int64_t(0);
     for (auto& d : ords)
@@ -31,7 +31,7 @@
         }
     if (since && sure && t > since) {
         r.lastDisobedient = std::max(r.lastDisobedient, t - since);
-        if (t - since > 5 * SEC)
+        if (t - since > 5 * SECOND)
             broke("nothing new reaches an emptied zone",
                 fmt::format("{} in {} {} us after the order", s.name, s.district, t - since));
     }
@@ -55,17 +55,17 @@
 }
 auto World::emptyTaken(const Order& d) -> void {
     for (auto& e : execs)
-        if (ss[std::size_t(e.s)].district == d.what && e.at - d.born > 5 * SEC)
+        if (ss[std::size_t(e.s)].district == d.what && e.at - d.born > 5 * SECOND)
             broke("nothing new reaches an emptied zone",
                 fmt::format("{} {} us after the order", d.what, e.at - d.born));
 }
 
 // The configurations of which one may be obeyed at this time: what was acknowledged 3 s ago
 // or later, and of unknown outcome what could still have come after that.
-auto World::inForce(Us at) const -> std::vector<const Order*> {
+auto World::inForce(Microseconds at) const -> std::vector<const Order*> {
     auto newest = std::int64_t(-1);
     for (auto& d : ords)
-        if (d.op == "config" && d.status == 200 && d.over && at - d.over > 3 * SEC)
+        if (d.op == "config" && d.status == 200 && d.over && at - d.over > 3 * SECOND)
             newest = std::max(newest, d.gen);
     auto o = std::vector<const Order*>();
     for (auto& d : ords) {
@@ -78,7 +78,7 @@
 }
 
 // The rule that this run breaks under configuration `c`; empty if it keeps them all.
-auto World::allows(const Doc& c, const Exec& e) const -> Str {
+auto World::allows(const rapidjson::Document& c, const Exec& e) const -> std::string {
     auto& T = trs[std::size_t(e.tr)];
     auto& x = asks[std::size_t(T.ask)];
     auto& k = ks[std::size_t(x.kind)];
@@ -114,7 +114,7 @@
         broke("what was denied has not run",
             fmt::format("try {} of {} ran on {} after its denial", e.tr, k.name, s.name));
     // One of the configurations that may be in force must allow all of it.
-    auto no = Str();
+    auto no = std::string();
     for (auto d : inForce(t)) {
         no = allows(*d->cfg, e);
         if (no.empty()) break;
@@ -136,21 +136,21 @@
 }
 
 // While a total loss is judged, each kind is asked for in each region twice a second.
-auto World::canary(Us till) -> void {
-    auto todo = std::vector<std::pair<std::size_t, Str>>();
+auto World::canary(Microseconds till) -> void {
+    auto todo = std::vector<std::pair<std::size_t, std::string>>();
     for (auto k = std::size_t(0); k < ks.size(); k++) {
-        auto rs = ks[k].region.empty() ? std::set<Str>(regions.begin(), regions.end())
-                                       : std::set<Str>{ks[k].region};
+        auto rs = ks[k].region.empty() ? std::set<std::string>(regions.begin(), regions.end())
+                                       : std::set<std::string>{ks[k].region};
         for (auto& g : rs) todo.emplace_back(k, g);
     }
     if (t < till) {
         for (auto& [k, g] : todo) ask(k, g);
-        in(SEC / 2, [this, till] {
+        in(SECOND / 2, [this, till] {
             if (!ended) canary(till);
         });
         return;
     }
-    auto worst = Us(0);
+    auto worst = Microseconds(0);
     for (auto& [k, g] : todo) {
         auto i = backAt.find({ks[k].name, g});
         if (i == backAt.end()) {
@@ -164,7 +164,7 @@
 
 // Nothing is wrong any more: all nodes are ready, and an order is taken.
 auto World::calm() -> void {
-    in(3 * SEC, [this] {
+    in(3 * SECOND, [this] {
         for (auto& m : ms)
             if (!m->node->ready(m->now())) {
                 dump();
@@ -172,7 +172,7 @@
             }
         auto n = ords.size();
         putConfig(0, newestConfig(), {});
-        in(2500 * MS, [this, n] {
+        in(2500 * MILLISECOND, [this, n] {
             if (ords.size() <= n || (ords[n].status != 200 && ords[n].status != 409)) {
                 dump();
                 broke("orders are taken once nothing is wrong", fmt::format("order {} is not", n));
@@ -211,7 +211,7 @@
             v ? fmt::format(
                 "voters {} role {} disk {} bad {} reign {} term {} last {} commit {} under {}",
                 [&] {
-                    auto o = Str();
+                    auto o = std::string();
                     for (auto& x : v->voters()) o += x.disk.substr(0, 4) + " ";
                     return o;
                 }(),
@@ -239,7 +239,7 @@
     }
     if (auto no = historyCheck(ops, ""); !no.empty()) broke("orders are linearizable", no);
     // Extra sends, over the day and over any minute of it; credit saved up is the configuration's cap.
-    auto c = Doc();
+    auto c = rapidjson::Document();
     jsParse(config, c);
     auto cap = c.HasMember("budget") ? double(jsInt(c["budget"], "cap", 50)) : 50;
     r.firsts = r.extras = 0;
@@ -250,8 +250,8 @@
     auto fi = 0, ex = 0;
     for (auto& [at, more] : sent) {
         (more ? ex : fi)++;
-        for (; sent[j].first < at - 60 * SEC; j++) (sent[j].second ? ex : fi)--;
-        if (at > 60 * SEC && fi > 100) r.worstMinute = std::max(r.worstMinute, int(1000.0 * ex / fi));
+        for (; sent[j].first < at - 60 * SECOND; j++) (sent[j].second ? ex : fi)--;
+        if (at > 60 * SECOND && fi > 100) r.worstMinute = std::max(r.worstMinute, int(1000.0 * ex / fi));
         if (ex > 0.2 * fi + cap + 3) {
             broke("extra tries stay near a fifth",
                 fmt::format("{} extra on {} first in the minute before {}", ex, fi, at));
@@ -267,4 +267,4 @@
     r.counters = sumCt;
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -7,19 +7,19 @@
 #include <algorithm>
 #include <cmath>
 
-namespace dt {
+namespace duneturn {
 namespace {
 
 // "ID:TOKENS,…": the parts of a prompt in order, of which the last is the request's own.
-auto partsOf(const Str& t, Exchange& x) -> void {
+auto partsOf(const std::string& t, Exchange& x) -> void {
     auto ps = decltype(x.parts)();
     for (auto i = std::size_t(0); i < t.size() && ps.size() < 256;) {
         auto j = std::min(t.find(',', i), t.size());
         auto a = std::min(t.find_first_not_of(' ', i), j), c = t.find(':', a);
-        if (c == Str::npos || c >= j) return;
+        if (c == std::string::npos || c >= j) return;
         auto n = parseNumber(t.substr(c + 1, t.find_last_not_of(' ', j - 1) - c));
         if (n < 0 || c == a) return;
-        ps.emplace_back(hash64(toLower(View(t).substr(a, c - a)), 3), n);
+        ps.emplace_back(hash64(toLower(std::string_view(t).substr(a, c - a)), 3), n);
         i = j + 1;
     }
     if (ps.empty()) return;
@@ -35,8 +35,8 @@
 
 }  // namespace
 
-auto Edge::accept(const Str& method, const Str& path, const Headers& h, const Str& body, Us now, Us arrived)
-    -> std::int64_t {
+auto Edge::accept(const std::string& method, const std::string& path, const Headers& h,
+    const std::string& body, Microseconds now, Microseconds arrived) -> std::int64_t {
     // A long body may have taken a while; the sender counts from the request's beginning.
     auto since = arrived > 0 ? std::min(arrived, now) : now;
     if (!born_) born_ = now;
@@ -51,7 +51,7 @@
     if (!di_.senderNames) x.region = header(h, "X-Region");
     if (x.region.empty()) x.region = n_.me().region;
     x.m.name = "none";
-    x.m.deadline = 10 * SEC;
+    x.m.deadline = 10 * SECOND;
     x.due = now + x.m.deadline;
     if (di_.senderNames) {
         auto n = header(h, di_.exchange);
@@ -62,7 +62,7 @@
     if (refuseNew_ || (draining_ && !di_.senderNames)) return fail(x, 503, "this node is stopping", now), id;
     if (broken.noServe) return fail(x, 503, "broken", now), id;
     if (!n_.fresh(now)) return fail(x, 503, "this node has not heard a majority within its lease", now), id;
-    if (emptiedAt_ > 0 && now - emptiedAt_ > 4 * SEC && !di_.senderNames)
+    if (emptiedAt_ > 0 && now - emptiedAt_ > 4 * SECOND && !di_.senderNames)
         return fail(x, 503, "this district is emptied", now), id;
     auto i = ru_.match(method, x.host, path);
     if (i < 0)
@@ -77,13 +77,14 @@
     x.m = adapt(x, ru_.ms[std::size_t(i)]);
     x.due = since + x.m.deadline;
     if (auto t = header(h, di_.deadlineMs); !t.empty())
-        if (auto n = parseNumber(t.substr(0, t.find('.'))); n >= 0) x.due = std::min(x.due, since + n * MS);
+        if (auto n = parseNumber(t.substr(0, t.find('.'))); n >= 0)
+            x.due = std::min(x.due, since + n * MILLISECOND);
     if (auto v = std::vector<std::int64_t>(); parseNumbers(header(h, di_.tokens), v)) {
         x.seq = x.tokensIn = v[0];
         x.tokensOut = v.size() > 1 ? v[1] : 0;
     }
     if (auto t = header(h, di_.parts); !t.empty()) partsOf(t, x);
-    else if (x.m.affinity) x.key = beginning(View(body).substr(0, x.m.affinity));
+    else if (x.m.affinity) x.key = beginning(std::string_view(body).substr(0, x.m.affinity));
     if (auto l = header(h, di_.lastEvent); !l.empty() && di_.senderNames) {
         // A further try of the sender's, and as such a first send; on what cannot be resumed it is
         // passed on like any other header.
@@ -119,7 +120,7 @@
 
 // A sender whose own node was lost picks its stream up here. That is a migration which the
 // sender asks for: allowed where ours are, counted as ours are, of the same weights only.
-auto Edge::resume(Exchange& x, const Str& l, const Str& w) -> Str {
+auto Edge::resume(Exchange& x, const std::string& l, const std::string& w) -> std::string {
     auto n = parseNumber(l);
     x.resumed = true;
     x.tries = x.moved = 1;
@@ -137,7 +138,7 @@
 }
 
 // A place in the pool's queue. A full queue gives up its least urgent for one more urgent.
-auto Edge::queue(Exchange& x, Us now) -> bool {
+auto Edge::queue(Exchange& x, Microseconds now) -> bool {
     if (x.m.queueUs == 0) return false;
     if (auto pr = described(x.m.pool); pr && seen_[x.m.pool].held > 0) {
         // Of the places that fall free, each node gets its part.
@@ -161,7 +162,7 @@
     }
     queued_[x.m.pool]++;
     x.queuedIn = x.m.pool;
-    x.queuedTill = std::min(x.due, x.headSent ? now + std::max(x.m.queueUs, SEC) : now + x.m.queueUs);
+    x.queuedTill = std::min(x.due, x.headSent ? now + std::max(x.m.queueUs, SECOND) : now + x.m.queueUs);
     note(x, fmt::format("+{} us queued behind {}", now - x.born, queued_[x.m.pool] - 1));
     ct_.add("queued_total");
     return true;
@@ -188,7 +189,7 @@
 
 // Where the shared part of a prompt ends nobody says: it is the longest beginning, in steps
 // of 512 bytes, that has come before.
-auto Edge::beginning(View body) -> std::uint64_t {
+auto Edge::beginning(std::string_view body) -> std::uint64_t {
     constexpr auto B = std::size_t(512);
     auto key = std::uint64_t(0);
     for (auto n = B; n <= body.size(); n += B) {
@@ -203,7 +204,7 @@
     return key;
 }
 
-auto Edge::pump(Us now) -> void {
+auto Edge::pump(Microseconds now) -> void {
     auto q = std::vector<Exchange*>();
     for (auto& [id, x] : xs_)
         if (x.phase() == Phase::Queued && x.queuedTill) q.push_back(&x);
@@ -211,7 +212,7 @@
     std::stable_sort(q.begin(), q.end(), [](auto a, auto b) {
         return a->m.urgency != b->m.urgency ? a->m.urgency > b->m.urgency : a->due < b->due;
     });
-    auto full = std::map<Str, int>();
+    auto full = std::map<std::string, int>();
     for (auto x : q) {
         if (now >= x->queuedTill) {
             fail(*x, 503, "no server had room in time", now);
@@ -228,4 +229,4 @@
     }
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/routing/answer_reader.cpp
+++ b/src/routing/answer_reader.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-namespace dt {
+namespace duneturn {
 namespace {
 
 constexpr int SWITCHING_PROTOCOLS = 101;
@@ -11,7 +11,7 @@
 
 auto isInterim(int status) -> bool { return status / 100 == 1; }
 
-auto hasHeader(const Headers& headers, View name) -> bool {
+auto hasHeader(const Headers& headers, std::string_view name) -> bool {
     if (name.empty()) return false;
     return std::any_of(
         headers.begin(), headers.end(), [&](auto& header) { return beast::iequals(header.first, name); });
@@ -28,7 +28,7 @@
     parser_->skip(options_.answersHead);
 }
 
-auto AnswerReader::feed(View bytes) -> void {
+auto AnswerReader::feed(std::string_view bytes) -> void {
     received(asio::buffer_copy(prepare(bytes.size()), asio::buffer(bytes)));
 }
 
@@ -58,9 +58,11 @@
         return fail(AttemptEvent::MalformedAnswer, "the server switches protocols, which nobody asked for");
     if (isInterim(status)) return renew();
     status_ = status;
-    for (auto& field : parser_->get()) headers_.emplace_back(Str(field.name_string()), Str(field.value()));
+    for (auto& field : parser_->get())
+        headers_.emplace_back(std::string(field.name_string()), std::string(field.value()));
     headKnown_ = true;
-    auto isStream = View(parser_->get()[http::field::content_type]).starts_with("text/event-stream");
+    auto isStream =
+        std::string_view(parser_->get()[http::field::content_type]).starts_with("text/event-stream");
     auto declined = hasHeader(headers_, options_.notExecuted);
     streamed_ = status == OK && isStream && !declined && !options_.answersHead;
     if (streamed_) parser_->body_limit(boost::none);
@@ -99,16 +101,16 @@
     finish();
 }
 
-auto AnswerReader::fail(AttemptEvent event, Str why) -> void {
+auto AnswerReader::fail(AttemptEvent event, std::string why) -> void {
     over_ = true;
     parts_.push_back(AnswerFailure{event, std::move(why)});
 }
 
 auto AnswerReader::take() -> std::vector<AnswerPart> { return std::exchange(parts_, {}); }
 
-auto AnswerReader::keepFor() const -> Us {
+auto AnswerReader::keepFor() const -> Microseconds {
     if (!whole_ || surplus_ || !parser_->get().keep_alive()) return 0;
-    return dt::keepFor(headers_);
+    return duneturn::keepFor(headers_);
 }
 
 namespace {
@@ -118,7 +120,7 @@
     Edge& edge;
     std::int64_t request;
     int attempt;
-    Us now;
+    Microseconds now;
 
     auto operator()(const AnswerHead& head) const -> Delivery {
         auto wanted = edge.upHead(request, attempt, head.status, head.headers, now);
@@ -141,11 +143,12 @@
 
 }  // namespace
 
-auto deliver(AnswerReader& reader, Edge& edge, std::int64_t request, int attempt, Us now) -> Delivery {
+auto deliver(AnswerReader& reader, Edge& edge, std::int64_t request, int attempt, Microseconds now)
+    -> Delivery {
     auto delivery = PartDelivery{edge, request, attempt, now};
     for (auto& part : reader.take())
         if (auto result = std::visit(delivery, part); result != Delivery::Reading) return result;
     return Delivery::Reading;
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/routing/answer_reader.hpp
+++ b/src/routing/answer_reader.hpp
@@ -8,7 +8,7 @@
 #include "http.hpp"
 #include "routing/attempt_state.hpp"
 
-namespace dt {
+namespace duneturn {
 
 /// How a server's connection came to its end.
 enum class ConnectionEnd { Closed, Reset };
@@ -17,7 +17,7 @@
 struct AnswerOptions {
     bool answersHead = false;    ///< The request is a HEAD; its answer has no body.
     bool mayEndByClose = false;  ///< An answer without a length ends with its connection.
-    Str notExecuted;             ///< The header by which a server says that it did not execute it.
+    std::string notExecuted;     ///< The header by which a server says that it did not execute it.
     std::size_t headerLimit = 64 * 1024;
     std::size_t bodyLimit = 16u << 20;  ///< Of an answer that is no stream.
 };
@@ -31,13 +31,13 @@
 struct AnswerEnd {
     int status = 0;
     Headers headers;
-    Str body;
+    std::string body;
     bool streamed = false;
 };
 /// The answer cannot become whole. Nothing follows.
 struct AnswerFailure {
     AttemptEvent event = AttemptEvent::MalformedAnswer;
-    Str why;
+    std::string why;
 };
 /// One part of an answer, in the order in which the server sent it.
 using AnswerPart = std::variant<AnswerHead, Event, AnswerEnd, AnswerFailure>;
@@ -50,7 +50,7 @@
     auto prepare(std::size_t most) -> asio::mutable_buffer { return buffer_.prepare(most); }
     auto received(std::size_t count) -> void;
     /// Takes bytes as they come.
-    auto feed(View bytes) -> void;
+    auto feed(std::string_view bytes) -> void;
     /// Takes the connection's end. An answer with no length is whole only if it was closed in order.
     auto end(ConnectionEnd how) -> void;
     /// The parts that are complete and were not taken yet.
@@ -60,7 +60,7 @@
     /// Whether the answer is passed on as a stream of events; known after its head.
     auto streamed() const -> bool { return streamed_; }
     /// How long the connection may be kept for a further request; 0: not at all.
-    auto keepFor() const -> Us;
+    auto keepFor() const -> Microseconds;
 
   private:
     using Parser = http::response_parser<http::string_body>;
@@ -69,7 +69,7 @@
     auto headDone() -> void;
     auto collectEvents() -> void;
     auto finish() -> void;
-    auto fail(AttemptEvent event, Str why) -> void;
+    auto fail(AttemptEvent event, std::string why) -> void;
 
     AnswerOptions options_;
     std::unique_ptr<Parser> parser_;
@@ -89,6 +89,7 @@
     Over,     ///< The answer failed, or the edge does not want the rest of it.
 };
 /// Tells the edge of what was read of attempt `attempt` of request `request`.
-auto deliver(AnswerReader& reader, Edge& edge, std::int64_t request, int attempt, Us now) -> Delivery;
+auto deliver(AnswerReader& reader, Edge& edge, std::int64_t request, int attempt, Microseconds now)
+    -> Delivery;
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/routing/answers.cpp
+++ b/src/routing/answers.cpp
@@ -7,14 +7,14 @@
 #include <algorithm>
 #include <cmath>
 
-namespace dt {
+namespace duneturn {
 namespace {
 
-auto comment(View raw) -> bool {
+auto comment(std::string_view raw) -> bool {
     for (auto i = std::size_t(0); i < raw.size();) {
         if (raw[i] != ':' && raw[i] != '\n' && raw[i] != '\r') return false;
         auto n = raw.find('\n', i);
-        i = n == View::npos ? raw.size() : n + 1;
+        i = n == std::string_view::npos ? raw.size() : n + 1;
     }
     return true;
 }
@@ -45,7 +45,7 @@
 
 auto Edge::forSender(const Headers& h) const -> Headers { return endToEnd(h); }
 
-auto Edge::upHead(std::int64_t id, int a, int status, const Headers& h, Us now) -> bool {
+auto Edge::upHead(std::int64_t id, int a, int status, const Headers& h, Microseconds now) -> bool {
     auto x = get(id, a);
     if (!x) return false;
     x->lastByte = now;
@@ -53,7 +53,7 @@
     auto t = double(now - x->sentAt);
     f.first = f.first > 0 ? f.first * 0.8 + t * 0.2 : t;
     // Slow beside its like: judged against the pool's median.
-    if (t > 200 * MS && !denial(status, h))
+    if (t > 200 * MILLISECOND && !denial(status, h))
         if (auto m = median(x->m.pool, &Fitness::first); m > 0 && f.first > 5 * m) hurt(x->server, 0.9, now);
     if ((status == 200 || di_.senderNames) && wrongExchange(*x, h, status)) {
         hurt(x->server, 0.2, now);
@@ -78,17 +78,18 @@
     return true;
 }
 
-auto Edge::waiting(std::int64_t id, int a, Us now) -> void {
+auto Edge::waiting(std::int64_t id, int a, Microseconds now) -> void {
     if (auto x = get(id, a)) x->lastByte = now;
 }
 
 // A server that crawls is as good as lost to a stream that may move: once a stream, and only
 // where another server would take it now, for a stream is better slow than cut.
-auto Edge::slow(Exchange& x, Us gap, Us now) -> void {
+auto Edge::slow(Exchange& x, Microseconds gap, Microseconds now) -> void {
     auto& f = fit_[x.server];
     f.pace = f.pace > 0 ? f.pace * 0.9 + double(gap) * 0.1 : double(gap);
     x.pace = x.paced++ ? x.pace * 0.8 + double(gap) * 0.2 : double(gap);
-    if (x.paced < 8 || x.pace < double(100 * MS) || x.moved > 0 || !x.m.resumable || x.left() <= 0) return;
+    if (x.paced < 8 || x.pace < double(100 * MILLISECOND) || x.moved > 0 || !x.m.resumable || x.left() <= 0)
+        return;
     auto m = median(x.m.pool, &Fitness::pace);
     if (m <= 0 || x.pace < 5 * m) return;
     hurt(x.server, 0.5, now);
@@ -113,7 +114,7 @@
         x.id, 200, {{"Content-Type", "text/event-stream"}, {di_.exchange, x.exid}, {di_.weights, x.weights}});
 }
 
-auto Edge::upEvent(std::int64_t id, int a, const Event& e, Us now) -> void {
+auto Edge::upEvent(std::int64_t id, int a, const Event& e, Microseconds now) -> void {
     auto x = get(id, a);
     if (!x) return;
     auto gap = now - x->lastByte;
@@ -173,7 +174,7 @@
     } else if (x->last > 0) slow(*x, gap, now);
 }
 
-auto Edge::upEnd(std::int64_t id, int a, Us now) -> void {
+auto Edge::upEnd(std::int64_t id, int a, Microseconds now) -> void {
     auto x = get(id, a);
     if (!x) return;
     if (di_.doneEvent) return upLost(id, a, "the stream ended without its completion mark", now);
@@ -190,7 +191,8 @@
     pump(now);
 }
 
-auto Edge::upWhole(std::int64_t id, int a, int status, const Headers& h, const Str& body, Us now) -> void {
+auto Edge::upWhole(
+    std::int64_t id, int a, int status, const Headers& h, const std::string& body, Microseconds now) -> void {
     auto x = get(id, a);
     if (!x) return;
     if (wrongExchange(*x, h, status)) {
@@ -212,7 +214,7 @@
             if (auto s = n_.servers().find(x->server); s != n_.servers().end())
                 f.wrongGen = std::max(f.wrongGen, s->second.l.gen);
             strike(x->server, now);
-        } else if (di_.senderNames) f.fullTill = now + 150 * MS;
+        } else if (di_.senderNames) f.fullTill = now + 150 * MILLISECOND;
         else hurt(x->server, 0.8, now);
         return again(
             *x, AttemptEvent::AnswerUnsuitable, fmt::format("denied by the server with {}", status), now);
@@ -245,14 +247,15 @@
     if (di_.senderNames) pump(now);
 }
 
-auto Edge::upFailed(std::int64_t id, int a, AttemptEvent event, const Str& why, Us now) -> void {
+auto Edge::upFailed(std::int64_t id, int a, AttemptEvent event, const std::string& why, Microseconds now)
+    -> void {
     auto x = get(id, a);
     if (!x) return;
     hurt(x->server, 0.4, now);
-    if (auto& f = fit_[x->server]; f.asked > f.heard || now - f.heard > SEC) strike(x->server, now);
+    if (auto& f = fit_[x->server]; f.asked > f.heard || now - f.heard > SECOND) strike(x->server, now);
     fit_[x->server].lostAt = now;
     ct_.add("sends_lost_total");
     again(*x, event, why, now);
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/routing/attempt_state.cpp
+++ b/src/routing/attempt_state.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace dt {
+namespace duneturn {
 namespace {
 
 using State = AttemptState;
@@ -143,4 +143,4 @@
     state_ = AttemptState::Queued;
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/routing/attempt_state.hpp
+++ b/src/routing/attempt_state.hpp
@@ -5,7 +5,7 @@
 #include <array>
 #include <cstdint>
 
-namespace dt {
+namespace duneturn {
 
 /// Where an attempt stands.
 enum class AttemptState : std::uint8_t {
@@ -117,4 +117,4 @@
     Execution earlier_ = Execution::NotArrived;
 };
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/routing/attempts.cpp
+++ b/src/routing/attempts.cpp
@@ -7,11 +7,11 @@
 #include <algorithm>
 #include <cmath>
 
-namespace dt {
+namespace duneturn {
 
 // What stands against a send, whatever the server, where an earlier one may have run (`ran`);
 // with `more`, against one beyond those already granted.
-auto Edge::bar(const Exchange& x, bool ran, bool more) const -> Str {
+auto Edge::bar(const Exchange& x, bool ran, bool more) const -> std::string {
     if (ran && !broken.resendAny) {
         auto step = stepAfterFailure(Execution::MayHaveRun, x.headSent);
         if (!mayAttemptAgain(step, x.rights()))
@@ -28,7 +28,7 @@
     return "";
 }
 
-auto Edge::start(Exchange& x, Us now) -> bool {
+auto Edge::start(Exchange& x, Microseconds now) -> bool {
     if (!bind(x)) {
         fail(x, 503, "its mapping is no longer configured", now);
         return false;
@@ -75,7 +75,7 @@
 }
 
 // Why the server that was picked may not be sent to after all.
-auto Edge::unsent(const Exchange& x, Us now) const -> Str {
+auto Edge::unsent(const Exchange& x, Microseconds now) const -> std::string {
     if (!n_.fresh(now)) return "no majority was heard within the lease";
     if (now >= x.due) return "its time is over";
     auto i = n_.servers().find(x.server);
@@ -86,15 +86,15 @@
 }
 
 // The last look before the first byte: the process may just have woken from a freeze.
-auto Edge::maySend(std::int64_t id, int a, Us now, bool reused) -> bool {
+auto Edge::maySend(std::int64_t id, int a, Microseconds now, bool reused) -> bool {
     auto x = get(id, a);
     if (!x) return false;
     // Some things no other server can mend.
     auto ranBefore = x->attempt.earlier() >= Execution::MayHaveRun;
-    auto over = bind(*x) ? bar(*x, ranBefore, false) : Str("its mapping is no longer configured");
+    auto over = bind(*x) ? bar(*x, ranBefore, false) : std::string("its mapping is no longer configured");
     auto why = over.empty() ? unsent(*x, now) : over;
     if (why.empty() && reused && !reusable(*x)) why = "it may not go on a used connection any more";
-    if (auto pr = described(x->m.pool); why.empty() && pr && now - x->sentAt > 250 * MS
+    if (auto pr = described(x->m.pool); why.empty() && pr && now - x->sentAt > 250 * MILLISECOND
         && !coldLets(x->server, n_.servers().at(x->server), *pr, now, true))
         why = "it is cold, and this send was held up";
     if (why.empty()) {
@@ -127,12 +127,12 @@
 }
 
 // The headers of a send.
-auto Edge::outgoing(const Exchange& x, Us now) const -> Headers {
+auto Edge::outgoing(const Exchange& x, Microseconds now) const -> Headers {
     auto o = endToEnd(x.h);
-    auto drop = [&](View k) {
+    auto drop = [&](std::string_view k) {
         if (!k.empty()) std::erase_if(o, [&](auto& e) { return sameName(e.first, k); });
     };
-    auto set = [&](const Str& k, Str v) {
+    auto set = [&](const std::string& k, std::string v) {
         if (k.empty()) return;
         drop(k);
         o.emplace_back(k, std::move(v));
@@ -146,7 +146,7 @@
     }
     if (x.last >= 0) set(di_.lastEvent, fmt::to_string(x.last));
     set(di_.target, x.server);
-    set(di_.deadlineMs, fmt::to_string(std::max<Us>(1, (x.due - now) / MS)));
+    set(di_.deadlineMs, fmt::to_string(std::max<Microseconds>(1, (x.due - now) / MILLISECOND)));
     set(di_.urgency, fmt::to_string(9 - std::clamp(x.m.urgency, 0, 9)));
     return o;
 }
@@ -159,7 +159,7 @@
 }
 
 // Could it go on at another server if this happened now?
-auto Edge::movable(Exchange& x, AttemptEvent event, Us now) -> bool {
+auto Edge::movable(Exchange& x, AttemptEvent event, Microseconds now) -> bool {
     auto execution = attemptRule(x.attempt.state(), event).execution;
     if (broken.silenceIsNoArrival && event == AttemptEvent::Silence) execution = Execution::NotArrived;
     auto ran = std::max(execution, x.attempt.earlier()) >= Execution::MayHaveRun;
@@ -176,7 +176,7 @@
 }
 
 // A send has failed by `event`, which the table of attempt_state.hpp judges.
-auto Edge::again(Exchange& x, AttemptEvent event, const Str& why, Us now) -> void {
+auto Edge::again(Exchange& x, AttemptEvent event, const std::string& why, Microseconds now) -> void {
     auto execution = apply(x, event);
     if (broken.silenceIsNoArrival && event == AttemptEvent::Silence) {
         x.attempt = AttemptTracker();
@@ -216,7 +216,7 @@
     if (ran) ct_.add("prompt_tokens_again_total", x.seq);
 }
 
-auto Edge::refused(std::int64_t id, int a, Us now) -> void {
+auto Edge::refused(std::int64_t id, int a, Microseconds now) -> void {
     auto x = get(id, a);
     if (!x) return;
     if (x->attempt.written()) return upLost(id, a, "the connection broke while sending", now);
@@ -238,4 +238,4 @@
     if (auto x = get(id, a)) apply(*x, AttemptEvent::WriteFinished);
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/routing/cold_ramp.cpp
+++ b/src/routing/cold_ramp.cpp
@@ -7,11 +7,11 @@
 #include <algorithm>
 #include <cmath>
 
-namespace dt {
+namespace duneturn {
 
 // A cold server's room grows over the ramp's time, and is dealt out over all edges: each
 // takes its part, the remainder goes to those that rendezvous hashing puts first.
-auto Edge::rampShare(const Str& name, const Server& s, Us now) -> int {
+auto Edge::rampShare(const std::string& name, const Server& s, Microseconds now) -> int {
     constexpr auto ALL = 1 << 20;
     if (broken.noRamp || ru_.rampOver <= 0) return ALL;
     auto up = now - s.first;
@@ -32,22 +32,23 @@
     return cap / int(ns.size()) + (k < cap % int(ns.size()));
 }
 
-auto Edge::cold(const Str& name, const Server& s, const PoolRule& pr, Us now) -> bool {
-    constexpr auto MORE = 250 * MS;  // what is told is a little old
+auto Edge::cold(const std::string& name, const Server& s, const PoolRule& pr, Microseconds now) -> bool {
+    constexpr auto MORE = 250 * MILLISECOND;  // what is told is a little old
     auto& f = fit_[name];
     if (s.coldTill > s.told && now < s.coldTill + MORE) return true;
     if (now < f.coldTill + MORE && f.coldTill > 0) return true;
     // New in our time, and nobody says how it is.
-    if (!s.coldTill && listedAt_ && s.first > listedAt_ + SEC && now < s.first + pr.coldUs) return true;
+    if (!s.coldTill && listedAt_ && s.first > listedAt_ + SECOND && now < s.first + pr.coldUs) return true;
     // Servers of a district that is given back may have turned cold just before.
     auto g = givenBack_.find(s.l.district);
-    return g != givenBack_.end() && (g->second < 0 || s.told < g->second + SEC);
+    return g != givenBack_.end() && (g->second < 0 || s.told < g->second + SECOND);
 }
 
 // A cold server bears a rate of exchanges, over all nodes. It is dealt out as buckets of one
 // exchange to the nodes that rendezvous hashing puts first, to no more of them than may find
 // their buckets full in the same second.
-auto Edge::coldLets(const Str& name, const Server& s, const PoolRule& pr, Us now, bool take) -> bool {
+auto Edge::coldLets(const std::string& name, const Server& s, const PoolRule& pr, Microseconds now, bool take)
+    -> bool {
     if (pr.coldRate <= 0 || broken.noRamp || !cold(name, s, pr, now)) return true;
     if (!settled(now)) return false;
     auto most = 0.8 * ((ru_.coldOverrun - 0.9) * pr.coldRate + ru_.coldSlack);
@@ -57,11 +58,11 @@
     if (before >= k) return false;
     auto& f = fit_[name];
     f.coldLeft =
-        std::min(1.0, f.coldLeft + double(now - f.coldAt) / double(SEC) * 0.9 * pr.coldRate / double(k));
+        std::min(1.0, f.coldLeft + double(now - f.coldAt) / double(SECOND) * 0.9 * pr.coldRate / double(k));
     f.coldAt = now;
     if (f.coldLeft < 1) return false;
     if (take) f.coldLeft -= 1;
     return true;
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/routing/endings.cpp
+++ b/src/routing/endings.cpp
@@ -7,10 +7,10 @@
 #include <algorithm>
 #include <cmath>
 
-namespace dt {
+namespace duneturn {
 
 // The final reply, at once. X-Not-Executed is said only where it is certain.
-auto Edge::fail(Exchange& x, int status, const Str& why, Us now) -> void {
+auto Edge::fail(Exchange& x, int status, const std::string& why, Microseconds now) -> void {
     release(x);
     if (x.phase() == Phase::Sending || x.phase() == Phase::Delivering) {
         po_.drop(x.id, x.a);
@@ -42,7 +42,7 @@
     finish(x, "failed: " + why, now);
 }
 
-auto Edge::finish(Exchange& x, const Str& how, Us now) -> void {
+auto Edge::finish(Exchange& x, const std::string& how, Microseconds now) -> void {
     if (x.counted && x.attempt.written()) {
         auto& k = seen_[x.m.pool].held;
         auto t = double(now - x.sentAt);
@@ -53,7 +53,7 @@
     turn(x, ct_, PhaseEvent::End);
     if (broken.badStep) turn(x, ct_, PhaseEvent::Loss);
     note(x, fmt::format("+{} us {}", now - x.born, how));
-    auto t = Str();
+    auto t = std::string();
     for (auto& l : x.trace) t += (t.empty() ? "" : ",") + jsQuote(l);
     past_.push_back({++decision_, x.id, x.exid,
         bodyOf({{"seq", fmt::to_string(decision_)}, {"exchange", jsQuote(x.exid)},
@@ -62,7 +62,7 @@
     gone_.push_back(x.id);
 }
 
-auto Edge::gone(std::int64_t id, Us now) -> void {
+auto Edge::gone(std::int64_t id, Microseconds now) -> void {
     auto i = xs_.find(id);
     if (i == xs_.end() || i->second.phase() == Phase::Finished) return;
     auto& x = i->second;
@@ -73,9 +73,9 @@
     finish(x, "the sender has gone", now);
 }
 
-auto Edge::cutAll(Us now) -> void {
+auto Edge::cutAll(Microseconds now) -> void {
     for (auto& [id, x] : xs_)
         if (x.phase() != Phase::Finished) fail(x, 503, "this node is stopping", now);
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/routing/headers.cpp
+++ b/src/routing/headers.cpp
@@ -2,17 +2,17 @@
 
 #include <algorithm>
 
-namespace dt {
+namespace duneturn {
 namespace {
 
-auto same(View a, View b) -> bool {
+auto same(std::string_view a, std::string_view b) -> bool {
     return a.size() == b.size() && std::equal(a.begin(), a.end(), b.begin(), [](char x, char y) {
         return std::tolower(x) == std::tolower(y);
     });
 }
 
 // What concerns one connection only.
-auto concernsConnection(View k) -> bool {
+auto concernsConnection(std::string_view k) -> bool {
     for (auto n : {"connection", "keep-alive", "transfer-encoding", "content-length", "te", "trailer",
              "upgrade", "expect"})
         if (same(k, n)) return true;
@@ -21,13 +21,13 @@
 
 }  // namespace
 
-auto toLower(View v) -> Str {
-    auto s = Str(v);
+auto toLower(std::string_view v) -> std::string {
+    auto s = std::string(v);
     for (auto& c : s) c = char(std::tolower(c));
     return s;
 }
 
-auto header(const Headers& h, View k) -> Str {
+auto header(const Headers& h, std::string_view k) -> std::string {
     if (k.empty()) return "";
     for (auto& [n, v] : h)
         if (n.size() == k.size() && std::equal(n.begin(), n.end(), k.begin(), [](char a, char b) {
@@ -38,7 +38,7 @@
 }
 
 auto endToEnd(const Headers& h) -> Headers {
-    auto named = std::vector<Str>();  // by Connection itself
+    auto named = std::vector<std::string>();  // by Connection itself
     for (auto& [k, v] : h)
         if (same(k, "connection"))
             for (auto i = std::size_t(0); i <= v.size();) {
@@ -55,12 +55,12 @@
     return o;
 }
 
-auto parseNumber(const Str& s) -> std::int64_t {
-    if (s.empty() || s.size() > 18 || s.find_first_not_of("0123456789") != Str::npos) return -1;
+auto parseNumber(const std::string& s) -> std::int64_t {
+    if (s.empty() || s.size() > 18 || s.find_first_not_of("0123456789") != std::string::npos) return -1;
     return std::stoll(s);
 }
 
-auto parseNumbers(const Str& s, std::vector<std::int64_t>& o) -> bool {
+auto parseNumbers(const std::string& s, std::vector<std::int64_t>& o) -> bool {
     for (auto i = std::size_t(0); i <= s.size();) {
         auto j = std::min(s.find(',', i), s.size());
         auto a = s.find_first_not_of(' ', i);
@@ -72,6 +72,6 @@
     return true;
 }
 
-auto sameName(View a, View b) -> bool { return same(a, b); }
+auto sameName(std::string_view a, std::string_view b) -> bool { return same(a, b); }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/routing/inspection.cpp
+++ b/src/routing/inspection.cpp
@@ -7,7 +7,7 @@
 #include <algorithm>
 #include <cmath>
 
-namespace dt {
+namespace duneturn {
 namespace {
 
 auto phaseName(Phase p) -> const char* {
@@ -20,8 +20,8 @@
     }
 }
 
-auto liveOne(const Exchange& x, Us now, bool steps) -> Str {
-    auto t = Str();
+auto liveOne(const Exchange& x, Microseconds now, bool steps) -> std::string {
+    auto t = std::string();
     if (steps)
         for (auto& l : x.trace) t += (t.empty() ? "" : ",") + jsQuote(l);
     return bodyOf({{"id", fmt::to_string(x.id)}, {"exchange", jsQuote(x.exid)},
@@ -33,15 +33,17 @@
 
 }  // namespace
 
-auto Edge::liveText(Us now) const -> Str {
-    auto o = Str();
+auto Edge::liveText(Microseconds now) const -> std::string {
+    auto o = std::string();
     for (auto& [id, x] : xs_) o += (o.empty() ? "" : ",") + liveOne(x, now, false);
     return "{\"exchanges\":[" + o + "]}";
 }
 
 // By its whole name, or by the number at its end.
-auto Edge::explainText(const Str& name, Us now) const -> Str {
-    auto same = [&](const Str& exid, std::int64_t id) { return name == exid || name == fmt::to_string(id); };
+auto Edge::explainText(const std::string& name, Microseconds now) const -> std::string {
+    auto same = [&](const std::string& exid, std::int64_t id) {
+        return name == exid || name == fmt::to_string(id);
+    };
     for (auto& [id, x] : xs_)
         if (same(x.exid, id)) return liveOne(x, now, true);
     for (auto i = past_.rbegin(); i != past_.rend(); ++i)
@@ -49,11 +51,11 @@
     return "";
 }
 
-auto Edge::decisions(std::int64_t after) const -> Str {
-    auto o = Str();
+auto Edge::decisions(std::int64_t after) const -> std::string {
+    auto o = std::string();
     for (auto& p : past_)
         if (p.seq > after) o += (o.empty() ? "" : ",") + p.text;
     return "{\"decisions\":[" + o + "]}";
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/routing/kept_connections.hpp
+++ b/src/routing/kept_connections.hpp
@@ -6,7 +6,7 @@
 
 #include "http.hpp"
 
-namespace dt {
+namespace duneturn {
 
 /// Keeps idle connections by server. `Connection` is a handle; dropping it closes the connection.
 template <class Connection>
@@ -19,14 +19,15 @@
 
     /// Keeps a connection to `server` for `life`, of at most `most` to that server. One that is not
     /// quiet is closed: bytes that nobody asked for would be taken for the next request's answer.
-    auto put(const Str& server, Connection connection, Us life, Us now, std::size_t most) -> void {
+    auto put(const std::string& server, Connection connection, Microseconds life, Microseconds now,
+        std::size_t most) -> void {
         if (life <= 0 || !isQuiet_(connection)) return;
         auto id = ++lastId_;
         connections_.emplace(id, std::move(connection));
         for (auto closed : pool_.put(server, id, now + life, now, most)) connections_.erase(closed);
     }
     /// The connection to `server` that was used last and is still quiet; empty if there is none.
-    auto take(const Str& server, Us now) -> std::optional<Connection> {
+    auto take(const std::string& server, Microseconds now) -> std::optional<Connection> {
         for (auto id = pool_.take(server, now); id >= 0; id = pool_.take(server, now)) {
             auto node = connections_.extract(id);
             if (!node.empty() && isQuiet_(node.mapped())) return std::move(node.mapped());
@@ -34,7 +35,7 @@
         return std::nullopt;
     }
     /// Closes those whose time is over.
-    auto expire(Us now) -> void {
+    auto expire(Microseconds now) -> void {
         for (auto id : pool_.expire(now)) connections_.erase(id);
     }
     /// Closes all.
@@ -50,4 +51,4 @@
     std::int64_t lastId_ = 0;
 };
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/routing/placement.cpp
+++ b/src/routing/placement.cpp
@@ -7,7 +7,7 @@
 #include <algorithm>
 #include <cmath>
 
-namespace dt {
+namespace duneturn {
 
 // Whether a step's rule lets this server in. What is weighed and not ruled is not asked here.
 auto Edge::keeps(const Step& st, const Exchange& x, const Server& s) const -> bool {
@@ -49,7 +49,7 @@
 
 // Whether a server's memory has room for it beside what runs there: ours as we know them, the
 // others as the pool's exchanges are on average. What is shared is there once, and gives way.
-auto Edge::fits(const Cand& c, const Exchange& x, const PoolRule& pr, Us now) -> bool {
+auto Edge::fits(const Cand& c, const Exchange& x, const PoolRule& pr, Microseconds now) -> bool {
     auto& f = fit_[*c.n];
     auto others = std::max(0.0, load(*c.n, *c.s, now) - f.inflight);
     auto room = 0.9 * double(pr.kvTokens) - double(x.sharedTokens);
@@ -57,15 +57,16 @@
 }
 
 // When the reply would begin, in microseconds from now.
-auto Edge::predict(const Cand& c, const Exchange& x, const PoolRule& pr, bool home, Us now) -> double {
+auto Edge::predict(const Cand& c, const Exchange& x, const PoolRule& pr, bool home, Microseconds now)
+    -> double {
     auto& f = fit_[*c.n];
     auto sl = double(slots(*c.n, *c.s, pr));
-    auto held = seen_[x.m.pool].held > 0 ? seen_[x.m.pool].held : double(100 * MS);
-    auto t = c.occ * double(20 * MS);
+    auto held = seen_[x.m.pool].held > 0 ? seen_[x.m.pool].held : double(100 * MILLISECOND);
+    auto t = c.occ * double(20 * MILLISECOND);
     if (c.occ >= 1) t += (c.occ * sl - sl + 1) * held / sl;
     if (pr.engine) {
         // Those that wait while slots are free are being read.
-        auto others = now - f.loadAt < 300 * MS ? double(f.waiting) * 1000.0 : 0.0;
+        auto others = now - f.loadAt < 300 * MILLISECOND ? double(f.waiting) * 1000.0 : 0.0;
         t += (std::max(f.unread, others) + double(unread(f, x, home))) / READ;
     }
     if (c.s->l.region != x.region) t += double(FAR);
@@ -83,12 +84,12 @@
 // Reading a long prompt holds up all that runs beside it. Where many exchanges can only go to the
 // near region and clearly fewer to another, long prompts that may go anywhere are read there. Every
 // node sees much the same kinds, so that all choose the same region. Empty: the near one will do.
-auto Edge::unclaimed(const std::vector<Cand>& cs, const Exchange& x) -> Str {
+auto Edge::unclaimed(const std::vector<Cand>& cs, const Exchange& x) -> std::string {
     if (x.sharedTokens < LONG || x.m.homes.size() == 1) return "";
-    auto n = std::map<Str, int>();
+    auto n = std::map<std::string, int>();
     for (auto& c : cs) n[c.s->l.region]++;
     auto& k = seen_[x.m.pool];
-    auto claims = [&](const Str& r) {
+    auto claims = [&](const std::string& r) {
         auto i = k.bound.find(r);
         return i == k.bound.end() ? 0.0 : i->second / n[r];
     };
@@ -102,8 +103,8 @@
 // The server for an exchange, of those that may take it. A long shared beginning goes where it
 // was read before: rendezvous hashing names the same two servers at every node. All else goes to
 // the best of some drawn at random, since many nodes that know the same would all run to one.
-auto Edge::pick(const std::vector<Cand>& cs, const Exchange& x, const PoolRule& pr, Us now, Str& how)
-    -> std::size_t {
+auto Edge::pick(const std::vector<Cand>& cs, const Exchange& x, const PoolRule& pr, Microseconds now,
+    std::string& how) -> std::size_t {
     auto cost = [&](std::size_t i, bool home) { return predict(cs[i], x, pr, home, now); };
     // The more nodes choose, the fewer servers each compares, lest all run to the same one.
     auto drawn = [&] {
@@ -126,7 +127,7 @@
         if (cost(i, false) < cost(least, false)) least = i;
     }
     // What it may wait longer at a home, beyond what reading it elsewhere would take.
-    auto spare = double(x.m.aim ? x.m.aim : SEC) / 4;
+    auto spare = double(x.m.aim ? x.m.aim : SECOND) / 4;
     for (auto i = std::size_t(0); i < ord.size() && i < 2; i++) {
         auto j = ord[i];
         if (cs[j].occ > cs[free].occ + 0.4 || cost(j, true) > cost(least, false) + spare) continue;
@@ -137,22 +138,22 @@
     return least;
 }
 
-auto Edge::place(Exchange& x, Us now, bool dry) -> Str {
+auto Edge::place(Exchange& x, Microseconds now, bool dry) -> std::string {
     auto cs = std::vector<Cand>();
     auto pr = described(x.m.pool);
     auto all = std::size_t(0);
     for (auto& [n, s] : n_.servers()) cs.push_back({&n, &s, 0});
-    auto say = Str();
-    auto keep = [&](View what, auto f) {
+    auto say = std::string();
+    auto keep = [&](std::string_view what, auto f) {
         auto was = cs.size();
         std::erase_if(cs, [&](auto& c) { return !f(c); });
         say += fmt::format("{}{} {}/{}", say.empty() ? "" : ", ", what, cs.size(), was);
     };
-    auto soft = [&](View what, auto f) {  // a wish, dropped where nothing would be left
+    auto soft = [&](std::string_view what, auto f) {  // a wish, dropped where nothing would be left
         if (std::any_of(cs.begin(), cs.end(), f)) keep(what, f);
         else say += fmt::format(", {} unmet", what);
     };
-    auto to = Str();
+    auto to = std::string();
     for (auto& st : x.m.prog) {
         if (cs.empty()) break;
         auto rule = [&](auto& c) { return keeps(st, x, *c.s); };
@@ -184,7 +185,7 @@
                 if (pr && silent(f, now)) return false;
                 // After a break, one exchange at a time; one that may run again comes first.
                 if (pr && f.strikes > 0
-                    && (f.inflight > 0 || now < f.avoidTill + (x.m.again() ? 0 : 2 * SEC)))
+                    && (f.inflight > 0 || now < f.avoidTill + (x.m.again() ? 0 : 2 * SECOND)))
                     return false;
                 return !(c.s->seen && now - c.s->seen < SEEN && c.s->d.dark) && fitOf(*c.n, now) >= st.w;
             });
@@ -253,7 +254,7 @@
             auto least = std::size_t(0);
             for (auto i = std::size_t(1); i < cs.size(); i++)
                 if (cost(cs[i]) < cost(cs[least])) least = i;
-            auto how = Str("least occupied of two");
+            auto how = std::string("least occupied of two");
             if (pr) b = pick(cs, x, *pr, now, how);
             else if (broken.pickRandom) {
                 b = rng_.below(cs.size());
@@ -304,4 +305,4 @@
     });
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/routing/request_phases.cpp
+++ b/src/routing/request_phases.cpp
@@ -4,7 +4,7 @@
 #include <boost/msm/front/functor_row.hpp>
 #include <boost/msm/front/state_machine_def.hpp>
 
-namespace dt {
+namespace duneturn {
 
 namespace msm = boost::msm;
 namespace mpl = boost::mpl;
@@ -66,4 +66,4 @@
     if (!legal) counters.add("illegal_transitions_total");
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/routing/request_phases.hpp
+++ b/src/routing/request_phases.hpp
@@ -2,11 +2,11 @@
 // What may follow what in a request: queued, sending, delivering, migrating, finished.
 #include "edge.hpp"
 
-namespace dt {
+namespace duneturn {
 
 /// What moves a request from one phase to another.
 enum class PhaseEvent { Send, Bytes, Loss, Wait, End };
 /// Applies an event. What the table of phases does not allow is counted, never done in silence.
 auto turn(Exchange& request, Counters& counters, PhaseEvent event) -> void;
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/routing/retry_budget.cpp
+++ b/src/routing/retry_budget.cpp
@@ -7,11 +7,11 @@
 #include <algorithm>
 #include <cmath>
 
-namespace dt {
+namespace duneturn {
 
 // Counts a send. The first of an exchange earns credit; one that carries on a stream whose
 // sender lost its node was begun elsewhere, so it is an extra one.
-auto Edge::count(Exchange& x, Us now) -> void {
+auto Edge::count(Exchange& x, Microseconds now) -> void {
     ct_.add("sends_total");
     if (!x.first) return;
     x.first = false;
@@ -31,7 +31,7 @@
 
 // What extra sends are paid from: one purse for all, or where a slack is named one for each
 // pool, since what one pool's exchanges earned must not fall on another pool's servers.
-auto Edge::purse(const Str& pool, Us now) -> std::int64_t& {
+auto Edge::purse(const std::string& pool, Microseconds now) -> std::int64_t& {
     if (ru_.slack < 0) return credit_;
     auto& p = purses_[pool];
     auto cap = std::int64_t(ru_.slack * double(ONE) / double(nodes()));
@@ -43,7 +43,7 @@
     return p.milli;
 }
 
-auto Edge::pays(const Exchange& x, Us now) -> bool { return purse(x.m.pool, now) >= cost(x); }
+auto Edge::pays(const Exchange& x, Microseconds now) -> bool { return purse(x.m.pool, now) >= cost(x); }
 
 // Reading a long prompt again costs more than reading a short one; where arrivals are what is
 // counted, each is one.
@@ -57,4 +57,4 @@
     return execution != Execution::NotArrived || !di_.senderNames;
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/routing/rules.cpp
+++ b/src/routing/rules.cpp
@@ -7,13 +7,13 @@
 #include <algorithm>
 #include <cmath>
 
-namespace dt {
+namespace duneturn {
 
-auto compile(const Val& c, std::int64_t gen) -> Rules {
+auto compile(const rapidjson::Value& c, std::int64_t gen) -> Rules {
     auto r = Rules();
     r.gen = gen;
-    auto sub = [](const Val& v, const char* k) -> const Val& {
-        static const auto none = Val(rapidjson::kObjectType);
+    auto sub = [](const rapidjson::Value& v, const char* k) -> const rapidjson::Value& {
+        static const auto none = rapidjson::Value(rapidjson::kObjectType);
         return v.IsObject() && v.HasMember(k) ? v[k] : none;
     };
     r.share = jsNum(sub(c, "budget"), "share", r.share);
@@ -91,12 +91,12 @@
     return r;
 }
 
-auto Rules::match(View me, View host, View p) const -> int {
+auto Rules::match(std::string_view me, std::string_view host, std::string_view p) const -> int {
     p = p.substr(0, p.find('?'));
     if (!host.empty() && host.back() != ']')  // the colons of an address in brackets are no port
-        if (auto i = host.rfind(':'); i != View::npos) host = host.substr(0, i);
+        if (auto i = host.rfind(':'); i != std::string_view::npos) host = host.substr(0, i);
     // Of one host and path the mapping of this very method counts first, then the first named.
-    auto best = [&](const Table<std::vector<int>>& t, View k) {
+    auto best = [&](const Table<std::vector<int>>& t, std::string_view k) {
         auto b = -1;
         if (auto i = t.find(k); i != t.end())
             for (auto j : i->second) {
@@ -106,7 +106,7 @@
             }
         return b;
     };
-    auto in = [&](const Str& h) {
+    auto in = [&](const std::string& h) {
         auto i = hosts.find(h);
         if (i == hosts.end()) return -1;
         auto b = best(i->second.exact, p);
@@ -166,4 +166,4 @@
     return true;
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/routing/server_load.cpp
+++ b/src/routing/server_load.cpp
@@ -7,7 +7,7 @@
 #include <algorithm>
 #include <cmath>
 
-namespace dt {
+namespace duneturn {
 
 auto Kept::add(std::uint64_t part, std::int64_t tokens, std::int64_t most) -> void {
     if (auto i = at.find(part); i != at.end()) {
@@ -30,7 +30,7 @@
     total = 0;
 }
 
-auto Edge::occupancy(const Str& name, const Server& s) -> double {
+auto Edge::occupancy(const std::string& name, const Server& s) -> double {
     auto& f = fit_[name];
     if (s.seen > f.seen) {
         f.seen = s.seen;
@@ -42,7 +42,7 @@
 }
 
 // The median of what is known of a pool's servers; 0 of fewer than three.
-auto Edge::median(const Str& pool, double Fitness::*what) const -> double {
+auto Edge::median(const std::string& pool, double Fitness::*what) const -> double {
     auto v = std::vector<double>();
     for (auto& [n, s] : n_.servers())
         if (auto i = fit_.find(n); i != fit_.end() && s.l.pool == pool && i->second.*what > 0)
@@ -52,18 +52,18 @@
     return v[v.size() / 2];
 }
 
-auto Edge::fitOf(const Str& s, Us now) -> double {
+auto Edge::fitOf(const std::string& s, Microseconds now) -> double {
     auto& f = fit_[s];
-    return std::min(1.0, f.fit + double(now - f.at) / double(20 * SEC));
+    return std::min(1.0, f.fit + double(now - f.at) / double(20 * SECOND));
 }
 
-auto Edge::hurt(const Str& s, double k, Us now) -> void {
+auto Edge::hurt(const std::string& s, double k, Microseconds now) -> void {
     auto& f = fit_[s];
     f.fit = fitOf(s, now) * k;
     f.at = now;
 }
 
-auto Edge::described(const Str& pool) const -> const PoolRule* {
+auto Edge::described(const std::string& pool) const -> const PoolRule* {
     static const auto plain = PoolRule();
     if (auto i = ru_.pools.find(pool); i != ru_.pools.end()) return &i->second;
     return di_.senderNames ? &plain : nullptr;
@@ -74,7 +74,7 @@
 auto Edge::nodes() const -> std::size_t { return std::max({n_.rows().size() + 1, roster_, peak_}); }
 
 // What a server says of itself in the headers of a reply.
-auto Edge::readLoad(const Str& name, const Headers& h, Us now) -> void {
+auto Edge::readLoad(const std::string& name, const Headers& h, Microseconds now) -> void {
     auto& f = fit_[name];
     f.heard = now;
     f.strikes = 0;
@@ -95,17 +95,17 @@
     }
     if (auto t = header(h, di_.coldMs); !t.empty())
         if (auto n = parseNumber(t); n >= 0)
-            f.coldTill = n ? now + std::min<std::int64_t>(n, 3600000) * MS : 0;
+            f.coldTill = n ? now + std::min<std::int64_t>(n, 3600000) * MILLISECOND : 0;
 }
 
-auto Edge::slots(const Str& name, const Server& s, const PoolRule& pr) -> int {
+auto Edge::slots(const std::string& name, const Server& s, const PoolRule& pr) -> int {
     auto& f = fit_[name];
     return std::max(1, f.slots ? f.slots : s.l.slots ? int(s.l.slots) : pr.slots);
 }
 
 // How many exchanges a server holds: ours, and what it last said of others'. As those come to
 // their ends, what was said tells less and less, and the pool's average more.
-auto Edge::load(const Str& name, const Server& s, Us now) -> double {
+auto Edge::load(const std::string& name, const Server& s, Microseconds now) -> double {
     auto& f = fit_[name];
     auto own = double(f.inflight);
     if (s.seen > f.loadAt) return occupancy(name, s);
@@ -113,7 +113,7 @@
     if (!f.loadAt) return own + p.others;
     auto others = double(std::max(0, f.running + f.waiting - f.atLoad));
     auto age = double(now - f.loadAt);
-    auto w = std::exp(-age / std::max(p.held, double(20 * MS)));
+    auto w = std::exp(-age / std::max(p.held, double(20 * MILLISECOND)));
     auto e = own + others * w + p.others * (1 - w);
     auto trust =
         age <= double(BELIEVED) ? 1 : std::max(0.0, 1 - (age - double(BELIEVED)) / double(2 * BELIEVED));
@@ -121,15 +121,15 @@
 }
 
 // A server that did not connect, or broke, is left alone for a while; see Op::Fit.
-auto Edge::strike(const Str& name, Us now) -> void {
+auto Edge::strike(const std::string& name, Microseconds now) -> void {
     auto& f = fit_[name];
-    f.avoidTill = now + std::min(4 * SEC, 500 * MS << std::min(f.strikes, 3));
+    f.avoidTill = now + std::min(4 * SECOND, 500 * MILLISECOND << std::min(f.strikes, 3));
     f.strikes++;
 }
 
-auto Edge::silent(const Fitness& f, Us now) const -> bool {
+auto Edge::silent(const Fitness& f, Microseconds now) const -> bool {
     return f.inflight > 0 && f.asked > f.heard
-        && double(now - f.asked) > std::max(double(400 * MS), 5 * f.first);
+        && double(now - f.asked) > std::max(double(400 * MILLISECOND), 5 * f.first);
 }
 
 auto Edge::readDone(Exchange& x) -> void {
@@ -139,4 +139,4 @@
     x.unread = 0;
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/shell.hpp
+++ b/src/shell.hpp
@@ -3,27 +3,28 @@
 #include "http.hpp"
 #include "state/state_query.hpp"
 
-namespace dt {
+namespace duneturn {
 
 struct Shell {
     virtual ~Shell() = default;
     /// An operator's order (Node::order); answered once its outcome is known.
-    virtual auto order(const Str& op, const Str& key, const Str& body) -> asio::awaitable<Outcome> = 0;
+    virtual auto order(const std::string& op, const std::string& key, const std::string& body)
+        -> asio::awaitable<Outcome> = 0;
     /// What the state answers to `query` (StateQuery::answer), with status 200: the state that a
     /// majority confirmed after this was called. Another status if none did.
     virtual auto readState(const StateQuery& query) -> asio::awaitable<Outcome> = 0;
     /// The platform's whole listing (Node::list).
-    virtual auto list(const Str& body) -> asio::awaitable<Outcome> = 0;
+    virtual auto list(const std::string& body) -> asio::awaitable<Outcome> = 0;
     /// Where callers near this place should go, as JSON (Node::where).
-    virtual auto where(const Str& region, const Str& district) -> Str = 0;
+    virtual auto where(const std::string& region, const std::string& district) -> std::string = 0;
     /// Whether this node serves now; false from the beginning of a planned stop.
     virtual auto ready() -> bool = 0;
     /// Whether this node does the fleet's single duties now (Node::duty).
     virtual auto duty() -> bool = 0;
     /// The text of the word held here.
-    virtual auto word() -> Str = 0;
+    virtual auto word() -> std::string = 0;
     /// A GET of another process.
-    virtual auto fetch(const Str& addr, const Str& target, Us limit)
+    virtual auto fetch(const std::string& addr, const std::string& target, Microseconds limit)
         -> asio::awaitable<tl::expected<Res, CallError>> = 0;
     virtual auto settings() -> const Settings& = 0;
 };
@@ -32,13 +33,13 @@
 struct Adapter {
     virtual ~Adapter() = default;
     Dialect dialect;
-    std::vector<Str> listens;  // further addresses, HTTP
+    std::vector<std::string> listens;  // further addresses, HTTP
     /// A call at `at`, one of `listens`; what it throws is answered with 500.
-    virtual auto serve(const Str& at, const Req& q, Shell& sh) -> asio::awaitable<Res> = 0;
+    virtual auto serve(const std::string& at, const Req& q, Shell& sh) -> asio::awaitable<Res> = 0;
     /// Begun once; runs as long as the process.
     virtual auto duties(Shell& sh) -> asio::awaitable<void> = 0;
     /// The settings file has changed (SIGHUP).
     virtual auto reload() -> void {}
 };
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/sim/scale.hpp
+++ b/src/sim/scale.hpp
@@ -3,11 +3,11 @@
 // network and disks; the control plane's cost a node and its convergence times, by the number of nodes.
 #include "node.hpp"
 
-namespace dt {
+namespace duneturn {
 
 /// As given on the command line.
 struct ScaleFlags {
-    Str nodes, servers, membership, svg, earlier;
+    std::string nodes, servers, membership, svg, earlier;
     std::uint64_t seed = 1;
     bool json = false;
     bool probes = true;       // watchers ask the servers for their load
@@ -21,25 +21,25 @@
     std::vector<Size> sizes;
     bool learnt = false;
     std::uint64_t seed = 1;
-    Str svg;
-    std::vector<Str> earlier;  // points of earlier runs, a line of JSON each, plotted beside
+    std::string svg;
+    std::vector<std::string> earlier;  // points of earlier runs, a line of JSON each, plotted beside
     bool json = false;
     bool probes = true;
     bool faults = true;  // the losses after the quiet time and the changes
 };
 
 struct ScaleError {
-    Str why;
+    std::string why;
 };
 
 /// What was found at one number of nodes. All figures are whole numbers; their names end in the unit
 /// where it is not a count. A time is -1 where what was waited for did not come.
 struct ScalePoint {
-    Str membership;
+    std::string membership;
     std::uint64_t seed = 1;
-    std::map<Str, std::int64_t> counts;  // from virtual time: the same seed gives the same
-    std::map<Str, std::int64_t> costs;   // processor time and memory of this machine
-    auto json() const -> Str;
+    std::map<std::string, std::int64_t> counts;  // from virtual time: the same seed gives the same
+    std::map<std::string, std::int64_t> costs;   // processor time and memory of this machine
+    auto json() const -> std::string;
 };
 
 auto scaleParse(const ScaleFlags& f) -> tl::expected<ScaleOptions, ScaleError>;
@@ -49,4 +49,4 @@
 /// The subcommand: 0, 1 (the plot could not be written) or 2 (wrong use).
 auto scaleMain(const ScaleFlags& f) -> int;
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/sim/scale_codec.hpp
+++ b/src/sim/scale_codec.hpp
@@ -8,14 +8,14 @@
 #include "Peer.h"
 #include "shared.hpp"
 
-namespace dt {
+namespace duneturn {
 
 /// The compact protocol over a memory buffer. One codec serves one thread.
 class EnvelopeCodec {
   public:
-    auto encode(const wire::Envelope& envelope) -> std::shared_ptr<Str>;
+    auto encode(const wire::Envelope& envelope) -> std::shared_ptr<std::string>;
     /// False if `bytes` hold no sound envelope.
-    auto decode(const Str& bytes, wire::Envelope& envelope) -> bool;
+    auto decode(const std::string& bytes, wire::Envelope& envelope) -> bool;
 
   private:
     static constexpr std::int64_t MESSAGE_LIMIT = 8 << 20;  // the daemon's, in bytes
@@ -31,4 +31,4 @@
     wire::PeerClient client_{std::make_shared<apache::thrift::protocol::TCompactProtocol>(framed_)};
 };
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/sim/scale_command.cpp
+++ b/src/sim/scale_command.cpp
@@ -8,7 +8,7 @@
 #include "scale.hpp"
 #include "scale_plot.hpp"
 
-namespace dt {
+namespace duneturn {
 
 namespace {
 
@@ -20,18 +20,19 @@
 constexpr auto EXIT_NOT_WRITTEN = 1;
 constexpr auto EXIT_WRONG_USE = 2;
 
-auto refusal(Str why) -> tl::unexpected<ScaleError> {
+auto refusal(std::string why) -> tl::unexpected<ScaleError> {
     return tl::make_unexpected(ScaleError{std::move(why)});
 }
 
 /// Whole numbers with commas between, each from `least` to `most`.
-auto parseNumbers(const Str& text, const Str& what, int least, int most)
+auto parseNumbers(const std::string& text, const std::string& what, int least, int most)
     -> tl::expected<std::vector<int>, ScaleError> {
     auto numbers = std::vector<int>();
     auto stream = std::stringstream(text);
-    for (auto word = Str(); std::getline(stream, word, ',');) {
-        if (word.empty() || word.size() > MOST_DIGITS || word.find_first_not_of("0123456789") != Str::npos
-            || std::stoi(word) < least || std::stoi(word) > most)
+    for (auto word = std::string(); std::getline(stream, word, ',');) {
+        if (word.empty() || word.size() > MOST_DIGITS
+            || word.find_first_not_of("0123456789") != std::string::npos || std::stoi(word) < least
+            || std::stoi(word) > most)
             return refusal(
                 fmt::format("{}: wants whole numbers from {} to {}, not \"{}\"", what, least, most, word));
         numbers.push_back(std::stoi(word));
@@ -68,13 +69,13 @@
 }
 
 /// The lines of an earlier run with --json.
-auto readEarlier(const Str& file) -> tl::expected<std::vector<Str>, ScaleError> {
+auto readEarlier(const std::string& file) -> tl::expected<std::vector<std::string>, ScaleError> {
     auto text = fileRead(file);
     if (!text) return refusal("--earlier: " + text.error());
-    auto lines = std::vector<Str>();
+    auto lines = std::vector<std::string>();
     auto stream = std::stringstream(*text);
-    for (auto line = Str(); std::getline(stream, line);) {
-        auto point = Doc();
+    for (auto line = std::string(); std::getline(stream, line);) {
+        auto point = rapidjson::Document();
         if (!jsParse(line, point) || !point.IsObject() || !point.HasMember("counts")
             || !point.HasMember("costs"))
             return refusal("--earlier: " + file + ": not the lines of an earlier run with --json");
@@ -92,7 +93,7 @@
 }
 
 auto printTableLine(ScaleOptions::Size size, const ScalePoint& point) -> void {
-    auto figure = [](const std::map<Str, std::int64_t>& figures, const char* name) {
+    auto figure = [](const std::map<std::string, std::int64_t>& figures, const char* name) {
         auto i = figures.find(name);
         return i == figures.end() ? std::int64_t(-1) : i->second;
     };
@@ -102,11 +103,11 @@
         size.servers, count("all.bytesIn"), count("all.bytesOut"), count("all.bytesMax"),
         count("all.messagesIn"), cost("all.cpuUs"), cost("all.cpuUsMax"),
         double(cost("edge.heapBytes")) / 1e6, double(cost("leader.heapBytes")) / 1e6,
-        count("change.ackUs") / MS, count("change.convergenceUs") / MS, count("failureDetection.allUs") / MS,
-        count("leaderLoss.electionUs") / MS);
+        count("change.ackUs") / MILLISECOND, count("change.convergenceUs") / MILLISECOND,
+        count("failureDetection.allUs") / MILLISECOND, count("leaderLoss.electionUs") / MILLISECOND);
 }
 
-auto writePlot(const ScaleOptions& options, const std::vector<Str>& lines) -> int {
+auto writePlot(const ScaleOptions& options, const std::vector<std::string>& lines) -> int {
     auto file = std::ofstream(options.svg, std::ios::trunc);
     file << scalePlot(lines, options.earlier);
     file.close();
@@ -157,7 +158,7 @@
         fmt::print(stderr, "duneturn scale: {}\n", options.error().why);
         return EXIT_WRONG_USE;
     }
-    auto lines = std::vector<Str>();
+    auto lines = std::vector<std::string>();
     if (!options->json) printTableHead();
     for (auto size : options->sizes) {
         auto point = scalePoint(*options, size);
@@ -169,4 +170,4 @@
     return options->svg.empty() ? 0 : writePlot(*options, lines);
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/sim/scale_fleet.cpp
+++ b/src/sim/scale_fleet.cpp
@@ -8,17 +8,17 @@
 
 #include "word.hpp"
 
-namespace dt::scale {
+namespace duneturn::scale {
 
 namespace {
 
-constexpr Us TICK = 20 * MS;  // as the daemon's
-constexpr Us ZONE_LATENCY = 200;
-constexpr Us REGION_LATENCY = 1400;
-constexpr Us WORLD_LATENCY = 55 * MS;
-constexpr Us JITTER_PART = 20;  // of a latency, added by chance at the most
-constexpr Us SYNC_TIME = 500;   // of the virtual disk, and as much again by chance
-constexpr Us LISTING_PERIOD = SEC;
+constexpr Microseconds TICK = 20 * MILLISECOND;  // as the daemon's
+constexpr Microseconds ZONE_LATENCY = 200;
+constexpr Microseconds REGION_LATENCY = 1400;
+constexpr Microseconds WORLD_LATENCY = 55 * MILLISECOND;
+constexpr Microseconds JITTER_PART = 20;  // of a latency, added by chance at the most
+constexpr Microseconds SYNC_TIME = 500;   // of the virtual disk, and as much again by chance
+constexpr Microseconds LISTING_PERIOD = SECOND;
 // What a message costs on the wire beside its frame: Ethernet, IP and TCP (with time stamps) headers
 // for each segment begun. Connections, acknowledgements of TCP and resends are not counted.
 constexpr std::int64_t SEGMENT_BYTES = 1448;
@@ -38,8 +38,8 @@
 }
 
 /// A configuration with a route for each tenant, over all models.
-auto configurationFor(int tenants) -> Str {
-    auto models = Str(), routes = Str();
+auto configurationFor(int tenants) -> std::string {
+    auto models = std::string(), routes = std::string();
     for (auto i = 0; i < MODELS; i++)
         models +=
             fmt::format("{}\"model-{}\":{{\"migrationLimit\":2,\"maxSequence\":8192}}", i ? "," : "", i);
@@ -87,7 +87,7 @@
         auto diskSeed = fleet.options.seed * 77 + std::uint64_t(life);
         node->startCore(held, fmt::format("{:016x}", hash64(settings.node, diskSeed)), fleet.now);
     }
-    fleet.atNode(*this, Us(fleet.rng.below(TICK)), [](HollowNode& self) { self.tick(); });
+    fleet.atNode(*this, Microseconds(fleet.rng.below(TICK)), [](HollowNode& self) { self.tick(); });
 }
 
 auto HollowNode::kill() -> void {
@@ -104,7 +104,7 @@
     fleet.atNode(*this, TICK, [](HollowNode& self) { self.tick(); });
 }
 
-auto HollowNode::encoded(const wire::Envelope& envelope) -> std::shared_ptr<Str> {
+auto HollowNode::encoded(const wire::Envelope& envelope) -> std::shared_ptr<std::string> {
     auto began = cpuNow();
     auto bytes = fleet.codec.encode(envelope);
     auto spent = cpuNow() - began;
@@ -113,7 +113,7 @@
     return bytes;
 }
 
-auto HollowNode::tell(const Str& addr, const wire::Envelope& envelope) -> void {
+auto HollowNode::tell(const std::string& addr, const wire::Envelope& envelope) -> void {
     auto found = fleet.nodeByAddr.find(addr);
     if (found == fleet.nodeByAddr.end() || found->second == index) return;
     auto bytes = encoded(envelope);
@@ -125,7 +125,7 @@
         *this, receiver, wireBytes, [&receiver, bytes, wireBytes] { receiver.receive(*bytes, wireBytes); });
 }
 
-auto HollowNode::receive(const Str& bytes, std::int64_t wireBytes) -> void {
+auto HollowNode::receive(const std::string& bytes, std::int64_t wireBytes) -> void {
     auto envelope = wire::Envelope();
     auto began = cpuNow();
     auto sound = fleet.codec.decode(bytes, envelope);
@@ -156,7 +156,7 @@
 auto HollowNode::syncNext() -> void {
     syncing = !writing.empty();
     if (!syncing) return;
-    fleet.atNode(*this, SYNC_TIME + Us(fleet.rng.below(SYNC_TIME)), [](HollowNode& self) {
+    fleet.atNode(*this, SYNC_TIME + Microseconds(fleet.rng.below(SYNC_TIME)), [](HollowNode& self) {
         auto write = std::move(self.writing.front());
         self.writing.pop_front();
         diskApply(self.held, write);
@@ -175,7 +175,7 @@
     fleet.atNode(*this, 0, [answered = std::move(answered), outcome](HollowNode&) { answered(outcome); });
 }
 
-auto HollowNode::probe(const Str& server, const Str& addr) -> void {
+auto HollowNode::probe(const std::string& server, const std::string& addr) -> void {
     auto found = fleet.serverByAddr.find(addr);
     if (found == fleet.serverByAddr.end()) return;
     stats.probes++;
@@ -200,18 +200,19 @@
 Fleet::Fleet(const ScaleOptions& o, ScaleOptions::Size s)
     : options(o), size(s), rng{hash64("scale", o.seed)}, net{hash64("net", o.seed)} {}
 
-auto Fleet::at(Us when, std::function<void()> event) -> void {
+auto Fleet::at(Microseconds when, std::function<void()> event) -> void {
     events_.push({std::max(when, now), ++eventCount_, std::move(event)});
 }
 
-auto Fleet::atNode(const HollowNode& node, Us delay, std::function<void(HollowNode&)> event) -> void {
+auto Fleet::atNode(const HollowNode& node, Microseconds delay, std::function<void(HollowNode&)> event)
+    -> void {
     in(delay, [this, index = node.index, life = node.life, event = std::move(event)] {
         auto& target = *nodes[std::size_t(index)];
         if (target.up && target.life == life) event(target);
     });
 }
 
-auto Fleet::runUntil(Us end) -> void {
+auto Fleet::runUntil(Microseconds end) -> void {
     while (!events_.empty() && events_.top().at <= end) {
         auto event = events_.top();
         events_.pop();
@@ -221,8 +222,8 @@
     now = end;
 }
 
-auto Fleet::waitFor(Us limit, const std::function<bool()>& condition) -> Us {
-    constexpr auto STEP = 10 * MS;
+auto Fleet::waitFor(Microseconds limit, const std::function<bool()>& condition) -> Microseconds {
+    constexpr auto STEP = 10 * MILLISECOND;
     auto began = now;
     while (now - began < limit) {
         if (condition()) return now - began;
@@ -231,9 +232,9 @@
     return condition() ? now - began : -1;
 }
 
-auto Fleet::latency(int fromZone, int fromRegion, int toZone, int toRegion) -> Us {
+auto Fleet::latency(int fromZone, int fromRegion, int toZone, int toRegion) -> Microseconds {
     auto least = fromZone == toZone ? ZONE_LATENCY : fromRegion == toRegion ? REGION_LATENCY : WORLD_LATENCY;
-    return least + Us(net.below(std::uint64_t(least / JITTER_PART)));
+    return least + Microseconds(net.below(std::uint64_t(least / JITTER_PART)));
 }
 
 auto Fleet::partitioned(int fromRegion, int toRegion) const -> bool {
@@ -290,7 +291,8 @@
 
 auto Fleet::addNodes() -> void {
     auto inZone = std::vector<int>(std::size_t(zones), 0);
-    auto seeds = std::vector<Str>(), roster = std::vector<Str>(), seats = std::vector<Str>();
+    auto seeds = std::vector<std::string>(), roster = std::vector<std::string>(),
+         seats = std::vector<std::string>();
     for (auto i = 0; i < size.nodes; i++) {
         auto node = std::make_unique<HollowNode>(*this, i);
         node->zone = i % zones;
@@ -338,10 +340,10 @@
 }
 
 // As many tenants as the schema takes.
-auto Fleet::largestConfiguration() -> Str {
+auto Fleet::largestConfiguration() -> std::string {
     for (auto tenants = MOST_TENANTS; tenants > 0; tenants -= 10) {
         auto text = configurationFor(tenants);
-        auto document = Doc();
+        auto document = rapidjson::Document();
         jsParse(text, document);
         if (!configCheck(document).empty()) continue;
         point.counts["tenants"] = tenants;
@@ -350,8 +352,8 @@
     return "{\"mappings\":[]}";
 }
 
-auto Fleet::listing() -> Str {
-    auto list = Str();
+auto Fleet::listing() -> std::string {
+    auto list = std::string();
     for (auto& server : servers)
         list += fmt::format(
             "{}{{\"name\":\"{}\",\"address\":\"{}\",\"region\":\"region-{}\",\"district\":\"hall-{:02}\","
@@ -380,7 +382,7 @@
 auto Fleet::leader() -> HollowNode* {
     for (auto i = 0; i < cores; i++) {
         auto& node = *nodes[std::size_t(i)];
-        if (node.up && node.node->voter()->ready() && now - node.node->voter()->quorumAt() < SEC
+        if (node.up && node.node->voter()->ready() && now - node.node->voter()->quorumAt() < SECOND
             && node.region != partitionedRegion)
             return &node;
     }
@@ -422,20 +424,20 @@
 }
 
 // The nodes that others hear the news from, as the leader sees the tree.
-auto Fleet::relays() -> std::set<Str> {
-    auto names = std::set<Str>();
+auto Fleet::relays() -> std::set<std::string> {
+    auto names = std::set<std::string>();
     auto lead = leader();
-    auto beliefs = Doc();
+    auto beliefs = rapidjson::Document();
     if (lead && jsParse(lead->node->beliefs(now), beliefs) && beliefs.HasMember("relays"))
         for (auto& relay : beliefs["relays"].GetObject())
-            names.insert(Str(relay.value.GetString(), relay.value.GetStringLength()));
+            names.insert(std::string(relay.value.GetString(), relay.value.GetStringLength()));
     return names;
 }
 
-auto Fleet::roleOf(const HollowNode& node, const std::set<Str>& relayNames) -> Str {
+auto Fleet::roleOf(const HollowNode& node, const std::set<std::string>& relayNames) -> std::string {
     if (&node == leader()) return "leader";
     if (node.core) return "core";
     return relayNames.count(node.settings.node) ? "relay" : "edge";
 }
 
-}  // namespace dt::scale
+}  // namespace duneturn::scale
--- a/src/sim/scale_fleet.hpp
+++ b/src/sim/scale_fleet.hpp
@@ -10,7 +10,7 @@
 #include "scale.hpp"
 #include "scale_codec.hpp"
 
-namespace dt::scale {
+namespace duneturn::scale {
 
 /// What one node did and cost. The first part is the same for the same seed.
 struct Stats {
@@ -42,7 +42,7 @@
     DiskState held;                 // what the virtual disk keeps
     std::deque<DiskWrite> writing;  // written, not yet synced
     std::int64_t diskBytes = 0;
-    std::vector<Str> peerHints;
+    std::vector<std::string> peerHints;
     std::unique_ptr<Counters> counters;
     std::unique_ptr<Node> node;
     std::map<std::int64_t, std::function<void(const Outcome&)>> calls;
@@ -52,21 +52,21 @@
     auto start() -> void;
     auto kill() -> void;
     auto tick() -> void;
-    auto tell(const Str& addr, const wire::Envelope& envelope) -> void override;
+    auto tell(const std::string& addr, const wire::Envelope& envelope) -> void override;
     auto disk(const DiskWrite& write) -> void override;
     auto done(std::int64_t id, const Outcome& outcome) -> void override;
-    auto book(const std::vector<Str>& peers) -> void override { peerHints = peers; }
-    auto probe(const Str& server, const Str& addr) -> void override;
+    auto book(const std::vector<std::string>& peers) -> void override { peerHints = peers; }
+    auto probe(const std::string& server, const std::string& addr) -> void override;
 
   private:
-    auto encoded(const wire::Envelope& envelope) -> std::shared_ptr<Str>;
-    auto receive(const Str& bytes, std::int64_t wireBytes) -> void;
+    auto encoded(const wire::Envelope& envelope) -> std::shared_ptr<std::string>;
+    auto receive(const std::string& bytes, std::int64_t wireBytes) -> void;
     auto syncNext() -> void;
 };
 
 /// A model server of the listing; it is never called.
 struct HollowServer {
-    Str name, addr;
+    std::string name, addr;
     int zone = 0, pool = 0;
     bool leaving = false;
 };
@@ -81,24 +81,24 @@
     ScaleOptions::Size size;
     ScalePoint point;
     Rng rng, net;
-    Us now = 0;
+    Microseconds now = 0;
     int zones = 0, regions = 0, cores = 0;
     int partitionedRegion = -1;  // cut off from the others; -1: none
     std::vector<std::unique_ptr<HollowNode>> nodes;
     std::vector<HollowServer> servers;
-    std::map<Str, int> nodeByAddr, serverByAddr;
+    std::map<std::string, int> nodeByAddr, serverByAddr;
     EnvelopeCodec codec;
     std::int64_t refusedMessages = 0;
 
     // ---- virtual time and network
-    auto at(Us when, std::function<void()> event) -> void;
-    auto in(Us delay, std::function<void()> event) -> void { at(now + delay, std::move(event)); }
+    auto at(Microseconds when, std::function<void()> event) -> void;
+    auto in(Microseconds delay, std::function<void()> event) -> void { at(now + delay, std::move(event)); }
     /// An event at a node, dropped if that node is down or restarted by then.
-    auto atNode(const HollowNode& node, Us delay, std::function<void(HollowNode&)> event) -> void;
-    auto runUntil(Us end) -> void;
+    auto atNode(const HollowNode& node, Microseconds delay, std::function<void(HollowNode&)> event) -> void;
+    auto runUntil(Microseconds end) -> void;
     /// Goes on until `condition` holds; how long that took, or -1.
-    auto waitFor(Us limit, const std::function<bool()>& condition) -> Us;
-    auto latency(int fromZone, int fromRegion, int toZone, int toRegion) -> Us;
+    auto waitFor(Microseconds limit, const std::function<bool()>& condition) -> Microseconds;
+    auto latency(int fromZone, int fromRegion, int toZone, int toRegion) -> Microseconds;
     auto partitioned(int fromRegion, int toRegion) const -> bool;
     /// Hands bytes to a node over the link between the two, which keeps their order.
     auto transmit(const HollowNode& from, const HollowNode& to, std::int64_t bytes,
@@ -111,7 +111,7 @@
 
   private:
     struct Event {
-        Us at;
+        Microseconds at;
         std::int64_t sequence;
         std::function<void()> run;
     };
@@ -126,7 +126,7 @@
     };
     /// The longest times over several changes; -1 where one did not come.
     struct ChangeTimes {
-        Us acknowledged = 0, lastNode = 0, whole = 0;
+        Microseconds acknowledged = 0, lastNode = 0, whole = 0;
     };
 
     // ---- setting up
@@ -135,9 +135,9 @@
     auto addServers() -> void;
     auto startNodes() -> void;
     auto fillOutcomes() -> void;
-    auto putConfiguration(const Str& configuration) -> void;
-    auto largestConfiguration() -> Str;
-    auto listing() -> Str;
+    auto putConfiguration(const std::string& configuration) -> void;
+    auto largestConfiguration() -> std::string;
+    auto listing() -> std::string;
     auto tellListing() -> void;
 
     // ---- what the fleet believes
@@ -146,31 +146,31 @@
     auto sameState() -> bool;
     auto allKnowLeader() -> bool;
     auto converged() -> bool;
-    auto relays() -> std::set<Str>;
-    auto roleOf(const HollowNode& node, const std::set<Str>& relayNames) -> Str;
+    auto relays() -> std::set<std::string>;
+    auto roleOf(const HollowNode& node, const std::set<std::string>& relayNames) -> std::string;
 
     // ---- measuring
-    auto order(HollowNode& node, const Str& operation, const Str& body,
+    auto order(HollowNode& node, const std::string& operation, const std::string& body,
         std::function<void(const Outcome&)> answered) -> void;
     auto setUp() -> bool;
     auto steadyState() -> void;
     auto noteBusiest() -> void;
-    auto noteRole(const Str& role, const Stats& sum, std::int64_t count) -> void;
+    auto noteRole(const std::string& role, const Stats& sum, std::int64_t count) -> void;
     auto totals() -> Totals;
     auto killRelay(const HollowNode& spared) -> void;
     auto allTookConfig() -> bool;
     auto oneChange(HollowNode& leader, bool withRelayLoss, ChangeTimes& times) -> void;
-    auto change(const Str& name, int count, bool withRelayLoss) -> void;
-    auto election(const Str& name, Us limit) -> void;
+    auto change(const std::string& name, int count, bool withRelayLoss) -> void;
+    auto election(const std::string& name, Microseconds limit) -> void;
     auto startAll() -> void;
-    auto recover(const Str& name) -> void;
+    auto recover(const std::string& name) -> void;
     auto serverLeaves() -> void;
     auto edgeRestarts() -> void;
     auto leaderLoss() -> void;
     auto zoneLoss() -> void;
     auto regionPartition() -> void;
     auto regionToCutOff(const HollowNode& leader) -> int;
-    auto readyInside(int region, Us began) -> std::int64_t;
+    auto readyInside(int region, Microseconds began) -> std::int64_t;
     auto memory() -> void;
 
     std::priority_queue<Event, std::vector<Event>, Later> events_;
@@ -178,10 +178,10 @@
     std::int64_t bytesInFlight_ = 0, mostBytesInFlight_ = 0;
     std::int64_t bytesBetweenZones_ = 0, bytesBetweenRegions_ = 0;  // the first within a region
     int orders_ = 0;
-    std::vector<Us> linkFreeAt_;  // by sender and receiver
-    std::vector<Us> tookAt_;      // when each node took the newest configuration
+    std::vector<Microseconds> linkFreeAt_;  // by sender and receiver
+    std::vector<Microseconds> tookAt_;      // when each node took the newest configuration
     std::int64_t awaitedConfig_ = 0, readSink_ = 0;
     bool warmCaches_ = false;
 };
 
-}  // namespace dt::scale
+}  // namespace duneturn::scale
