--- a/src/sim/scale_measure.cpp
+++ b/src/sim/scale_measure.cpp
@@ -5,24 +5,24 @@
 
 #include "scale_fleet.hpp"
 
-namespace dt::scale {
+namespace duneturn::scale {
 
 namespace {
 
-constexpr Us STEADY_WINDOW = 10 * SEC;  // over which bytes and messages are counted
-constexpr Us FOUNDING_LIMIT = 60 * SEC;
-constexpr Us RECOVERY_LIMIT = 60 * SEC;
-constexpr Us CONVERGENCE_LIMIT = 30 * SEC;
-constexpr Us ELECTION_LIMIT = 30 * SEC;
-constexpr Us ANSWER_LIMIT = 6 * SEC;
-constexpr Us CHANGE_LIMIT = 20 * SEC;
-constexpr Us CHANGE_PERIOD = 2 * SEC;
-constexpr Us PARTITION_TIME = 30 * SEC;
-constexpr Us PARTITION_SETTLED = 20 * SEC;  // into it, when readiness inside is looked at
+constexpr Microseconds STEADY_WINDOW = 10 * SECOND;  // over which bytes and messages are counted
+constexpr Microseconds FOUNDING_LIMIT = 60 * SECOND;
+constexpr Microseconds RECOVERY_LIMIT = 60 * SECOND;
+constexpr Microseconds CONVERGENCE_LIMIT = 30 * SECOND;
+constexpr Microseconds ELECTION_LIMIT = 30 * SECOND;
+constexpr Microseconds ANSWER_LIMIT = 6 * SECOND;
+constexpr Microseconds CHANGE_LIMIT = 20 * SECOND;
+constexpr Microseconds CHANGE_PERIOD = 2 * SECOND;
+constexpr Microseconds PARTITION_TIME = 30 * SECOND;
+constexpr Microseconds PARTITION_SETTLED = 20 * SECOND;  // into it, when readiness inside is looked at
 constexpr int CHANGES = 3;
 constexpr int CONFIGURATION_TRIES = 5;
 constexpr int OUTCOMES = 256;  // that the state remembers
-constexpr Us OUTCOME_GAP = 5 * MS;
+constexpr Microseconds OUTCOME_GAP = 5 * MILLISECOND;
 // A probe's request and reply with their headers: assumed, since the servers are not real.
 constexpr std::int64_t PROBE_BYTES = 250 + 330;
 constexpr int STATUS_OK = 200;
@@ -34,11 +34,13 @@
 }
 
 /// The longer of two times; -1 once one of them did not come.
-auto longest(Us soFar, Us time) -> Us { return soFar < 0 || time < 0 ? -1 : std::max(soFar, time); }
+auto longest(Microseconds soFar, Microseconds time) -> Microseconds {
+    return soFar < 0 || time < 0 ? -1 : std::max(soFar, time);
+}
 
 }  // namespace
 
-auto Fleet::order(HollowNode& node, const Str& operation, const Str& body,
+auto Fleet::order(HollowNode& node, const std::string& operation, const std::string& body,
     std::function<void(const Outcome&)> answered) -> void {
     auto id = ++node.callId;
     node.calls[id] = std::move(answered);
@@ -52,11 +54,11 @@
 
 auto Fleet::startNodes() -> void {
     for (auto& node : nodes)
-        in(Us(rng.below(500 * MS)), [started = node.get()] {
+        in(Microseconds(rng.below(500 * MILLISECOND)), [started = node.get()] {
             started->start();
             started->settings.bootstrap = false;  // of the first start only
         });
-    runUntil(600 * MS);
+    runUntil(600 * MILLISECOND);
 }
 
 // The state carries the last outcomes; a fleet that has run for hours carries all of them.
@@ -73,7 +75,7 @@
     point.counts["outcomes"] = std::int64_t(lead ? lead->node->word().d["outcomes"].Size() : 0);
 }
 
-auto Fleet::putConfiguration(const Str& configuration) -> void {
+auto Fleet::putConfiguration(const std::string& configuration) -> void {
     auto status = 0;
     for (auto k = 0; k < CONFIGURATION_TRIES && status != STATUS_OK; k++) {
         if (auto lead = leader())
@@ -104,15 +106,15 @@
     if (counts["readyUs"] < 0) return false;
     counts["wordBytes"] = std::int64_t(leader()->node->word().text().size());
     counts["configBytes"] = std::int64_t(configuration.size());
-    runUntil(now + 5 * SEC);
+    runUntil(now + 5 * SECOND);
     return true;
 }
 
 // ---- the steady state: nothing but what control says by itself
 
 auto Fleet::noteBusiest() -> void {
-    constexpr auto SECONDS = STEADY_WINDOW / SEC;
-    auto raise = [&](const Str& name, std::int64_t value) {
+    constexpr auto SECONDS = STEADY_WINDOW / SECOND;
+    auto raise = [&](const std::string& name, std::int64_t value) {
         auto& highest = point.counts[name];
         highest = std::max(highest, value / SECONDS);
     };
@@ -131,8 +133,8 @@
 }
 
 // Means over the nodes of one role, a second.
-auto Fleet::noteRole(const Str& role, const Stats& sum, std::int64_t count) -> void {
-    auto nodeSeconds = count * (STEADY_WINDOW / SEC);
+auto Fleet::noteRole(const std::string& role, const Stats& sum, std::int64_t count) -> void {
+    auto nodeSeconds = count * (STEADY_WINDOW / SECOND);
     auto& counts = point.counts;
     counts[role + ".nodes"] = count;
     counts[role + ".bytesIn"] = sum.bytesIn / nodeSeconds;
@@ -158,17 +160,17 @@
 }
 
 auto Fleet::steadyState() -> void {
-    constexpr auto SECONDS = STEADY_WINDOW / SEC;
+    constexpr auto SECONDS = STEADY_WINDOW / SECOND;
     for (auto& node : nodes) node->stats = {};
     bytesBetweenZones_ = bytesBetweenRegions_ = mostBytesInFlight_ = 0;
     warmCaches_ = true;
     runUntil(now + STEADY_WINDOW);
     warmCaches_ = false;
     auto relayNames = relays();
-    auto sums = std::map<Str, Stats>();
-    auto numbers = std::map<Str, std::int64_t>();
+    auto sums = std::map<std::string, Stats>();
+    auto numbers = std::map<std::string, std::int64_t>();
     for (auto& node : nodes)
-        for (auto& role : {Str("all"), roleOf(*node, relayNames)}) {
+        for (auto& role : {std::string("all"), roleOf(*node, relayNames)}) {
             sums[role].add(node->stats);
             numbers[role]++;
         }
@@ -217,7 +219,7 @@
     auto base = lead.node->word().configGen();
     awaitedConfig_ = base + 1;
     tookAt_.assign(nodes.size(), -1);
-    auto began = now, acknowledgedAt = Us(-1);
+    auto began = now, acknowledgedAt = Microseconds(-1);
     auto status = 0;
     auto& asked = someEdge(partitionedRegion);
     if (withRelayLoss) killRelay(asked);
@@ -235,7 +237,7 @@
     auto taken = status == STATUS_OK && acknowledgedAt >= 0;
     times.acknowledged = longest(times.acknowledged, taken ? acknowledgedAt - began : -1);
     // Nodes may act on a change before it is acknowledged.
-    auto toLast = taken && all >= 0 ? std::max(Us(0), lastTook - acknowledgedAt) : -1;
+    auto toLast = taken && all >= 0 ? std::max(Microseconds(0), lastTook - acknowledgedAt) : -1;
     times.lastNode = longest(times.lastNode, toLast);
     times.whole = std::max(times.whole, lastTook - began);
     awaitedConfig_ = 0;
@@ -243,7 +245,7 @@
 }
 
 // Changes one after another. With `withRelayLoss` a relay dies in the moment of each.
-auto Fleet::change(const Str& name, int count, bool withRelayLoss) -> void {
+auto Fleet::change(const std::string& name, int count, bool withRelayLoss) -> void {
     auto began = now;
     auto before = totals();
     auto lead = leader();
@@ -266,7 +268,7 @@
     if (count < CHANGES) return;
     // The cost of a change is what lies beyond the steady state's.
     auto after = totals();
-    auto seconds = double(now - began) / double(SEC);
+    auto seconds = double(now - began) / double(SECOND);
     auto number = double(nodes.size());
     auto& costs = point.costs;
     auto steadyBytes = double(counts["all.bytesIn"]) * number * seconds;
@@ -285,7 +287,7 @@
 // ---- losses
 
 // How long there is no leader that acts, and until all that run name the same one.
-auto Fleet::election(const Str& name, Us limit) -> void {
+auto Fleet::election(const std::string& name, Microseconds limit) -> void {
     auto began = now;
     point.counts[name + ".electionUs"] = waitFor(limit, [&] { return leader() != nullptr; });
     auto known = waitFor(limit, [&] { return allKnowLeader(); });
@@ -297,10 +299,10 @@
         if (!node->up) node->start();
 }
 
-auto Fleet::recover(const Str& name) -> void {
+auto Fleet::recover(const std::string& name) -> void {
     startAll();
     point.counts[name + ".recoveredUs"] = waitFor(RECOVERY_LIMIT, [&] { return converged(); });
-    runUntil(now + 2 * SEC);
+    runUntil(now + 2 * SECOND);
 }
 
 // A server begins to leave; until the last node knows.
@@ -357,10 +359,10 @@
 }
 
 // How many in a thousand of the cut off region's nodes are ready, late in a partition that began then.
-auto Fleet::readyInside(int region, Us began) -> std::int64_t {
+auto Fleet::readyInside(int region, Microseconds began) -> std::int64_t {
     auto ready = std::int64_t(0), asked = std::int64_t(0);
     while (now - began < PARTITION_TIME) {
-        runUntil(now + 500 * MS);
+        runUntil(now + 500 * MILLISECOND);
         if (now - began < PARTITION_SETTLED) continue;
         for (auto& node : nodes) {
             if (node->region != region || !node->up) continue;
@@ -389,7 +391,7 @@
 // The heap that the end of each kind of node gives back; the disk is virtual and not counted.
 auto Fleet::memory() -> void {
     auto relayNames = relays();
-    auto byRole = std::map<Str, HollowNode*>();
+    auto byRole = std::map<std::string, HollowNode*>();
     for (auto& node : nodes)
         if (node->up) byRole.emplace(roleOf(*node, relayNames), node.get());
     for (auto& [role, node] : byRole) {
@@ -418,9 +420,9 @@
     memory();
 }
 
-}  // namespace dt::scale
+}  // namespace duneturn::scale
 
-namespace dt {
+namespace duneturn {
 
 auto scalePoint(const ScaleOptions& options, ScaleOptions::Size size) -> ScalePoint {
     logMute(true);
@@ -432,9 +434,9 @@
     return std::move(fleet->point);
 }
 
-auto ScalePoint::json() const -> Str {
-    auto object = [](const std::map<Str, std::int64_t>& figures) {
-        auto text = Str();
+auto ScalePoint::json() const -> std::string {
+    auto object = [](const std::map<std::string, std::int64_t>& figures) {
+        auto text = std::string();
         for (auto& [name, value] : figures)
             text += fmt::format("{}{}:{}", text.empty() ? "" : ",", jsQuote(name), value);
         return "{" + text + "}";
@@ -443,4 +445,4 @@
         {"counts", object(counts)}, {"costs", object(costs)}});
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/sim/scale_plot.cpp
+++ b/src/sim/scale_plot.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <set>
 
-namespace dt {
+namespace duneturn {
 
 namespace {
 
@@ -27,20 +27,20 @@
 
 /// One curve: a figure of the points, divided by its unit.
 struct Curve {
-    Str label, part, key, colour;
+    std::string label, part, key, colour;
     double unit;
 };
 
 struct Panel {
-    Str title;
+    std::string title;
     double budget;
-    Str budgetText;
+    std::string budgetText;
     std::vector<Curve> curves;
 };
 
 /// One run's figures at one number of nodes.
 struct Point {
-    Doc figures;
+    rapidjson::Document figures;
     bool earlier = false;
 
     auto nodes() const -> double { return jsNum(figures["counts"], "nodes"); }
@@ -70,7 +70,8 @@
     };
 }
 
-auto parsePoints(const std::vector<Str>& now, const std::vector<Str>& earlier) -> std::vector<Point> {
+auto parsePoints(const std::vector<std::string>& now, const std::vector<std::string>& earlier)
+    -> std::vector<Point> {
     auto points = std::vector<Point>();
     for (auto* lines : {&now, &earlier})
         for (auto& line : *lines) {
@@ -107,7 +108,7 @@
     return range;
 }
 
-auto axisText(double value) -> Str {
+auto axisText(double value) -> std::string {
     if (value >= 1e6) return fmt::format("{:g}M", value / 1e6);
     if (value >= 1e3) return fmt::format("{:g}k", value / 1e3);
     return fmt::format("{:g}", value);
@@ -116,7 +117,8 @@
 /// Draws one panel at a place of the page.
 class PanelDrawing {
   public:
-    PanelDrawing(Str& svg, const Panel& panel, const std::vector<Point>& points, double left, double top)
+    PanelDrawing(
+        std::string& svg, const Panel& panel, const std::vector<Point>& points, double left, double top)
         : svg_(svg),
           panel_(panel),
           points_(points),
@@ -145,10 +147,10 @@
         return top_
             + AREA_HEIGHT * (1 - std::log(value / values_.low) / std::log(values_.high / values_.low));
     }
-    auto text(double atX, double atY, const Str& words, const Str& attributes = "") -> void {
+    auto text(double atX, double atY, const std::string& words, const std::string& attributes = "") -> void {
         svg_ += fmt::format("<text x=\"{:.1f}\" y=\"{:.1f}\" {}>{}</text>\n", atX, atY, attributes, words);
     }
-    auto line(double fromX, double fromY, double toX, double toY, const Str& attributes) -> void {
+    auto line(double fromX, double fromY, double toX, double toY, const std::string& attributes) -> void {
         svg_ += fmt::format("<line x1=\"{:.1f}\" y1=\"{:.1f}\" x2=\"{:.1f}\" y2=\"{:.1f}\" {}/>\n", fromX,
             fromY, toX, toY, attributes);
     }
@@ -184,7 +186,7 @@
             fmt::format("text-anchor=\"end\" fill=\"{}\"", GREY));
     }
     auto drawCurve(const Curve& curve, bool earlier) -> void {
-        auto path = Str(), dots = Str();
+        auto path = std::string(), dots = std::string();
         for (auto& point : points_) {
             auto nodes = point.nodes(), value = point.value(curve);
             if (point.earlier != earlier || nodes <= 0 || value <= 0) continue;
@@ -203,7 +205,7 @@
         text(left + LEGEND_MARK + 4, bottom + 29, curve.label);
     }
 
-    Str& svg_;
+    std::string& svg_;
     const Panel& panel_;
     const std::vector<Point>& points_;
     double left_, top_;
@@ -211,14 +213,14 @@
 };
 
 /// The membership that a run's points were measured with; empty of none.
-auto membershipOf(const std::vector<Str>& lines) -> Str {
-    auto figures = Doc();
-    return !lines.empty() && jsParse(lines[0], figures) ? jsStr(figures, "membership") : Str();
+auto membershipOf(const std::vector<std::string>& lines) -> std::string {
+    auto figures = rapidjson::Document();
+    return !lines.empty() && jsParse(lines[0], figures) ? jsStr(figures, "membership") : std::string();
 }
 
 }  // namespace
 
-auto scalePlot(const std::vector<Str>& now, const std::vector<Str>& earlier) -> Str {
+auto scalePlot(const std::vector<std::string>& now, const std::vector<std::string>& earlier) -> std::string {
     auto points = parsePoints(now, earlier);
     auto svg = fmt::format(
         "<svg xmlns=\"http://www.w3.org/2000/svg\" width=\"{0}\" height=\"{1}\" viewBox=\"0 0 {0} {1}\" "
@@ -241,4 +243,4 @@
     return svg;
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/sim/scale_plot.hpp
+++ b/src/sim/scale_plot.hpp
@@ -2,10 +2,10 @@
 // The plot of the `scale` subcommand: cost and convergence by the number of nodes.
 #include "shared.hpp"
 
-namespace dt {
+namespace duneturn {
 
 /// An SVG page of four panels on logarithmic scales. Each point is a line of JSON as
 /// ScalePoint::json gives it; the lines of `earlier` runs are dashed.
-auto scalePlot(const std::vector<Str>& now, const std::vector<Str>& earlier) -> Str;
+auto scalePlot(const std::vector<std::string>& now, const std::vector<std::string>& earlier) -> std::string;
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/simulate.cpp
+++ b/src/simulate.cpp
@@ -7,24 +7,24 @@
 #include <deque>
 #include <queue>
 
-namespace dt {
+namespace duneturn {
 
-static const auto FAULTS = std::vector<Str>{"crash", "crash-many", "freeze", "cut-node", "cut-district",
-    "one-way", "core-split", "lossy", "clock", "power", "disk-slow", "disk-full", "disk-stall", "disk-wipe",
-    "replace-core", "server-crash", "server-dark", "server-stall", "server-slow", "server-wrong",
-    "server-cut", "server-skip", "server-deny", "server-cold", "leave", "empty", "config", "race", "plan",
-    "crowd", "swing", "rules", "server-roll", "late-listing", "district-loss", "total-loss",
+static const auto FAULTS = std::vector<std::string>{"crash", "crash-many", "freeze", "cut-node",
+    "cut-district", "one-way", "core-split", "lossy", "clock", "power", "disk-slow", "disk-full",
+    "disk-stall", "disk-wipe", "replace-core", "server-crash", "server-dark", "server-stall", "server-slow",
+    "server-wrong", "server-cut", "server-skip", "server-deny", "server-cold", "leave", "empty", "config",
+    "race", "plan", "crowd", "swing", "rules", "server-roll", "late-listing", "district-loss", "total-loss",
     "total-loss-disk", "total-loss-moved", "ruin", "power-after-ack", "wipe-after-ack", "closing-wipe"};
-static const auto BROKEN = std::vector<Str>{"resend-any", "join-any", "ignore-home", "no-budget", "no-ramp",
-    "cut-looks-whole", "ignore-leaving", "no-lease", "ack-early", "old-word", "ack-before-sync", "vote-twice",
-    "no-quorum", "old-rules", "resume-any", "queue-leak", "late-up", "no-serve", "any-weights", "bad-step",
-    "old-boot"};
-auto simFaults() -> std::vector<Str> { return FAULTS; }
-auto simBroken() -> std::vector<Str> { return BROKEN; }
+static const auto BROKEN = std::vector<std::string>{"resend-any", "join-any", "ignore-home", "no-budget",
+    "no-ramp", "cut-looks-whole", "ignore-leaving", "no-lease", "ack-early", "old-word", "ack-before-sync",
+    "vote-twice", "no-quorum", "old-rules", "resume-any", "queue-leak", "late-up", "no-serve", "any-weights",
+    "bad-step", "old-boot"};
+auto simFaults() -> std::vector<std::string> { return FAULTS; }
+auto simBroken() -> std::vector<std::string> { return BROKEN; }
 
 // ---- machines
 
-auto Machine::now() const -> Us { return w.t + bootOff; }
+auto Machine::now() const -> Microseconds { return w.t + bootOff; }
 
 auto Machine::start() -> void {
     if (up) return;
@@ -54,7 +54,7 @@
     edge->broken.queueLeak = b == "queue-leak";
     edge->broken.anyWeights = b == "any-weights";
     node->broken.lateUp = b == "late-up";
-    edge->broken.noServe = b == "no-serve" && w.t > 30 * SEC;
+    edge->broken.noServe = b == "no-serve" && w.t > 30 * SECOND;
     edge->broken.badStep = b == "bad-step";
     node->broken.oldBoot = b == "old-boot";
     edge->broken.pickRandom = w.op.place == "random";
@@ -99,7 +99,7 @@
         if (c->m == i && c->life == life && c->open) w.in(w.lat(), [this, p = c.get()] { w.closeConn(p); });
 }
 
-auto Machine::tell(const Str& addr, const wire::Envelope& e) -> void {
+auto Machine::tell(const std::string& addr, const wire::Envelope& e) -> void {
     auto j = w.byAddr.find(addr);
     if (j == w.byAddr.end()) return;
     auto to = j->second;
@@ -130,7 +130,7 @@
     dk.busy = true;
     auto l = life;
     auto seq = dk.under.front().seq;
-    w.in(dk.lat / 2 + Us(w.rng.below(std::uint64_t(dk.lat))), [this, l, seq] {
+    w.in(dk.lat / 2 + Microseconds(w.rng.below(std::uint64_t(dk.lat))), [this, l, seq] {
         if (l != life || !up || dk.under.empty() || dk.under.front().seq != seq) return;
         if (dk.stalled) {
             dk.busy = false;
@@ -156,7 +156,7 @@
     });
 }
 
-auto Machine::probe(const Str& server, const Str& addr) -> void {
+auto Machine::probe(const std::string& server, const std::string& addr) -> void {
     auto j = w.sByAddr.find(addr);
     if (j == w.sByAddr.end()) return;
     auto s = j->second;
@@ -170,16 +170,16 @@
         d.slots = v.slots;
         d.boot = v.life;
         d.up = w.t - v.born;
-        d.cold = v.cold && w.t - v.born < 20 * SEC;
+        d.cold = v.cold && w.t - v.born < 20 * SECOND;
         w.to(i, l,
             ok         ? w.lat()
-                : v.up ? 900 * MS
+                : v.up ? 900 * MILLISECOND
                        : w.lat(),
             [this, server, ok, no = !v.up, d] { node->loadSeen(server, ok, no, d, now()); });
     });
 }
 
-auto Machine::send(std::int64_t x, int a, const Str&, const Str& addr) -> void {
+auto Machine::send(std::int64_t x, int a, const std::string&, const std::string& addr) -> void {
     auto j = w.sByAddr.find(addr);
     w.r.sends++;
     auto l = life;
@@ -196,7 +196,7 @@
         auto& v = w.ss[std::size_t(s)];
         p->slife = v.life;
         if (!v.up || v.dark) {
-            w.to(i, l, v.up ? SEC : w.lat(), [this, p, x, a, l] {
+            w.to(i, l, v.up ? SECOND : w.lat(), [this, p, x, a, l] {
                 if (!p->open) return;
                 p->open = false;
                 if (auto k = w.tryOf.find({i, l, x}); k != w.tryOf.end()) w.countSend(k->second);
@@ -233,7 +233,7 @@
     for (auto& [n, v] : h)
         if (n == "X-Weights") T.weights = v;
 }
-auto Machine::part(std::int64_t x, const Str& s) -> void {
+auto Machine::part(std::int64_t x, const std::string& s) -> void {
     auto k = w.tryOf.find({i, life, x});
     if (k == w.tryOf.end()) return;
     auto& l = w.linkAt[{1000 + i, int(x % 1000000)}];
@@ -247,7 +247,7 @@
     l = std::max(l, w.t + w.lat());
     w.at(l, [this, tr = k->second, whole] { w.endTry(tr, whole); });
 }
-auto Machine::reply(std::int64_t x, int status, const Headers& h, const Str& body) -> void {
+auto Machine::reply(std::int64_t x, int status, const Headers& h, const std::string& body) -> void {
     // accept() may reply before the world knows the exchange's number.
     auto l = life;
     w.in(w.lat(), [this, l, x, status, h, body] {
@@ -257,7 +257,7 @@
 }
 
 auto World::ticks(int m, std::int64_t life) -> void {
-    to(m, life, 25 * MS, [this, m, life] {
+    to(m, life, 25 * MILLISECOND, [this, m, life] {
         auto& x = *ms[std::size_t(m)];
         x.node->tick(x.now(), t + x.wallOff);
         x.edge->tick(x.now());
@@ -280,7 +280,7 @@
 
 // ---- servers
 
-auto World::up(Conn* c, Us d, std::function<void(Machine&)> f) -> void {
+auto World::up(Conn* c, Microseconds d, std::function<void(Machine&)> f) -> void {
     auto sl = c->slife;
     to(c->m, c->life, d, [this, c, sl, f = std::move(f)] {
         if (!c->open) return;
@@ -320,7 +320,7 @@
         auto hd = Headers{{"X-Exchange-Id", md == "wrong" ? "another" : exid}, {"X-Weights", w}};
         auto slow = md == "slow" ? 20 : 1;
         if (!model) {
-            in(2 * MS * slow, [this, c, body, path, hd, w, md] {
+            in(2 * MILLISECOND * slow, [this, c, body, path, hd, w, md] {
                 if (!ss[std::size_t(c->s)].up || ss[std::size_t(c->s)].life != c->slife) return;
                 if (md == "stall") return;
                 up(c, lat(), [c, body, path, hd, w, md](Machine& m) {
@@ -337,19 +337,19 @@
         r.cacheHits += left < std::int64_t(body.size() / 4);
         r.tokensRead += left;
         if (trs[std::size_t(tr)].execs.size() > 1) r.tokensAgain += left;
-        auto isCold = s.cold && t - s.born < 20 * SEC;
+        auto isCold = s.cold && t - s.born < 20 * SECOND;
         s.prefill++;
         if (isCold) {
             // What the whole fleet may lay on a cold server: the ramp, and one for each edge
             // whose knowledge is a little old.
-            auto cap = 2 + double(s.slots - 2) * double(t - s.born) / double(20 * SEC) + 3;
+            auto cap = 2 + double(s.slots - 2) * double(t - s.born) / double(20 * SECOND) + 3;
             if (s.prefill + s.decode > cap)
                 broke("a cold server is eased in",
                     fmt::format("{} has {} at once {} us after its return", s.name, s.prefill + s.decode,
                         t - s.born));
         }
         auto sl = s.life;
-        auto prefill = std::max<Us>(MS, left * 100 * slow * (isCold ? 2 : 1));
+        auto prefill = std::max<Microseconds>(MILLISECOND, left * 100 * slow * (isCold ? 2 : 1));
         auto tokens = k.tokens;
         auto stream = k.stream;
         // Reading, then one token after another; a closed connection ends it.
@@ -360,7 +360,7 @@
             s.decode++;
             if (stream) up(c, lat(), [c, hd](Machine& m) { m.edge->upHead(c->x, c->a, 200, hd, m.now()); });
             auto step = std::make_shared<std::function<void(std::int64_t)>>();
-            auto order = std::make_shared<Us>(0);
+            auto order = std::make_shared<Microseconds>(0);
             auto later = [this, c, order](std::function<void(Machine&)> f) {
                 *order = std::max(*order, t + lat());
                 up(c, *order - t, std::move(f));
@@ -380,7 +380,7 @@
                     return leave();
                 }
                 if (md == "stall" && late) {
-                    in(100 * MS, [step, i] { (*step)(i); });
+                    in(100 * MILLISECOND, [step, i] { (*step)(i); });
                     return;
                 }
                 if (i > tokens) {
@@ -400,9 +400,9 @@
                     auto e = Event{fmt::to_string(n), "", d, fmt::format("id: {}\ndata: {}\n\n", n, d)};
                     later([c, e](Machine& m) { m.edge->upEvent(c->x, c->a, e, m.now()); });
                 }
-                in(20 * MS * slow, [step, i] { (*step)(i + 1); });
+                in(20 * MILLISECOND * slow, [step, i] { (*step)(i + 1); });
             };
-            in(20 * MS * slow, [step, from] { (*step)(from + 1); });
+            in(20 * MILLISECOND * slow, [step, from] { (*step)(from + 1); });
         });
     });
 }
@@ -431,11 +431,11 @@
     if (swing > 0 && !d.plain && !d.probe) rate *= d.stream ? 1 + swing : 1 / (1 + swing);
     if (swing < 0 && !d.plain && !d.probe) rate *= d.stream ? 1 / (1 - swing) : 1 - swing;
     auto u = double((rng.next() >> 11) + 1) * 0x1.0p-53;
-    in(Us(-std::log(u) / rate * SEC), [this, k] { arrive(k); });
+    in(Microseconds(-std::log(u) / rate * SECOND), [this, k] { arrive(k); });
     ask(k, !d.region.empty() ? d.region : regions[rng.below(regions.size())]);
 }
 
-auto World::ask(std::size_t k, const Str& region) -> void {
+auto World::ask(std::size_t k, const std::string& region) -> void {
     auto& d = ks[k];
     auto a = Ask();
     a.kind = int(k);
@@ -451,7 +451,7 @@
         auto p = fmt::format("shared {} ", rng.below(std::uint64_t(std::max<std::int64_t>(1, d.prefixes))));
         while (std::int64_t(p.size()) < d.shared * 4) p += "lorem dune turns ";
         p += fmt::format("own {} ", no);
-        p += Str(std::size_t(std::max<std::int64_t>(0, d.prompt * 4 - std::int64_t(p.size()))), 's');
+        p += std::string(std::size_t(std::max<std::int64_t>(0, d.prompt * 4 - std::int64_t(p.size()))), 's');
         a.body = bodyOf({{"prompt", jsQuote(p)}, {"tokens", fmt::to_string(d.tokens)},
             {"stream", d.stream ? "true" : "false"}});
     }
@@ -463,13 +463,13 @@
 
 auto World::again(int a, bool later) -> void {
     auto& x = asks[std::size_t(a)];
-    if (x.tries >= 4 || (t - x.born > 12 * SEC && !x.moving)) {
+    if (x.tries >= 4 || (t - x.born > 12 * SECOND && !x.moving)) {
         x.over = true;
         auto& k = r.kinds[ks[std::size_t(x.kind)].name];
         (x.moving ? k.cut : k.denied)++;
         return;
     }
-    in(later ? SEC / 2 + Us(rng.below(SEC)) : 1 * MS, [this, a] { go(a); });
+    in(later ? SECOND / 2 + Microseconds(rng.below(SECOND)) : 1 * MILLISECOND, [this, a] { go(a); });
 }
 
 auto World::go(int a) -> void {
@@ -482,21 +482,21 @@
     auto life = y.life;
     // A node that does not answer is left after a second.
     if (y.frozen) {
-        in(SEC, [this, a] { again(a, false); });
+        in(SECOND, [this, a] { again(a, false); });
         return;
     }
     to(any, life, lat(), [this, a, any, life] {
         auto& y = *ms[std::size_t(any)];
         auto& x = asks[std::size_t(a)];
-        auto d = Doc();
+        auto d = rapidjson::Document();
         jsParse(y.node->where(x.region, "", y.now()), d);
-        auto v = std::vector<Str>();
+        auto v = std::vector<std::string>();
         for (auto& n : d["nodes"].GetArray())
             if (v.empty() || jsStr(n, "region") == x.region) v.push_back(jsStr(n, "address"));
         if (v.empty()) return again(a, true);
         // One of them, and the next where nobody is.
         auto to1 = -1;
-        auto late = Us(0);
+        auto late = Microseconds(0);
         for (; !v.empty() && to1 < 0; late += lat()) {
             auto i = rng.below(v.size());
             for (auto& m : ms)
@@ -532,7 +532,7 @@
             });
             (void)T;
             // A sender has its patience.
-            in(70 * SEC, [this, tr, to1, l2] {
+            in(70 * SECOND, [this, tr, to1, l2] {
                 auto& T = trs[std::size_t(tr)];
                 if (T.over) return;
                 lostTry(tr);
@@ -544,7 +544,7 @@
     });
 }
 
-auto World::result(int tr, const Str& what) -> void {
+auto World::result(int tr, const std::string& what) -> void {
     auto& T = trs[std::size_t(tr)];
     if (T.over) return;
     T.over = true;
@@ -586,13 +586,13 @@
     again(T.ask, true);
 }
 
-auto World::event(int tr, const Str& raw) -> void {
+auto World::event(int tr, const std::string& raw) -> void {
     auto& T = trs[std::size_t(tr)];
     if (T.over) return;
     auto& x = asks[std::size_t(T.ask)];
     auto& k = ks[std::size_t(x.kind)];
     auto id = std::int64_t(-1);
-    auto type = Str(), data = Str();
+    auto type = std::string(), data = std::string();
     for (auto i = std::size_t(0); i < raw.size();) {
         auto n = raw.find('\n', i);
         auto l = raw.substr(i, n - i);
@@ -636,15 +636,15 @@
                 ks[std::size_t(asks[std::size_t(T.ask)].kind)].name, T.last));
     result(tr, whole && T.done ? "whole" : "cut");
 }
-auto World::replyTry(int tr, int status, const Headers& h, const Str& body) -> void {
+auto World::replyTry(int tr, int status, const Headers& h, const std::string& body) -> void {
     auto& T = trs[std::size_t(tr)];
     if (T.over) return;
     auto& x = asks[std::size_t(T.ask)];
     auto& k = ks[std::size_t(x.kind)];
     auto not1 = std::any_of(h.begin(), h.end(), [](auto& f) { return f.first == "X-Not-Executed"; });
     if (status == 200) {
-        auto d = Doc();
-        auto s = jsParse(body, d) ? jsStr(d, "reply") : Str();
+        auto d = rapidjson::Document();
+        auto s = jsParse(body, d) ? jsStr(d, "reply") : std::string();
         auto b = k.plain ? x.body + x.path : x.body;
         if (s != fakeWhole(b, "w1") && s != fakeWhole(b, "w2"))
             broke("a reply is the server's", fmt::format("try {} of {}", tr, k.name));
@@ -653,8 +653,8 @@
     }
     if (not1) {
         T.over = T.notRun = true;
-        auto d = Doc();
-        auto why = jsParse(body, d) && d.IsObject() ? jsStr(d, "error") : Str();
+        auto d = rapidjson::Document();
+        auto why = jsParse(body, d) && d.IsObject() ? jsStr(d, "error") : std::string();
         r.denials[(T.from ? "resumed: " : "") + why.substr(0, 70)]++;
         if (!T.execs.empty()) broke("what was denied has not run", fmt::format("try {} of {}", tr, k.name));
         if (status >= 500) return again(T.ask, true);
@@ -669,8 +669,8 @@
 
 // ---- the platform
 
-auto World::listing() -> Str {
-    auto o = Str();
+auto World::listing() -> std::string {
+    auto o = std::string();
     for (auto& s : ss)
         o += (o.empty() ? "" : ",")
             + bodyOf({{"name", jsQuote(s.name)}, {"address", jsQuote(s.addr)}, {"region", jsQuote(s.region)},
@@ -683,7 +683,7 @@
     if (tries <= 0) return f(false);
     auto m = aliveMachine();
     if (m < 0 || ms[std::size_t(m)]->frozen) {
-        in(500 * MS, [this, f, tries] { tellPlatform(f, tries - 1); });
+        in(500 * MILLISECOND, [this, f, tries] { tellPlatform(f, tries - 1); });
         return;
     }
     auto over = std::make_shared<bool>(false);
@@ -700,14 +700,14 @@
         };
         x.node->list(id, text, x.now());
     });
-    in(4 * SEC, [this, f, tries, over] {
+    in(4 * SECOND, [this, f, tries, over] {
         if (*over) return;
         *over = true;
         tellPlatform(f, tries - 1);
     });
 }
 auto World::platform() -> void {
-    in(SEC, [this] { platform(); });
+    in(SECOND, [this] { platform(); });
     tellPlatform([](bool) {}, 1);
 }
 
@@ -726,17 +726,17 @@
     return -1;
 }
 
-auto World::order(
-    const Str& o, const Str& body, const Str& what, std::int64_t base, std::function<void(int)> f) -> void {
+auto World::order(const std::string& o, const std::string& body, const std::string& what, std::int64_t base,
+    std::function<void(int)> f) -> void {
     auto m = askAt >= 0 ? askAt : aliveMachine();
     askAt = -1;
     if (m < 0) return;
     auto n = ords.size();
     ords.push_back({t, 0, 0, 0, base, o, what, {}});
     if (o == "config") {
-        auto d = Doc();
+        auto d = rapidjson::Document();
         if (jsParse(body, d) && d.HasMember("config")) {
-            ords.back().cfg = std::make_shared<Doc>();
+            ords.back().cfg = std::make_shared<rapidjson::Document>();
             ords.back().cfg->CopyFrom(d["config"], ords.back().cfg->GetAllocator());
         }
     }
@@ -751,7 +751,7 @@
             if (d.over) return;  // its operator has given up waiting
             d.over = t;
             d.status = u.status;
-            auto j = Doc();
+            auto j = rapidjson::Document();
             if (jsParse(u.body, j) && j.IsObject())
                 d.gen = d.op == "config" && u.status == 200 ? jsInt(j, "configGeneration")
                                                             : jsInt(j, "generation");
@@ -764,7 +764,7 @@
         x.node->order(id, o, fmt::format("op-{}", n), body, x.now());
     });
     // An operator's patience, as ctl's: without a reply by then the outcome is not known.
-    in(5 * SEC, [this, n, f] {
+    in(5 * SECOND, [this, n, f] {
         auto& d = ords[n];
         if (d.over) return;
         d.over = t;
@@ -774,10 +774,10 @@
         if (f) f(504);
     });
 }
-auto World::readback(std::function<void(bool, const Str&)> f) -> void {
+auto World::readback(std::function<void(bool, const std::string&)> f) -> void {
     auto m = aliveMachine();
     if (m < 0) {
-        in(200 * MS, [this, f] { f(false, ""); });
+        in(200 * MILLISECOND, [this, f] { f(false, ""); });
         return;
     }
     auto& x = *ms[std::size_t(m)];
@@ -792,7 +792,7 @@
             if (o.status == 200) {
                 auto w = Word();
                 w.load(o.body);
-                auto p = Str();
+                auto p = std::string();
                 for (auto& v : w.config()["mappings"].GetArray())
                     if (jsStr(v, "name") == "probe") p = jsStr(v, "pool");
                 // What it reads is judged with all orders at the day's end; see finish().
@@ -818,7 +818,7 @@
         };
         x.node->read(id, x.now());
     });
-    in(6 * SEC, [over, f] {
+    in(6 * SECOND, [over, f] {
         if (*over) return;
         *over = true;
         f(false, "");
@@ -827,8 +827,8 @@
 
 // The example's configuration with a probe's mapping, whose pool tells which one a node
 // obeyed; with a twist, less is allowed than the example does.
-auto World::probeConfig(int k, const Str& twist) -> Str {
-    auto d = Doc();
+auto World::probeConfig(int k, const std::string& twist) -> std::string {
+    auto d = rapidjson::Document();
     jsParse(config, d);
     auto& al = d.GetAllocator();
     for (auto& m : d["mappings"].GetArray()) {
@@ -842,25 +842,25 @@
     }
     if (twist == "no-move")
         for (auto& m : d["models"].GetObject()) m.value.RemoveMember("migrationLimit");
-    auto m = Val(rapidjson::kObjectType);
+    auto m = rapidjson::Value(rapidjson::kObjectType);
     m.AddMember("name", "probe", al)
         .AddMember("method", "POST", al)
         .AddMember("path", "/probe", al)
-        .AddMember("pool", Val(fmt::format("probe-{}", k), al), al)
+        .AddMember("pool", rapidjson::Value(fmt::format("probe-{}", k), al), al)
         .AddMember("MaxTries", 1, al);
-    auto sp = Val(rapidjson::kArrayType);
-    for (auto& g : regions) sp.PushBack(Val(g, al), al);
+    auto sp = rapidjson::Value(rapidjson::kArrayType);
+    for (auto& g : regions) sp.PushBack(rapidjson::Value(g, al), al);
     m.AddMember("spill", sp, al);
     d["mappings"].PushBack(m, al);
     return js(d);
 }
 
-auto World::load() -> Str {
+auto World::load() -> std::string {
     auto dir = opendir((op.example + "/nodes").c_str());
     if (!dir) return op.example + "/nodes: cannot be read";
-    auto fs = std::vector<Str>();
+    auto fs = std::vector<std::string>();
     while (auto e = readdir(dir))
-        if (Str n = e->d_name; n.ends_with(".json")) fs.push_back(op.example + "/nodes/" + n);
+        if (std::string n = e->d_name; n.ends_with(".json")) fs.push_back(op.example + "/nodes/" + n);
     closedir(dir);
     std::sort(fs.begin(), fs.end());
     if (fs.size() < 3) return op.example + "/nodes: wants at least three settings files";
@@ -870,15 +870,15 @@
         auto m = std::make_unique<Machine>(*this, int(ms.size()));
         m->st = *s;
         m->core = !s->data.empty();
-        m->bootOff = Us(rng.below(1000)) * 1000 * SEC;
-        m->wallOff = 1800000000LL * SEC + Us(rng.below(SEC)) - SEC / 2;
+        m->bootOff = Microseconds(rng.below(1000)) * 1000 * SECOND;
+        m->wallOff = 1800000000LL * SECOND + Microseconds(rng.below(SECOND)) - SECOND / 2;
         byAddr[s->peer] = m->i;
         ms.push_back(std::move(m));
     }
     cut.assign(ms.size(), std::vector<int>(ms.size(), 0));
     auto t1 = fileRead(op.example + "/servers.json"), t2 = fileRead(op.example + "/config.json"),
          t3 = fileRead(op.example + "/day.json");
-    auto d1 = Doc(), d2 = Doc(), d3 = Doc();
+    auto d1 = rapidjson::Document(), d2 = rapidjson::Document(), d3 = rapidjson::Document();
     if (!t1 || !jsParse(*t1, d1) || !d1.IsObject() || !d1.HasMember("servers"))
         return op.example + "/servers.json: no listing";
     if (!t2 || !jsParse(*t2, d2) || !configCheck(d2).empty())
@@ -926,36 +926,36 @@
 }
 
 auto World::run() -> void {
-    for (auto& m : ms) at(Us(rng.below(200 * MS)), [p = m.get()] { p->start(); });
+    for (auto& m : ms) at(Microseconds(rng.below(200 * MILLISECOND)), [p = m.get()] { p->start(); });
     platform();
     // The first configuration, as soon as it is taken.
     auto first = std::make_shared<std::function<void()>>();
     *first = [this, wk = std::weak_ptr(first)] {
         auto first = wk.lock();
         putConfig(0, 0, [this, first](int st) {
-            if (st != 200 && st != 409) in(500 * MS, [first] { (*first)(); });
+            if (st != 200 && st != 409) in(500 * MILLISECOND, [first] { (*first)(); });
             else
-                for (auto k = std::size_t(0); k < ks.size(); k++) in(3 * SEC, [this, k] { arrive(k); });
+                for (auto k = std::size_t(0); k < ks.size(); k++) in(3 * SECOND, [this, k] { arrive(k); });
         });
     };
-    at(4 * SEC, [first] { (*first)(); });
+    at(4 * SECOND, [first] { (*first)(); });
     faults();
     // Operators read back now and then.
-    for (auto x = 6 * SEC; x < op.duration; x += 3 * SEC + Us(frng.below(SEC)))
-        at(x, [this] { readback([](bool, const Str&) {}); });
-    at(op.duration - 14 * SEC, [this] {
+    for (auto x = 6 * SECOND; x < op.duration; x += 3 * SECOND + Microseconds(frng.below(SECOND)))
+        at(x, [this] { readback([](bool, const std::string&) {}); });
+    at(op.duration - 14 * SECOND, [this] {
         say("all faults are healed");
         heal();
     });
     // Then the fleet must serve: what is asked for from 8 s later on is counted.
     if (!has("closing-wipe")) {
-        at(op.duration - 6 * SEC, [this] {
+        at(op.duration - 6 * SECOND, [this] {
             calmFrom = t;
-            calmTo = t + 5 * SEC;
+            calmTo = t + 5 * SECOND;
             calm();
         });
     } else
-        at(op.duration - 6 * SEC, [this] {
+        at(op.duration - 6 * SECOND, [this] {
             // The closing fault: a majority of the disks goes, with what was acknowledged on them.
             auto n = 0;
             for (auto& m : ms)
@@ -964,7 +964,7 @@
                     r.faults++;
                     m->kill(true);
                     loseDisk(*m);
-                    restart(m->i, SEC);
+                    restart(m->i, SECOND);
                 }
         });
     at(op.duration, [this] {
@@ -976,7 +976,7 @@
     auto last = std::make_shared<std::function<void(int)>>();
     *last = [this, wk = std::weak_ptr(last), done](int tries) {
         auto last = wk.lock();
-        readback([this, last, done, tries](bool ok, const Str& body) {
+        readback([this, last, done, tries](bool ok, const std::string& body) {
             if (*done) return;
             if (ok) {
                 *done = true;
@@ -987,16 +987,17 @@
                 say(fmt::format("day's end reads configuration {} of reign {}", w.configGen(), w.reign));
                 // Booked moves fired once each, if their hour has come.
                 for (auto& m : w.d["plan"].GetArray())
-                    if (jsStr(m, "state") == "booked" && jsInt(m, "at") + 5 * SEC < t + 1800000000LL * SEC)
+                    if (jsStr(m, "state") == "booked"
+                        && jsInt(m, "at") + 5 * SECOND < t + 1800000000LL * SECOND)
                         broke("a move fires exactly once", jsStr(m, "id") + " never fired");
-            } else if (tries > 0) in(500 * MS, [last, tries] { (*last)(tries - 1); });
+            } else if (tries > 0) in(500 * MILLISECOND, [last, tries] { (*last)(tries - 1); });
             else dump(), broke("the newest accepted is read back at day's end", "no readback succeeds");
         });
     };
-    at(op.duration + 6 * SEC, [last] { (*last)(20); });
+    at(op.duration + 6 * SECOND, [last] { (*last)(20); });
     // By then every exchange is over, and no place, credit or send may be held by one.
-    auto stop = op.duration + 64 * SEC;
-    at(stop - SEC, [this] { leaks(); });
+    auto stop = op.duration + 64 * SECOND;
+    at(stop - SECOND, [this] { leaks(); });
     at(stop, [] {});
     while (!q.empty()) {
         auto e = q.top();
@@ -1015,7 +1016,7 @@
             return tl::make_unexpected(SimError{"unknown fault: " + f});
     if (!o.broken.empty() && std::find(BROKEN.begin(), BROKEN.end(), o.broken) == BROKEN.end())
         return tl::make_unexpected(SimError{"unknown broken variant: " + o.broken});
-    if (o.duration < 40 * SEC) return tl::make_unexpected(SimError{"a day lasts at least 40000000 us"});
+    if (o.duration < 40 * SECOND) return tl::make_unexpected(SimError{"a day lasts at least 40000000 us"});
     if (o.scale <= 0 || o.perMinute < 0)
         return tl::make_unexpected(SimError{"scale and faults per minute want to be positive"});
     auto w = std::make_unique<World>();
@@ -1040,7 +1041,7 @@
             fmt::print(stderr, "duneturn simulate: {}\n", r.error().why);
             return 2;
         }
-        auto ks = Str(), ds = Str();
+        auto ks = std::string(), ds = std::string();
         for (auto& [n, k] : r->denials) ds += fmt::format("{}{}:{}", ds.empty() ? "" : ",", jsQuote(n), k);
         for (auto& [n, k] : r->kinds)
             ks += (ks.empty() ? "" : ",") + jsQuote(n) + ":"
@@ -1092,4 +1093,4 @@
     return bad ? 1 : 0;
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/simulate.hpp
+++ b/src/simulate.hpp
@@ -3,49 +3,49 @@
 // from one seed, and judges it by what servers ran, senders got and operators were told.
 #include "edge.hpp"
 
-namespace dt {
+namespace duneturn {
 
 struct SimOptions {
-    Str example;  // a folder such as examples/radar
+    std::string example;  // a folder such as examples/radar
     std::uint64_t seed = 1;
-    Us duration = 60 * SEC;
-    double scale = 1;         // on all rates of senders
-    std::vector<Str> faults;  // kinds, see simFaults(); empty: none
-    double perMinute = 12;    // how many faults
-    Str broken;               // a deliberate fault in the logic, see simBroken()
-    Str place;                // "", "random" or "least": a simpler placement, for comparison
+    Microseconds duration = 60 * SECOND;
+    double scale = 1;                 // on all rates of senders
+    std::vector<std::string> faults;  // kinds, see simFaults(); empty: none
+    double perMinute = 12;            // how many faults
+    std::string broken;               // a deliberate fault in the logic, see simBroken()
+    std::string place;                // "", "random" or "least": a simpler placement, for comparison
     bool quiet = true;
-    Us leaveLimit = 5 * SEC;  // nothing new reaches a leaving server later than this
+    Microseconds leaveLimit = 5 * SECOND;  // nothing new reaches a leaving server later than this
 };
 
 struct SimKind {
     std::int64_t sent = 0, whole = 0, denied = 0, failed = 0, cut = 0, moved = 0, spilled = 0, broke = 0,
                  resumed = 0;  // streams cut, and whole all the same, by their sender
-    std::vector<Us> took, first;
+    std::vector<Microseconds> took, first;
 };
 struct SimResult {
-    std::vector<Str> broken;  // rules that did not hold, the first ones
-    std::vector<Str> trace;   // what happened, up to the first
-    std::map<Str, SimKind> kinds;
+    std::vector<std::string> broken;  // rules that did not hold, the first ones
+    std::vector<std::string> trace;   // what happened, up to the first
+    std::map<std::string, SimKind> kinds;
     std::int64_t sends = 0, firsts = 0, extras = 0, execs = 0, cacheHits = 0, prompts = 0, tokensRead = 0,
                  tokensAgain = 0, orders = 0, acked = 0, unknown = 0, faults = 0;
     std::int64_t wordGen = 0, reign = 0;
-    Us lastDisobedient = 0;               // longest time from an acknowledged order to a send against it
-    Us recovery = 0;                      // from everything killed to the next whole reply
-    std::uint64_t digest = 0;             // of the whole trace: the same seed gives the same
-    std::map<Str, std::int64_t> denials;  // by reason
-    std::vector<Us> ackTook;              // from an order to its acknowledgement
-    std::vector<Us> markTook;             // from a leaving mark to its acknowledgement
-    int worstMinute = 0;                  // extra sends in a thousand first ones, over the worst minute
-    std::map<Str, std::int64_t> counters;
+    Microseconds lastDisobedient = 0;  // longest time from an acknowledged order to a send against it
+    Microseconds recovery = 0;         // from everything killed to the next whole reply
+    std::uint64_t digest = 0;          // of the whole trace: the same seed gives the same
+    std::map<std::string, std::int64_t> denials;  // by reason
+    std::vector<Microseconds> ackTook;            // from an order to its acknowledgement
+    std::vector<Microseconds> markTook;           // from a leaving mark to its acknowledgement
+    int worstMinute = 0;  // extra sends in a thousand first ones, over the worst minute
+    std::map<std::string, std::int64_t> counters;
 };
 struct SimError {
-    Str why;
+    std::string why;
 };
 auto simRun(const SimOptions& o) -> tl::expected<SimResult, SimError>;
-auto simFaults() -> std::vector<Str>;
-auto simBroken() -> std::vector<Str>;
+auto simFaults() -> std::vector<std::string>;
+auto simBroken() -> std::vector<std::string>;
 /// The subcommand: seeds from `o.seed` on; 0, 1 (a rule was broken) or 2.
 auto simulateRun(SimOptions o, int seeds, bool json) -> int;
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/state/accepted_changes.cpp
+++ b/src/state/accepted_changes.cpp
@@ -2,48 +2,50 @@
 
 #include <algorithm>
 
-namespace dt {
+namespace duneturn {
 
 namespace {
 
 constexpr std::size_t NUMBER_SIZE = 16;  // of a number in a record, in hexadecimal
 
-auto digest(const Str& key) -> Str { return fmt::format("{:016x}", hash64(key)); }
+auto digest(const std::string& key) -> std::string { return fmt::format("{:016x}", hash64(key)); }
 
-auto records(const Val& member) -> View {
+auto records(const rapidjson::Value& member) -> std::string_view {
     auto& text = member["records"];
-    return View(text.GetString(), text.GetStringLength());
+    return std::string_view(text.GetString(), text.GetStringLength());
 }
 
 // The number that begins `offset` characters into the record at `position`.
-auto numberAt(View records, std::size_t position, std::size_t offset) -> std::int64_t {
-    auto text = Str(records.substr(position * AcceptedChanges::RECORD_SIZE + offset, NUMBER_SIZE));
+auto numberAt(std::string_view records, std::size_t position, std::size_t offset) -> std::int64_t {
+    auto text = std::string(records.substr(position * AcceptedChanges::RECORD_SIZE + offset, NUMBER_SIZE));
     return std::int64_t(std::strtoull(text.c_str(), nullptr, 16));
 }
-auto versionAt(View records, std::size_t position) -> std::int64_t {
+auto versionAt(std::string_view records, std::size_t position) -> std::int64_t {
     return numberAt(records, position, AcceptedChanges::DIGEST_SIZE);
 }
-auto stateGenerationAt(View records, std::size_t position) -> std::int64_t {
+auto stateGenerationAt(std::string_view records, std::size_t position) -> std::int64_t {
     return numberAt(records, position, AcceptedChanges::DIGEST_SIZE + AcceptedChanges::VERSION_SIZE);
 }
-auto numberText(std::int64_t number) -> Str {
+auto numberText(std::int64_t number) -> std::string {
     return fmt::format("{:016x}", std::uint64_t(std::max<std::int64_t>(0, number)));
 }
 
-auto isHexadecimal(View text) -> bool { return text.find_first_not_of("0123456789abcdef") == View::npos; }
+auto isHexadecimal(std::string_view text) -> bool {
+    return text.find_first_not_of("0123456789abcdef") == std::string_view::npos;
+}
 
 }  // namespace
 
-auto AcceptedChanges::make(std::int64_t generation, std::int64_t version, Doc::AllocatorType& allocator)
-    -> Val {
-    auto member = Val(rapidjson::kObjectType);
+auto AcceptedChanges::make(std::int64_t generation, std::int64_t version,
+    rapidjson::Document::AllocatorType& allocator) -> rapidjson::Value {
+    auto member = rapidjson::Value(rapidjson::kObjectType);
     member.AddMember("forgottenGeneration", generation, allocator);
     member.AddMember("forgottenVersion", version, allocator);
-    member.AddMember("records", Val(rapidjson::kStringType), allocator);
+    member.AddMember("records", rapidjson::Value(rapidjson::kStringType), allocator);
     return member;
 }
 
-auto AcceptedChanges::sound(const Val& member, std::int64_t generation) -> bool {
+auto AcceptedChanges::sound(const rapidjson::Value& member, std::int64_t generation) -> bool {
     if (!member.IsObject() || !member.HasMember("records") || !member["records"].IsString()) return false;
     for (auto name : {"forgottenGeneration", "forgottenVersion"})
         if (!member.HasMember(name) || !member[name].IsInt64()) return false;
@@ -53,9 +55,9 @@
     return forgottenGeneration(member) + std::int64_t(text.size() / RECORD_SIZE) == generation;
 }
 
-auto AcceptedChanges::record(Val& member, const Str& key, std::int64_t version, std::int64_t stateGeneration,
-    Doc::AllocatorType& allocator) -> void {
-    auto text = Str(records(member));
+auto AcceptedChanges::record(rapidjson::Value& member, const std::string& key, std::int64_t version,
+    std::int64_t stateGeneration, rapidjson::Document::AllocatorType& allocator) -> void {
+    auto text = std::string(records(member));
     text += digest(key);
     text += numberText(version);
     text += numberText(stateGeneration);
@@ -68,7 +70,8 @@
     member["records"].SetString(text, allocator);
 }
 
-auto AcceptedChanges::find(const Val& member, const Str& key) -> std::optional<AcceptedChange> {
+auto AcceptedChanges::find(const rapidjson::Value& member, const std::string& key)
+    -> std::optional<AcceptedChange> {
     if (key.empty()) return std::nullopt;
     auto text = records(member);
     auto wanted = digest(key);
@@ -80,12 +83,12 @@
     return std::nullopt;
 }
 
-auto AcceptedChanges::forgottenGeneration(const Val& member) -> std::int64_t {
+auto AcceptedChanges::forgottenGeneration(const rapidjson::Value& member) -> std::int64_t {
     return jsInt(member, "forgottenGeneration");
 }
 
-auto AcceptedChanges::forgottenVersion(const Val& member) -> std::int64_t {
+auto AcceptedChanges::forgottenVersion(const rapidjson::Value& member) -> std::int64_t {
     return jsInt(member, "forgottenVersion");
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/state/accepted_changes.hpp
+++ b/src/state/accepted_changes.hpp
@@ -5,7 +5,7 @@
 
 #include "shared.hpp"
 
-namespace dt {
+namespace duneturn {
 
 /// One accepted change: the configuration generation that it made, the version number that the
 /// operator's document bears (0 if it bears none), and the generation of the whole state that holds it
@@ -29,17 +29,18 @@
     static constexpr std::size_t RECORD_SIZE = DIGEST_SIZE + VERSION_SIZE + STATE_GENERATION_SIZE;
 
     /// A memory that knows nothing of the changes up to `generation`, the last of which made `version`.
-    static auto make(std::int64_t generation, std::int64_t version, Doc::AllocatorType& allocator) -> Val;
+    static auto make(std::int64_t generation, std::int64_t version,
+        rapidjson::Document::AllocatorType& allocator) -> rapidjson::Value;
     /// Whether `member` is such a memory, up to `generation`.
-    static auto sound(const Val& member, std::int64_t generation) -> bool;
+    static auto sound(const rapidjson::Value& member, std::int64_t generation) -> bool;
 
     /// Adds the change that made the next generation. The oldest is forgotten beyond CAPACITY.
-    static auto record(Val& member, const Str& key, std::int64_t version, std::int64_t stateGeneration,
-        Doc::AllocatorType& allocator) -> void;
-    static auto find(const Val& member, const Str& key) -> std::optional<AcceptedChange>;
+    static auto record(rapidjson::Value& member, const std::string& key, std::int64_t version,
+        std::int64_t stateGeneration, rapidjson::Document::AllocatorType& allocator) -> void;
+    static auto find(const rapidjson::Value& member, const std::string& key) -> std::optional<AcceptedChange>;
     /// The highest generation, and the highest version, of which the memory cannot tell who made it.
-    static auto forgottenGeneration(const Val& member) -> std::int64_t;
-    static auto forgottenVersion(const Val& member) -> std::int64_t;
+    static auto forgottenGeneration(const rapidjson::Value& member) -> std::int64_t;
+    static auto forgottenVersion(const rapidjson::Value& member) -> std::int64_t;
 };
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/state/config_change.cpp
+++ b/src/state/config_change.cpp
@@ -5,104 +5,111 @@
 
 #include "state/text_change.hpp"
 
-namespace dt {
+namespace duneturn {
 
 namespace {
 
-using Allocator = Doc::AllocatorType;
+using Allocator = rapidjson::Document::AllocatorType;
 
 constexpr auto MAPPINGS = "mappings";
 constexpr auto ORIGIN = "origin";
 constexpr const char* NAMED_LISTS[] = {"pools", "models"};
 
-auto nameOf(const Val& mapping) -> View {
+auto nameOf(const rapidjson::Value& mapping) -> std::string_view {
     auto name = mapping.FindMember("name");
     if (name == mapping.MemberEnd() || !name->value.IsString()) return "";
     return {name->value.GetString(), name->value.GetStringLength()};
 }
-auto textOf(const Val& value) -> View { return {value.GetString(), value.GetStringLength()}; }
-auto member(const Val& value, const char* name) -> const Val* {
+auto textOf(const rapidjson::Value& value) -> std::string_view {
+    return {value.GetString(), value.GetStringLength()};
+}
+auto member(const rapidjson::Value& value, const char* name) -> const rapidjson::Value* {
     if (!value.IsObject()) return nullptr;
     auto found = value.FindMember(name);
     return found == value.MemberEnd() ? nullptr : &found->value;
 }
-auto isNamedList(View name) -> bool { return name == NAMED_LISTS[0] || name == NAMED_LISTS[1]; }
-auto hasPartsOfItsOwn(View name) -> bool { return name == MAPPINGS || name == ORIGIN || isNamedList(name); }
+auto isNamedList(std::string_view name) -> bool { return name == NAMED_LISTS[0] || name == NAMED_LISTS[1]; }
+auto hasPartsOfItsOwn(std::string_view name) -> bool {
+    return name == MAPPINGS || name == ORIGIN || isNamedList(name);
+}
 
 // ---- finding the difference
 
 struct Difference {
-    Doc change;
+    rapidjson::Document change;
 
     Difference() { change.SetObject(); }
     auto allocator() -> Allocator& { return change.GetAllocator(); }
-    auto add(const char* name, Val& value) -> void {
-        change.AddMember(Val(name, allocator()), value, allocator());
+    auto add(const char* name, rapidjson::Value& value) -> void {
+        change.AddMember(rapidjson::Value(name, allocator()), value, allocator());
     }
-    auto addParts(const char* name, Val& put, Val& removed) -> void {
-        auto parts = Val(rapidjson::kObjectType);
+    auto addParts(const char* name, rapidjson::Value& put, rapidjson::Value& removed) -> void {
+        auto parts = rapidjson::Value(rapidjson::kObjectType);
         auto changed = put.IsArray() ? !put.Empty() : !put.ObjectEmpty();
         if (changed) parts.AddMember("put", put, allocator());
         if (!removed.Empty()) parts.AddMember("remove", removed, allocator());
         if (!parts.ObjectEmpty()) add(name, parts);
     }
 
-    auto mappings(const Val& older, const Val& newer) -> void {
-        auto known = std::unordered_map<View, const Val*>();
+    auto mappings(const rapidjson::Value& older, const rapidjson::Value& newer) -> void {
+        auto known = std::unordered_map<std::string_view, const rapidjson::Value*>();
         for (auto& mapping : older.GetArray()) known.emplace(nameOf(mapping), &mapping);
-        auto put = Val(rapidjson::kArrayType);
+        auto put = rapidjson::Value(rapidjson::kArrayType);
         for (auto& mapping : newer.GetArray()) {
             auto old = known.find(nameOf(mapping));
             auto same = old != known.end() && *old->second == mapping;
-            if (!same) put.PushBack(Val(mapping, allocator()), allocator());
+            if (!same) put.PushBack(rapidjson::Value(mapping, allocator()), allocator());
             if (old != known.end()) known.erase(old);
         }
-        auto removed = Val(rapidjson::kArrayType);
+        auto removed = rapidjson::Value(rapidjson::kArrayType);
         for (auto& mapping : older.GetArray())  // in the order of the configuration, not of the hashes
             if (known.count(nameOf(mapping))) {
                 auto name = nameOf(mapping);
-                removed.PushBack(Val(name.data(), unsigned(name.size()), allocator()), allocator());
+                removed.PushBack(
+                    rapidjson::Value(name.data(), unsigned(name.size()), allocator()), allocator());
             }
         addParts(MAPPINGS, put, removed);
     }
-    auto namedList(const char* name, const Val* older, const Val* newer) -> void {
-        auto put = Val(rapidjson::kObjectType);
-        auto removed = Val(rapidjson::kArrayType);
+    auto namedList(const char* name, const rapidjson::Value* older, const rapidjson::Value* newer) -> void {
+        auto put = rapidjson::Value(rapidjson::kObjectType);
+        auto removed = rapidjson::Value(rapidjson::kArrayType);
         if (newer)
             for (auto& item : newer->GetObject()) {
                 auto old = older ? member(*older, item.name.GetString()) : nullptr;
                 if (!old || *old != item.value)
-                    put.AddMember(Val(item.name, allocator()), Val(item.value, allocator()), allocator());
+                    put.AddMember(rapidjson::Value(item.name, allocator()),
+                        rapidjson::Value(item.value, allocator()), allocator());
             }
         if (older)
             for (auto& item : older->GetObject())
                 if (!newer || !newer->HasMember(item.name))
-                    removed.PushBack(Val(item.name, allocator()), allocator());
+                    removed.PushBack(rapidjson::Value(item.name, allocator()), allocator());
         addParts(name, put, removed);
     }
-    auto origin(const Val* older, const Val* newer) -> void {
+    auto origin(const rapidjson::Value* older, const rapidjson::Value* newer) -> void {
         if (!newer || (older && *older == *newer)) return;
         auto number = jsInt(*newer, "number");
         auto oldText = older ? member(*older, "text") : nullptr;
         auto newText = member(*newer, "text");
         auto parts = textChange(oldText ? textOf(*oldText) : "", newText ? textOf(*newText) : "");
-        auto value = Val(rapidjson::kObjectType);
+        auto value = rapidjson::Value(rapidjson::kObjectType);
         value.AddMember("number", number, allocator());
         value.AddMember("text", textChangeValue(parts, allocator()), allocator());
         add(ORIGIN, value);
     }
-    auto others(const Val& older, const Val& newer) -> void {
-        auto set = Val(rapidjson::kObjectType);
-        auto unset = Val(rapidjson::kArrayType);
+    auto others(const rapidjson::Value& older, const rapidjson::Value& newer) -> void {
+        auto set = rapidjson::Value(rapidjson::kObjectType);
+        auto unset = rapidjson::Value(rapidjson::kArrayType);
         for (auto& item : newer.GetObject()) {
             if (hasPartsOfItsOwn(textOf(item.name))) continue;
             auto old = member(older, item.name.GetString());
             if (!old || *old != item.value)
-                set.AddMember(Val(item.name, allocator()), Val(item.value, allocator()), allocator());
+                set.AddMember(rapidjson::Value(item.name, allocator()),
+                    rapidjson::Value(item.value, allocator()), allocator());
         }
         for (auto& item : older.GetObject())
             if (!newer.HasMember(item.name) && !hasPartsOfItsOwn(textOf(item.name)))
-                unset.PushBack(Val(item.name, allocator()), allocator());
+                unset.PushBack(rapidjson::Value(item.name, allocator()), allocator());
         if (!set.ObjectEmpty()) add("set", set);
         if (!unset.Empty()) add("unset", unset);
     }
@@ -110,9 +117,9 @@
 
 // ---- laying it on
 
-auto fault(const char* why) -> tl::unexpected<Str> { return tl::make_unexpected(Str(why)); }
+auto fault(const char* why) -> tl::unexpected<std::string> { return tl::make_unexpected(std::string(why)); }
 
-auto names(const Val* list, std::unordered_set<View>& to) -> bool {
+auto names(const rapidjson::Value* list, std::unordered_set<std::string_view>& to) -> bool {
     if (!list) return true;
     if (!list->IsArray()) return false;
     for (auto& name : list->GetArray()) {
@@ -122,20 +129,20 @@
     return true;
 }
 
-auto applyMappings(Val& mappings, const Val& parts, Allocator& allocator) -> bool {
-    auto removed = std::unordered_set<View>();
+auto applyMappings(rapidjson::Value& mappings, const rapidjson::Value& parts, Allocator& allocator) -> bool {
+    auto removed = std::unordered_set<std::string_view>();
     if (!mappings.IsArray() || !names(member(parts, "remove"), removed)) return false;
     auto put = member(parts, "put");
-    auto incoming = std::unordered_map<View, const Val*>();
+    auto incoming = std::unordered_map<std::string_view, const rapidjson::Value*>();
     if (put && !put->IsArray()) return false;
     if (put)
         for (auto& mapping : put->GetArray()) {
             if (!mapping.IsObject() || nameOf(mapping).empty()) return false;
             if (!incoming.emplace(nameOf(mapping), &mapping).second) return false;
         }
-    auto kept = Val(rapidjson::kArrayType);
+    auto kept = rapidjson::Value(rapidjson::kArrayType);
     kept.Reserve(mappings.Size() + unsigned(incoming.size()), allocator);
-    auto replaced = std::unordered_set<View>();
+    auto replaced = std::unordered_set<std::string_view>();
     for (auto& mapping : mappings.GetArray()) {
         if (removed.count(nameOf(mapping))) continue;
         auto newer = incoming.find(nameOf(mapping));
@@ -144,32 +151,36 @@
             continue;
         }
         replaced.insert(newer->first);
-        kept.PushBack(Val(*newer->second, allocator), allocator);
+        kept.PushBack(rapidjson::Value(*newer->second, allocator), allocator);
     }
     if (put)
         for (auto& mapping : put->GetArray())
-            if (!replaced.count(nameOf(mapping))) kept.PushBack(Val(mapping, allocator), allocator);
+            if (!replaced.count(nameOf(mapping)))
+                kept.PushBack(rapidjson::Value(mapping, allocator), allocator);
     mappings = kept;
     return true;
 }
 
-auto setMember(Val& object, const Val& name, const Val& value, Allocator& allocator) -> void {
-    auto copy = Val(value, allocator);
+auto setMember(rapidjson::Value& object, const rapidjson::Value& name, const rapidjson::Value& value,
+    Allocator& allocator) -> void {
+    auto copy = rapidjson::Value(value, allocator);
     auto found = object.FindMember(name);
     if (found != object.MemberEnd()) found->value = copy;
-    else object.AddMember(Val(name, allocator), copy, allocator);
+    else object.AddMember(rapidjson::Value(name, allocator), copy, allocator);
 }
 
-auto applyNamedList(Val& config, const char* list, const Val& parts, Allocator& allocator) -> bool {
-    auto removed = std::unordered_set<View>();
+auto applyNamedList(
+    rapidjson::Value& config, const char* list, const rapidjson::Value& parts, Allocator& allocator) -> bool {
+    auto removed = std::unordered_set<std::string_view>();
     auto put = member(parts, "put");
     if (!names(member(parts, "remove"), removed) || (put && !put->IsObject())) return false;
     if (!config.HasMember(list))
-        config.AddMember(Val(list, allocator), Val(rapidjson::kObjectType), allocator);
+        config.AddMember(
+            rapidjson::Value(list, allocator), rapidjson::Value(rapidjson::kObjectType), allocator);
     auto& items = config[list];
     if (!items.IsObject()) return false;
     for (auto name : removed) {
-        auto key = Str(name);
+        auto key = std::string(name);
         items.RemoveMember(key.c_str());
     }
     if (put)
@@ -177,7 +188,8 @@
     return true;
 }
 
-auto applyOrigin(Val& config, const Val& change, Allocator& allocator) -> tl::expected<void, Str> {
+auto applyOrigin(rapidjson::Value& config, const rapidjson::Value& change, Allocator& allocator)
+    -> tl::expected<void, std::string> {
     auto number = member(change, "number");
     auto text = member(change, "text");
     if (!number || !number->IsInt64() || !text) return fault("the origin is malformed");
@@ -187,16 +199,17 @@
     auto older = origin ? member(*origin, "text") : nullptr;
     auto newer = applyTextChange(older && older->IsString() ? textOf(*older) : "", *parts);
     if (!newer) return tl::make_unexpected(newer.error());
-    auto value = Val(rapidjson::kObjectType);
-    value.AddMember("number", Val(number->GetInt64()), allocator);
-    value.AddMember("text", Val(*newer, allocator), allocator);
-    setMember(config, Val(ORIGIN, allocator), value, allocator);
+    auto value = rapidjson::Value(rapidjson::kObjectType);
+    value.AddMember("number", rapidjson::Value(number->GetInt64()), allocator);
+    value.AddMember("text", rapidjson::Value(*newer, allocator), allocator);
+    setMember(config, rapidjson::Value(ORIGIN, allocator), value, allocator);
     return {};
 }
 
 }  // namespace
 
-auto applyConfigChange(Doc& config, const Val& change) -> tl::expected<void, Str> {
+auto applyConfigChange(rapidjson::Document& config, const rapidjson::Value& change)
+    -> tl::expected<void, std::string> {
     auto& allocator = config.GetAllocator();
     if (!config.IsObject() || !config.HasMember(MAPPINGS) || !change.IsObject())
         return fault("not a change of a configuration");
@@ -212,11 +225,11 @@
             return fault("the change of a list is malformed");
     if (auto origin = member(change, ORIGIN))
         if (auto applied = applyOrigin(config, *origin, allocator); !applied) return applied;
-    auto unset = std::unordered_set<View>();
+    auto unset = std::unordered_set<std::string_view>();
     if (!names(member(change, "unset"), unset)) return fault("unset is malformed");
     for (auto name : unset) {
         if (hasPartsOfItsOwn(name)) return fault("unset names a part that is no plain member");
-        auto key = Str(name);
+        auto key = std::string(name);
         config.RemoveMember(key.c_str());
     }
     if (auto set = member(change, "set")) {
@@ -229,8 +242,9 @@
     return {};
 }
 
-auto configChange(const Val& older, const Val& newer) -> tl::expected<Str, Str> {
-    auto sound = [](const Val& config) {
+auto configChange(const rapidjson::Value& older, const rapidjson::Value& newer)
+    -> tl::expected<std::string, std::string> {
+    auto sound = [](const rapidjson::Value& config) {
         auto mappings = member(config, MAPPINGS);
         return mappings && mappings->IsArray();
     };
@@ -241,7 +255,7 @@
     for (auto list : NAMED_LISTS) difference.namedList(list, member(older, list), member(newer, list));
     difference.origin(member(older, ORIGIN), member(newer, ORIGIN));
     difference.others(older, newer);
-    auto result = Doc();
+    auto result = rapidjson::Document();
     result.CopyFrom(older, result.GetAllocator());
     auto applied = applyConfigChange(result, difference.change);
     if (!applied) return tl::make_unexpected(applied.error());
@@ -249,4 +263,4 @@
     return js(difference.change);
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/state/config_change.hpp
+++ b/src/state/config_change.hpp
@@ -11,14 +11,16 @@
 // A mapping that is put takes the place of the one of its name; new ones follow the rest.
 #include "shared.hpp"
 
-namespace dt {
+namespace duneturn {
 
 /// The change that makes `newer` of `older`; none if no such change says all of it, as when
 /// mappings have changed their order.
-auto configChange(const Val& older, const Val& newer) -> tl::expected<Str, Str>;
+auto configChange(const rapidjson::Value& older, const rapidjson::Value& newer)
+    -> tl::expected<std::string, std::string>;
 
 /// Lays a change on `config`; an error, with `config` in an undefined state, if it is malformed.
 /// The same change on the same configuration gives the same one anywhere.
-auto applyConfigChange(Doc& config, const Val& change) -> tl::expected<void, Str>;
+auto applyConfigChange(rapidjson::Document& config, const rapidjson::Value& change)
+    -> tl::expected<void, std::string>;
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/state/evacuations.cpp
+++ b/src/state/evacuations.cpp
@@ -2,12 +2,12 @@
 
 #include <algorithm>
 
-namespace dt {
+namespace duneturn {
 
 namespace {
 
 /// Forgets the zone that has not changed for longest; the floor keeps a bound of its revision.
-auto forgetOldest(Doc& state) -> void {
+auto forgetOldest(rapidjson::Document& state) -> void {
     auto& revisions = state["zoneRevisions"];
     auto older = [](const auto& a, const auto& b) { return a.value.GetInt64() < b.value.GetInt64(); };
     auto oldest = std::min_element(revisions.MemberBegin(), revisions.MemberEnd(), older);
@@ -18,10 +18,10 @@
 
 }  // namespace
 
-auto Evacuations::load(Doc& state) -> bool {
+auto Evacuations::load(rapidjson::Document& state) -> bool {
     auto& allocator = state.GetAllocator();
     if (!state.HasMember("zoneRevisions")) {
-        state.AddMember("zoneRevisions", Val(rapidjson::kObjectType), allocator);
+        state.AddMember("zoneRevisions", rapidjson::Value(rapidjson::kObjectType), allocator);
         state.RemoveMember("zoneRevisionFloor");
         state.AddMember("zoneRevisionFloor", jsInt(state, "generation"), allocator);
     }
@@ -31,23 +31,23 @@
     return state["zoneRevisionFloor"].IsInt64();
 }
 
-auto Evacuations::zone(const Doc& state, const Str& name) -> ZoneState {
+auto Evacuations::zone(const rapidjson::Document& state, const std::string& name) -> ZoneState {
     auto result = ZoneState();
     result.evacuated = state["empties"].HasMember(name);
     result.revision = jsInt(state["zoneRevisions"], name.c_str(), jsInt(state, "zoneRevisionFloor"));
     return result;
 }
 
-auto Evacuations::set(Doc& state, const Str& name, bool evacuated, std::int64_t since, std::int64_t revision)
-    -> void {
+auto Evacuations::set(rapidjson::Document& state, const std::string& name, bool evacuated, std::int64_t since,
+    std::int64_t revision) -> void {
     auto& allocator = state.GetAllocator();
     auto& empties = state["empties"];
     empties.RemoveMember(name);
-    if (evacuated) empties.AddMember(Val(name, allocator), Val(since), allocator);
+    if (evacuated) empties.AddMember(rapidjson::Value(name, allocator), rapidjson::Value(since), allocator);
     auto& revisions = state["zoneRevisions"];
     revisions.RemoveMember(name);
-    revisions.AddMember(Val(name, allocator), Val(revision), allocator);
+    revisions.AddMember(rapidjson::Value(name, allocator), rapidjson::Value(revision), allocator);
     if (revisions.MemberCount() > ZONES) forgetOldest(state);
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/state/evacuations.hpp
+++ b/src/state/evacuations.hpp
@@ -3,7 +3,7 @@
 // fencing token. An order that names the revision it was based on is void once the zone has changed.
 #include "shared.hpp"
 
-namespace dt {
+namespace duneturn {
 
 /// What the state holds of one zone.
 struct ZoneState {
@@ -18,11 +18,11 @@
     static constexpr unsigned ZONES = 1024;  // zones whose revision is remembered one by one
 
     /// Whether the members are there and sound; those that an earlier format lacks are added.
-    static auto load(Doc& state) -> bool;
-    static auto zone(const Doc& state, const Str& name) -> ZoneState;
+    static auto load(rapidjson::Document& state) -> bool;
+    static auto zone(const rapidjson::Document& state, const std::string& name) -> ZoneState;
     /// `since`: calendar time of the order; `revision`: the state's generation that it makes.
-    static auto set(Doc& state, const Str& name, bool evacuated, std::int64_t since, std::int64_t revision)
-        -> void;
+    static auto set(rapidjson::Document& state, const std::string& name, bool evacuated, std::int64_t since,
+        std::int64_t revision) -> void;
 };
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/state/order_outcomes.cpp
+++ b/src/state/order_outcomes.cpp
@@ -4,50 +4,53 @@
 
 #include "state/accepted_changes.hpp"
 
-namespace dt {
+namespace duneturn {
 
 namespace {
 
 constexpr auto NO_BASE = std::int64_t(-1);
 
-auto read(const Val& record) -> Outcome { return {int(jsInt(record, "status")), js(record["body"])}; }
+auto read(const rapidjson::Value& record) -> Outcome {
+    return {int(jsInt(record, "status")), js(record["body"])};
+}
 
-auto findIn(const Doc& state, const char* list, const Str& key) -> const Val* {
+auto findIn(const rapidjson::Document& state, const char* list, const std::string& key)
+    -> const rapidjson::Value* {
     if (key.empty()) return nullptr;
     for (auto& record : state[list].GetArray())
         if (jsStr(record, "key") == key) return &record;
     return nullptr;
 }
 
-auto append(Doc& state, const char* list, const Str& key, std::int64_t base, const Outcome& outcome,
-    unsigned most) -> void {
+auto append(rapidjson::Document& state, const char* list, const std::string& key, std::int64_t base,
+    const Outcome& outcome, unsigned most) -> void {
     auto& allocator = state.GetAllocator();
-    auto body = Doc(&allocator);
+    auto body = rapidjson::Document(&allocator);
     jsParse(outcome.body, body);
-    auto record = Val(rapidjson::kObjectType);
-    record.AddMember("key", Val(key, allocator), allocator);
+    auto record = rapidjson::Value(rapidjson::kObjectType);
+    record.AddMember("key", rapidjson::Value(key, allocator), allocator);
     record.AddMember("status", outcome.status, allocator);
-    record.AddMember("body", Val(body, allocator), allocator);
+    record.AddMember("body", rapidjson::Value(body, allocator), allocator);
     if (base != NO_BASE) record.AddMember("base", base, allocator);
     auto& records = state[list];
     records.PushBack(record, allocator);
     while (records.Size() > most) records.Erase(records.Begin());
 }
 
-auto documentVersion(const Doc& state) -> std::int64_t {
+auto documentVersion(const rapidjson::Document& state) -> std::int64_t {
     auto& config = state["config"];
     return config.HasMember("origin") ? jsInt(config["origin"], "number") : 0;
 }
 
 // The earlier format's key of a change ended in "-" and the generation that one attempt was based on.
-auto withoutAttempt(const Str& key, std::int64_t madeGeneration) -> Str {
+auto withoutAttempt(const std::string& key, std::int64_t madeGeneration) -> std::string {
     auto suffix = fmt::format("-{}", madeGeneration - 1);
     return key.ends_with(suffix) ? key.substr(0, key.size() - suffix.size()) : key;
 }
 
 /// The keys of the configuration changes in an earlier format's list, by the generation they made.
-auto changesByGeneration(const Val& records) -> std::map<std::int64_t, Str> {
-    auto changes = std::map<std::int64_t, Str>();
+auto changesByGeneration(const rapidjson::Value& records) -> std::map<std::int64_t, std::string> {
+    auto changes = std::map<std::int64_t, std::string>();
     for (auto& record : records.GetArray()) {
         if (!record.IsObject() || !record.HasMember("body") || jsInt(record, "status") != 200) continue;
         auto generation = jsInt(record["body"], "configGeneration");
@@ -56,7 +59,7 @@
     return changes;
 }
 
-auto takeOver(Doc& state) -> void {
+auto takeOver(rapidjson::Document& state) -> void {
     auto& allocator = state.GetAllocator();
     auto newest = jsInt(state, "configGeneration");
     auto version = documentVersion(state);
@@ -72,11 +75,11 @@
 }
 
 // Sorts the earlier format's one list of outcomes into accepted and refused ones.
-auto sortOutcomes(Doc& state) -> void {
+auto sortOutcomes(rapidjson::Document& state) -> void {
     auto& allocator = state.GetAllocator();
-    auto all = Val(rapidjson::kArrayType);
+    auto all = rapidjson::Value(rapidjson::kArrayType);
     all.Swap(state["outcomes"]);
-    state.AddMember("refusals", Val(rapidjson::kArrayType), allocator);
+    state.AddMember("refusals", rapidjson::Value(rapidjson::kArrayType), allocator);
     for (auto& record : all.GetArray()) {
         if (!record.IsObject() || !record.HasMember("body")) continue;
         auto accepted = jsInt(record, "status") == 200;
@@ -89,7 +92,7 @@
 }
 
 // As Word::apply answered it the first time.
-auto acceptedBody(const AcceptedChange& change) -> Str {
+auto acceptedBody(const AcceptedChange& change) -> std::string {
     if (change.stateGeneration == 0) return fmt::format("{{\"configGeneration\":{}}}", change.generation);
     return fmt::format(
         "{{\"configGeneration\":{},\"generation\":{}}}", change.generation, change.stateGeneration);
@@ -97,7 +100,7 @@
 
 }  // namespace
 
-auto OrderOutcomes::load(Doc& state) -> bool {
+auto OrderOutcomes::load(rapidjson::Document& state) -> bool {
     if (!state["config"].IsObject()) return false;
     auto generation = jsInt(state, "configGeneration");
     // A replica of the earlier format leaves the memory behind the generation that it has reached.
@@ -108,34 +111,37 @@
     return state["refusals"].IsArray();
 }
 
-auto OrderOutcomes::accepted(const Doc& state, const Str& key) -> Outcome {
+auto OrderOutcomes::accepted(const rapidjson::Document& state, const std::string& key) -> Outcome {
     if (auto change = AcceptedChanges::find(state["acceptedChanges"], key))
         return {200, acceptedBody(*change)};
     auto record = findIn(state, "outcomes", key);
     return record ? read(*record) : Outcome();
 }
 
-auto OrderOutcomes::refused(const Doc& state, const Str& key) -> Outcome {
+auto OrderOutcomes::refused(const rapidjson::Document& state, const std::string& key) -> Outcome {
     auto record = findIn(state, "refusals", key);
     return record ? read(*record) : Outcome();
 }
 
-auto OrderOutcomes::refused(const Doc& state, const Str& key, std::int64_t base) -> Outcome {
+auto OrderOutcomes::refused(const rapidjson::Document& state, const std::string& key, std::int64_t base)
+    -> Outcome {
     auto record = findIn(state, "refusals", key);
     return record && jsInt(*record, "base", NO_BASE) == base ? read(*record) : Outcome();
 }
 
-auto OrderOutcomes::keepConfiguration(Doc& state, const Str& key, std::int64_t version) -> void {
+auto OrderOutcomes::keepConfiguration(
+    rapidjson::Document& state, const std::string& key, std::int64_t version) -> void {
     auto stateGeneration = jsInt(state, "generation");
     AcceptedChanges::record(state["acceptedChanges"], key, version, stateGeneration, state.GetAllocator());
 }
 
-auto OrderOutcomes::keepAccepted(Doc& state, const Str& key, const Outcome& outcome) -> void {
+auto OrderOutcomes::keepAccepted(rapidjson::Document& state, const std::string& key, const Outcome& outcome)
+    -> void {
     append(state, "outcomes", key, NO_BASE, outcome, ACCEPTED);
 }
 
-auto OrderOutcomes::keepRefused(Doc& state, const Str& key, std::int64_t base, const Outcome& outcome)
-    -> void {
+auto OrderOutcomes::keepRefused(
+    rapidjson::Document& state, const std::string& key, std::int64_t base, const Outcome& outcome) -> void {
     auto& records = state["refusals"];
     for (auto record = records.Begin(); record != records.End();)
         if (jsStr(*record, "key") == key) record = records.Erase(record);
@@ -143,4 +149,4 @@
     append(state, "refusals", key, base, outcome, REFUSED);
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/state/order_outcomes.hpp
+++ b/src/state/order_outcomes.hpp
@@ -4,12 +4,12 @@
 // refusals can push them out.
 #include "shared.hpp"
 
-namespace dt {
+namespace duneturn {
 
 /// The answer to an order: a status of HTTP and a JSON body.
 struct Outcome {
     int status = 0;
-    Str body;
+    std::string body;
 };
 
 /// Operations on the members `acceptedChanges`, `outcomes` and `refusals` of the state's document.
@@ -19,18 +19,22 @@
 
     /// Whether the members are there and sound. Ones of an earlier format, a single list of 256, are
     /// taken over: what it does not tell of configuration changes counts as forgotten.
-    static auto load(Doc& state) -> bool;
+    static auto load(rapidjson::Document& state) -> bool;
 
     /// The outcome of an order that was accepted; status 0 if none is known.
-    static auto accepted(const Doc& state, const Str& key) -> Outcome;
+    static auto accepted(const rapidjson::Document& state, const std::string& key) -> Outcome;
     /// The outcome of an order that was refused; status 0 if none is known.
-    static auto refused(const Doc& state, const Str& key) -> Outcome;
+    static auto refused(const rapidjson::Document& state, const std::string& key) -> Outcome;
     /// The same, of an order on the configuration generation `base`: on another one it is judged anew.
-    static auto refused(const Doc& state, const Str& key, std::int64_t base) -> Outcome;
+    static auto refused(const rapidjson::Document& state, const std::string& key, std::int64_t base)
+        -> Outcome;
 
-    static auto keepConfiguration(Doc& state, const Str& key, std::int64_t version) -> void;
-    static auto keepAccepted(Doc& state, const Str& key, const Outcome& outcome) -> void;
-    static auto keepRefused(Doc& state, const Str& key, std::int64_t base, const Outcome& outcome) -> void;
+    static auto keepConfiguration(rapidjson::Document& state, const std::string& key, std::int64_t version)
+        -> void;
+    static auto keepAccepted(rapidjson::Document& state, const std::string& key, const Outcome& outcome)
+        -> void;
+    static auto keepRefused(rapidjson::Document& state, const std::string& key, std::int64_t base,
+        const Outcome& outcome) -> void;
 };
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/state/state_query.cpp
+++ b/src/state/state_query.cpp
@@ -2,11 +2,11 @@
 
 #include "state/accepted_changes.hpp"
 
-namespace dt {
+namespace duneturn {
 
 namespace {
 
-auto changeAnswer(const Word& state, const Str& key) -> Str {
+auto changeAnswer(const Word& state, const std::string& key) -> std::string {
     auto& memory = state.d["acceptedChanges"];
     auto accepted = AcceptedChanges::find(memory, key).has_value();
     auto& config = state.config();
@@ -16,7 +16,7 @@
         {"origin", config.HasMember("origin") ? js(config["origin"]) : "{}"}});
 }
 
-auto zoneAnswer(const Word& state, const Str& name) -> Str {
+auto zoneAnswer(const Word& state, const std::string& name) -> std::string {
     auto zone = Evacuations::zone(state.d, name);
     return bodyOf(
         {{"evacuated", zone.evacuated ? "true" : "false"}, {"revision", fmt::to_string(zone.revision)}});
@@ -24,14 +24,14 @@
 
 }  // namespace
 
-auto StateQuery::text() const -> Str {
+auto StateQuery::text() const -> std::string {
     if (kind == Kind::Document) return "";
     auto what = kind == Kind::Change ? "change" : "zone";
     return bodyOf({{"kind", jsQuote(what)}, {"name", jsQuote(name)}});
 }
 
-auto StateQuery::parse(const Str& text) -> StateQuery {
-    auto document = Doc();
+auto StateQuery::parse(const std::string& text) -> StateQuery {
+    auto document = rapidjson::Document();
     if (text.empty() || !jsParse(text, document) || !document.IsObject()) return {};
     auto kind = jsStr(document, "kind");
     if (kind == "change") return change(jsStr(document, "name"));
@@ -39,7 +39,7 @@
     return {};
 }
 
-auto StateQuery::answer(const Word& state) const -> Str {
+auto StateQuery::answer(const Word& state) const -> std::string {
     switch (kind) {
     case Kind::Change: return changeAnswer(state, name);
     case Kind::Zone: return zoneAnswer(state, name);
@@ -48,10 +48,10 @@
     return state.text();
 }
 
-auto ChangeState::parse(const Str& answer) -> tl::expected<ChangeState, Str> {
-    auto document = Doc();
+auto ChangeState::parse(const std::string& answer) -> tl::expected<ChangeState, std::string> {
+    auto document = rapidjson::Document();
     if (!jsParse(answer, document) || !document.IsObject() || !document.HasMember("origin"))
-        return tl::make_unexpected(Str("the leader's answer cannot be read"));
+        return tl::make_unexpected(std::string("the leader's answer cannot be read"));
     auto state = ChangeState();
     state.accepted = jsBool(document, "accepted");
     state.forgottenVersion = jsInt(document, "forgottenVersion");
@@ -61,11 +61,11 @@
     return state;
 }
 
-auto zoneStateParse(const Str& answer) -> tl::expected<ZoneState, Str> {
-    auto document = Doc();
+auto zoneStateParse(const std::string& answer) -> tl::expected<ZoneState, std::string> {
+    auto document = rapidjson::Document();
     if (!jsParse(answer, document) || !document.IsObject() || !document.HasMember("revision"))
-        return tl::make_unexpected(Str("the leader's answer cannot be read"));
+        return tl::make_unexpected(std::string("the leader's answer cannot be read"));
     return ZoneState{jsBool(document, "evacuated"), jsInt(document, "revision")};
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/state/state_query.hpp
+++ b/src/state/state_query.hpp
@@ -5,23 +5,23 @@
 #include "state/evacuations.hpp"
 #include "word.hpp"
 
-namespace dt {
+namespace duneturn {
 
 /// A question, and how it travels to the leader.
 struct StateQuery {
     enum class Kind { Document, Change, Zone };
     Kind kind = Kind::Document;
-    Str name;  // Change: its key, empty if only the configuration is asked for; Zone: the zone
+    std::string name;  // Change: its key, empty if only the configuration is asked for; Zone: the zone
 
     static auto document() -> StateQuery { return {Kind::Document, ""}; }
-    static auto change(const Str& key) -> StateQuery { return {Kind::Change, key}; }
-    static auto zone(const Str& zone) -> StateQuery { return {Kind::Zone, zone}; }
+    static auto change(const std::string& key) -> StateQuery { return {Kind::Change, key}; }
+    static auto zone(const std::string& zone) -> StateQuery { return {Kind::Zone, zone}; }
 
-    auto text() const -> Str;
+    auto text() const -> std::string;
     /// What cannot be read asks for the whole document, as an empty text does.
-    static auto parse(const Str& text) -> StateQuery;
+    static auto parse(const std::string& text) -> StateQuery;
     /// The answer's JSON out of `state`.
-    auto answer(const Word& state) const -> Str;
+    auto answer(const Word& state) const -> std::string;
 };
 
 /// The answer to StateQuery::change.
@@ -30,12 +30,12 @@
     std::int64_t forgottenVersion = 0;  // a change on an earlier version may have been, and be forgotten
     std::int64_t generation = 0;        // of the configuration in force
     std::int64_t version = 0;           // of the operator's document in force; 0 if there is none
-    Str document;                       // that document
+    std::string document;               // that document
 
-    static auto parse(const Str& answer) -> tl::expected<ChangeState, Str>;
+    static auto parse(const std::string& answer) -> tl::expected<ChangeState, std::string>;
 };
 
 /// The answer to StateQuery::zone, read.
-auto zoneStateParse(const Str& answer) -> tl::expected<ZoneState, Str>;
+auto zoneStateParse(const std::string& answer) -> tl::expected<ZoneState, std::string>;
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/state/text_change.cpp
+++ b/src/state/text_change.cpp
@@ -2,7 +2,7 @@
 
 #include <unordered_map>
 
-namespace dt {
+namespace duneturn {
 
 namespace {
 
@@ -14,19 +14,19 @@
     std::size_t offset, length;
 };
 
-auto pieces(View text) -> std::vector<Piece> {
+auto pieces(std::string_view text) -> std::vector<Piece> {
     auto found = std::vector<Piece>();
     auto from = std::size_t(0);
     while (from < text.size()) {
         auto end = text.find(PIECE_END, from);
-        auto to = end == View::npos ? text.size() : end + 1;
+        auto to = end == std::string_view::npos ? text.size() : end + 1;
         found.push_back({from, to - from});
         from = to;
     }
     return found;
 }
 
-auto sameBytes(View older, std::size_t offset, View piece) -> bool {
+auto sameBytes(std::string_view older, std::size_t offset, std::string_view piece) -> bool {
     return offset + piece.size() <= older.size() && older.compare(offset, piece.size(), piece) == 0;
 }
 
@@ -37,15 +37,15 @@
     if (follows) change.back().length += length;
     else change.push_back({offset, length, ""});
 }
-auto addLiteral(TextChange& change, View bytes) -> void {
+auto addLiteral(TextChange& change, std::string_view bytes) -> void {
     if (change.empty() || change.back().length > 0) change.emplace_back();
     change.back().literal += bytes;
 }
 
 }  // namespace
 
-auto textChange(View older, View newer) -> TextChange {
-    auto known = std::unordered_map<View, std::size_t>();
+auto textChange(std::string_view older, std::string_view newer) -> TextChange {
+    auto known = std::unordered_map<std::string_view, std::size_t>();
     for (auto& piece : pieces(older)) known.emplace(older.substr(piece.offset, piece.length), piece.offset);
     auto change = TextChange();
     auto expected = std::size_t(0);  // where the older text goes on behind the last copied part
@@ -62,20 +62,21 @@
         else addLiteral(change, bytes);
         // A piece that was replaced is passed over in the older text, too.
         auto next = found ? offset + bytes.size() : older.find(PIECE_END, expected);
-        expected = found ? next : next == View::npos ? older.size() : next + 1;
+        expected = found ? next : next == std::string_view::npos ? older.size() : next + 1;
     }
     return change;
 }
 
-auto applyTextChange(View older, const TextChange& change) -> tl::expected<Str, Str> {
+auto applyTextChange(std::string_view older, const TextChange& change)
+    -> tl::expected<std::string, std::string> {
     auto total = std::size_t(0);
     for (auto& part : change) {
         if (part.length > older.size() || part.offset > older.size() - part.length)
-            return tl::make_unexpected(Str("a part lies outside the older text"));
+            return tl::make_unexpected(std::string("a part lies outside the older text"));
         total += part.length + part.literal.size();
-        if (total > MAX_TEXT_BYTES) return tl::make_unexpected(Str("the text is too long"));
+        if (total > MAX_TEXT_BYTES) return tl::make_unexpected(std::string("the text is too long"));
     }
-    auto newer = Str();
+    auto newer = std::string();
     newer.reserve(total);
     for (auto& part : change)
         if (part.length > 0) newer += older.substr(part.offset, part.length);
@@ -83,14 +84,15 @@
     return newer;
 }
 
-auto textChangeValue(const TextChange& change, Doc::AllocatorType& allocator) -> Val {
-    auto list = Val(rapidjson::kArrayType);
+auto textChangeValue(const TextChange& change, rapidjson::Document::AllocatorType& allocator)
+    -> rapidjson::Value {
+    auto list = rapidjson::Value(rapidjson::kArrayType);
     for (auto& part : change) {
         if (part.length == 0) {
-            list.PushBack(Val(part.literal, allocator), allocator);
+            list.PushBack(rapidjson::Value(part.literal, allocator), allocator);
             continue;
         }
-        auto range = Val(rapidjson::kArrayType);
+        auto range = rapidjson::Value(rapidjson::kArrayType);
         range.PushBack(std::uint64_t(part.offset), allocator);
         range.PushBack(std::uint64_t(part.length), allocator);
         list.PushBack(range, allocator);
@@ -98,13 +100,13 @@
     return list;
 }
 
-auto textChangeParse(const Val& value) -> tl::expected<TextChange, Str> {
-    auto malformed = [] { return tl::make_unexpected(Str("not a change of a text")); };
+auto textChangeParse(const rapidjson::Value& value) -> tl::expected<TextChange, std::string> {
+    auto malformed = [] { return tl::make_unexpected(std::string("not a change of a text")); };
     if (!value.IsArray()) return malformed();
     auto change = TextChange();
     for (auto& part : value.GetArray()) {
         if (part.IsString()) {
-            change.push_back({0, 0, Str(part.GetString(), part.GetStringLength())});
+            change.push_back({0, 0, std::string(part.GetString(), part.GetStringLength())});
             continue;
         }
         if (!part.IsArray() || part.Size() != 2 || !part[0].IsUint64() || !part[1].IsUint64())
@@ -114,4 +116,4 @@
     return change;
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/storage/environment.cpp
+++ b/src/storage/environment.cpp
@@ -4,14 +4,16 @@
 #include <sys/stat.h>
 #include <unistd.h>
 
-namespace dt {
+namespace duneturn {
 
 namespace {
 
 constexpr mdb_mode_t FILE_MODE = 0644;
 
-auto toValue(View bytes) -> MDB_val { return {bytes.size(), const_cast<char*>(bytes.data())}; }
-auto toView(const MDB_val& value) -> View { return {static_cast<const char*>(value.mv_data), value.mv_size}; }
+auto toValue(std::string_view bytes) -> MDB_val { return {bytes.size(), const_cast<char*>(bytes.data())}; }
+auto toView(const MDB_val& value) -> std::string_view {
+    return {static_cast<const char*>(value.mv_data), value.mv_size};
+}
 
 // Pages that a shortened file lacks would end the process when they are read. As zeros they
 // are found out as damage.
@@ -29,16 +31,16 @@
 
 }  // namespace
 
-auto environmentErrorText(int error) -> Str { return mdb_strerror(error); }
+auto environmentErrorText(int error) -> std::string { return mdb_strerror(error); }
 
-auto Transaction::put(View key, View value) -> void {
+auto Transaction::put(std::string_view key, std::string_view value) -> void {
     if (error_) return;
     auto keyValue = toValue(key);
     auto dataValue = toValue(value);
     error_ = mdb_put(transaction_, database_, &keyValue, &dataValue, 0);
 }
 
-auto Transaction::eraseRange(View first, View last) -> void {
+auto Transaction::eraseRange(std::string_view first, std::string_view last) -> void {
     if (error_) return;
     MDB_cursor* cursor = nullptr;
     if (error_ = mdb_cursor_open(transaction_, database_, &cursor); error_) return;
@@ -57,7 +59,7 @@
     if (!error_) error_ = mdb_drop(transaction_, database_, 0);
 }
 
-auto Environment::open(const Str& path, std::size_t mapBytes, Sync sync) -> Opened {
+auto Environment::open(const std::string& path, std::size_t mapBytes, Sync sync) -> Opened {
     MDB_env* raw = nullptr;
     if (auto error = mdb_env_create(&raw); error) return tl::make_unexpected(error);
     auto opened = std::unique_ptr<Environment>(new Environment(raw));
@@ -83,7 +85,8 @@
 
 Environment::~Environment() { mdb_env_close(environment_); }
 
-auto Environment::forEach(const std::function<bool(View key, View value)>& visit) -> int {
+auto Environment::forEach(const std::function<bool(std::string_view key, std::string_view value)>& visit)
+    -> int {
     MDB_txn* transaction = nullptr;
     if (auto error = mdb_txn_begin(environment_, nullptr, MDB_RDONLY, &transaction); error) return error;
     MDB_cursor* cursor = nullptr;
@@ -124,4 +127,4 @@
     return pages * statistics.ms_psize;
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/storage/environment.hpp
+++ b/src/storage/environment.hpp
@@ -8,15 +8,15 @@
 struct MDB_env;
 struct MDB_txn;
 
-namespace dt {
+namespace duneturn {
 
 /// A transaction under way. After the first failure the rest does nothing; `error` says why.
 class Transaction {
   public:
     Transaction(MDB_txn* transaction, unsigned database) : transaction_(transaction), database_(database) {}
-    auto put(View key, View value) -> void;
+    auto put(std::string_view key, std::string_view value) -> void;
     /// Removes all keys from `first` to `last`, both included.
-    auto eraseRange(View first, View last) -> void;
+    auto eraseRange(std::string_view first, std::string_view last) -> void;
     auto clear() -> void;
     auto error() const -> int { return error_; }
 
@@ -35,13 +35,13 @@
     };
     using Opened = tl::expected<std::unique_ptr<Environment>, int>;
     /// Opens the file at `path`, which may be empty.
-    static auto open(const Str& path, std::size_t mapBytes, Sync sync) -> Opened;
+    static auto open(const std::string& path, std::size_t mapBytes, Sync sync) -> Opened;
     ~Environment();
     Environment(const Environment&) = delete;
     auto operator=(const Environment&) -> Environment& = delete;
 
     /// Calls `visit` for each record in order of keys until it returns false.
-    auto forEach(const std::function<bool(View key, View value)>& visit) -> int;
+    auto forEach(const std::function<bool(std::string_view key, std::string_view value)>& visit) -> int;
     /// One transaction: all that `fill` does, or nothing.
     auto change(const std::function<void(Transaction&)>& fill) -> int;
     auto descriptor() const -> int;
@@ -55,6 +55,6 @@
 };
 
 /// The text of an error that an Environment returned.
-auto environmentErrorText(int error) -> Str;
+auto environmentErrorText(int error) -> std::string;
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/storage/record_codec.cpp
+++ b/src/storage/record_codec.cpp
@@ -2,7 +2,7 @@
 
 #include <cstring>
 
-namespace dt {
+namespace duneturn {
 
 namespace {
 
@@ -11,27 +11,27 @@
 
 }  // namespace
 
-auto entryKey(std::int64_t index) -> Str {
-    auto key = Str(1, ENTRY_PREFIX);
+auto entryKey(std::int64_t index) -> std::string {
+    auto key = std::string(1, ENTRY_PREFIX);
     for (auto shift = 56; shift >= 0; shift -= 8) key += char(std::uint64_t(index) >> shift);
     return key;
 }
 
-auto entryIndex(View key) -> std::optional<std::int64_t> {
+auto entryIndex(std::string_view key) -> std::optional<std::int64_t> {
     if (key.size() != ENTRY_KEY_BYTES || key[0] != ENTRY_PREFIX) return std::nullopt;
     auto index = std::uint64_t(0);
     for (auto byte : key.substr(1)) index = index << 8 | std::uint8_t(byte);
     return std::int64_t(index);
 }
 
-auto sealRecord(View key, View bytes) -> Str {
+auto sealRecord(std::string_view key, std::string_view bytes) -> std::string {
     auto checksum = hash64(bytes, hash64(key));
-    auto sealed = Str(reinterpret_cast<const char*>(&checksum), sizeof checksum);
+    auto sealed = std::string(reinterpret_cast<const char*>(&checksum), sizeof checksum);
     sealed += bytes;
     return sealed;
 }
 
-auto openRecord(View key, View sealed) -> std::optional<View> {
+auto openRecord(std::string_view key, std::string_view sealed) -> std::optional<std::string_view> {
     auto checksum = std::uint64_t(0);
     if (sealed.size() < sizeof checksum) return std::nullopt;
     std::memcpy(&checksum, sealed.data(), sizeof checksum);
@@ -40,4 +40,4 @@
     return bytes;
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/storage/record_codec.hpp
+++ b/src/storage/record_codec.hpp
@@ -8,34 +8,34 @@
 
 #include "core.hpp"
 
-namespace dt {
+namespace duneturn {
 
 /// The newest format of the records that this program reads and writes.
 constexpr std::int32_t FORMAT = 1;
 
 /// The keys of the voter's record and of the snapshot.
-constexpr auto META_KEY = View("meta");
-constexpr auto SNAPSHOT_KEY = View("snap");
+constexpr auto META_KEY = std::string_view("meta");
+constexpr auto SNAPSHOT_KEY = std::string_view("snap");
 /// The key of a log entry; keys sort as their indices do.
-auto entryKey(std::int64_t index) -> Str;
+auto entryKey(std::int64_t index) -> std::string;
 /// The index that an entry's key names; none if it is another record's.
-auto entryIndex(View key) -> std::optional<std::int64_t>;
+auto entryIndex(std::string_view key) -> std::optional<std::int64_t>;
 
 /// A record's bytes behind the checksum of its key and bytes.
-auto sealRecord(View key, View bytes) -> Str;
+auto sealRecord(std::string_view key, std::string_view bytes) -> std::string;
 /// The bytes of a sealed record; none if the checksum does not match.
-auto openRecord(View key, View sealed) -> std::optional<View>;
+auto openRecord(std::string_view key, std::string_view sealed) -> std::optional<std::string_view>;
 
 /// A struct of the wire's definitions as bytes, and back.
 template <class T>
-auto packRecord(const T& record) -> Str {
+auto packRecord(const T& record) -> std::string {
     auto buffer = std::make_shared<apache::thrift::transport::TMemoryBuffer>();
     auto protocol = apache::thrift::protocol::TCompactProtocol(buffer);
     record.write(&protocol);
     return buffer->getBufferAsString();
 }
 template <class T>
-auto unpackRecord(View bytes, T& record) -> bool {
+auto unpackRecord(std::string_view bytes, T& record) -> bool {
     try {
         auto buffer = std::make_shared<apache::thrift::transport::TMemoryBuffer>(
             reinterpret_cast<std::uint8_t*>(const_cast<char*>(bytes.data())), std::uint32_t(bytes.size()));
@@ -47,4 +47,4 @@
     }
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/storage/store.cpp
+++ b/src/storage/store.cpp
@@ -5,7 +5,7 @@
 
 #include <lmdb.h>
 
-namespace dt {
+namespace duneturn {
 
 namespace {
 
@@ -22,12 +22,12 @@
     auto own = error < 0 && error != MDB_MAP_FULL && error != MDB_PANIC;
     return own ? StoreError::Kind::Damaged : StoreError::Kind::Refused;
 }
-auto unexpected(Str what, int error) -> tl::unexpected<StoreError> {
+auto unexpected(std::string what, int error) -> tl::unexpected<StoreError> {
     return tl::make_unexpected(
         StoreError{fmt::format("{}: {}", what, environmentErrorText(error)), kindOf(error)});
 }
 
-auto metaRecord(const DiskState& state) -> Str {
+auto metaRecord(const DiskState& state) -> std::string {
     auto meta = wire::Meta();
     meta.disk = state.disk;
     meta.reign = state.reign;
@@ -40,26 +40,26 @@
     return packRecord(meta);
 }
 
-auto putRecord(Transaction& transaction, View key, View bytes) -> void {
+auto putRecord(Transaction& transaction, std::string_view key, std::string_view bytes) -> void {
     transaction.put(key, sealRecord(key, bytes));
 }
 
 /// Gathers a state from a store's records, and notes the first fault.
 struct StateReader {
     DiskState state;
-    Str fault;
+    std::string fault;
     bool newer = false;
     bool sawMeta = false;
 
-    auto take(View key, View sealed) -> bool {
+    auto take(std::string_view key, std::string_view sealed) -> bool {
         auto bytes = openRecord(key, sealed);
         if (!bytes) fault = "a checksum does not match";
         else if (key == META_KEY) takeMeta(*bytes);
-        else if (key == SNAPSHOT_KEY) state.snapDoc = Str(*bytes);
+        else if (key == SNAPSHOT_KEY) state.snapDoc = std::string(*bytes);
         else if (entryIndex(key)) takeEntry(*bytes);
         return fault.empty();
     }
-    auto takeMeta(View bytes) -> void {
+    auto takeMeta(std::string_view bytes) -> void {
         auto meta = wire::Meta();
         if (!unpackRecord(bytes, meta)) {
             fault = "the record of the voter cannot be read";
@@ -78,7 +78,7 @@
         state.snapTerm = meta.snapTerm;
         sawMeta = true;
     }
-    auto takeEntry(View bytes) -> void {
+    auto takeEntry(std::string_view bytes) -> void {
         auto entry = wire::Entry();
         if (unpackRecord(bytes, entry)) state.log.push_back(std::move(entry));
         else fault = "an entry cannot be read";
@@ -96,8 +96,8 @@
 
 }  // namespace
 
-auto Store::path() const -> Str { return directory_ + FILE_NAME; }
-auto Store::newPath() const -> Str { return directory_ + NEW_FILE_NAME; }
+auto Store::path() const -> std::string { return directory_ + FILE_NAME; }
+auto Store::newPath() const -> std::string { return directory_ + NEW_FILE_NAME; }
 auto Store::mapBytes() const -> std::size_t {
     auto size = fileBytes(path());
     if (size <= limits_.fileBytes) return limits_.fileBytes;
@@ -106,7 +106,7 @@
 
 // ---- opening
 
-auto Store::open(const Str& directory) -> tl::expected<DiskState, StoreError> {
+auto Store::open(const std::string& directory) -> tl::expected<DiskState, StoreError> {
     environment_.reset();
     directory_ = directory;
     if (auto error = prepareDirectory(); error) return unexpected("the folder", error);
@@ -151,7 +151,7 @@
     return replaceFile(std::move(*target));
 }
 
-auto Store::moveDamagedAside(const Str& why) -> int {
+auto Store::moveDamagedAside(const std::string& why) -> int {
     environment_.reset();
     auto aside = fmt::format("{}.bad-{}", path(), wallNow());
     if (auto error = files_.renameFile(path(), aside); error) return error;
@@ -171,7 +171,8 @@
 auto Store::readState() -> tl::expected<DiskState, StoreError> {
     if (auto error = openFile(); error) return unexpected("open", error);
     auto reader = StateReader();
-    auto error = environment_->forEach([&](View key, View sealed) { return reader.take(key, sealed); });
+    auto error = environment_->forEach(
+        [&](std::string_view key, std::string_view sealed) { return reader.take(key, sealed); });
     if (error) return unexpected("read", error);
     reader.finish();
     if (reader.fault.empty()) return std::move(reader.state);
@@ -220,7 +221,7 @@
 namespace {
 
 /// Whether a change leaves the record of this key as it is.
-auto survives(View key, bool reset, bool snapshot, const DiskWrite& write) -> bool {
+auto survives(std::string_view key, bool reset, bool snapshot, const DiskWrite& write) -> bool {
     if (reset || key == META_KEY) return false;
     if (key == SNAPSHOT_KEY) return !snapshot;
     auto index = entryIndex(key);
@@ -230,7 +231,8 @@
 }
 
 /// What a change adds, whatever it drops.
-auto putAdded(Transaction& transaction, bool snapshot, const Str& document, const DiskWrite& write) -> void {
+auto putAdded(Transaction& transaction, bool snapshot, const std::string& document, const DiskWrite& write)
+    -> void {
     for (auto& entry : write.add)
         if (!snapshot || entry.idx > write.meta.snapIdx)
             putRecord(transaction, entryKey(entry.idx), packRecord(entry));
@@ -274,7 +276,7 @@
 }
 
 auto Store::fillRewritten(Environment& target, const Change* change) -> int {
-    auto batch = std::vector<std::pair<Str, Str>>();
+    auto batch = std::vector<std::pair<std::string, std::string>>();
     auto batchBytes = std::size_t(0);
     auto failure = 0;
     auto flush = [&] {
@@ -284,7 +286,7 @@
         batch.clear();
         batchBytes = 0;
     };
-    auto error = environment_->forEach([&](View key, View sealed) {
+    auto error = environment_->forEach([&](std::string_view key, std::string_view sealed) {
         if (change && !survives(key, change->reset, change->snapshot, change->write)) return true;
         // Damage is not carried over as if it were sound.
         if (!openRecord(key, sealed)) failure = MDB_CORRUPTED;
@@ -324,4 +326,4 @@
         logf("disk: the store could not be made smaller: {}", environmentErrorText(error));
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/storage/store.hpp
+++ b/src/storage/store.hpp
@@ -6,7 +6,7 @@
 #include "storage/environment.hpp"
 #include "storage/record_codec.hpp"
 
-namespace dt {
+namespace duneturn {
 
 /// Why a store could not be opened or written.
 struct StoreError {
@@ -15,7 +15,7 @@
         Damaged,     // what is there cannot be read as a store
         NewerFormat  // written by a newer program: sound, and not to be touched
     };
-    Str why;
+    std::string why;
     Kind kind = Kind::Refused;
 };
 
@@ -36,7 +36,7 @@
 
     /// Opens the store under `directory`, or makes one, and reads it. A damaged one is renamed
     /// and begun anew. When this returns a state, the names of all files are durable.
-    auto open(const Str& directory) -> tl::expected<DiskState, StoreError>;
+    auto open(const std::string& directory) -> tl::expected<DiskState, StoreError>;
     /// One transaction, whole or not at all. After a failure the file is opened anew by the
     /// next write.
     auto write(const DiskWrite& write) -> tl::expected<void, StoreError>;
@@ -54,11 +54,11 @@
         const DiskWrite& write;
         bool reset;
         bool snapshot;
-        const Str& document;
+        const std::string& document;
     };
     auto prepareDirectory() -> int;
     auto createEmpty() -> int;
-    auto moveDamagedAside(const Str& why) -> int;
+    auto moveDamagedAside(const std::string& why) -> int;
     auto openFile() -> int;
     auto readState() -> tl::expected<DiskState, StoreError>;
     auto commit(const Change& change) -> int;
@@ -68,19 +68,19 @@
     auto shrinkIfSparse() -> void;
     auto syncNames() -> int;
     auto mapBytes() const -> std::size_t;
-    auto path() const -> Str;
-    auto newPath() const -> Str;
+    auto path() const -> std::string;
+    auto newPath() const -> std::string;
 
     FileLayer& files_;
     StoreLimits limits_;
     std::unique_ptr<Environment> environment_;
-    Str directory_;
+    std::string directory_;
     bool namesUnsynced_ = false;    // a rename may still be lost with the power
     bool contentsDoubted_ = false;  // a sync failed: the file may lack what the cache shows
     bool oweReset_ = false;
     bool oweSnapshot_ = false;
-    Str oweDocument_;
+    std::string oweDocument_;
     std::int64_t rewrites_ = 0;
 };
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/word.cpp
+++ b/src/word.cpp
@@ -6,7 +6,7 @@
 #include "state/accepted_changes.hpp"
 #include "state/evacuations.hpp"
 
-namespace dt {
+namespace duneturn {
 
 // Of one mapping; "pool" or "pools", as configCheck sees to.
 static constexpr auto MAPPING = R"({"type":"object","additionalProperties":false,
@@ -68,32 +68,32 @@
 
 // Whether `v` is sound, by a schema read once: to name every fault jsCheck builds a schema for
 // each value, which a configuration of thousands of mappings has no time for.
-static auto sound(const Val& v, const rapidjson::SchemaDocument& sd) -> bool {
+static auto sound(const rapidjson::Value& v, const rapidjson::SchemaDocument& sd) -> bool {
     auto sv = rapidjson::SchemaValidator(sd);
     return v.Accept(sv);
 }
 static auto schemaOf(const char* s) -> rapidjson::SchemaDocument {
-    auto d = Doc();
+    auto d = rapidjson::Document();
     jsParse(s, d);
     return rapidjson::SchemaDocument(d);
 }
-static auto lower(Str s) -> Str {
+static auto lower(std::string s) -> std::string {
     for (auto& c : s) c = char(std::tolower(c));
     return s;
 }
 
-auto configCheck(const Val& v) -> std::vector<Fault> {
+auto configCheck(const rapidjson::Value& v) -> std::vector<Fault> {
     static const auto one = schemaOf(MAPPING);
     constexpr auto MANY = std::size_t(32);  // of a document that breaks more no more are named
     auto f = std::vector<Fault>();
     if (!v.IsObject() || !v.HasMember("mappings") || !v["mappings"].IsArray()) return jsCheck(v, CONFIG);
-    auto rest = Doc();
+    auto rest = rapidjson::Document();
     rest.SetObject();
     auto& al = rest.GetAllocator();
     for (auto& m : v.GetObject())  // long texts and lists are looked at where they stand
-        if (View n = m.name.GetString(); n != "mappings" && n != "origin")
-            rest.AddMember(Val(m.name, al), Val(m.value, al), al);
-    auto none = Val(rapidjson::kArrayType);
+        if (std::string_view n = m.name.GetString(); n != "mappings" && n != "origin")
+            rest.AddMember(rapidjson::Value(m.name, al), rapidjson::Value(m.value, al), al);
+    auto none = rapidjson::Value(rapidjson::kArrayType);
     auto& ms = v["mappings"];
     rest.AddMember("mappings", none, al);
     f = jsCheck(rest, CONFIG);
@@ -104,7 +104,7 @@
         if (!o.IsObject()) f.push_back({"/origin", "breaks \"type\": \"object\""});
         else
             for (auto& m : o.GetObject()) {
-                auto n = Str(m.name.GetString(), m.name.GetStringLength());
+                auto n = std::string(m.name.GetString(), m.name.GetStringLength());
                 if (n == "number" ? !m.value.IsInt64() : n == "text" && !m.value.IsString())
                     f.push_back({"/origin/" + n, "breaks \"type\""});
                 else if (n != "number" && n != "text") f.push_back({"/origin/" + n, "unknown field"});
@@ -115,9 +115,9 @@
             for (auto& x : jsCheck(ms[i], MAPPING))
                 f.push_back({fmt::format("/mappings/{}{}", i, x.path == "/" ? "" : x.path), x.why});
     if (!f.empty()) return f;
-    auto names = std::unordered_set<Str>(), places = std::unordered_set<Str>();
-    auto at = [](unsigned i, View k) { return fmt::format("/mappings/{}/{}", i, k); };
-    auto known = [&](const Str& p) { return !v.HasMember("pools") || v["pools"].HasMember(p); };
+    auto names = std::unordered_set<std::string>(), places = std::unordered_set<std::string>();
+    auto at = [](unsigned i, std::string_view k) { return fmt::format("/mappings/{}/{}", i, k); };
+    auto known = [&](const std::string& p) { return !v.HasMember("pools") || v["pools"].HasMember(p); };
     for (auto i = 0u; i < ms.Size() && f.size() < MANY; i++) {
         auto n = jsStr(ms[i], "name"), m = jsStr(ms[i], "model");
         if (!names.insert(n).second) f.push_back({at(i, "name"), "named twice: " + n});
@@ -153,13 +153,13 @@
     return f;
 }
 
-auto bodyOf(std::initializer_list<std::pair<const char*, Str>> kv) -> Str {
-    auto o = Str("{");
+auto bodyOf(std::initializer_list<std::pair<const char*, std::string>> kv) -> std::string {
+    auto o = std::string("{");
     for (auto& [k, v] : kv) o += fmt::format("{}{}:{}", o.size() > 1 ? "," : "", jsQuote(k), v);
     return o + "}";
 }
-auto errorBody(const std::vector<Fault>& fs) -> Str {
-    auto l = Str();
+auto errorBody(const std::vector<Fault>& fs) -> std::string {
+    auto l = std::string();
     for (auto& f : fs)
         l += (l.empty() ? "" : ",") + bodyOf({{"path", jsQuote(f.path)}, {"why", jsQuote(f.why)}});
     return bodyOf({{"error", jsQuote(fs.empty() ? "denied" : fs[0].path + ": " + fs[0].why)},
@@ -174,7 +174,7 @@
 auto Word::operator=(const Word& o) -> Word& {
     if (this == &o) return *this;
     // A new document, since an allocator never gives back what was erased.
-    auto n = Doc();
+    auto n = rapidjson::Document();
     n.CopyFrom(o.d, n.GetAllocator());
     d.Swap(n);
     reign = o.reign;
@@ -182,15 +182,15 @@
     return *this;
 }
 
-auto Word::found(const std::vector<Str>& ro, const std::vector<Seat>& vs) -> void {
-    auto n = Doc();
+auto Word::found(const std::vector<std::string>& ro, const std::vector<Seat>& vs) -> void {
+    auto n = rapidjson::Document();
     jsParse(
         R"({"reign":0,"generation":0,"configGeneration":0,"config":{"mappings":[]},"empties":{},"plan":[],"roster":[],"voters":[],"outcomes":[]})",
         n);
     OrderOutcomes::load(n);
     Evacuations::load(n);
     d.Swap(n);
-    for (auto& r : ro) d["roster"].PushBack(Val(r, d.GetAllocator()), d.GetAllocator());
+    for (auto& r : ro) d["roster"].PushBack(rapidjson::Value(r, d.GetAllocator()), d.GetAllocator());
     reign = 1;
     gen = 1;
     d["reign"].SetInt64(reign);
@@ -198,8 +198,8 @@
     setVoters(vs);
 }
 
-auto Word::load(const Str& s) -> bool {
-    auto n = Doc();
+auto Word::load(const std::string& s) -> bool {
+    auto n = rapidjson::Document();
     if (!jsParse(s, n) || !n.IsObject()) return false;
     for (auto k : {"config", "empties"})
         if (!n.HasMember(k) || !n[k].IsObject()) return false;
@@ -222,11 +222,11 @@
 
 auto Word::setVoters(const std::vector<Seat>& vs) -> void {
     auto& al = d.GetAllocator();
-    auto a = Val(rapidjson::kArrayType);
+    auto a = rapidjson::Value(rapidjson::kArrayType);
     for (auto& v : vs)
-        a.PushBack(Val(rapidjson::kObjectType)
-                       .AddMember("seat", Val(v.seat, al), al)
-                       .AddMember("disk", Val(v.disk, al), al),
+        a.PushBack(rapidjson::Value(rapidjson::kObjectType)
+                       .AddMember("seat", rapidjson::Value(v.seat, al), al)
+                       .AddMember("disk", rapidjson::Value(v.disk, al), al),
             al);
     d["voters"] = a;
 }
@@ -236,10 +236,10 @@
     for (auto& v : d["voters"].GetArray()) o.push_back({jsStr(v, "seat"), jsStr(v, "disk")});
     return o;
 }
-auto Word::emptied(const Str& z) const -> bool { return d["empties"].HasMember(z.c_str()); }
+auto Word::emptied(const std::string& z) const -> bool { return d["empties"].HasMember(z.c_str()); }
 
-auto Word::accepted(const Str& key) const -> Outcome { return OrderOutcomes::accepted(d, key); }
-auto Word::outcome(const Str& key) const -> Outcome {
+auto Word::accepted(const std::string& key) const -> Outcome { return OrderOutcomes::accepted(d, key); }
+auto Word::outcome(const std::string& key) const -> Outcome {
     auto known = OrderOutcomes::accepted(d, key);
     return known.status ? known : OrderOutcomes::refused(d, key);
 }
@@ -257,10 +257,10 @@
 }
 
 // One change, on a word whose caller raises the generation if it was accepted.
-auto Word::change(Val& o, bool planned) -> Outcome {
+auto Word::change(rapidjson::Value& o, bool planned) -> Outcome {
     auto& al = d.GetAllocator();
     auto op = jsStr(o, "op");
-    auto no = [](int st, Str why) { return Outcome{st, bodyOf({{"error", jsQuote(why)}})}; };
+    auto no = [](int st, std::string why) { return Outcome{st, bodyOf({{"error", jsQuote(why)}})}; };
     if (op == "config") {
         if (auto base = jsInt(o, "base", -1); !planned && base != configGen())
             return baseRefusal(*this, base);
@@ -280,11 +280,11 @@
     }
     if (op == "book") {
         auto id = fmt::format("m{}", gen + 1);
-        auto b = Val(rapidjson::kObjectType);
-        b.AddMember("id", Val(id, al), al)
-            .AddMember("at", Val(jsInt(o, "when")), al)
+        auto b = rapidjson::Value(rapidjson::kObjectType);
+        b.AddMember("id", rapidjson::Value(id, al), al)
+            .AddMember("at", rapidjson::Value(jsInt(o, "when")), al)
             .AddMember("state", "booked", al)
-            .AddMember("move", Val(o["move"], al), al);
+            .AddMember("move", rapidjson::Value(o["move"], al), al);
         auto& p = d["plan"];
         p.PushBack(b, al);
         for (auto i = p.Begin(); p.Size() > 500 && i != p.End();)
@@ -300,10 +300,10 @@
                 m["state"] = "cancelled";
                 return {200, bodyOf({{"move", jsQuote(jsStr(o, "move"))}})};
             }
-            auto mv = Val(m["move"], al);
+            auto mv = rapidjson::Value(m["move"], al);
             auto r = change(mv, true);
-            m["state"] = Val(rapidjson::StringRef(r.status == 200 ? "done" : "failed"));
-            m.AddMember("fired", Val(jsInt(o, "at")), al);
+            m["state"] = rapidjson::Value(rapidjson::StringRef(r.status == 200 ? "done" : "failed"));
+            m.AddMember("fired", rapidjson::Value(jsInt(o, "at")), al);
             return r.status == 200 ? r : Outcome{200, r.body};
         }
         return no(404, "no such move");
@@ -313,28 +313,28 @@
         auto n = jsStr(o, "node");
         ns.erase(std::remove(ns.begin(), ns.end(), n), ns.end());
         if (jsBool(o, "add")) ns.push_back(n);
-        auto a = Val(rapidjson::kArrayType);
-        for (auto& x : ns) a.PushBack(Val(x, al), al);
+        auto a = rapidjson::Value(rapidjson::kArrayType);
+        for (auto& x : ns) a.PushBack(rapidjson::Value(x, al), al);
         d["roster"] = a;
         return {200, bodyOf({{"roster", js(d["roster"])}})};
     }
     return no(422, "unknown order: " + op);
 }
 
-auto Word::apply(const Str& order) -> Outcome {
+auto Word::apply(const std::string& order) -> Outcome {
     auto r = lay(order);
     // A new document, since an allocator never gives back what was overwritten.
-    auto n = Doc();
+    auto n = rapidjson::Document();
     n.CopyFrom(d, n.GetAllocator());
     d.Swap(n);
     return r;
 }
 // The number that the operator's own document bears; 0 if there is none.
-static auto documentVersion(const Val& config) -> std::int64_t {
+static auto documentVersion(const rapidjson::Value& config) -> std::int64_t {
     return config.HasMember("origin") ? jsInt(config["origin"], "number") : 0;
 }
-auto Word::lay(const Str& order) -> Outcome {
-    auto o = Doc(&d.GetAllocator());  // so that what an order brings is moved, not copied
+auto Word::lay(const std::string& order) -> Outcome {
+    auto o = rapidjson::Document(&d.GetAllocator());  // so that what an order brings is moved, not copied
     if (!jsParse(order, o) || !o.IsObject()) return {422, bodyOf({{"error", jsQuote("not an order")}})};
     auto key = jsStr(o, "key");
     if (auto known = OrderOutcomes::accepted(d, key); known.status) return known;
@@ -353,13 +353,14 @@
     return r;
 }
 
-static auto moveCheck(const Word& w, const Val& m, const Str& path, std::vector<Fault>& f) -> void {
+static auto moveCheck(
+    const Word& w, const rapidjson::Value& m, const std::string& path, std::vector<Fault>& f) -> void {
     auto op = jsStr(m, "op");
     if (op == "empty" || op == "give-back") {
         if (jsStr(m, "district").empty()) f.push_back({path + "/district", "missing"});
         for (auto& k : m.GetObject())
-            if (View n = k.name.GetString(); n != "op" && n != "district")
-                f.push_back({path + "/" + Str(n), "unknown field"});
+            if (std::string_view n = k.name.GetString(); n != "op" && n != "district")
+                f.push_back({path + "/" + std::string(n), "unknown field"});
     } else if (op == "config") {
         if (!m.HasMember("config")) f.push_back({path + "/config", "missing"});
         else
@@ -368,31 +369,31 @@
     (void)w;
 }
 
-auto orderPrepare(const Word& w, const Str& op, const Str& key, const Str& body, Us wall)
-    -> tl::expected<Str, OrderRefusal> {
-    auto b = Doc();
+auto orderPrepare(const Word& w, const std::string& op, const std::string& key, const std::string& body,
+    Microseconds wall) -> tl::expected<std::string, OrderRefusal> {
+    auto b = rapidjson::Document();
     if (!jsParse(body.empty() ? "{}" : body, b))
         return tl::make_unexpected(OrderRefusal{{400, errorBody({{"/", "malformed JSON"}})}});
     if (!b.IsObject()) return tl::make_unexpected(OrderRefusal{{422, errorBody({{"/", "wants an object"}})}});
     auto f = std::vector<Fault>();
-    auto o = Doc();
+    auto o = rapidjson::Document();
     o.SetObject();
     auto& al = o.GetAllocator();
-    auto only = [&](std::initializer_list<View> ks) {
+    auto only = [&](std::initializer_list<std::string_view> ks) {
         for (auto& m : b.GetObject())
-            if (std::find(ks.begin(), ks.end(), View(m.name.GetString())) == ks.end())
-                f.push_back({Str("/") + m.name.GetString(), "unknown field"});
+            if (std::find(ks.begin(), ks.end(), std::string_view(m.name.GetString())) == ks.end())
+                f.push_back({std::string("/") + m.name.GetString(), "unknown field"});
     };
-    o.AddMember("key", Val(key, al), al);
-    o.AddMember("op", Val(op == "merge" ? Str("config") : op, al), al);
+    o.AddMember("key", rapidjson::Value(key, al), al);
+    o.AddMember("op", rapidjson::Value(op == "merge" ? std::string("config") : op, al), al);
     if (op == "config" || op == "merge") {
         auto k = op == "merge" ? "patch" : "config";
         only({"base", k});
         if (!b.HasMember("base") || !b["base"].IsInt64())
             f.push_back({"/base", "wants the generation that this is based on"});
-        if (!b.HasMember(k)) f.push_back({Str("/") + k, "missing"});
+        if (!b.HasMember(k)) f.push_back({std::string("/") + k, "missing"});
         if (f.empty()) {
-            auto c = Val();
+            auto c = rapidjson::Value();
             if (op == "merge") {
                 c.CopyFrom(w.config(), al);
                 jsMerge(c, b["patch"], al);
@@ -409,8 +410,8 @@
         if (b.HasMember("revision") && !b["revision"].IsInt64()) f.push_back({"/revision", "wants a number"});
         if (b.HasMember("revision")) o.AddMember("revision", jsInt(b, "revision"), al);
         if (jsStr(b, "district").empty()) f.push_back({"/district", "missing"});
-        o.AddMember("district", Val(jsStr(b, "district"), al), al);
-        o.AddMember("at", Val(std::int64_t(wall)), al);
+        o.AddMember("district", rapidjson::Value(jsStr(b, "district"), al), al);
+        o.AddMember("at", rapidjson::Value(std::int64_t(wall)), al);
     } else if (op == "book") {
         only({"at", "move"});
         auto t = wallParse(jsStr(b, "at"));
@@ -418,23 +419,23 @@
         if (!b.HasMember("move") || !b["move"].IsObject()) f.push_back({"/move", "missing"});
         else moveCheck(w, b["move"], "/move", f);
         if (f.empty()) {
-            o.AddMember("when", Val(std::int64_t(t)), al);
-            o.AddMember("move", Val(b["move"], al), al);
+            o.AddMember("when", rapidjson::Value(std::int64_t(t)), al);
+            o.AddMember("move", rapidjson::Value(b["move"], al), al);
         }
     } else if (op == "cancel" || op == "fire") {
         only({"move"});
         if (jsStr(b, "move").empty()) f.push_back({"/move", "missing"});
-        o.AddMember("move", Val(jsStr(b, "move"), al), al);
-        o.AddMember("at", Val(std::int64_t(wall)), al);
+        o.AddMember("move", rapidjson::Value(jsStr(b, "move"), al), al);
+        o.AddMember("at", rapidjson::Value(std::int64_t(wall)), al);
     } else if (op == "roster") {
         only({"node", "add"});
         if (jsStr(b, "node").empty()) f.push_back({"/node", "missing"});
-        o.AddMember("node", Val(jsStr(b, "node"), al), al);
-        o.AddMember("add", Val(jsBool(b, "add", true)), al);
+        o.AddMember("node", rapidjson::Value(jsStr(b, "node"), al), al);
+        o.AddMember("add", rapidjson::Value(jsBool(b, "add", true)), al);
     } else return tl::make_unexpected(OrderRefusal{{404, errorBody({{"/op", "unknown order: " + op}})}});
     // A merge's faults are those of what it is laid upon, too.
     if (!f.empty()) return tl::make_unexpected(OrderRefusal{{422, errorBody(f)}, op == "merge"});
     return js(o);
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/word.hpp
+++ b/src/word.hpp
@@ -4,14 +4,14 @@
 #include "shared.hpp"
 #include "state/order_outcomes.hpp"
 
-namespace dt {
+namespace duneturn {
 
 struct Seat {
-    Str seat, disk;
+    std::string seat, disk;
 };
 
 struct Word {
-    Doc d;
+    rapidjson::Document d;
     std::int64_t reign = 0, gen = 0;
 
     Word();
@@ -19,33 +19,33 @@
     auto operator=(const Word& o) -> Word&;
 
     /// The document of a new fleet.
-    auto found(const std::vector<Str>& roster, const std::vector<Seat>& vs) -> void;
+    auto found(const std::vector<std::string>& roster, const std::vector<Seat>& vs) -> void;
     /// Takes `s` whole; false and unchanged if it is no such document.
-    auto load(const Str& s) -> bool;
-    auto text() const -> Str { return js(d); }
+    auto load(const std::string& s) -> bool;
+    auto text() const -> std::string { return js(d); }
     /// One logged order. The same order on the same word gives the same outcome anywhere.
-    auto apply(const Str& order) -> Outcome;
+    auto apply(const std::string& order) -> Outcome;
     auto setVoters(const std::vector<Seat>& vs) -> void;
 
     auto voters() const -> std::vector<Seat>;
-    auto roster() const -> std::vector<Str> { return jsList(d, "roster"); }
-    auto emptied(const Str& district) const -> bool;
-    auto config() const -> const Val& { return d["config"]; }
+    auto roster() const -> std::vector<std::string> { return jsList(d, "roster"); }
+    auto emptied(const std::string& district) const -> bool;
+    auto config() const -> const rapidjson::Value& { return d["config"]; }
     auto configGen() const -> std::int64_t { return jsInt(d, "configGeneration"); }
     /// The outcome kept under an idempotency key; status 0 if there is none.
-    auto outcome(const Str& key) const -> Outcome;
+    auto outcome(const std::string& key) const -> Outcome;
     /// The same, of an order that was accepted.
-    auto accepted(const Str& key) const -> Outcome;
+    auto accepted(const std::string& key) const -> Outcome;
 
   private:
     auto rise() -> void;
-    auto change(Val& o, bool planned) -> Outcome;
-    auto lay(const Str& order) -> Outcome;
+    auto change(rapidjson::Value& o, bool planned) -> Outcome;
+    auto lay(const std::string& order) -> Outcome;
 };
 
-auto bodyOf(std::initializer_list<std::pair<const char*, Str>> kv) -> Str;
+auto bodyOf(std::initializer_list<std::pair<const char*, std::string>> kv) -> std::string;
 /// A denial's JSON: {"error": why, "path": where}.
-auto errorBody(const std::vector<Fault>& fs) -> Str;
+auto errorBody(const std::vector<Fault>& fs) -> std::string;
 
 /// The answer where it cannot be told whether an order was accepted.
 auto outcomeUnknown() -> Outcome;
@@ -57,9 +57,9 @@
 
 /// What a leader does with an operator's request before it is logged: checks it and
 /// lays merge patches onto the word. Gives the entry's text, or the denial.
-auto orderPrepare(const Word& w, const Str& op, const Str& key, const Str& body, Us wall)
-    -> tl::expected<Str, OrderRefusal>;
+auto orderPrepare(const Word& w, const std::string& op, const std::string& key, const std::string& body,
+    Microseconds wall) -> tl::expected<std::string, OrderRefusal>;
 /// Every fault of a whole configuration.
-auto configCheck(const Val& v) -> std::vector<Fault>;
+auto configCheck(const rapidjson::Value& v) -> std::vector<Fault>;
 
-}  // namespace dt
+}  // namespace duneturn
--- a/src/world.hpp
+++ b/src/world.hpp
@@ -8,14 +8,14 @@
 #include "history.hpp"
 #include "simulate.hpp"
 
-namespace dt {
+namespace duneturn {
 
 struct World;
 
 struct SimDisk {
     DiskState held;               // what survives the loss of power
     std::deque<DiskWrite> under;  // written, not yet synced
-    Us lat = 2 * MS;
+    Microseconds lat = 2 * MILLISECOND;
     DiskGate gate;
     bool full = false, stalled = false, busy = false;
 };
@@ -27,8 +27,8 @@
     Settings st;
     bool core = false;
     SimDisk dk;
-    Us wallOff = 0, bootOff = 0;
-    std::vector<Str> kept;  // the address book beside the store
+    Microseconds wallOff = 0, bootOff = 0;
+    std::vector<std::string> kept;  // the address book beside the store
     std::int64_t life = 0;
     bool up = false, frozen = false;
     std::deque<std::function<void()>> inbox;
@@ -40,34 +40,34 @@
     std::pair<std::int64_t, std::int64_t> top{0, 0};
 
     Machine(World& ww, int k) : w(ww), i(k) {}
-    auto now() const -> Us;
+    auto now() const -> Microseconds;
     auto start() -> void;
     auto kill(bool power) -> void;
-    auto tell(const Str& addr, const wire::Envelope& e) -> void override;
+    auto tell(const std::string& addr, const wire::Envelope& e) -> void override;
     auto disk(const DiskWrite& x) -> void override;
     auto diskStep() -> void;
     auto done(std::int64_t id, const Outcome& o) -> void override;
-    auto book(const std::vector<Str>& v) -> void override { kept = v; }
-    auto probe(const Str& server, const Str& addr) -> void override;
-    auto send(std::int64_t x, int a, const Str& server, const Str& addr) -> void override;
+    auto book(const std::vector<std::string>& v) -> void override { kept = v; }
+    auto probe(const std::string& server, const std::string& addr) -> void override;
+    auto send(std::int64_t x, int a, const std::string& server, const std::string& addr) -> void override;
     auto drop(std::int64_t x, int a) -> void override;
     auto head(std::int64_t x, int status, const Headers& h) -> void override;
-    auto part(std::int64_t x, const Str& s) -> void override;
+    auto part(std::int64_t x, const std::string& s) -> void override;
     auto end(std::int64_t x, bool whole) -> void override;
-    auto reply(std::int64_t x, int status, const Headers& h, const Str& body) -> void override;
+    auto reply(std::int64_t x, int status, const Headers& h, const std::string& body) -> void override;
 };
 
 struct SimServer {
-    Str name, addr, region, district, pool, weights;
+    std::string name, addr, region, district, pool, weights;
     int slots = 8;
     bool up = true, dark = false, cold = false;
     std::int64_t life = 1;
-    Us born = -3600 * SEC;
+    Microseconds born = -3600 * SECOND;
     int prefill = 0, decode = 0;
-    Str mode;
+    std::string mode;
     FakeCache cache;
-    bool leaving = false;  // as the platform means it
-    Us leavingSent = 0;    // when the mark that was taken was sent
+    bool leaving = false;          // as the platform means it
+    Microseconds leavingSent = 0;  // when the mark that was taken was sent
 };
 
 struct Conn {
@@ -84,19 +84,19 @@
 
 struct Ask {  // one sender's request, over its tries
     int kind = 0;
-    Str region, body, path;
-    Us born = 0;
+    std::string region, body, path;
+    Microseconds born = 0;
     int tries = 0, resumes = 0;
     bool over = false, moving = false;  // moving: its sender picks a cut stream up elsewhere
     std::int64_t last = 0;              // the newest event that the sender holds
-    Str weights;                        // as they came with the stream
+    std::string weights;                // as they came with the stream
 };
 struct Try {
     int ask = 0, m = 0;
     std::int64_t life = 0, x = 0;
     bool over = false, streaming = false, done = false, failed = false;
     std::int64_t last = 0, from = 0;
-    Str weights, said;  // as the node told, and as the events show
+    std::string weights, said;  // as the node told, and as the events show
     std::vector<int> execs;
     bool notRun = false;
     int sends = 0;  // begun towards servers, whatever became of them
@@ -104,24 +104,24 @@
 struct Exec {
     int tr, s;
     std::int64_t from;
-    Us at;
+    Microseconds at;
 };
 // An operator's configuration order, as the operator saw it.
 struct Order {
-    Us born = 0, over = 0;  // over: 0 if the outcome never came
+    Microseconds born = 0, over = 0;  // over: 0 if the outcome never came
     int status = 0;
     std::int64_t gen = 0, base = 0;
-    Str op, what;  // config: the probe pool that it names; empty, give-back: the district
-    std::shared_ptr<Doc> cfg;
+    std::string op, what;  // config: the probe pool that it names; empty, give-back: the district
+    std::shared_ptr<rapidjson::Document> cfg;
 };
 
 struct World {
     SimOptions op;
     SimResult r;
     Rng rng{1}, net{1}, frng{1};
-    Us t = 0;
+    Microseconds t = 0;
     struct Ev {
-        Us at;
+        Microseconds at;
         std::int64_t seq;
         std::function<void()> f;
     };
@@ -133,15 +133,15 @@
     std::priority_queue<Ev, std::vector<Ev>, Later> q;
     std::int64_t evs = 0;
     std::vector<std::unique_ptr<Machine>> ms;
-    std::map<Str, int> byAddr;
+    std::map<std::string, int> byAddr;
     std::vector<SimServer> ss;
-    std::map<Str, int> sByAddr;
+    std::map<std::string, int> sByAddr;
     std::vector<Kind> ks;
-    std::vector<Str> regions;
-    Str config;
+    std::vector<std::string> regions;
+    std::string config;
     std::vector<std::vector<int>> cut;  // > 0: nothing passes from a to b
     double loss = 0;
-    std::map<std::pair<int, int>, Us> linkAt;
+    std::map<std::pair<int, int>, Microseconds> linkAt;
     std::vector<Ask> asks;
     std::vector<Try> trs;
     std::map<std::tuple<int, std::int64_t, std::int64_t>, int> tryOf;
@@ -149,26 +149,29 @@
     std::vector<std::unique_ptr<Conn>> conns;
     std::map<std::tuple<int, std::int64_t, std::int64_t, int>, Conn*> connOf;
     std::vector<Order> ords;
-    std::vector<HistOp> hist;               // of configuration orders and readbacks
-    std::vector<std::pair<Us, bool>> sent;  // to servers; whether beyond the first of its request
+    std::vector<HistOp> hist;                         // of configuration orders and readbacks
+    std::vector<std::pair<Microseconds, bool>> sent;  // to servers; whether beyond the first of its request
     double crowd = 1, swing = 0;
     bool ended = false;
-    std::int64_t rev = 0;                         // the platform numbers what it says
-    Us lostAt = 0;                                // a total loss, until it is judged
-    std::map<std::pair<Str, Str>, Us> backAt;     // kind, region: first whole reply since
-    Us calmFrom = 0, calmTo = 0;                  // requests born between are judged for liveness
-    std::map<Str, std::pair<int, int>> calmAsks;  // kind/region: asked, whole
-    std::map<Str, std::int64_t> sumCt;
+    std::int64_t rev = 0;     // the platform numbers what it says
+    Microseconds lostAt = 0;  // a total loss, until it is judged
+    std::map<std::pair<std::string, std::string>, Microseconds>
+        backAt;                                           // kind, region: first whole reply since
+    Microseconds calmFrom = 0, calmTo = 0;                // requests born between are judged for liveness
+    std::map<std::string, std::pair<int, int>> calmAsks;  // kind/region: asked, whole
+    std::map<std::string, std::int64_t> sumCt;
     std::int64_t emptiesOpen = 0;
-    int askAt = -1;   // the node that the next order goes to
-    Us calmTill = 0;  // no other fault before this
-    std::map<std::pair<std::int64_t, std::int64_t>, Str> ledBy;
+    int askAt = -1;             // the node that the next order goes to
+    Microseconds calmTill = 0;  // no other fault before this
+    std::map<std::pair<std::int64_t, std::int64_t>, std::string> ledBy;
     int probes = 8;
 
-    auto at(Us when, std::function<void()> f) -> void { q.push({std::max(when, t), ++evs, std::move(f)}); }
-    auto in(Us d, std::function<void()> f) -> void { at(t + d, std::move(f)); }
+    auto at(Microseconds when, std::function<void()> f) -> void {
+        q.push({std::max(when, t), ++evs, std::move(f)});
+    }
+    auto in(Microseconds d, std::function<void()> f) -> void { at(t + d, std::move(f)); }
     // For a process: lost if that life is over, kept back while it is frozen.
-    auto to(int m, std::int64_t life, Us d, std::function<void()> f) -> void {
+    auto to(int m, std::int64_t life, Microseconds d, std::function<void()> f) -> void {
         in(d, [this, m, life, f = std::move(f)] {
             auto& x = *ms[std::size_t(m)];
             if (!x.up || x.life != life) return;
@@ -176,7 +179,7 @@
             else f();
         });
     }
-    auto say(const Str& s) -> void {
+    auto say(const std::string& s) -> void {
         auto l = fmt::format("{:>12} {}", t, s);
         r.digest = hash64(l, r.digest);
         if (!op.quiet) fmt::print("{}\n", l);
@@ -185,67 +188,71 @@
             if (r.trace.size() > 4000) r.trace.erase(r.trace.begin(), r.trace.begin() + 2000);
         }
     }
-    auto broke(const Str& rule, const Str& s) -> void {
+    auto broke(const std::string& rule, const std::string& s) -> void {
         say(fmt::format("BROKEN {}: {}", rule, s));
         if (r.broken.size() < 20) r.broken.push_back(rule + ": " + s);
     }
-    auto lat() -> Us { return 300 + Us(net.below(700)) + (net.chance(.01) ? Us(net.below(20 * MS)) : 0); }
-    auto has(const Str& f) const -> bool {
+    auto lat() -> Microseconds {
+        return 300 + Microseconds(net.below(700))
+            + (net.chance(.01) ? Microseconds(net.below(20 * MILLISECOND)) : 0);
+    }
+    auto has(const std::string& f) const -> bool {
         return std::find(op.faults.begin(), op.faults.end(), f) != op.faults.end();
     }
 
-    auto load() -> Str;
+    auto load() -> std::string;
     auto run() -> void;
     auto ticks(int m, std::int64_t life) -> void;
     auto arrive(std::size_t k) -> void;
-    auto ask(std::size_t k, const Str& region) -> void;
+    auto ask(std::size_t k, const std::string& region) -> void;
     auto countSend(int tr) -> void;
-    auto totalLoss(const Str& f) -> void;
+    auto totalLoss(const std::string& f) -> void;
     auto ruin() -> void;
     auto returnCold(SimServer& s) -> bool;
     auto returnUnmarked(SimServer& s) -> void;
     auto wake(Machine& m) -> void;
-    auto restart(int i, Us d) -> void;
+    auto restart(int i, Microseconds d) -> void;
     auto loseDisk(Machine& m) -> void;
     auto moveCore(Machine& k) -> void;
     auto newestConfig() const -> std::int64_t;
-    auto putConfig(int probe, std::int64_t base, std::function<void(int)> f, const Str& twist = "") -> void;
-    auto giveBack(const Str& district) -> void;
+    auto putConfig(int probe, std::int64_t base, std::function<void(int)> f, const std::string& twist = "")
+        -> void;
+    auto giveBack(const std::string& district) -> void;
     auto go(int a) -> void;
     auto again(int a, bool later) -> void;
     auto lostTry(int tr) -> void;
-    auto event(int tr, const Str& raw) -> void;
+    auto event(int tr, const std::string& raw) -> void;
     auto endTry(int tr, bool whole) -> void;
-    auto replyTry(int tr, int status, const Headers& h, const Str& body) -> void;
-    auto result(int tr, const Str& what) -> void;
+    auto replyTry(int tr, int status, const Headers& h, const std::string& body) -> void;
+    auto result(int tr, const std::string& what) -> void;
     auto serve(Conn* c, int tr, const Exchange& x) -> void;
-    auto up(Conn* c, Us d, std::function<void(Machine&)> f) -> void;
+    auto up(Conn* c, Microseconds d, std::function<void(Machine&)> f) -> void;
     auto closeConn(Conn* c) -> void;
     auto serverDown(int s, bool silent) -> void;
     auto platform() -> void;
-    auto listing() -> Str;
+    auto listing() -> std::string;
     auto tellPlatform(std::function<void(bool)> f, int tries) -> void;
-    auto order(const Str& op, const Str& body, const Str& what, std::int64_t base, std::function<void(int)> f)
-        -> void;
-    auto fault(const Str& f) -> void;
+    auto order(const std::string& op, const std::string& body, const std::string& what, std::int64_t base,
+        std::function<void(int)> f) -> void;
+    auto fault(const std::string& f) -> void;
     auto faults() -> void;
     auto leader() -> int;
     auto aliveMachine() -> int;
     auto checkExec(const Exec& e) -> void;
     auto orderEffects(const Exec& e) -> void;
-    auto inForce(Us at) const -> std::vector<const Order*>;
-    auto allows(const Doc& c, const Exec& e) const -> Str;
+    auto inForce(Microseconds at) const -> std::vector<const Order*>;
+    auto allows(const rapidjson::Document& c, const Exec& e) const -> std::string;
     auto leavingTaken(int s) -> void;
     auto emptyTaken(const Order& d) -> void;
     auto calm() -> void;
     auto leaks() -> void;
-    auto canary(Us till) -> void;
+    auto canary(Microseconds till) -> void;
     auto finish() -> void;
     auto dump() -> void;
-    auto probeConfig(int k, const Str& twist = "") -> Str;
+    auto probeConfig(int k, const std::string& twist = "") -> std::string;
     auto cutTry(int tr) -> void;
-    auto readback(std::function<void(bool, const Str&)> f) -> void;
+    auto readback(std::function<void(bool, const std::string&)> f) -> void;
     auto heal() -> void;
 };
 
-}  // namespace dt
+}  // namespace duneturn
--- a/tests/answer_reader_test.cpp
+++ b/tests/answer_reader_test.cpp
@@ -3,7 +3,7 @@
 #include "routing/kept_connections.hpp"
 #include "test.hpp"
 
-namespace dt {
+namespace duneturn {
 namespace {
 
 auto options() -> AnswerOptions {
@@ -14,23 +14,29 @@
 }
 
 // What was read, in one line: the head's status, events, the body, the failure.
-auto text(AnswerReader& reader) -> Str {
+auto text(AnswerReader& reader) -> std::string {
     struct Show {
-        auto operator()(const AnswerHead& head) const -> Str { return fmt::format("head {};", head.status); }
-        auto operator()(const Event& event) const -> Str { return fmt::format("event {};", event.id); }
-        auto operator()(const AnswerEnd& end) const -> Str { return fmt::format("whole {};", end.body); }
-        auto operator()(const AnswerFailure& failure) const -> Str {
+        auto operator()(const AnswerHead& head) const -> std::string {
+            return fmt::format("head {};", head.status);
+        }
+        auto operator()(const Event& event) const -> std::string {
+            return fmt::format("event {};", event.id);
+        }
+        auto operator()(const AnswerEnd& end) const -> std::string {
+            return fmt::format("whole {};", end.body);
+        }
+        auto operator()(const AnswerFailure& failure) const -> std::string {
             return fmt::format("failed {};", int(failure.event));
         }
     };
-    auto out = Str();
+    auto out = std::string();
     for (auto& part : reader.take()) out += std::visit(Show(), part);
     return out;
 }
 
 // The same bytes in one piece, in two at every place, and one by one give the same.
-auto readAll(const Str& bytes, std::optional<ConnectionEnd> end, const AnswerOptions& how = options())
-    -> Str {
+auto readAll(const std::string& bytes, std::optional<ConnectionEnd> end, const AnswerOptions& how = options())
+    -> std::string {
     auto finish = [&](AnswerReader& reader) {
         if (end) reader.end(*end);
         return text(reader);
@@ -39,32 +45,32 @@
     whole.feed(bytes);
     auto expected = finish(whole);
     auto single = AnswerReader(how);
-    for (auto byte : bytes) single.feed(View(&byte, 1));
+    for (auto byte : bytes) single.feed(std::string_view(&byte, 1));
     CHECK_EQ(expected, finish(single));
     for (auto i = std::size_t(0); i <= bytes.size(); i++) {
         auto two = AnswerReader(how);
-        two.feed(View(bytes).substr(0, i));
-        two.feed(View(bytes).substr(i));
+        two.feed(std::string_view(bytes).substr(0, i));
+        two.feed(std::string_view(bytes).substr(i));
         CHECK_EQ(expected, finish(two));
     }
     return expected;
 }
-auto failed(AttemptEvent event) -> Str { return fmt::format("failed {};", int(event)); }
+auto failed(AttemptEvent event) -> std::string { return fmt::format("failed {};", int(event)); }
 
 }  // namespace
 
 TEST(AnswerReader, framing) {
     auto closed = ConnectionEnd::Closed, reset = ConnectionEnd::Reset;
-    CHECK_EQ(
-        Str("head 200;whole abc;"), readAll("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", std::nullopt));
-    CHECK_EQ(Str("head 200;whole abc;"),
+    CHECK_EQ(std::string("head 200;whole abc;"),
+        readAll("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", std::nullopt));
+    CHECK_EQ(std::string("head 200;whole abc;"),
         readAll("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n2\r\nbc\r\n0\r\n\r\n",
             std::nullopt));
-    CHECK_EQ(Str("head 204;whole ;"), readAll("HTTP/1.1 204 No\r\n\r\n", std::nullopt));
+    CHECK_EQ(std::string("head 204;whole ;"), readAll("HTTP/1.1 204 No\r\n\r\n", std::nullopt));
     // Without a length the connection's end is the answer's, unless it was reset.
-    auto unframed = Str("HTTP/1.1 200 OK\r\n\r\nabc");
-    CHECK_EQ(Str("head 200;"), readAll(unframed, std::nullopt));
-    CHECK_EQ(Str("head 200;whole abc;"), readAll(unframed, closed));
+    auto unframed = std::string("HTTP/1.1 200 OK\r\n\r\nabc");
+    CHECK_EQ(std::string("head 200;"), readAll(unframed, std::nullopt));
+    CHECK_EQ(std::string("head 200;whole abc;"), readAll(unframed, closed));
     CHECK_EQ("head 200;" + failed(AttemptEvent::ConnectionReset), readAll(unframed, reset));
     auto strict = options();
     strict.mayEndByClose = false;
@@ -83,7 +89,7 @@
 }
 
 TEST(AnswerReader, interimAnswers) {
-    CHECK_EQ(Str("head 200;whole a;"),
+    CHECK_EQ(std::string("head 200;whole a;"),
         readAll("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nX: y\r\n\r\nHTTP/1.1 200 OK\r\n"
                 "Content-Length: 1\r\n\r\na",
             std::nullopt));
@@ -93,41 +99,42 @@
 }
 
 TEST(AnswerReader, streams) {
-    auto head = Str("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n");
+    auto head = std::string("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n");
     auto chunked = head + "Transfer-Encoding: chunked\r\n\r\n";
-    auto event = Str("c\r\nid: 1\ndata:a\r\n2\r\n\n\n\r\n");
+    auto event = std::string("c\r\nid: 1\ndata:a\r\n2\r\n\n\n\r\n");
     auto broken = failed(AttemptEvent::MalformedAnswer);
-    CHECK_EQ(Str("head 200;event 1;whole ;"), readAll(chunked + event + "0\r\n\r\n", std::nullopt));
+    CHECK_EQ(std::string("head 200;event 1;whole ;"), readAll(chunked + event + "0\r\n\r\n", std::nullopt));
     CHECK_EQ("head 200;event 1;" + failed(AttemptEvent::ConnectionClosed),
         readAll(chunked + event, ConnectionEnd::Closed));
     // A part of an event is never passed on, and a stream that ends within one is not whole.
     CHECK_EQ("head 200;event 1;" + broken, readAll(chunked + event + "3\r\nid:\r\n0\r\n\r\n", std::nullopt));
-    CHECK_EQ(Str("head 200;event 1;whole ;"), readAll(head + "\r\nid: 1\ndata:a\n\n", ConnectionEnd::Closed));
+    CHECK_EQ(std::string("head 200;event 1;whole ;"),
+        readAll(head + "\r\nid: 1\ndata:a\n\n", ConnectionEnd::Closed));
     CHECK_EQ(
         "head 200;event 1;" + broken, readAll(head + "\r\nid: 1\ndata:a\n\nid: 2\n", ConnectionEnd::Closed));
     // A server that declines sends no stream, whatever it calls it.
-    CHECK_EQ(Str("head 200;whole id: 1\n\n;"),
+    CHECK_EQ(std::string("head 200;whole id: 1\n\n;"),
         readAll(head + "X-Not-Run: 1\r\nContent-Length: 7\r\n\r\nid: 1\n\n", std::nullopt));
 }
 
 // A connection is kept only if nothing but the whole answer came on it.
 TEST(AnswerReader, keptConnections) {
-    auto keep = [](const Str& bytes, std::optional<ConnectionEnd> end = std::nullopt) {
+    auto keep = [](const std::string& bytes, std::optional<ConnectionEnd> end = std::nullopt) {
         auto reader = AnswerReader(options());
         reader.feed(bytes);
         if (end) reader.end(*end);
         return reader.keepFor();
     };
-    auto whole = Str("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na");
+    auto whole = std::string("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na");
     CHECK(keep(whole) > 0);
-    CHECK_EQ(Us(0), keep(whole + "x"));
-    CHECK_EQ(Us(0), keep(whole + whole));
-    CHECK_EQ(Us(0), keep(whole.substr(0, whole.size() - 1)));
-    CHECK_EQ(Us(0), keep("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 1\r\n\r\na"));
-    CHECK_EQ(Us(0), keep("HTTP/1.0 200 OK\r\nContent-Length: 1\r\n\r\na"));
-    CHECK_EQ(Us(0), keep("HTTP/1.1 200 OK\r\n\r\na", ConnectionEnd::Closed));
-    CHECK_EQ(Us(0), keep(whole, ConnectionEnd::Closed));
-    CHECK_EQ(SEC, keep("HTTP/1.1 200 OK\r\nKeep-Alive: timeout=2\r\nContent-Length: 1\r\n\r\na"));
+    CHECK_EQ(Microseconds(0), keep(whole + "x"));
+    CHECK_EQ(Microseconds(0), keep(whole + whole));
+    CHECK_EQ(Microseconds(0), keep(whole.substr(0, whole.size() - 1)));
+    CHECK_EQ(Microseconds(0), keep("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 1\r\n\r\na"));
+    CHECK_EQ(Microseconds(0), keep("HTTP/1.0 200 OK\r\nContent-Length: 1\r\n\r\na"));
+    CHECK_EQ(Microseconds(0), keep("HTTP/1.1 200 OK\r\n\r\na", ConnectionEnd::Closed));
+    CHECK_EQ(Microseconds(0), keep(whole, ConnectionEnd::Closed));
+    CHECK_EQ(SECOND, keep("HTTP/1.1 200 OK\r\nKeep-Alive: timeout=2\r\nContent-Length: 1\r\n\r\na"));
 }
 
 // Connections that brought something while they rested are closed and not given out.
@@ -139,18 +146,18 @@
     auto kept = KeptConnections<Link>([](auto& link) { return *link.quiet; });
     auto make = [](int id, bool quiet) { return Link{id, std::make_shared<bool>(quiet)}; };
     auto first = make(1, true), second = make(2, true), loud = make(3, false);
-    kept.put("s", first, SEC, 0, 4);
-    kept.put("s", second, SEC, 0, 4);
-    kept.put("s", loud, SEC, 0, 4);
+    kept.put("s", first, SECOND, 0, 4);
+    kept.put("s", second, SECOND, 0, 4);
+    kept.put("s", loud, SECOND, 0, 4);
     CHECK(!kept.take("other", 0));
     *second.quiet = false;
     CHECK_EQ(1, kept.take("s", 0)->id);
     CHECK(!kept.take("s", 0));
     CHECK_EQ(1L, second.quiet.use_count());  // closed with its last handle but ours
-    kept.put("s", first, SEC, 0, 4);
-    CHECK(!kept.take("s", SEC));
-    kept.expire(SEC);
+    kept.put("s", first, SECOND, 0, 4);
+    CHECK(!kept.take("s", SECOND));
+    kept.expire(SECOND);
     CHECK_EQ(1L, loud.quiet.use_count());
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/tests/attempt_state_test.cpp
+++ b/tests/attempt_state_test.cpp
@@ -8,7 +8,7 @@
 #include "routing/attempt_state.hpp"
 #include "test.hpp"
 
-namespace dt {
+namespace duneturn {
 namespace {
 
 using State = AttemptState;
@@ -133,4 +133,4 @@
     CHECK_EQ(int(Execution::NotRun), int(tracker.current()));
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/tests/compress_test.cpp
+++ b/tests/compress_test.cpp
@@ -1,7 +1,7 @@
 #include "compress.hpp"
 #include "test.hpp"
 
-namespace dt {
+namespace duneturn {
 
 static auto wordOf(std::size_t mappings) -> wire::Envelope {
     auto e = wire::Envelope();
@@ -85,4 +85,4 @@
     CHECK(!decompressed(x));
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/tests/config_change_test.cpp
+++ b/tests/config_change_test.cpp
@@ -3,17 +3,17 @@
 #include "state/text_change.hpp"
 #include "test.hpp"
 
-namespace dt {
+namespace duneturn {
 
 namespace {
 
 /// A configuration that changes at random: mappings come at the end, go, and change in place.
 struct RandomConfig {
     Rng rng;
-    std::vector<Str> mappings = {};
+    std::vector<std::string> mappings = {};
     int made = 0;
 
-    auto mapping(int id) -> Str {
+    auto mapping(int id) -> std::string {
         return fmt::format(R"({{"name":"m{}","path":"/{}/*","pool":"p{}","urgency":{}}})", id, id,
             rng.below(4), rng.below(3));
     }
@@ -26,11 +26,11 @@
             else mappings[at] = mapping(id);
         }
     }
-    auto text(int number) -> Str {
+    auto text(int number) -> std::string {
         step();
-        auto list = Str();
+        auto list = std::string();
         for (auto& one : mappings) list += (list.empty() ? "" : ",") + one;
-        auto pools = Str();
+        auto pools = std::string();
         for (auto id = 0; id < 4; id++)
             if (!rng.chance(.2))
                 pools +=
@@ -42,8 +42,8 @@
     }
 };
 
-auto parsed(const Str& text) -> Doc {
-    auto document = Doc();
+auto parsed(const std::string& text) -> rapidjson::Document {
+    auto document = rapidjson::Document();
     CHECK(jsParse(text, document));
     return document;
 }
@@ -58,7 +58,7 @@
         auto change = configChange(older, newer);
         CHECK(bool(change));
         auto value = parsed(*change);
-        auto result = Doc();
+        auto result = rapidjson::Document();
         result.CopyFrom(older, result.GetAllocator());
         CHECK(bool(applyConfigChange(result, value)));
         CHECK(result == newer);
@@ -70,7 +70,7 @@
 // One mapping of 2,000: the change is a few hundred bytes, not the document.
 TEST(ConfigChange, isAsLongAsWhatChanged) {
     auto make = [](int number, int urgency) {
-        auto list = Str();
+        auto list = std::string();
         for (auto id = 0; id < 2000; id++)
             list += fmt::format(R"({}{{"name":"m{}","path":"/{}/*","pool":"p","urgency":{}}})", id ? "," : "",
                 id, id, id == 700 ? urgency : 5);
@@ -104,10 +104,10 @@
 TEST(ConfigChange, textsAreMadeAgain) {
     auto rng = Rng{5};
     auto random = [&] {
-        auto text = Str();
+        auto text = std::string();
         for (auto n = rng.below(60); n > 0; n--)
-            text += "{" + Str(rng.below(5), char('a' + rng.below(3))) + "}";
-        return text + Str(rng.below(3), ' ');
+            text += "{" + std::string(rng.below(5), char('a' + rng.below(3))) + "}";
+        return text + std::string(rng.below(3), ' ');
     };
     for (auto i = 0; i < 500; i++) {
         auto older = random();
@@ -116,7 +116,7 @@
         auto made = applyTextChange(older, change);
         CHECK(bool(made));
         CHECK(*made == newer);
-        auto document = Doc();
+        auto document = rapidjson::Document();
         auto value = textChangeValue(change, document.GetAllocator());
         auto again = textChangeParse(value);
         CHECK(bool(again));
@@ -124,4 +124,4 @@
     }
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/tests/consensus_fixture.hpp
+++ b/tests/consensus_fixture.hpp
@@ -10,31 +10,33 @@
 #include "consensus/voter.hpp"
 #include "test.hpp"
 
-namespace dt {
+namespace duneturn {
 
 struct ConsensusFixture {
-    static constexpr Us STEP = 5 * MS;
+    static constexpr Microseconds STEP = 5 * MILLISECOND;
 
     struct Member : VoterPort {
         ConsensusFixture& cluster;
-        Str disk;
+        std::string disk;
         Counters counters;
         DiskState held;
         std::deque<DiskWrite> pending;
         DiskGate gate;
         std::unique_ptr<Voter> voter;
         bool diskHangs = false, failNextWrite = false;
-        std::vector<std::pair<Str, wire::Envelope>> sent;  // kept while `record`
+        std::vector<std::pair<std::string, wire::Envelope>> sent;  // kept while `record`
         std::map<std::int64_t, bool> reads;
         std::int64_t appliedGen = 0;
 
-        Member(ConsensusFixture& c, Str d) : cluster(c), disk(std::move(d)) {}
-        auto voterTell(const Str& to, wire::Envelope& e) -> void override {
+        Member(ConsensusFixture& c, std::string d) : cluster(c), disk(std::move(d)) {}
+        auto voterTell(const std::string& to, wire::Envelope& e) -> void override {
             if (cluster.record) sent.emplace_back(to, e);
             cluster.post(disk, to, e);
         }
         auto voterDisk(const DiskWrite& w) -> void override { pending.push_back(w); }
-        auto voterWord(const Word& w, const Str&, const Outcome&) -> void override { appliedGen = w.gen; }
+        auto voterWord(const Word& w, const std::string&, const Outcome&) -> void override {
+            appliedGen = w.gen;
+        }
         auto voterRead(std::int64_t id, bool ok) -> void override { reads[id] = ok; }
         auto start() -> void {
             pending.clear();
@@ -57,16 +59,16 @@
     };
 
     Rng random{1};
-    Us now = SEC;
+    Microseconds now = SECOND;
     Voter::Broken broken;
     bool record = false;
-    std::map<Str, std::unique_ptr<Member>> members;
-    std::vector<std::pair<Str, Str>> spares;
-    std::set<std::pair<Str, Str>> cut;          // links that carry nothing
-    std::map<Str, std::int64_t> bitsPerSecond;  // into a member; absent: no limit
-    std::function<bool(const Str&, wire::Envelope&)> drop;
-    std::multimap<Us, std::pair<Str, wire::Envelope>> network;
-    std::map<std::pair<Str, Str>, Us> linkFree;
+    std::map<std::string, std::unique_ptr<Member>> members;
+    std::vector<std::pair<std::string, std::string>> spares;
+    std::set<std::pair<std::string, std::string>> cut;  // links that carry nothing
+    std::map<std::string, std::int64_t> bitsPerSecond;  // into a member; absent: no limit
+    std::function<bool(const std::string&, wire::Envelope&)> drop;
+    std::multimap<Microseconds, std::pair<std::string, wire::Envelope>> network;
+    std::map<std::pair<std::string, std::string>, Microseconds> linkFree;
     std::int64_t bytesSent = 0;
 
     static auto sizeOf(const wire::Envelope& e) -> std::int64_t {
@@ -74,32 +76,34 @@
         for (auto& x : e.appendAsk.entries) n += std::int64_t(x.body.size()) + 20;
         return n + std::int64_t(e.snapTell.doc.size() + e.snapshotChunk.data.size());
     }
-    auto post(const Str& from, const Str& to, wire::Envelope e) -> void {
+    auto post(const std::string& from, const std::string& to, wire::Envelope e) -> void {
         if (cut.count({from, to}) || !members.count(to)) return;
         if (drop && drop(to, e)) return;
         auto& free = linkFree[{from, to}];
         auto rate = bitsPerSecond.count(to) ? bitsPerSecond[to] : std::int64_t(10'000'000'000);
-        free = std::max(free, now) + sizeOf(e) * 8 * SEC / rate;
+        free = std::max(free, now) + sizeOf(e) * 8 * SECOND / rate;
         bytesSent += sizeOf(e);
-        network.emplace(free + 2 * MS, std::pair(to, std::move(e)));
+        network.emplace(free + 2 * MILLISECOND, std::pair(to, std::move(e)));
     }
-    auto add(const Str& disk) -> Member& {
+    auto add(const std::string& disk) -> Member& {
         auto& m = members[disk] = std::make_unique<Member>(*this, disk);
         m->start();
         return *m;
     }
-    auto at(const Str& disk) -> Voter& { return *members.at(disk)->voter; }
-    auto counter(const Str& disk, View name) -> std::int64_t { return members.at(disk)->counters.get(name); }
-    auto stop(const Str& disk) -> void { members.at(disk)->voter.reset(); }
-    auto lose(const Str& disk) -> void { members.erase(disk); }
-    auto isolate(const Str& disk, bool on) -> void {
+    auto at(const std::string& disk) -> Voter& { return *members.at(disk)->voter; }
+    auto counter(const std::string& disk, std::string_view name) -> std::int64_t {
+        return members.at(disk)->counters.get(name);
+    }
+    auto stop(const std::string& disk) -> void { members.at(disk)->voter.reset(); }
+    auto lose(const std::string& disk) -> void { members.erase(disk); }
+    auto isolate(const std::string& disk, bool on) -> void {
         for (auto& [other, m] : members)
             for (auto link : {std::pair(disk, other), std::pair(other, disk)})
                 if (on) cut.insert(link);
                 else cut.erase(link);
     }
     // A cluster of these disks, each in the seat "s-<disk>", led by somebody.
-    auto found(const std::vector<Str>& disks, const Str& name = "") -> void {
+    auto found(const std::vector<std::string>& disks, const std::string& name = "") -> void {
         auto seats = std::vector<Seat>();
         for (auto& d : disks) {
             add(d);
@@ -109,10 +113,10 @@
         state.found({"n"}, seats);
         if (!name.empty()) {
             auto& al = state.d.GetAllocator();
-            state.d["config"].AddMember("name", Val(name, al), al);
+            state.d["config"].AddMember("name", rapidjson::Value(name, al), al);
         }
         at(disks[0]).found(state, 1, now);
-        run(10 * SEC);
+        run(10 * SECOND);
     }
     auto step() -> void {
         now += STEP;
@@ -122,7 +126,7 @@
             auto m = members.find(to);
             if (m != members.end() && m->second->voter) m->second->voter->hear(e, now);
         }
-        auto blank = std::vector<Str>();
+        auto blank = std::vector<std::string>();
         for (auto& [d, m] : members)
             if (m->voter && m->voter->blank()) blank.push_back(d);
         for (auto& [d, m] : members) {
@@ -133,41 +137,41 @@
             m->voter->tick(now);
         }
     }
-    auto run(Us duration) -> void {
+    auto run(Microseconds duration) -> void {
         for (auto end = now + duration; now < end;) step();
     }
     /// Steps until `done` or the time is over; whether it was done.
-    auto until(const std::function<bool()>& done, Us limit) -> bool {
+    auto until(const std::function<bool()>& done, Microseconds limit) -> bool {
         for (auto end = now + limit; now < end;) {
             if (done()) return true;
             step();
         }
         return done();
     }
-    auto leader() -> Str {
-        auto best = Str();
+    auto leader() -> std::string {
+        auto best = std::string();
         for (auto& [d, m] : members)
             if (m->voter && m->voter->ready() && (best.empty() || m->voter->term() > at(best).term()))
                 best = d;
         return best;
     }
     /// Makes `disk` the leader.
-    auto lead(const Str& disk) -> void {
+    auto lead(const std::string& disk) -> void {
         for (auto tries = 0; tries < 50 && leader() != disk; tries++) {
             if (auto l = leader(); !l.empty()) isolate(l, true);
-            run(3 * SEC);
+            run(3 * SECOND);
             cut.clear();
-            run(2 * SEC);
+            run(2 * SECOND);
         }
         CHECK_EQ(disk, leader());
     }
-    auto propose(const Str& disk, const Str& district) -> bool {
+    auto propose(const std::string& disk, const std::string& district) -> bool {
         auto body = orderPrepare(at(disk).head(), "empty", fmt::format("k{}", ++keys_),
             fmt::format("{{\"district\":\"{}\"}}", district), now);
         return body && at(disk).propose(ENTRY_ORDER, *body, now);
     }
-    auto votersOf(const Str& disk) -> std::set<Str> {
-        auto out = std::set<Str>();
+    auto votersOf(const std::string& disk) -> std::set<std::string> {
+        auto out = std::set<std::string>();
         for (auto& v : at(disk).voters()) out.insert(v.disk);
         return out;
     }
@@ -176,4 +180,4 @@
     int keys_ = 0;
 };
 
-}  // namespace dt
+}  // namespace duneturn
--- a/tests/consensus_membership_test.cpp
+++ b/tests/consensus_membership_test.cpp
@@ -1,16 +1,16 @@
 // Replacing a voter: joint configurations, learners, retiring, and what may be lost meanwhile.
 #include "consensus_fixture.hpp"
 
-namespace dt {
+namespace duneturn {
 namespace {
 
-using Disks = std::set<Str>;
+using Disks = std::set<std::string>;
 
 // ---- by enumeration
 
 /// A moment of a replacement: the sets of voters of which each needs a majority.
 struct Moment {
-    Str name;
+    std::string name;
     std::vector<Disks> quorums;
 };
 
@@ -23,7 +23,7 @@
 
 /// Of how many sets of `losses` among the living a quorum is left, and of how many sets there are.
 auto borne(const Moment& m, const Disks& alive, int losses) -> std::pair<int, int> {
-    auto list = std::vector<Str>(alive.begin(), alive.end());
+    auto list = std::vector<std::string>(alive.begin(), alive.end());
     auto ok = 0, all = 0;
     for (auto bits = 0u; bits < 1u << list.size(); bits++) {
         if (__builtin_popcount(bits) != losses) continue;
@@ -37,12 +37,13 @@
 }
 
 struct Procedure {
-    Str name;
+    std::string name;
     std::vector<Moment> moments;
 };
 
 // The seat of `old` passes to `fresh`.
-auto procedures(const Disks& voters, const Str& old, const Str& fresh) -> std::vector<Procedure> {
+auto procedures(const Disks& voters, const std::string& old, const std::string& fresh)
+    -> std::vector<Procedure> {
     auto after = voters, both = voters, without = voters;
     after.erase(old);
     after.insert(fresh);
@@ -56,7 +57,7 @@
 
 auto disksOf(int n) -> Disks {
     auto out = Disks();
-    for (auto i = 0; i < n; i++) out.insert(Str(1, char('a' + i)));
+    for (auto i = 0; i < n; i++) out.insert(std::string(1, char('a' + i)));
     return out;
 }
 
@@ -66,11 +67,11 @@
     ConsensusFixture f;
     Replacement() { f.found({"a", "b", "c"}); }
     // Steps to the moment at which the leader has appended the joint configuration.
-    auto toJoint(const Str& seat) -> Str {
+    auto toJoint(const std::string& seat) -> std::string {
         auto leader = f.leader();
         f.add("d");
         f.spares = {{"s-" + seat, "d"}};
-        CHECK(f.until([&] { return f.at(leader).joint(); }, 10 * SEC));
+        CHECK(f.until([&] { return f.at(leader).joint(); }, 10 * SECOND));
         return leader;
     }
 };
@@ -110,12 +111,12 @@
 TEST(ConsensusMembership, replacesALostVoter) {
     auto r = Replacement();
     auto leader = r.f.leader();
-    auto lost = leader == "c" ? Str("b") : Str("c");
+    auto lost = leader == "c" ? std::string("b") : std::string("c");
     r.f.lose(lost);
     r.toJoint(lost);
     CHECK(r.f.at(leader).voters().size() == 3 && r.f.at(leader).outgoingVoters().size() == 3);
-    CHECK(r.f.until([&] { return !r.f.at(leader).joint(); }, 2 * SEC));
-    r.f.run(SEC);
+    CHECK(r.f.until([&] { return !r.f.at(leader).joint(); }, 2 * SECOND));
+    r.f.run(SECOND);
     for (auto& [d, m] : r.f.members) {
         CHECK_EQ(std::size_t(1), r.f.votersOf(d).count("d"));
         CHECK_EQ(std::size_t(0), r.f.votersOf(d).count(lost));
@@ -128,33 +129,33 @@
 TEST(ConsensusMembership, newcomerLostWhileJoint) {
     auto r = Replacement();
     auto leader = r.f.leader();
-    auto lost = leader == "c" ? Str("b") : Str("c");
+    auto lost = leader == "c" ? std::string("b") : std::string("c");
     r.f.lose(lost);
     r.toJoint(lost);
     r.f.lose("d");
-    CHECK(r.f.until([&] { return !r.f.at(leader).joint(); }, 2 * SEC));
+    CHECK(r.f.until([&] { return !r.f.at(leader).joint(); }, 2 * SECOND));
     CHECK(r.f.propose(leader, "z"));
     auto index = r.f.at(leader).last();
-    CHECK(r.f.until([&] { return r.f.at(leader).commit() >= index; }, SEC));
+    CHECK(r.f.until([&] { return r.f.at(leader).commit() >= index; }, SECOND));
     // And the next newcomer takes the seat.
     r.f.add("e");
     r.f.spares = {{"s-" + lost, "e"}};
-    CHECK(r.f.until([&] { return !r.f.at(leader).joint() && r.f.votersOf(leader).count("e"); }, 10 * SEC));
+    CHECK(r.f.until([&] { return !r.f.at(leader).joint() && r.f.votersOf(leader).count("e"); }, 10 * SECOND));
 }
 
 TEST(ConsensusMembership, nextLeaderEndsAJointChange) {
     auto r = Replacement();
     auto& f = r.f;
     auto leader = f.leader();
-    auto seat = leader == "c" ? Str("b") : Str("c");
+    auto seat = leader == "c" ? std::string("b") : std::string("c");
     r.toJoint(seat);
     // The others get the joint configuration, the leader hears no answer.
     for (auto& [d, m] : f.members) f.cut.insert({d, leader});
-    f.run(100 * MS);
+    f.run(100 * MILLISECOND);
     f.lose(leader);
     f.spares.clear();
     for (auto& [d, m] : f.members) CHECK(m->voter->joint());
-    CHECK(f.until([&] { return !f.leader().empty() && !f.at(f.leader()).joint(); }, 10 * SEC));
+    CHECK(f.until([&] { return !f.leader().empty() && !f.at(f.leader()).joint(); }, 10 * SECOND));
     CHECK_EQ(std::size_t(1), f.votersOf(f.leader()).count("d"));
 }
 
@@ -164,15 +165,15 @@
     f.broken = broken;
     f.found({"a", "b", "c"});
     auto leader = f.leader();
-    auto seat = leader == "c" ? Str("b") : Str("c");
+    auto seat = leader == "c" ? std::string("b") : std::string("c");
     f.add("d");
     f.spares = {{"s-" + seat, "d"}};
-    CHECK(f.until([&] { return f.at(leader).joint(); }, 10 * SEC));
+    CHECK(f.until([&] { return f.at(leader).joint(); }, 10 * SECOND));
     auto index = f.at(leader).last();
     f.network.clear();
     for (auto& [d, m] : f.members)
         if (d != leader && d != "d") f.isolate(d, true);
-    f.run(800 * MS);
+    f.run(800 * MILLISECOND);
     return f.at(leader).commit() >= index;
 }
 
@@ -188,25 +189,25 @@
     auto r = Replacement();
     auto& f = r.f;
     auto leader = f.leader();
-    auto lost = leader == "c" ? Str("b") : Str("c");
-    auto storm = [&](Us duration) {
+    auto lost = leader == "c" ? std::string("b") : std::string("c");
+    auto storm = [&](Microseconds duration) {
         for (auto end = f.now + duration; f.now < end;) {
-            f.at(leader).propose(ENTRY_NOOP, Str(20'000, 'x'), f.now);
-            f.run(50 * MS);
+            f.at(leader).propose(ENTRY_NOOP, std::string(20'000, 'x'), f.now);
+            f.run(50 * MILLISECOND);
         }
     };
     f.lose(lost);
-    storm(2 * SEC);
+    storm(2 * SECOND);
     f.add("d");
     f.bitsPerSecond["d"] = 1'000'000;
     f.spares = {{"s-" + lost, "d"}};
-    while (f.counter(leader, "learner_too_slow_total") == 0 && f.now < 200 * SEC) {
-        storm(SEC);
+    while (f.counter(leader, "learner_too_slow_total") == 0 && f.now < 200 * SECOND) {
+        storm(SECOND);
         CHECK_EQ(std::size_t(0), f.votersOf(leader).count("d"));
     }
     CHECK(f.counter(leader, "learner_too_slow_total") > 0);
     f.bitsPerSecond.clear();
-    CHECK(f.until([&] { return !f.at(leader).joint() && f.votersOf(leader).count("d"); }, 60 * SEC));
+    CHECK(f.until([&] { return !f.at(leader).joint() && f.votersOf(leader).count("d"); }, 60 * SECOND));
 }
 
 // A store of the format before joint configurations, in the middle of "add, then remove".
@@ -214,7 +215,7 @@
     auto f = ConsensusFixture();
     f.found({"a", "b", "c"});
     auto leader = f.leader();
-    f.run(SEC);
+    f.run(SECOND);
     auto index = f.at(leader).last();
     auto e = wire::Entry();
     e.term = f.at(leader).term();
@@ -236,7 +237,7 @@
     f.members.at("d")->held.disk = "d";
     f.members.at("d")->start();
     auto done = [&] { return !f.leader().empty() && f.at(f.leader()).word().voters().size() == 3; };
-    CHECK(f.until(done, 10 * SEC));
+    CHECK(f.until(done, 10 * SECOND));
     CHECK(f.votersOf(f.leader()) == (Disks{"a", "b", "d"}));
 }
 
@@ -245,31 +246,31 @@
     auto r = Replacement();
     auto& f = r.f;
     auto leader = f.leader();
-    auto lost = leader == "c" ? Str("b") : Str("c");
+    auto lost = leader == "c" ? std::string("b") : std::string("c");
     f.lose(lost);
-    f.drop = [](const Str&, wire::Envelope& e) {
+    f.drop = [](const std::string&, wire::Envelope& e) {
         e.appendReply.knowsJoint = false;
         return false;
     };
     f.lead(leader);  // a leader remembers what it heard in its own term only
     f.add("d");
     f.spares = {{"s-" + lost, "d"}};
-    f.run(10 * SEC);
+    f.run(10 * SECOND);
     CHECK(!f.at(f.leader()).joint());
     CHECK(f.counter(f.leader(), "change_waits_for_upgrade_total") > 0);
     f.drop = nullptr;
-    CHECK(f.until([&] { return f.votersOf(f.leader()).count("d") > 0; }, 10 * SEC));
+    CHECK(f.until([&] { return f.votersOf(f.leader()).count("d") > 0; }, 10 * SECOND));
 }
 
 // The replaced voter gives its content up, then another disk is lost: whatever was acknowledged
 // must be there, and somebody must lead. `early`: by hearsay of a change that is not committed.
-static auto survivesRetiring(bool early, const Str& victim) -> bool {
+static auto survivesRetiring(bool early, const std::string& victim) -> bool {
     auto f = ConsensusFixture();
     f.found({"a", "b", "c"});
     f.lead("a");
     f.isolate("b", true);  // so that the acknowledged order is on a and c
     f.propose("a", "kept");
-    CHECK(f.until([&] { return f.at("a").word().emptied("kept"); }, SEC));
+    CHECK(f.until([&] { return f.at("a").word().emptied("kept"); }, SECOND));
     f.add("d");
     f.isolate("b", true);
     f.spares = {{"s-c", "d"}};
@@ -277,7 +278,7 @@
         auto voters = early ? f.at("a").voters() : f.at("a").word().voters();
         return std::none_of(voters.begin(), voters.end(), [](auto& v) { return v.disk == "c"; });
     };
-    CHECK(f.until(named, 10 * SEC));
+    CHECK(f.until(named, 10 * SECOND));
     auto gen = early ? f.at("c").word().gen + 1000 : f.at("a").word().gen;
     // One whose log holds the change itself knows of it; only one that is behind retires.
     f.at("c").retire(gen, "c2", f.now);
@@ -286,8 +287,8 @@
     f.cut.clear();
     f.lose(victim);
     auto kept = [&] { return !f.leader().empty() && f.at(f.leader()).word().emptied("kept"); };
-    f.run(5 * SEC);
-    return f.until(kept, 10 * SEC);
+    f.run(5 * SECOND);
+    return f.until(kept, 10 * SECOND);
 }
 
 TEST(ConsensusMembership, retiringLosesNothing) {
@@ -297,4 +298,4 @@
     CHECK(lost > 0);
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/tests/consensus_snapshot_test.cpp
+++ b/tests/consensus_snapshot_test.cpp
@@ -1,7 +1,7 @@
 // Snapshots in chunks, catching up on a slow link, and compaction.
 #include "consensus_fixture.hpp"
 
-namespace dt {
+namespace duneturn {
 namespace {
 
 constexpr std::size_t MEGABYTE = 1'000'000;
@@ -10,10 +10,10 @@
 /// One voter of three is down while more is logged than is kept behind a snapshot.
 struct Laggard {
     ConsensusFixture f;
-    Str leader, late;
+    std::string leader, late;
     std::int64_t chunksBefore = 0;
     explicit Laggard(std::size_t size) {
-        f.found({"a", "b", "c"}, Str(size, 'x'));
+        f.found({"a", "b", "c"}, std::string(size, 'x'));
         leader = f.leader();
         late = leader == "c" ? "b" : "c";
         f.stop(late);
@@ -39,12 +39,12 @@
     auto& f = l.f;
     for (auto d : {"a", "b", "c"}) f.bitsPerSecond[d] = SLOW_LINK;
     f.members.at(l.late)->start();
-    auto began = f.now, caughtAt = Us(0), nextChange = f.now;
+    auto began = f.now, caughtAt = Microseconds(0), nextChange = f.now;
     auto acknowledged = std::int64_t(0);
     auto changes = 0;
-    while (f.now < began + 6 * SEC) {
+    while (f.now < began + 6 * SECOND) {
         if (f.now >= nextChange) {
-            nextChange += 200 * MS;
+            nextChange += 200 * MILLISECOND;
             changes += f.propose(l.leader, fmt::format("y{}", changes));
         }
         f.step();
@@ -55,14 +55,14 @@
     if (getenv("DT_SHOW")) fmt::print("caught up after {} us, {} changes\n", caughtAt - began, changes);
     CHECK(changes >= 25);
     CHECK(f.at(l.leader).leads());
-    CHECK(caughtAt > 0 && caughtAt - began <= 4 * SEC);
+    CHECK(caughtAt > 0 && caughtAt - began <= 4 * SECOND);
     CHECK(l.caughtUp());
 }
 
 TEST(ConsensusSnapshot, slightlyBehindGetsEntries) {
     auto f = ConsensusFixture();
-    f.found({"a", "b", "c"}, Str(MEGABYTE, 'x'));
-    auto leader = f.leader(), late = Str(leader == "c" ? "b" : "c");
+    f.found({"a", "b", "c"}, std::string(MEGABYTE, 'x'));
+    auto leader = f.leader(), late = std::string(leader == "c" ? "b" : "c");
     for (auto i = 0; i < 250; i++) {
         f.propose(leader, "z");
         f.step();
@@ -75,7 +75,7 @@
     }
     CHECK(f.counter(leader, "snapshots_total") > 0);
     f.members.at(late)->start();
-    f.run(2 * SEC);
+    f.run(2 * SECOND);
     CHECK_EQ(f.at(leader).commit(), f.at(late).commit());
     CHECK_EQ(chunks, f.counter(leader, "snapshot_chunks_sent_total"));
 }
@@ -85,8 +85,8 @@
     f.found({"a", "b", "c"});
     auto leader = f.leader();
     for (auto i = 0; i < 40; i++) {
-        f.at(leader).propose(ENTRY_NOOP, Str(100'000, 'x'), f.now);
-        f.run(50 * MS);
+        f.at(leader).propose(ENTRY_NOOP, std::string(100'000, 'x'), f.now);
+        f.run(50 * MILLISECOND);
     }
     CHECK(f.counter(leader, "snapshots_total") >= 3);
     for (auto& [d, m] : f.members) {
@@ -101,27 +101,27 @@
 TEST(ConsensusSnapshot, batchesAreBounded) {
     auto f = ConsensusFixture();
     f.found({"a", "b", "c"});
-    auto leader = f.leader(), late = Str(leader == "c" ? "b" : "c");
+    auto leader = f.leader(), late = std::string(leader == "c" ? "b" : "c");
     f.bitsPerSecond[late] = SLOW_LINK;
     f.stop(late);
     for (auto i = 0; i < 90; i++) {
-        f.at(leader).propose(ENTRY_NOOP, Str(10'000, 'x'), f.now);
+        f.at(leader).propose(ENTRY_NOOP, std::string(10'000, 'x'), f.now);
         f.step();
     }
     f.members.at(late)->start();
-    f.run(2 * SEC);  // no more than the leader needs to see that it is back
+    f.run(2 * SECOND);  // no more than the leader needs to see that it is back
     auto largest = std::int64_t(0), sent = std::int64_t(0);
-    f.drop = [&](const Str& to, wire::Envelope& e) {
+    f.drop = [&](const std::string& to, wire::Envelope& e) {
         if (to != late) return false;
         largest = std::max(largest, ConsensusFixture::sizeOf(e));
         sent += std::int64_t(e.appendAsk.entries.size());
         return false;
     };
     for (auto i = 0; i < 60; i++) {
-        f.at(leader).propose(ENTRY_NOOP, Str(10'000, 'x'), f.now);
+        f.at(leader).propose(ENTRY_NOOP, std::string(10'000, 'x'), f.now);
         f.step();
     }
-    CHECK(f.until([&] { return f.at(late).commit() == f.at(leader).commit(); }, 3 * SEC));
+    CHECK(f.until([&] { return f.at(late).commit() == f.at(leader).commit(); }, 3 * SECOND));
     CHECK(largest < std::int64_t(BATCH_BYTES) + 12'000);
     CHECK_EQ(std::int64_t(60), sent);
 }
@@ -130,13 +130,13 @@
     auto l = Laggard(MEGABYTE);
     auto& f = l.f;
     auto chunks = 0;
-    f.drop = [&](const Str& to, wire::Envelope& e) {
+    f.drop = [&](const std::string& to, wire::Envelope& e) {
         if (to != l.late || !e.__isset.snapshotChunk) return false;
         chunks++;
         return chunks == 5 || (chunks >= 9 && chunks <= 12);
     };
     f.members.at(l.late)->start();
-    CHECK(f.until([&] { return l.caughtUp(); }, 6 * SEC));
+    CHECK(f.until([&] { return l.caughtUp(); }, 6 * SECOND));
     CHECK(l.chunks() >= 16 && l.chunks() <= 16 + 14);  // 16 are the whole
 }
 
@@ -146,14 +146,14 @@
     auto& f = l.f;
     f.bitsPerSecond[l.late] = SLOW_LINK / 4;
     f.members.at(l.late)->start();
-    CHECK(f.until([&] { return l.chunks() >= 8; }, 10 * SEC));
+    CHECK(f.until([&] { return l.chunks() >= 8; }, 10 * SECOND));
     CHECK(f.at(l.leader).handOver(f.now));
     auto former = l.leader;
-    CHECK(f.until([&] { return !f.leader().empty() && f.leader() != former; }, 5 * SEC));
+    CHECK(f.until([&] { return !f.leader().empty() && f.leader() != former; }, 5 * SECOND));
     l.leader = f.leader();
     l.chunksBefore = 0;
     l.chunksBefore = l.chunks();
-    CHECK(f.until([&] { return l.caughtUp(); }, 10 * SEC));
+    CHECK(f.until([&] { return l.caughtUp(); }, 10 * SECOND));
     CHECK(l.chunks() > 0 && l.chunks() <= 16);
 }
 
@@ -161,19 +161,19 @@
     auto l = Laggard(3 * CHUNK_BYTES);
     auto& f = l.f;
     auto chunks = std::vector<wire::Envelope>();
-    f.drop = [&](const Str& to, wire::Envelope& e) {
+    f.drop = [&](const std::string& to, wire::Envelope& e) {
         if (to != l.late || !e.__isset.snapshotChunk) return false;
         if (e.snapshotChunk.offset == std::int64_t(chunks.size() * CHUNK_BYTES)) chunks.push_back(e);
         return false;
     };
     f.members.at(l.late)->start();
-    CHECK(f.until([&] { return l.caughtUp(); }, 5 * SEC));
+    CHECK(f.until([&] { return l.caughtUp(); }, 5 * SECOND));
     f.drop = nullptr;
     CHECK(chunks.size() >= 3);
     // A voter that has heard none of them, in the same state as the late one was.
     auto g = ConsensusFixture();
     auto& m = g.add("n");
-    g.run(SEC);
+    g.run(SECOND);
     auto& v = *m.voter;
     auto unharmed = [&] { return v.blank() && v.commit() == 0 && m.held.snapIdx == 0; };
     auto hear = [&](std::size_t i, const std::function<void(wire::SnapshotChunk&)>& change) {
@@ -194,7 +194,7 @@
     CHECK_EQ(std::int64_t(2), m.counters.get("snapshot_chunk_out_of_order_total"));
     for (auto i = std::size_t(1); i < chunks.size(); i++) v.hear(chunks[i], g.now);
     CHECK(!v.blank());
-    g.run(100 * MS);
+    g.run(100 * MILLISECOND);
     CHECK_EQ(chunks[0].snapshotChunk.idx, m.held.snapIdx);
     // Of a term that is over.
     auto old = chunks[0];
@@ -210,34 +210,34 @@
 TEST(ConsensusSnapshot, digestCoversTheWhole) {
     auto l = Laggard(3 * CHUNK_BYTES);
     auto& f = l.f;
-    f.drop = [&](const Str& to, wire::Envelope& e) {
+    f.drop = [&](const std::string& to, wire::Envelope& e) {
         if (to == l.late && e.__isset.snapshotChunk) e.snapshotChunk.digest ^= 1;
         if (e.__isset.snapshotChunkReply) e.snapshotChunkReply.digest ^= 1;
         return false;
     };
     auto installed = f.counter(l.late, "snapshots_installed_total");
     f.members.at(l.late)->start();
-    f.run(3 * SEC);
+    f.run(3 * SECOND);
     CHECK(f.counter(l.late, "snapshot_digest_wrong_total") > 0);
     CHECK_EQ(installed, f.counter(l.late, "snapshots_installed_total"));
     f.drop = nullptr;
-    CHECK(f.until([&] { return l.caughtUp(); }, 10 * SEC));
+    CHECK(f.until([&] { return l.caughtUp(); }, 10 * SECOND));
 }
 
 // A program that reads no chunks is sent the whole document, and one that sends it is understood.
 TEST(ConsensusSnapshot, wholeDocumentForAnEarlierProgram) {
     auto l = Laggard(1000);
     auto& f = l.f;
-    f.drop = [](const Str&, wire::Envelope& e) { return e.__isset.snapshotChunk; };
+    f.drop = [](const std::string&, wire::Envelope& e) { return e.__isset.snapshotChunk; };
     f.members.at(l.late)->start();
-    CHECK(f.until([&] { return l.caughtUp(); }, 10 * SEC));
+    CHECK(f.until([&] { return l.caughtUp(); }, 10 * SECOND));
     CHECK(f.counter(l.leader, "snapshots_sent_whole_total") > 0);
 }
 
 TEST(ConsensusSnapshot, malformedDocumentHarmsNothing) {
     auto f = ConsensusFixture();
     auto& m = f.add("n");
-    f.run(SEC);
+    f.run(SECOND);
     auto e = wire::Envelope();
     auto s = wire::SnapTell();
     e.wire = WIRE;
@@ -253,4 +253,4 @@
     CHECK_EQ(std::int64_t(1), m.counters.get("snapshot_malformed_total"));
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/tests/consensus_test.cpp
+++ b/tests/consensus_test.cpp
@@ -1,10 +1,10 @@
 // What a voter refuses, and what it says only once its disk holds it.
 #include "consensus_fixture.hpp"
 
-namespace dt {
+namespace duneturn {
 namespace {
 
-auto appendFrom(ConsensusFixture& f, const Str& leader) -> wire::Envelope {
+auto appendFrom(ConsensusFixture& f, const std::string& leader) -> wire::Envelope {
     auto e = wire::Envelope();
     auto ask = wire::AppendAsk();
     e.wire = WIRE;
@@ -24,7 +24,7 @@
     return e;
 }
 
-auto other(ConsensusFixture& f, const Str& not1, const Str& not2 = "") -> Str {
+auto other(ConsensusFixture& f, const std::string& not1, const std::string& not2 = "") -> std::string {
     for (auto& [d, m] : f.members)
         if (d != not1 && d != not2) return d;
     return "";
@@ -37,7 +37,7 @@
     f.found({"a", "b", "c"});
     auto leader = f.leader(), follower = other(f, leader);
     for (auto i = 0; i < 5; i++) f.propose(leader, "z");
-    f.run(SEC);
+    f.run(SECOND);
     auto& v = f.at(follower);
     auto before = v.last();
     CHECK_EQ(before, v.commit());
@@ -155,7 +155,7 @@
     m.diskHangs = true;
     f.record = true;
     m.sent.clear();
-    m.voter->hear(e, f.now + 10 * MS);
+    m.voter->hear(e, f.now + 10 * MILLISECOND);
     CHECK(m.held.term < e.appendAsk.term);
     return std::any_of(m.sent.begin(), m.sent.end(), [](auto& s) { return s.second.__isset.appendReply; });
 }
@@ -174,10 +174,10 @@
     f.stop("a");
     f.members.at("a")->start();
     f.members.at("a")->diskHangs = true;
-    f.run(900 * MS);  // a write that takes longer makes the disk bad
+    f.run(900 * MILLISECOND);  // a write that takes longer makes the disk bad
     CHECK(!f.at("a").leads());
     f.members.at("a")->diskHangs = false;
-    CHECK(f.until([&] { return f.at("a").ready(); }, 3 * SEC));
+    CHECK(f.until([&] { return f.at("a").ready(); }, 3 * SECOND));
 }
 
 TEST(Consensus, failedSnapshotIsWrittenAgain) {
@@ -194,14 +194,14 @@
     f.step();
     m.diskHangs = true;
     auto installed = f.counter(late, "snapshots_installed_total");
-    CHECK(f.until([&] { return f.counter(late, "snapshots_installed_total") > installed; }, 5 * SEC));
+    CHECK(f.until([&] { return f.counter(late, "snapshots_installed_total") > installed; }, 5 * SECOND));
     // The write of the snapshot is under way.
     CHECK(std::any_of(m.pending.begin(), m.pending.end(), [](auto& w) { return w.snap; }));
     m.failNextWrite = true;
     m.diskHangs = false;
     m.sync();
     CHECK(m.voter->diskBad());
-    f.run(5 * SEC);
+    f.run(5 * SECOND);
     CHECK(!m.voter->diskBad());
     CHECK_EQ(f.at(leader).commit(), m.voter->commit());
     auto again = ConsensusFixture();
@@ -218,15 +218,15 @@
     f.isolate(leader, true);
     f.network.clear();
     f.at(leader).read(7, f.now);
-    f.run(800 * MS);
+    f.run(800 * MILLISECOND);
     CHECK(f.members.at(leader)->reads.empty());
-    f.run(3 * SEC);
+    f.run(3 * SECOND);
     CHECK(!f.members.at(leader)->reads.at(7));
     f.cut.clear();
-    f.run(3 * SEC);
+    f.run(3 * SECOND);
     f.at(f.leader()).read(8, f.now);
-    f.run(SEC);
+    f.run(SECOND);
     CHECK(f.members.at(f.leader())->reads.at(8));
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -6,7 +6,7 @@
 #include "core.hpp"
 #include "test.hpp"
 
-namespace dt {
+namespace duneturn {
 namespace {
 
 constexpr auto ORDER = 1;  // the kind of an order in the log, as on the wire
@@ -22,12 +22,12 @@
         std::deque<DiskWrite> under;
         DiskGate gate;
         std::unique_ptr<Voter> v;
-        Str disk;
-        Us wake = 0;
+        std::string disk;
+        Microseconds wake = 0;
         Replica(Cluster& x, int k) : l(x), i(k) {}
-        auto voterTell(const Str& d, wire::Envelope& e) -> void override { l.post(d, e); }
+        auto voterTell(const std::string& d, wire::Envelope& e) -> void override { l.post(d, e); }
         auto voterDisk(const DiskWrite& w) -> void override { under.push_back(w); }
-        auto voterWord(const Word& w, const Str& key, const Outcome& o) -> void override {
+        auto voterWord(const Word& w, const std::string& key, const Outcome& o) -> void override {
             l.applied(*this, w);
             // The one who proposed it hears of it: from here on it is acknowledged.
             if (!key.empty() && o.status == 200 && v && v->leads()) l.acked.push_back(key);
@@ -46,22 +46,22 @@
             disk = v->disk();
         }
     };
-    auto voterTell(const Str&, wire::Envelope&) -> void override {}
+    auto voterTell(const std::string&, wire::Envelope&) -> void override {}
     auto voterDisk(const DiskWrite&) -> void override {}
-    auto voterWord(const Word&, const Str&, const Outcome&) -> void override {}
+    auto voterWord(const Word&, const std::string&, const Outcome&) -> void override {}
     auto voterRead(std::int64_t, bool) -> void override {}
 
     Rng r;
     Voter::Broken broken;
-    Us t = 0;
+    Microseconds t = 0;
     std::vector<std::unique_ptr<Replica>> bs;
-    std::multimap<Us, std::pair<Str, wire::Envelope>> net;
-    std::map<std::int64_t, Str> texts;  // generation -> the word
-    std::map<std::pair<std::int64_t, std::int64_t>, Str> leads;
-    std::vector<Str> acked;
+    std::multimap<Microseconds, std::pair<std::string, wire::Envelope>> net;
+    std::map<std::int64_t, std::string> texts;  // generation -> the word
+    std::map<std::pair<std::int64_t, std::int64_t>, std::string> leads;
+    std::vector<std::string> acked;
     std::map<std::int64_t, std::int64_t> reads;
     std::int64_t top = 0;
-    Str bad;
+    std::string bad;
     int n = 0, disks = 0;
     double loss = 0.05;
     double syncChance = 0.2;  // of the oldest write, each step
@@ -73,10 +73,11 @@
             bs[std::size_t(i)]->disk = fmt::format("d{}", disks++);
         }
     }
-    auto post(const Str& d, const wire::Envelope& e) -> void {
+    auto post(const std::string& d, const wire::Envelope& e) -> void {
         if (r.chance(loss)) return;
-        net.emplace(t + Us(r.below(r.chance(.1) ? 400 * MS : 20 * MS)), std::pair(d, e));
-        if (r.chance(.03)) net.emplace(t + Us(r.below(800 * MS)), std::pair(d, e));
+        net.emplace(
+            t + Microseconds(r.below(r.chance(.1) ? 400 * MILLISECOND : 20 * MILLISECOND)), std::pair(d, e));
+        if (r.chance(.03)) net.emplace(t + Microseconds(r.below(800 * MILLISECOND)), std::pair(d, e));
     }
     auto applied(Replica&, const Word& w) -> void {
         if (w.gen == 0) return;
@@ -95,9 +96,9 @@
         w.found({"n"}, vs);
         bs[0]->v->found(w, 1, t);
         auto key = 0;
-        auto nextFault = SEC;
+        auto nextFault = SECOND;
         for (auto s = 0; s < steps && bad.empty(); s++) {
-            t += 5 * MS;
+            t += 5 * MILLISECOND;
             while (!net.empty() && net.begin()->first <= t) {
                 auto [d, e] = net.begin()->second;
                 net.erase(net.begin());
@@ -118,11 +119,11 @@
                     else b->gate.fail(x);
                     b->v->diskDone(x.seq, ok, t);
                 }
-                auto un = std::vector<Str>();
+                auto un = std::vector<std::string>();
                 for (auto& o : bs)
                     if (o->v && o->v->blank()) un.push_back(o->disk);
                 b->v->untold(un);
-                auto of = std::vector<std::pair<Str, Str>>();
+                auto of = std::vector<std::pair<std::string, std::string>>();
                 for (auto& o : bs)
                     if (o->v) of.emplace_back(fmt::format("s{}", o->i), o->disk);
                 b->v->offer(of);
@@ -145,14 +146,14 @@
                 }
             }
             if (t >= nextFault) {
-                nextFault = t + Us(r.below(1500 * MS));
+                nextFault = t + Microseconds(r.below(1500 * MILLISECOND));
                 auto& b = *bs[r.below(bs.size())];
                 auto k = r.below(10);
                 if (k < 4) {  // power
                     b.v.reset();
                     b.under.clear();
-                    b.wake = t + Us(r.below(800 * MS));
-                } else if (k < 6) b.wake = t + Us(r.below(2 * SEC));  // frozen
+                    b.wake = t + Microseconds(r.below(800 * MILLISECOND));
+                } else if (k < 6) b.wake = t + Microseconds(r.below(2 * SECOND));  // frozen
                 else if (k < 7) loss = r.chance(.5) ? 0.4 : 0.05;
                 else if (k < 8 && s < steps * 3 / 4) {
                     // A disk is replaced, where all the others are sound voters.
@@ -171,7 +172,7 @@
                     b.under.clear();
                     b.held = {};
                     b.disk = fmt::format("d{}", disks++);
-                    b.wake = t + Us(r.below(500 * MS));
+                    b.wake = t + Microseconds(r.below(500 * MILLISECOND));
                 }
             }
             if (s == steps - 1200)
@@ -199,10 +200,10 @@
     }
 };
 
-auto lab(Voter::Broken b, int from, int n, int size) -> std::pair<int, Str> {
+auto lab(Voter::Broken b, int from, int n, int size) -> std::pair<int, std::string> {
     logMute(true);
     auto bad = 0;
-    auto why = Str();
+    auto why = std::string();
     auto acks = std::size_t(0);
     for (auto s = from; s < from + n; s++) {
         auto l = Cluster(std::uint64_t(s), size);
@@ -247,4 +248,4 @@
     }
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/tests/disk_test.cpp
+++ b/tests/disk_test.cpp
@@ -10,11 +10,11 @@
 #include "storage/store.hpp"
 #include "test.hpp"
 
-namespace dt {
+namespace duneturn {
 
 namespace {
 struct Dir {
-    Str p;
+    std::string p;
     Dir() {
         char t[] = "/tmp/duneturn-disk-XXXXXX";
         p = mkdtemp(t);
@@ -47,7 +47,7 @@
     auto e = wire::Entry();
     e.idx = i;
     e.term = term;
-    e.body = Str(n, char('a' + i % 20));
+    e.body = std::string(n, char('a' + i % 20));
     return e;
 }
 auto same(const DiskState& a, const DiskState& b) -> bool {
@@ -79,7 +79,7 @@
         x.meta.snapIdx = 8;
         x.meta.snapTerm = 1;
         x.snap = true;
-        x.doc = "new" + Str(100000, 'n');
+        x.doc = "new" + std::string(100000, 'n');
         if (behind) s->owe(x);
         else {
             auto no = Full(32 * 1024);
@@ -127,7 +127,7 @@
     CHECK(bool(s->write(w)));
     auto x = DiskWrite();
     x.reset = x.snap = true;
-    x.doc = "found" + Str(100000, 'n');
+    x.doc = "found" + std::string(100000, 'n');
     x.meta.disk = "d";
     x.meta.reign = 2;
     x.meta.snapIdx = 1;
@@ -156,7 +156,7 @@
 TEST(Store, tornLastPage) {
     auto f = Dir();
     auto before = DiskState(), after = DiskState();
-    auto a = Str(), b = Str();
+    auto a = std::string(), b = std::string();
     {
         auto s = Store();
         CHECK(bool(s.open(f.p)));
@@ -211,4 +211,4 @@
     logMute(false);
 }
 
-}  // namespace dt
+}  // namespace duneturn
