--- a/tests/edge_fixture.hpp
+++ b/tests/edge_fixture.hpp
@@ -4,7 +4,7 @@
 #include "edge.hpp"
 #include "test.hpp"
 
-namespace dt {
+namespace duneturn {
 
 /// The names of a wire on which senders name their requests.
 inline auto testDialect() -> Dialect {
@@ -20,12 +20,12 @@
 struct Sent {
     std::int64_t x;
     int a;
-    Str server;
+    std::string server;
 };
 struct Reply {
     int status;
     Headers h;
-    Str body;
+    std::string body;
 };
 
 /// A node that is a fleet of its own, with its edge, in virtual time; the other nodes are rows.
@@ -35,49 +35,49 @@
     std::unique_ptr<Node> n;
     std::unique_ptr<Edge> e;
     std::deque<DiskWrite> dq;
-    Us now = 10 * SEC;
+    Microseconds now = 10 * SECOND;
     std::map<std::int64_t, Outcome> outs;
     std::vector<Sent> sends;
     std::vector<std::pair<std::int64_t, int>> drops;
     std::map<std::int64_t, Reply> replies;
     std::map<std::int64_t, std::pair<int, Headers>> heads;
-    std::map<std::int64_t, Str> parts;
+    std::map<std::int64_t, std::string> parts;
     std::set<std::int64_t> cut, whole;
     std::int64_t rev = 0, names = 0, beat = 0;
-    Str region = "near";
+    std::string region = "near";
     int others = 0;
 
-    explicit EdgeFixture(const Str& name = "a", int oth = 0, std::uint64_t seed = 2) : others(oth) {
+    explicit EdgeFixture(const std::string& name = "a", int oth = 0, std::uint64_t seed = 2) : others(oth) {
         logMute(true);
         st.node = name, st.district = "d", st.region = region, st.peer = "127.0.0.1:1";
         st.roster = st.seats = {name};
         n = std::make_unique<Node>(st, *this, ct, 7, seed);
         e = std::make_unique<Edge>(*n, *this, ct, seed, testDialect());
         n->startCore({}, "disk", now);
-        run(8 * SEC);
+        run(8 * SECOND);
     }
-    auto tell(const Str&, const wire::Envelope&) -> void override {}
+    auto tell(const std::string&, const wire::Envelope&) -> void override {}
     auto disk(const DiskWrite& w) -> void override { dq.push_back(w); }
     auto done(std::int64_t id, const Outcome& o) -> void override { outs[id] = o; }
-    auto book(const std::vector<Str>&) -> void override {}
-    auto probe(const Str&, const Str&) -> void override {}
-    auto send(std::int64_t x, int a, const Str& s, const Str&) -> void override {
+    auto book(const std::vector<std::string>&) -> void override {}
+    auto probe(const std::string&, const std::string&) -> void override {}
+    auto send(std::int64_t x, int a, const std::string& s, const std::string&) -> void override {
         sends.push_back({x, a, s});
     }
     auto drop(std::int64_t x, int a) -> void override { drops.emplace_back(x, a); }
     auto head(std::int64_t x, int s, const Headers& h) -> void override { heads[x] = {s, h}; }
-    auto part(std::int64_t x, const Str& s) -> void override { parts[x] += s; }
+    auto part(std::int64_t x, const std::string& s) -> void override { parts[x] += s; }
     auto end(std::int64_t x, bool w) -> void override {
         CHECK(!cut.count(x) && !whole.count(x));
         (w ? whole : cut).insert(x);
     }
-    auto reply(std::int64_t x, int s, const Headers& h, const Str& b) -> void override {
+    auto reply(std::int64_t x, int s, const Headers& h, const std::string& b) -> void override {
         CHECK(!replies.count(x));
         replies[x] = {s, h, b};
     }
 
     auto step() -> void {
-        if (others && now % (200 * MS) == 0) {
+        if (others && now % (200 * MILLISECOND) == 0) {
             auto v = wire::Envelope();
             v.wire = WIRE;
             v.node = "n1";
@@ -94,50 +94,51 @@
             if (st.node == "n1") v.node = "n0";
             n->hear(v, now);
         }
-        if (!listed.empty() && now % (5 * SEC) == 0) list(listed, 0);
-        n->tick(now, 1800000000 * SEC + now);
+        if (!listed.empty() && now % (5 * SECOND) == 0) list(listed, 0);
+        n->tick(now, 1800000000 * SECOND + now);
         e->tick(now);
         auto q = std::move(dq);
         dq.clear();
         for (auto& w : q) n->diskDone(w.seq, true, now);
-        now += 20 * MS;
+        now += 20 * MILLISECOND;
     }
-    auto run(Us d) -> void {
+    auto run(Microseconds d) -> void {
         for (auto t = now + d; now < t;) step();
     }
-    auto config(const Str& c) -> int {
+    auto config(const std::string& c) -> int {
         auto id = std::int64_t(1000 + names++);
         n->order(id, "config", fmt::format("k{}", id),
             fmt::format("{{\"base\":{},\"config\":{}}}", n->word().configGen(), c), now);
-        run(SEC);
+        run(SECOND);
         return outs[id].status;
     }
     struct S {
-        Str name, region = "near", pool = "p", district = "z";
+        std::string name, region = "near", pool = "p", district = "z";
         int slots = 4;
     };
     std::vector<S> listed;  // told again under its lease
-    auto list(const std::vector<S>& v, Us wait = SEC) -> void {
+    auto list(const std::vector<S>& v, Microseconds wait = SECOND) -> void {
         listed = std::vector<S>(v);
-        auto o = Str();
+        auto o = std::string();
         for (auto& s : v)
             o += (o.empty() ? "" : ",")
                 + bodyOf({{"name", jsQuote(s.name)}, {"address", "\"127.0.0.1:9\""},
                     {"region", jsQuote(s.region)}, {"district", jsQuote(s.district)},
                     {"pool", jsQuote(s.pool)}, {"slots", fmt::to_string(s.slots)}});
         for (auto& [s, till] : colds)  // told of those alone whose cold time is known
-            if (auto i = o.find(bodyOf({{"name", jsQuote(s)}}).substr(1, s.size() + 9)); i != Str::npos)
-                o.insert(i, fmt::format("\"coldUs\":{},", std::max<Us>(0, till - now)));
+            if (auto i = o.find(bodyOf({{"name", jsQuote(s)}}).substr(1, s.size() + 9));
+                i != std::string::npos)
+                o.insert(i, fmt::format("\"coldUs\":{},", std::max<Microseconds>(0, till - now)));
         n->list(1, fmt::format("{{\"revision\":{},\"servers\":[{}]}}", ++rev, o), now);
         run(wait);
     }
     /// A server's cold time, as a listing would tell it.
-    auto chill(const Str& s, Us till) -> void {
+    auto chill(const std::string& s, Microseconds till) -> void {
         colds[s] = till;
         list(std::vector<S>(listed), 0);
     }
-    std::map<Str, Us> colds;  // until when; told by every listing
-    auto ask(const Str& path, Headers h = {}, const Str& host = "h.example") -> std::int64_t {
+    std::map<std::string, Microseconds> colds;  // until when; told by every listing
+    auto ask(const std::string& path, Headers h = {}, const std::string& host = "h.example") -> std::int64_t {
         h.emplace_back("Host", host);
         h.emplace_back("X-Try", fmt::format("t{}", ++names));
         return e->accept("POST", path, h, "body", now);
@@ -155,7 +156,7 @@
         h = echo(x, h);
         if (e->upHead(x, a, 200, h, now)) e->upWhole(x, a, 200, h, "done", now);
     }
-    auto event(std::int64_t x, const Str& id, const Str& data = "d") -> void {
+    auto event(std::int64_t x, const std::string& id, const std::string& data = "d") -> void {
         e->upEvent(x, e->find(x)->a, {id, "", data, fmt::format("id: {}\ndata: {}\n\n", id, data)}, now);
     }
     /// Ended, and how: the status of a reply, 1 for a whole stream, 2 for a cut one, 0 for neither.
@@ -165,16 +166,16 @@
 };
 
 /// The value of a header by its exact name; "-" if there is none.
-inline auto get(const Headers& h, const Str& k) -> Str {
+inline auto get(const Headers& h, const std::string& k) -> std::string {
     for (auto& [n, v] : h)
         if (n == k) return v;
     return "-";
 }
 /// A configuration of one mapping, with `more` in it and `top` beside it.
-inline auto one(const Str& more, const Str& top = "") -> Str {
+inline auto one(const std::string& more, const std::string& top = "") -> std::string {
     return R"({"budget":{"slack":64,"share":0.2})" + top
         + R"(,"mappings":[{"name":"a","host":"h.example","method":"*","path":"/a/*","pool":"p")" + more
         + "}]}";
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/tests/edge_platform_test.cpp
+++ b/tests/edge_platform_test.cpp
@@ -1,7 +1,7 @@
 // An edge behind another wire: placement, retries, streams, queues, budgets and cold servers.
 #include "edge_fixture.hpp"
 
-namespace dt {
+namespace duneturn {
 namespace {
 
 using Rig = EdgeFixture;
@@ -22,26 +22,26 @@
         {{"X-Left", "900"}, {"Connection", "close, X-Mine"}, {"X-Mine", "1"}, {"X-Else", "2"}, {"Te", "x"}},
         "H.example:80");
     CHECK(r.go(x));
-    auto h = r.e->outgoing(*r.e->find(x), r.now + 100 * MS);
-    CHECK_EQ(Str("H.example:80"), get(h, "Host"));
+    auto h = r.e->outgoing(*r.e->find(x), r.now + 100 * MILLISECOND);
+    CHECK_EQ(std::string("H.example:80"), get(h, "Host"));
     CHECK_EQ(r.e->find(x)->exid, get(h, "X-Try"));
-    CHECK_EQ(Str("x"), get(h, "X-For"));
-    CHECK_EQ(Str("800"), get(h, "X-Left"));
-    CHECK_EQ(Str("0"), get(h, "X-Urgency"));
-    CHECK_EQ(Str("2"), get(h, "X-Else"));
-    for (auto k : {"Connection", "X-Mine", "Te"}) CHECK_EQ(Str("-"), get(h, k));
+    CHECK_EQ(std::string("x"), get(h, "X-For"));
+    CHECK_EQ(std::string("800"), get(h, "X-Left"));
+    CHECK_EQ(std::string("0"), get(h, "X-Urgency"));
+    CHECK_EQ(std::string("2"), get(h, "X-Else"));
+    for (auto k : {"Connection", "X-Mine", "Te"}) CHECK_EQ(std::string("-"), get(h, k));
     auto back = r.echo(x, {{"X-Seal", "s"}, {"Keep-Alive", "3"}, {"Content-Length", "4"}});
     CHECK(r.e->upHead(x, 1, 201, back, r.now));
     r.e->upWhole(x, 1, 201, back, "body", r.now);
     CHECK_EQ(201, r.fate(x));
-    CHECK_EQ(Str("s"), get(r.replies[x].h, "X-Seal"));
+    CHECK_EQ(std::string("s"), get(r.replies[x].h, "X-Seal"));
     CHECK_EQ(std::size_t(2), r.replies[x].h.size());
     // Its own failure is passed on; what promises that nothing ran is not, unless the server says so.
     auto y = r.ask("/a/x");
     CHECK(r.go(y));
     r.e->upWhole(y, 1, 500, r.echo(y), "oops", r.now);
     CHECK_EQ(500, r.fate(y));
-    CHECK_EQ(Str("oops"), r.replies[y].body);
+    CHECK_EQ(std::string("oops"), r.replies[y].body);
     auto z = r.ask("/a/x");
     CHECK(r.go(z));
     r.e->upWhole(z, 1, 503, r.echo(z), "", r.now);
@@ -50,7 +50,7 @@
     CHECK(r.go(w));
     r.e->upWhole(w, 1, 503, {{"X-Not-Run", "1"}}, "", r.now);
     CHECK_EQ(503, r.fate(w));
-    CHECK_EQ(Str("true"), get(r.replies[w].h, "X-Not-Run"));
+    CHECK_EQ(std::string("true"), get(r.replies[w].h, "X-Not-Run"));
     // Another's reply, and a success that says not whose it is.
     for (auto& o : {Headers{{"X-Try", "t1"}}, Headers{}}) {
         auto v = r.ask("/a/x");
@@ -61,15 +61,15 @@
     // The shorter of both deadlines; what ran is not told to come back.
     auto d = r.ask("/a/x", {{"X-Left", "300"}});
     CHECK(r.go(d));
-    r.run(280 * MS);
+    r.run(280 * MILLISECOND);
     CHECK_EQ(0, r.fate(d));
-    r.run(60 * MS);
+    r.run(60 * MILLISECOND);
     CHECK_EQ(504, r.fate(d));
     auto l = r.ask("/a/x", {{"X-Left", "30000"}});
     CHECK(r.go(l));
-    r.run(4900 * MS);
+    r.run(4900 * MILLISECOND);
     CHECK_EQ(0, r.fate(l));
-    r.run(200 * MS);
+    r.run(200 * MILLISECOND);
     CHECK_EQ(504, r.fate(l));
     r.e->drain();
     auto on = r.ask("/a/x");
@@ -98,13 +98,14 @@
     r.e->upLost(x, 1, "reset", r.now);
     CHECK(r.last().server != first);
     CHECK(r.go(x));
-    CHECK_EQ(Str("6"), get(r.e->outgoing(*r.e->find(x), r.now), "Last-Event-Id"));
+    CHECK_EQ(std::string("6"), get(r.e->outgoing(*r.e->find(x), r.now), "Last-Event-Id"));
     CHECK(r.e->upHead(x, r.last().a, 200, r.echo(x, {{"X-Seal", "2"}}), r.now));
     r.event(x, "9");
     r.e->upEnd(x, r.last().a, r.now);
     CHECK_EQ(1, r.fate(x));
-    CHECK_EQ(Str("1"), get(r.heads[x].second, "X-Seal"));
-    CHECK_EQ(Str("id: 3\ndata: d\n\nid: 5\ndata: d\n\nid: 6\ndata: d\n\nid: 9\ndata: d\n\n"), r.parts[x]);
+    CHECK_EQ(std::string("1"), get(r.heads[x].second, "X-Seal"));
+    CHECK_EQ(
+        std::string("id: 3\ndata: d\n\nid: 5\ndata: d\n\nid: 6\ndata: d\n\nid: 9\ndata: d\n\n"), r.parts[x]);
     // An id that does not rise, and garbage, cut it.
     for (auto bad : {"5", "4", "x", ""}) {
         auto y = r.ask("/a/1", m);
@@ -113,10 +114,10 @@
         r.event(y, "5");
         r.event(y, bad, "");
         CHECK_EQ(2, r.fate(y));
-        CHECK_EQ(Str("id: 5\ndata: d\n\n"), r.parts[y]);
+        CHECK_EQ(std::string("id: 5\ndata: d\n\n"), r.parts[y]);
     }
     // Not past the maximum sequence, not without a limit of its model, not what cannot be resumed.
-    auto lost = [&](const Str& p, const Headers& h, int events) {
+    auto lost = [&](const std::string& p, const Headers& h, int events) {
         auto y = r.ask(p, h);
         CHECK(r.go(y));
         CHECK(r.e->upHead(y, 1, 200, r.echo(y), r.now));
@@ -144,7 +145,7 @@
     auto ct = r.ct.get("extra_sends_total");
     auto z = r.ask("/a/1", {{"X-Model", "m"}, {"Last-Event-Id", "7"}});
     CHECK(r.go(z));
-    CHECK_EQ(Str("7"), get(r.e->outgoing(*r.e->find(z), r.now), "Last-Event-Id"));
+    CHECK_EQ(std::string("7"), get(r.e->outgoing(*r.e->find(z), r.now), "Last-Event-Id"));
     CHECK_EQ(ct, r.ct.get("extra_sends_total"));
     CHECK(r.e->upHead(z, 1, 200, r.echo(z), r.now));
     auto k = r.sends.size();
@@ -152,7 +153,7 @@
     CHECK_EQ(k + 1, r.sends.size());
     auto v = r.ask("/n/1", {{"Last-Event-Id", "q 7"}});
     CHECK(r.go(v));
-    CHECK_EQ(Str("q 7"), get(r.e->outgoing(*r.e->find(v), r.now), "Last-Event-Id"));
+    CHECK_EQ(std::string("q 7"), get(r.e->outgoing(*r.e->find(v), r.now), "Last-Event-Id"));
 }
 
 // Against a plain reading: of its host, else of any; the longest path; this very method first.
@@ -161,20 +162,20 @@
     auto found = 0, none = 0;
     for (auto k = 0; k < 300; k++) {
         auto any = [&](std::initializer_list<const char*> l) {
-            return Str(*(l.begin() + g.below(l.size())));
+            return std::string(*(l.begin() + g.below(l.size())));
         };
         auto path = [&] {
-            auto p = Str("/");
+            auto p = std::string("/");
             for (auto n = g.below(4); n > 0; n--) p += any({"a", "b", "a/", "b/"});
             return p;
         };
         auto host = [&] { return any({"", "h.example", "i.example", "[::1]"}); };
         struct M {
-            Str host, method, path;
+            std::string host, method, path;
             bool prefix;
         };
         auto ms = std::vector<M>();
-        auto t = Str();
+        auto t = std::string();
         for (auto i = 0; i < 12; i++) {
             auto m = M{host(), any({"GET", "POST", "*"}), path(), g.chance(.7)};
             t += fmt::format(R"({}{{"name":"m{}","method":"{}","path":"{}{}","pool":"p"{}}})", i ? "," : "",
@@ -182,13 +183,13 @@
                 m.host.empty() ? "" : ",\"host\":" + jsQuote(m.host));
             ms.push_back(m);
         }
-        auto d = Doc();
+        auto d = rapidjson::Document();
         CHECK(jsParse("{\"mappings\":[" + t + "]}", d));
         auto ru = compile(d, 1);
         for (auto i = 0; i < 40; i++) {
             auto h = host(), me = any({"GET", "POST", "DELETE"}), p = path();
             auto want = -1;
-            for (auto& of : {h, Str()}) {
+            for (auto& of : {h, std::string()}) {
                 auto key = std::array<long, 3>{-1, 0, 0};
                 for (auto j = 0; j < 12; j++) {
                     auto& m = ms[std::size_t(j)];
@@ -211,45 +212,49 @@
 }
 
 TEST(EdgePlatform, configuration) {
-    auto check = [](const Str& s) {
-        auto d = Doc();
+    auto check = [](const std::string& s) {
+        auto d = rapidjson::Document();
         CHECK(jsParse(s, d));
-        auto o = Str();
+        auto o = std::string();
         for (auto& f : configCheck(d)) o += f.path + " ";
         return o;
     };
-    auto m = [](const Str& more) {
+    auto m = [](const std::string& more) {
         return R"({"name":"a","host":"h","method":"*","path":"/a/*")" + more + "}";
     };
-    auto c = [](const Str& ms, const Str& top = "") { return "{" + top + "\"mappings\":[" + ms + "]}"; };
-    CHECK_EQ(Str(), check(c(m(R"(,"pool":"p","homes":["r"],"repeatable":true,"aimUs":1,"gapUs":0)"))));
-    CHECK_EQ(Str(),
+    auto c = [](const std::string& ms, const std::string& top = "") {
+        return "{" + top + "\"mappings\":[" + ms + "]}";
+    };
+    CHECK_EQ(
+        std::string(), check(c(m(R"(,"pool":"p","homes":["r"],"repeatable":true,"aimUs":1,"gapUs":0)"))));
+    CHECK_EQ(std::string(),
         check(c(m(R"(,"pools":[{"pool":"p","share":0},{"pool":"q","share":2}])"),
             R"("pools":{"p":{"maxConns":3,"coldUs":1,"coldRate":1.5,"slots":4,"kvTokens":5,"stride":6,"engine":true},"q":{}},
             "limits":{"headerBytes":1,"bodyBytes":2,"headerReadUs":3,"idleUs":4},"budget":{"slack":64,"share":0.2},
             "cold":{"overrun":1.5,"slack":5},"origin":{"number":7,"text":"{"},)")));
-    CHECK_EQ(Str("/mappings/0/pool "), check(c(m(""))));
-    CHECK_EQ(Str("/mappings/0/pool "), check(c(m(R"(,"pool":"p","pools":[{"pool":"p","share":1}])"))));
-    CHECK_EQ(Str("/mappings/0/pools "), check(c(m(R"(,"pools":[{"pool":"p","share":0}])"))));
-    CHECK_EQ(Str("/mappings/0/pool "), check(c(m(R"(,"pool":"p")"), R"("pools":{"q":{}},)")));
-    CHECK_EQ(Str("/mappings/0/deadlineUs "), check(c(m(R"(,"pool":"p","deadlineUs":0)"))));
-    CHECK_EQ(Str("/mappings/0/colour "), check(c(m(R"(,"pool":"p","colour":0)"))));
-    CHECK_EQ(Str("/origin/text "), check(c("", R"("origin":{"text":1},)")));
+    CHECK_EQ(std::string("/mappings/0/pool "), check(c(m(""))));
     CHECK_EQ(
-        Str("/mappings/1/name /mappings/1/path "), check(c(m(R"(,"pool":"p")") + "," + m(R"(,"pool":"q")"))));
-    CHECK_EQ(Str("/mappings "), check(R"({"mappings":{}})"));
+        std::string("/mappings/0/pool "), check(c(m(R"(,"pool":"p","pools":[{"pool":"p","share":1}])"))));
+    CHECK_EQ(std::string("/mappings/0/pools "), check(c(m(R"(,"pools":[{"pool":"p","share":0}])"))));
+    CHECK_EQ(std::string("/mappings/0/pool "), check(c(m(R"(,"pool":"p")"), R"("pools":{"q":{}},)")));
+    CHECK_EQ(std::string("/mappings/0/deadlineUs "), check(c(m(R"(,"pool":"p","deadlineUs":0)"))));
+    CHECK_EQ(std::string("/mappings/0/colour "), check(c(m(R"(,"pool":"p","colour":0)"))));
+    CHECK_EQ(std::string("/origin/text "), check(c("", R"("origin":{"text":1},)")));
+    CHECK_EQ(std::string("/mappings/1/name /mappings/1/path "),
+        check(c(m(R"(,"pool":"p")") + "," + m(R"(,"pool":"q")"))));
+    CHECK_EQ(std::string("/mappings "), check(R"({"mappings":{}})"));
 }
 
 // A quarter of a core has 50 ms of its time in 200 ms.
 TEST(EdgePlatform, thousandsOfMappings) {
-    auto t = R"({"origin":{"number":1,"text":")" + Str(2 << 20, 'x') + R"("},"mappings":[)";
+    auto t = R"({"origin":{"number":1,"text":")" + std::string(2 << 20, 'x') + R"("},"mappings":[)";
     for (auto i = 0; i < 4000; i++)
         t += fmt::format(
             R"({}{{"name":"r-{}","host":"h{}.example","method":"*","path":"/x{}/*","pool":"p","stream":true,
             "Resumable":true,"MaxTries":2,"deadlineUs":5000000,"aimUs":800000,"gapUs":400000,"homes":["a"]}})",
             i ? "," : "", i, i % 3, i);
     t += "]}";
-    auto d = Doc();
+    auto d = rapidjson::Document();
     CHECK(jsParse(t, d));
     auto best = 1e9;
     auto ru = Rules();
@@ -279,11 +284,11 @@
     auto sent = 0, held = 0;
     for (auto k = 0; k < 20; k++) {
         auto r = Rig();
-        auto homes = std::vector<std::vector<Str>>{{"near"}, {"far"}, {"near", "far"}, {"off"}, {}};
+        auto homes = std::vector<std::vector<std::string>>{{"near"}, {"far"}, {"near", "far"}, {"off"}, {}};
         auto at = std::size_t(0);
         auto give = [&] {
             at = g.below(homes.size());
-            auto t = Str();
+            auto t = std::string();
             for (auto& h : homes[at]) t += (t.empty() ? "" : ",") + jsQuote(h);
             CHECK_EQ(200, r.config(one(R"(,"MaxTries":4,"repeatable":true,"homes":[)" + t + "]")));
         };
@@ -292,8 +297,9 @@
             ls.clear();
             for (auto i = 0; i < 5; i++)
                 if (g.chance(.8))
-                    ls.push_back({fmt::format("s{}", i), Str(std::array{"near", "far", "off"}[g.below(3)]),
-                        g.chance(.8) ? "p" : "q", "z", 40});
+                    ls.push_back(
+                        {fmt::format("s{}", i), std::string(std::array{"near", "far", "off"}[g.below(3)]),
+                            g.chance(.8) ? "p" : "q", "z", 40});
             r.list(ls, 0);
         };
         give();
@@ -313,13 +319,13 @@
                     sent++;
                     auto l = std::find_if(ls.begin(), ls.end(), [&](auto& v) { return v.name == s.server; });
                     CHECK(l != ls.end());
-                    CHECK_EQ(Str("p"), l->pool);
+                    CHECK_EQ(std::string("p"), l->pool);
                     auto& h = homes[at];
                     CHECK(h.empty() || std::find(h.begin(), h.end(), l->region) != h.end());
                     if (g.chance(.5)) r.ok(s.x);
                 } else held++;
             }
-            r.run(20 * MS);
+            r.run(20 * MILLISECOND);
         }
     }
     CHECK(sent > 300 && held > 20);
@@ -344,7 +350,7 @@
         r.ok(y);
     }
     r.listed.clear();
-    r.run(6 * SEC);  // not by time alone
+    r.run(6 * SECOND);  // not by time alone
     for (auto i = 0; i < 20; i++) {
         auto y = r.ask("/a/x");
         CHECK(r.last().server != bad);
@@ -363,10 +369,10 @@
             CHECK(r.go(y));
         }
         r.ok(y);
-        r.list({{"x"}, {"y"}}, 20 * MS);
+        r.list({{"x"}, {"y"}}, 20 * MILLISECOND);
     }
     CHECK(denied >= 1 && denied <= 4);
-    r.run(8 * SEC);
+    r.run(8 * SECOND);
     r.list({{"x"}, {"y"}});
     auto seen = 0;
     for (auto i = 0; i < 40; i++) {
@@ -400,14 +406,14 @@
             {"c", "near", "p", "z", 9}, {"d", "far", "p", "z", 9}};
         r.list(ls);
         struct X {
-            Str path;
+            std::string path;
             int runs = 0, sends = 0, most = 3;
             std::int64_t given = -1;
             bool over = false;
         };
         auto xs = std::map<std::int64_t, X>();
         for (auto i = 0; i < 150; i++) {
-            auto p = Str(std::array{"/e", "/s", "/n", "/r"}[g.below(4)]);
+            auto p = std::string(std::array{"/e", "/s", "/n", "/r"}[g.below(4)]);
             auto id = r.ask(p, p == "/r" || p == "/n" ? Headers{{"X-Model", "m"}} : Headers{});
             xs[id].path = p;
             for (auto& [x, v] : xs) {
@@ -422,7 +428,7 @@
                         if (v.sends > v.most && k != 39) CHECK(false);
                         if (v.path == "/r") {
                             auto l = get(r.e->outgoing(*r.e->find(x), r.now), "Last-Event-Id");
-                            CHECK_EQ(v.given < 0 ? Str("-") : fmt::to_string(v.given), l);
+                            CHECK_EQ(v.given < 0 ? std::string("-") : fmt::to_string(v.given), l);
                         }
                     }
                     continue;
@@ -477,9 +483,9 @@
             }
             if (g.chance(.05)) r.config(conf(3));
             if (g.chance(.1)) r.list(ls, 0);
-            r.run(20 * MS * Us(1 + g.below(8)));
+            r.run(20 * MILLISECOND * Microseconds(1 + g.below(8)));
         }
-        r.run(40 * SEC);
+        r.run(40 * SECOND);
         CHECK_EQ(std::size_t(0), r.e->busy());
         CHECK_EQ(0, r.e->inflightNow());
         CHECK_EQ(std::size_t(0), r.e->queuedNow());
@@ -499,7 +505,7 @@
             r.config(one(R"(,"stream":true,"Resumable":true,"MaxTries":64)",
                 R"(,"models":{"m":{"migrationLimit":16}})")));
         r.list({{"x", "near", "p", "z", 50}, {"y", "near", "p", "z", 50}, {"w", "near", "p", "z", 50}});
-        r.run(3 * SEC);
+        r.run(3 * SECOND);
         for (auto i = 0; i < 30; i++) {
             auto ids = std::vector<std::int64_t>();
             for (auto j = 0, at = 0; j < 12; j++) ids.push_back(at += 1 + int(g.below(4)));
@@ -507,7 +513,7 @@
             auto h = Headers{{"X-Model", "m"}};
             if (from) h.emplace_back("Last-Event-Id", fmt::to_string(ids[from - 1]));
             auto x = r.ask("/a/x", h);
-            auto want = Str();
+            auto want = std::string();
             for (auto j = from; j < 12; j++) want += fmt::format("id: {}\ndata: d\n\n", ids[j]);
             while (!r.fate(x) && r.e->find(x)->phase() == Phase::Sending) {
                 auto a = r.e->find(x)->a;
@@ -530,7 +536,7 @@
                 whole++;
                 CHECK_EQ(want, r.parts[x]);
             } else CHECK(want.starts_with(r.parts[x]));
-            r.run(100 * MS);
+            r.run(100 * MILLISECOND);
         }
     }
     CHECK(moved > 50);
@@ -544,24 +550,24 @@
       {"name":"e","path":"/e","pool":"p","MaxTries":3,"idleUs":500000,"deadlineUs":6000000)",
             R"(,"models":{"m":{"migrationLimit":2}})")));
     r.list({{"x"}});
-    r.run(2 * SEC);
+    r.run(2 * SECOND);
     auto e = r.ask("/e");
     CHECK(r.go(e));
     auto x = r.ask("/a/x", {{"X-Model", "m"}});
     CHECK(r.go(x));
-    r.run(2 * SEC);
+    r.run(2 * SECOND);
     auto n = r.sends.size();
     CHECK_EQ(std::size_t(2), n);  // no other server: it waits on
     CHECK_EQ(0, r.fate(x));
-    r.list({{"x"}, {"y"}}, 500 * MS);
+    r.list({{"x"}, {"y"}}, 500 * MILLISECOND);
     CHECK_EQ(n + 1, r.sends.size());
     CHECK_EQ(x, r.last().x);
-    CHECK_EQ(Str("y"), r.last().server);
+    CHECK_EQ(std::string("y"), r.last().server);
     CHECK(r.go(x));
     r.ok(x);
-    r.run(3200 * MS);
+    r.run(3200 * MILLISECOND);
     CHECK_EQ(0, r.fate(e));
-    r.run(600 * MS);
+    r.run(600 * MILLISECOND);
     CHECK_EQ(504, r.fate(e));
 }
 
@@ -577,9 +583,9 @@
     CHECK_EQ(std::int64_t(0), r.ct.get("extra_sends_total"));
     r.e->refused(x, r.last().a, r.now);
     CHECK_EQ(503, r.fate(x));
-    CHECK_EQ(Str("true"), get(r.replies[x].h, "X-Not-Run"));
+    CHECK_EQ(std::string("true"), get(r.replies[x].h, "X-Not-Run"));
     // Those four are left alone for a while, and then asked one at a time.
-    auto bad = std::set<Str>();
+    auto bad = std::set<std::string>();
     for (auto& s : r.sends) bad.insert(s.server);
     for (auto i = 0; i < 6; i++) {
         r.ask("/a/x");
@@ -593,20 +599,20 @@
     CHECK_EQ(200, r.config(one(R"(,"deadlineUs":2000000)")));
     r.list({{"x"}});
     auto headers = Headers{{"Host", "h.example"}, {"X-Try", "t"}, {"X-Left", "1500"}};
-    auto x = r.e->accept("POST", "/a/x", headers, "body", r.now, r.now - 600 * MS);
+    auto x = r.e->accept("POST", "/a/x", headers, "body", r.now, r.now - 600 * MILLISECOND);
     CHECK(r.go(x));
-    CHECK_EQ(Str("900"), get(r.e->outgoing(*r.e->find(x), r.now), "X-Left"));
-    r.run(960 * MS);
+    CHECK_EQ(std::string("900"), get(r.e->outgoing(*r.e->find(x), r.now), "X-Left"));
+    r.run(960 * MILLISECOND);
     CHECK_EQ(504, r.fate(x));
-    auto late = r.e->accept("POST", "/a/x", headers, "body", r.now, r.now - 2 * SEC);
+    auto late = r.e->accept("POST", "/a/x", headers, "body", r.now, r.now - 2 * SECOND);
     CHECK(!r.go(late));
     CHECK_EQ(503, r.fate(late));
 }
 
 // What was sent as not repeatable stays so, whatever a newer configuration says of its path.
 TEST(EdgePlatform, sentOnceStaysOnce) {
-    auto repeatable = Str(R"(,"MaxTries":3,"repeatable":true)");
-    for (auto first : {Str(R"(,"MaxTries":3)"), repeatable}) {
+    auto repeatable = std::string(R"(,"MaxTries":3,"repeatable":true)");
+    for (auto first : {std::string(R"(,"MaxTries":3)"), repeatable}) {
         auto r = Rig();
         CHECK_EQ(200, r.config(one(first)));
         r.list({{"x"}, {"y"}});
@@ -650,35 +656,35 @@
       {"name":"e","path":"/e","pool":"p","MaxTries":1,"aimUs":1000000)",
             R"(,"models":{"m":{"migrationLimit":1}})")));
     r.list({{"x"}, {"y"}});
-    r.run(2 * SEC);
+    r.run(2 * SECOND);
     auto e = r.ask("/e");
     auto was = r.last();
-    r.run(380 * MS);
+    r.run(380 * MILLISECOND);
     CHECK_EQ(was.a, r.last().a);
-    r.run(60 * MS);
+    r.run(60 * MILLISECOND);
     CHECK_EQ(e, r.last().x);
     CHECK(r.last().server != was.server);
     CHECK(!r.e->maySend(e, was.a, r.now));
     CHECK(r.go(e));
     CHECK_EQ(std::int64_t(0), r.ct.get("extra_sends_total"));
     auto n = r.sends.size();
-    r.run(3 * SEC);
+    r.run(3 * SECOND);
     CHECK_EQ(n, r.sends.size());  // now it may run
     CHECK_EQ(0, r.fate(e));
     r.ok(e);
-    r.run(5 * SEC);
+    r.run(5 * SECOND);
     auto x = r.ask("/a/x", {{"X-Model", "m"}});
     CHECK(r.go(x));
-    r.run(760 * MS);
+    r.run(760 * MILLISECOND);
     CHECK_EQ(n + 2, r.sends.size());
     CHECK(r.go(x));
     auto y = r.ask("/a/x", {{"X-Model", "m"}});
     CHECK(r.go(y));
     CHECK(r.e->upHead(y, r.last().a, 200, r.echo(y), r.now));
     r.event(y, "1");
-    r.run(220 * MS);
+    r.run(220 * MILLISECOND);
     CHECK_EQ(n + 3, r.sends.size());
-    r.run(100 * MS);
+    r.run(100 * MILLISECOND);
     CHECK_EQ(n + 4, r.sends.size());
     CHECK_EQ(y, r.last().x);
 }
@@ -699,24 +705,24 @@
     r.ok(in[0]);
     CHECK_EQ(std::size_t(6), r.sends.size());  // not only at the next tick
     CHECK_EQ(b, r.last().x);
-    r.run(180 * MS);
+    r.run(180 * MILLISECOND);
     CHECK_EQ(0, r.fate(a));
-    r.run(60 * MS);
+    r.run(60 * MILLISECOND);
     CHECK_EQ(503, r.fate(a));
     auto t = std::stod(get(r.replies[a].h, "Retry-After"));
     CHECK(t > 0.1 && t < 0.6);
-    CHECK_EQ(Str("true"), get(r.replies[a].h, "X-Not-Run"));
+    CHECK_EQ(std::string("true"), get(r.replies[a].h, "X-Not-Run"));
     // What the server says of itself counts too.
-    r.run(10 * SEC);
+    r.run(10 * SECOND);
     for (auto i = 1; i < 5; i++) r.e->gone(in[std::size_t(i)], r.now);
     r.e->gone(b, r.now);
-    r.run(100 * MS);
+    r.run(100 * MILLISECOND);
     auto y = r.ask("/a/x");
     CHECK(r.go(y));
     r.ok(y, {{"X-Load", "4,2,4"}});
     auto n = r.sends.size();
     r.ask("/a/x");
-    r.run(100 * MS);
+    r.run(100 * MILLISECOND);
     CHECK_EQ(n, r.sends.size());
 }
 
@@ -725,16 +731,16 @@
 struct Fleet {
     std::vector<std::unique_ptr<Rig>> es;
     std::vector<std::size_t> seen;
-    explicit Fleet(int n, const Str& conf, const std::vector<Rig::S>& ls) {
+    explicit Fleet(int n, const std::string& conf, const std::vector<Rig::S>& ls) {
         for (auto i = 0; i < n; i++)
             es.push_back(std::make_unique<Rig>(fmt::format("n{}", i), n - 1, 100 + i));
         for (auto& r : es) {
             CHECK_EQ(200, r->config(conf));
             r->list(ls);
         }
-        for (auto& r : es) r->run(4 * SEC), seen.push_back(r->sends.size());
+        for (auto& r : es) r->run(4 * SECOND), seen.push_back(r->sends.size());
     }
-    auto now() const -> Us { return es[0]->now; }
+    auto now() const -> Microseconds { return es[0]->now; }
     /// What edge `i` began since it was last asked.
     auto fresh(std::size_t i) -> std::vector<Sent> {
         auto& r = *es[i];
@@ -747,7 +753,7 @@
     }
 };
 // The most events of `v` in any span of that length.
-auto densest(std::vector<Us> v, Us span) -> std::size_t {
+auto densest(std::vector<Microseconds> v, Microseconds span) -> std::size_t {
     std::sort(v.begin(), v.end());
     auto m = std::size_t(0), j = std::size_t(0);
     for (auto i = std::size_t(0); i < v.size(); i++) {
@@ -774,9 +780,9 @@
         auto f = Fleet(c.nodes, conf, {{"w", "near", "p", "z", 60}, {"c", "near", "p", "z", 60}});
         for (auto& r : f.es) {
             r->e->broken.noRamp = c.broken;
-            r->chill("c", r->now + 60 * SEC);
+            r->chill("c", r->now + 60 * SECOND);
         }
-        auto at = std::vector<Us>();
+        auto at = std::vector<Microseconds>();
         for (auto t = 0; t < 500; t++) {
             auto crowd = t % 100 < 30 ? .9 : .3;  // a crowd now and then
             for (auto i = std::size_t(0); i < f.es.size(); i++) {
@@ -785,13 +791,13 @@
                     if (g.chance(crowd * .3)) r.ask("/a/x");
                 for (auto& s : f.fresh(i)) {
                     if (!r.e->maySend(s.x, s.a, r.now)) continue;
-                    if (s.server == "c") at.push_back(r.now + Us(g.below(5 * MS)));
+                    if (s.server == "c") at.push_back(r.now + Microseconds(g.below(5 * MILLISECOND)));
                     if (g.chance(.7)) r.ok(s.x);
                 }
             }
             f.step();
         }
-        auto most = densest(at, SEC);
+        auto most = densest(at, SECOND);
         if (c.broken) CHECK(double(most) > c.rate * 1.5 + 5);
         else {
             CHECK(double(most) <= c.rate * 1.5 + 5);
@@ -810,7 +816,7 @@
              {"name":"b","path":"/b/*","pool":"q","MaxTries":6,"repeatable":true}]})",
             {{"w", "near", "p", "z", 60}, {"c", "near", "p", "z", 60}, {"d", "near", "p", "z", 60},
                 {"e", "near", "q", "z", 60}, {"f", "near", "q", "z", 60}});
-        auto first = std::map<Str, std::vector<Us>>(), extra = first;
+        auto first = std::map<std::string, std::vector<Microseconds>>(), extra = first;
         for (auto t = 0; t < 1500; t++) {
             for (auto i = std::size_t(0); i < f.es.size(); i++) {
                 auto& r = *f.es[i];
@@ -834,10 +840,10 @@
         for (auto p : {"p", "q"}) {
             auto n = extra[p].size();
             CHECK(n > 40);
-            for (auto from = extra[p].empty() ? 0 : extra[p][0]; from < f.now(); from += 100 * MS) {
+            for (auto from = extra[p].empty() ? 0 : extra[p][0]; from < f.now(); from += 100 * MILLISECOND) {
                 auto in = [&](auto& v) {
                     return double(std::count_if(
-                        v.begin(), v.end(), [&](auto t) { return t >= from && t < from + 10 * SEC; }));
+                        v.begin(), v.end(), [&](auto t) { return t >= from && t < from + 10 * SECOND; }));
                 };
                 over = over || in(extra[p]) > 0.2 * in(first[p]) + 64;
             }
@@ -858,14 +864,14 @@
              {"name":"a","path":"/a/*","pool":"p","aimUs":1000000,"stream":true},
              {"name":"b","path":"/b/*","pool":"p","aimUs":800000,"stream":true}]})",
             ls);
-        auto caches = std::map<Str, std::map<int, Us>>();
-        auto running = std::map<Str, int>();
+        auto caches = std::map<std::string, std::map<int, Microseconds>>();
+        auto running = std::map<std::string, int>();
         auto reads = 0, longs = 0;
         struct Run {
-            Us till;
+            Microseconds till;
             std::size_t e;
             std::int64_t x;
-            Str server;
+            std::string server;
         };
         auto runs = std::deque<Run>();
         for (auto t = 0; t < 3000; t++) {  // a minute
@@ -887,16 +893,17 @@
                 for (auto& s : f.fresh(i)) {
                     CHECK(r.e->maySend(s.x, s.a, r.now));
                     auto e = r.e->find(s.x);
-                    auto p = e->parts.size() > 1 && e->sharedTokens > 1000 ? get(e->h, "X-Parts") : Str();
+                    auto p =
+                        e->parts.size() > 1 && e->sharedTokens > 1000 ? get(e->h, "X-Parts") : std::string();
                     auto& c = caches[s.server];
                     auto load = fmt::format("{},0,64", ++running[s.server]);
-                    auto lat = 300 * MS;
+                    auto lat = 300 * MILLISECOND;
                     if (!p.empty()) {
                         longs++;
                         auto id = std::stoi(p, nullptr, 16);
                         if (!c.count(id)) {
                             reads++;
-                            lat += 200 * MS;
+                            lat += 200 * MILLISECOND;
                             if (c.size() >= 20)
                                 c.erase(std::min_element(c.begin(), c.end(),
                                     [](auto& a, auto& b) { return a.second < b.second; }));
@@ -937,7 +944,7 @@
 TEST(EdgePlatform, noHerd) {
     struct Case {
         int nodes;
-        Str how;
+        std::string how;
         double over;
         int fresh;
     };
@@ -950,12 +957,12 @@
             R"({"budget":{"slack":64},"pools":{"p":{"engine":true,"kvTokens":319818}},"mappings":[
              {"name":"b","path":"/b/*","pool":"p","aimUs":800000,"stream":true}]})",
             ls);
-        auto running = std::map<Str, int>();
+        auto running = std::map<std::string, int>();
         struct Run {
-            Us till;
+            Microseconds till;
             std::size_t e;
             std::int64_t x;
-            Str server;
+            std::string server;
         };
         auto runs = std::deque<Run>();
         auto all = 0, over = 0, refused = 0;
@@ -976,7 +983,7 @@
                     if (t > 100 && t < 400) all++, over += n > 32;
                     if (s.server == "new") c.fresh = std::max(c.fresh, n);
                     r.e->upHead(s.x, s.a, 200, r.echo(s.x, {{"X-Load", fmt::format("{},0,32", n)}}), r.now);
-                    runs.push_back({r.now + 400 * MS, i, s.x, s.server});
+                    runs.push_back({r.now + 400 * MILLISECOND, i, s.x, s.server});
                 }
             }
             while (!runs.empty() && runs.front().till <= f.now()) {
@@ -1001,7 +1008,7 @@
     auto r = Rig();
     CHECK_EQ(200, r.config(one("", R"(,"pools":{"p":{"coldUs":4000000,"coldRate":5}})")));
     r.list({{"x", "near", "p", "z", 90}});
-    r.run(3 * SEC);
+    r.run(3 * SECOND);
     auto in = [&](int steps) {
         auto n = 0;
         for (auto i = 0; i < steps; i++) {
@@ -1009,11 +1016,11 @@
             CHECK(r.go(x));
             n += r.last().server == "c";
             r.ok(x);
-            r.run(20 * MS);
+            r.run(20 * MILLISECOND);
         }
         return n;
     };
-    r.list({{"x", "near", "p", "z", 90}, {"c", "near", "p", "z", 90}}, 20 * MS);
+    r.list({{"x", "near", "p", "z", 90}, {"c", "near", "p", "z", 90}}, 20 * MILLISECOND);
     auto n = in(50);
     CHECK(n >= 2 && n <= 6);
     in(160);
@@ -1029,7 +1036,7 @@
         CHECK(r.go(y));
         k += r.last().server == who;
         r.ok(y);
-        r.run(20 * MS);
+        r.run(20 * MILLISECOND);
     }
     CHECK(k <= 6);
 }
@@ -1076,7 +1083,7 @@
 // Exchanges that may only go to the near region claim its servers; long prompts that may go anywhere
 // are read in the other, unless that is full or no other exchange is bound.
 TEST(EdgePlatform, boundExchangesClaimARegion) {
-    auto conf = Str(
+    auto conf = std::string(
         R"({"pools":{"p":{"engine":true,"kvTokens":300000}},"mappings":[{"name":"a","path":"/a/*","pool":"p","homes":["near"],"aimUs":800000},{"name":"l","path":"/l/*","pool":"p","aimUs":1000000}]})");
     for (auto bound : {false, true}) {
         auto r = Rig();
@@ -1108,16 +1115,16 @@
         R"("pools":[{"pool":"p","share":90},{"pool":"q","share":10},{"pool":"o","share":0}])");
     CHECK_EQ(200, r.config(d));
     r.list({{"x", "near", "p"}, {"y", "near", "q"}, {"z", "near", "o"}});
-    auto n = std::map<Str, int>();
+    auto n = std::map<std::string, int>();
     for (auto i = 0; i < 2000; i++) {
         auto x = r.ask("/a/x");
         CHECK(r.go(x));
         n[r.last().server]++;
         r.ok(x);
-        if (i % 100 == 0) r.run(20 * MS);
+        if (i % 100 == 0) r.run(20 * MILLISECOND);
     }
     CHECK(n["x"] > 1700 && n["y"] > 120);
     CHECK_EQ(0, n["z"]);
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/tests/edge_test.cpp
+++ b/tests/edge_test.cpp
@@ -5,9 +5,9 @@
 #include "node_fixture.hpp"
 #include "test.hpp"
 
-namespace dt {
+namespace duneturn {
 
-static auto mapping(const Str& more) -> Str {
+static auto mapping(const std::string& more) -> std::string {
     return R"({"models":{"m":{"migrationLimit":2,"maxSequence":64}},"ramp":{"overUs":0},"mappings":[
         {"name":"s","path":"/s","pool":"p","model":"m","stream":true,"spill":["far"])"
         + more + "}]}";
@@ -16,10 +16,10 @@
 // What is allowed at the moment of moving is what counts, not what was when it began.
 TEST(Edge, newestRulesBind) {
     struct Case {
-        Str then;
+        std::string then;
         bool moves;
     };
-    auto ok = Str(R"(,"Resumable":true,"MaxTries":3)");
+    auto ok = std::string(R"(,"Resumable":true,"MaxTries":3)");
     for (auto& c :
         std::vector<Case>{{mapping(ok), true}, {mapping(R"(,"MaxTries":3)"), false},
             {mapping(R"(,"Resumable":true,"MaxTries":1)"), false},
@@ -68,9 +68,9 @@
         two.size() - 2, R"(,{"name":"n","path":"/n","pool":"p","model":"m","stream":true,"MaxTries":3})");
     CHECK_EQ(200, r.config(two));
     r.list({{"x", "near", "z", "p", "w"}, {"y", "near", "z", "p", "v"}});
-    auto ask = [&](const Str& p, const Headers& h) { return r.e->accept("POST", p, h, "b", r.now); };
+    auto ask = [&](const std::string& p, const Headers& h) { return r.e->accept("POST", p, h, "b", r.now); };
     for (auto& [p, h] :
-        std::vector<std::pair<Str, Headers>>{{"/n", {{"Last-Event-Id", "3"}, {"X-Weights", "w"}}},
+        std::vector<std::pair<std::string, Headers>>{{"/n", {{"Last-Event-Id", "3"}, {"X-Weights", "w"}}},
             {"/s", {{"Last-Event-Id", "3"}}}, {"/s", {{"Last-Event-Id", "x"}, {"X-Weights", "w"}}},
             {"/s", {{"Last-Event-Id", "65"}, {"X-Weights", "w"}}}}) {
         auto n = r.sends.size();
@@ -80,12 +80,12 @@
     }
     auto h = Headers{{"last-event-id", "3"}, {"x-weights", "v"}};
     CHECK_EQ(503, r.replies[ask("/s", h)].first);  // no credit yet: it is an extra send
-    for (auto i = 0; i < 12; i++) r.e->maySend(ask("/s", {}), 1, r.now), r.run(20 * MS);
+    for (auto i = 0; i < 12; i++) r.e->maySend(ask("/s", {}), 1, r.now), r.run(20 * MILLISECOND);
     r.e->cutAll(r.now);
-    r.run(40 * MS);
+    r.run(40 * MILLISECOND);
     auto credit = r.e->credit();
     auto id = ask("/s", h);
-    CHECK_EQ(Str("y"), r.sends.back().second);
+    CHECK_EQ(std::string("y"), r.sends.back().second);
     CHECK(r.e->maySend(id, 1, r.now));
     CHECK(r.e->credit() < credit);
     CHECK_EQ(1, r.e->find(id)->left());
@@ -102,7 +102,7 @@
             R"({"ramp":{"overUs":0},"mappings":[{"name":"lo","path":"/lo","pool":"p","urgency":2,"queue":2},
         {"name":"hi","path":"/hi","pool":"p","urgency":8,"queue":2}]})"));
     r.list({{"x", "near", "z", "p", "w"}});
-    auto ask = [&](const Str& p) { return r.e->accept("POST", p, {}, "b", r.now); };
+    auto ask = [&](const std::string& p) { return r.e->accept("POST", p, {}, "b", r.now); };
     for (auto i = 0; i < 4; i++) ask("/hi");
     auto a = ask("/lo"), b = ask("/lo"), c = ask("/lo");
     CHECK_EQ(503, r.replies[c].first);
@@ -119,21 +119,21 @@
     auto picked = 0, none = 0;
     for (auto k = 0; k < 25; k++) {
         auto r = NodeFixture();
-        auto names = std::vector<Str>{"near", "far", "off"};
+        auto names = std::vector<std::string>{"near", "far", "off"};
         auto any = [&](auto& v) { return v[g.below(v.size())]; };
-        auto home = g.chance(.4) ? (g.chance(.5) ? Str("@near") : any(names)) : Str();
-        auto spill = std::vector<Str>();
+        auto home = g.chance(.4) ? (g.chance(.5) ? std::string("@near") : any(names)) : std::string();
+        auto spill = std::vector<std::string>();
         if (home.empty())
             for (auto& x : names)
                 if (g.chance(.4)) spill.push_back(x);
         auto pool = fmt::format("p{}", g.below(2));
-        auto sp = Str();
+        auto sp = std::string();
         for (auto& x : spill) sp += (sp.empty() ? "" : ",") + jsQuote(x);
         CHECK_EQ(200,
             r.config(fmt::format(
                 R"({{"ramp":{{"overUs":0}},"mappings":[{{"name":"a","path":"/a/*","pool":"{}","queueUs":0{}}}]}})",
                 pool, home.empty() ? ",\"spill\":[" + sp + "]" : ",\"home\":" + jsQuote(home))));
-        auto v = std::vector<std::array<Str, 5>>();
+        auto v = std::vector<std::array<std::string, 5>>();
         for (auto i = 0; i < 6; i++)
             v.push_back({fmt::format("s{}", i), any(names), fmt::format("z{}", g.below(2)),
                 fmt::format("p{}", g.below(2)), "w"});
@@ -143,11 +143,11 @@
         auto z = fmt::format("z{}", g.below(2));
         auto emptied = g.chance(.5);
         if (emptied) r.n->order(98, "empty", "e", bodyOf({{"district", jsQuote(z)}}), r.now);
-        r.run(2 * SEC);
+        r.run(2 * SECOND);
         for (auto i = 0; i < 20; i++) {
             auto from = any(names);
             // The plain reading: who may take it at all, and whether near ones come first.
-            auto may = std::set<Str>(), near = std::set<Str>();
+            auto may = std::set<std::string>(), near = std::set<std::string>();
             for (auto& s : v) {
                 auto h = home == "@near" ? from : home;
                 if (s[3] != pool || s[0] == gone || (emptied && s[2] == z)) continue;
@@ -171,11 +171,11 @@
                 CHECK(r.e->maySend(id, 1, r.now));
                 r.e->upWhole(id, 1, 200, {}, "x", r.now);
             }
-            r.run(20 * MS);
+            r.run(20 * MILLISECOND);
         }
     }
     CHECK(picked > 100);
     CHECK(none > 50);
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/tests/fleet_fixture.hpp
+++ b/tests/fleet_fixture.hpp
@@ -11,7 +11,7 @@
 #include "node.hpp"
 #include "test.hpp"
 
-namespace dt {
+namespace duneturn {
 
 struct Fleet;
 
@@ -20,46 +20,47 @@
     Settings st;
     bool core = false, up = false, removed = false;
     std::int64_t life = 0;
-    Us frozen = 0;
+    Microseconds frozen = 0;
     DiskState held;
-    std::deque<std::pair<Us, DiskWrite>> under;
+    std::deque<std::pair<Microseconds, DiskWrite>> under;
     DiskGate gate;
-    Str fresh;
-    std::vector<Str> kept;
+    std::string fresh;
+    std::vector<std::string> kept;
     Counters ct;
     std::unique_ptr<Node> n;
     std::int64_t top = 0;
     explicit Box(Fleet& x) : f(x) {}
-    auto tell(const Str& addr, const wire::Envelope& e) -> void override;
+    auto tell(const std::string& addr, const wire::Envelope& e) -> void override;
     auto disk(const DiskWrite& w) -> void override;
     auto done(std::int64_t id, const Outcome& o) -> void override;
-    auto book(const std::vector<Str>& a) -> void override { kept = a; }
-    auto probe(const Str&, const Str&) -> void override;
+    auto book(const std::vector<std::string>& a) -> void override { kept = a; }
+    auto probe(const std::string&, const std::string&) -> void override;
 };
 
 struct Fleet {
     Rng r;
-    Us t = 0, sync = 3 * MS;
+    Microseconds t = 0, sync = 3 * MILLISECOND;
     std::vector<std::unique_ptr<Box>> bs;
     struct Post {
-        Str to;
+        std::string to;
         std::size_t from;
         wire::Envelope e;
     };
-    std::multimap<Us, Post> net;
-    std::map<std::pair<std::size_t, Str>, Us> last;  // of a link: what is said stays in order
+    std::multimap<Microseconds, Post> net;
+    std::map<std::pair<std::size_t, std::string>, Microseconds>
+        last;  // of a link: what is said stays in order
     std::set<std::pair<std::size_t, std::size_t>> cut;
     std::map<std::int64_t, Outcome> outs;
-    std::vector<Str> seeds;
-    std::map<Str, std::size_t> byAddr;
+    std::vector<std::string> seeds;
+    std::map<std::string, std::size_t> byAddr;
     std::int64_t ids = 0, between = 0, all = 0, probes = 0, beats = 0;
-    Str bad;
+    std::string bad;
     double loss = 0;
     bool serveOn = true, weigh = false, broken = false;
 
     explicit Fleet(std::uint64_t seed) : r{seed} {}
 
-    auto add(const Str& region, const Str& district, bool core, bool bootstrap) -> Box& {
+    auto add(const std::string& region, const std::string& district, bool core, bool bootstrap) -> Box& {
         auto& b = *bs.emplace_back(std::make_unique<Box>(*this));
         auto k = bs.size();
         b.core = core;
@@ -79,7 +80,7 @@
     }
     // `cores` of them with a disk, one a district in turn.
     auto found(int cores = 3, int nodes = 12) -> void {
-        auto ds = std::vector<std::pair<Str, Str>>{
+        auto ds = std::vector<std::pair<std::string, std::string>>{
             {"punjab", "lhr-hall"}, {"punjab", "mtn-hall"}, {"sindh", "khi-hall"}};
         seeds = {"10.1.0.1:7720", "10.1.0.2:7720", "10.1.0.3:7720"};
         for (auto i = 0; i < nodes; i++)
@@ -92,7 +93,7 @@
         b.frozen = 0;
         b.gate = {};
         b.top = 0;
-        b.n = std::make_unique<Node>(b.st, b, b.ct, 1'700'000'000 * SEC + t + b.life, r.next());
+        b.n = std::make_unique<Node>(b.st, b, b.ct, 1'700'000'000 * SECOND + t + b.life, r.next());
         if (!b.core) return;
         b.n->hints(b.kept);
         b.n->startCore(b.held, fmt::format("disk-{}-{}", b.st.node, r.below(1000000)), t);
@@ -104,12 +105,12 @@
     }
     // Settings written now name three cores by a list that lags, so one of them may be gone.
     auto reseed() -> void {
-        auto v = std::vector<Str>();
-        auto gone = Str();
+        auto v = std::vector<std::string>();
+        auto gone = std::string();
         for (auto& b : bs)
             if (b->core && b->removed) gone = b->st.peer;
             else if (b->core) v.push_back(b->st.peer);
-        if (!gone.empty()) v.insert(v.begin() + Us(r.below(3)), gone);
+        if (!gone.empty()) v.insert(v.begin() + Microseconds(r.below(3)), gone);
         v.resize(std::min<std::size_t>(v.size(), 3));
         if (!v.empty()) seeds = v;
     }
@@ -126,7 +127,7 @@
         b.held = {};
         b.kept.clear();
     }
-    auto at(const Str& addr) -> int {
+    auto at(const std::string& addr) -> int {
         auto i = byAddr.find(addr);
         return i == byAddr.end() || bs[i->second]->removed ? -1 : int(i->second);
     }
@@ -140,11 +141,13 @@
                 else cut.erase(p);
         }
     }
-    auto post(Box& b, const Str& to, const wire::Envelope& e) -> void {
+    auto post(Box& b, const std::string& to, const wire::Envelope& e) -> void {
         auto j = at(to);
         if (j < 0 || r.chance(loss)) return;
         auto& o = *bs[std::size_t(j)];
-        auto d = b.st.region != o.st.region ? 55 * MS : b.st.district != o.st.district ? 900 : Us(300);
+        auto d = b.st.region != o.st.region  ? 55 * MILLISECOND
+            : b.st.district != o.st.district ? 900
+                                             : Microseconds(300);
         if (weigh) {
             auto m = std::make_shared<apache::thrift::transport::TMemoryBuffer>();
             auto p = apache::thrift::protocol::TCompactProtocol(m);
@@ -153,12 +156,12 @@
             if (b.st.region != o.st.region) between += n;
         }
         auto& l = last[{of(b), to}];
-        l = std::max(l, t + d + Us(r.below(300)));
+        l = std::max(l, t + d + Microseconds(r.below(300)));
         net.emplace(l, Post{to, of(b), e});
     }
-    auto run(Us d) -> void {
+    auto run(Microseconds d) -> void {
         for (auto end = t + d; t < end && bad.empty();) {
-            t += 2 * MS;
+            t += 2 * MILLISECOND;
             for (auto& b : bs)
                 if (broken && b->up && b->n->voter()) b->n->voter()->broken.ackBeforeSync = true;
             while (!net.empty() && net.begin()->first <= t) {
@@ -180,19 +183,20 @@
                     diskApply(b.held, w);
                     b.n->diskDone(w.seq, true, t);
                 }
-                if ((t / MS + Us(i) * 2) % 20 == 0) b.n->tick(t, 1'700'000'000 * SEC + t);
+                if ((t / MILLISECOND + Microseconds(i) * 2) % 20 == 0)
+                    b.n->tick(t, 1'700'000'000 * SECOND + t);
                 // Within one life no word goes back.
                 if (b.n->word().gen < b.top)
                     bad = fmt::format("{} went back to {}", b.st.node, b.n->word().gen);
                 b.top = b.n->word().gen;
             }
         }
-        CPPUNIT_ASSERT_EQUAL_MESSAGE(bad, Str(), bad);
+        CPPUNIT_ASSERT_EQUAL_MESSAGE(bad, std::string(), bad);
     }
-    auto until(Us limit, const std::function<bool()>& f) -> bool {
+    auto until(Microseconds limit, const std::function<bool()>& f) -> bool {
         for (auto end = t + limit; t < end;) {
             if (f()) return true;
-            run(20 * MS);
+            run(20 * MILLISECOND);
         }
         return f();
     }
@@ -200,27 +204,27 @@
         auto x = static_cast<Box*>(nullptr);
         for (auto& b : bs)
             if (b->up && b->frozen <= t && b->n->voter() && b->n->voter()->ready()
-                && t - b->n->voter()->quorumAt() < SEC && (!x || b->n->me().term > x->n->me().term))
+                && t - b->n->voter()->quorumAt() < SECOND && (!x || b->n->me().term > x->n->me().term))
                 x = b.get();
         return x;
     }
-    auto order(Box& b, const Str& what) -> std::int64_t {
+    auto order(Box& b, const std::string& what) -> std::int64_t {
         b.n->order(++ids, "empty", "key-" + what, "{\"district\":" + jsQuote(what) + "}", t);
         return ids;
     }
     auto ok(std::int64_t id) -> bool { return outs.count(id) && outs[id].status == 200; }
     // An operator repeats an order at other nodes until it is acknowledged.
-    auto ordered(const Str& what, Us limit) -> bool {
+    auto ordered(const std::string& what, Microseconds limit) -> bool {
         for (auto end = t + limit; t < end;) {
             auto live = std::vector<Box*>();
             for (auto& b : bs)
                 if (b->up && b->frozen <= t) live.push_back(b.get());
             auto id = order(*live[r.below(live.size())], what);
-            if (until(std::min(SEC, end - t), [&] { return ok(id); })) return true;
+            if (until(std::min(SECOND, end - t), [&] { return ok(id); })) return true;
         }
         return false;
     }
-    auto everywhere(const Str& what) -> bool {
+    auto everywhere(const std::string& what) -> bool {
         for (auto& b : bs)
             if (b->up && b->frozen <= t && !b->n->word().emptied(what)) return false;
         return true;
@@ -229,15 +233,15 @@
         auto id = ++ids;
         bs[4]->n->order(id, "config", "first",
             R"({"base":0,"config":{"mappings":[{"name":"a","path":"/a","pool":"p","MaxTries":2}]}})", t);
-        return until(3 * SEC, [&] { return ok(id); });
+        return until(3 * SECOND, [&] { return ok(id); });
     }
-    auto voters() -> std::vector<Str> {
-        auto v = std::vector<Str>();
+    auto voters() -> std::vector<std::string> {
+        auto v = std::vector<std::string>();
         for (auto& s : leader()->n->word().voters()) v.push_back(s.disk);
         return v;
     }
     auto seated(Box& b) -> bool {
-        auto v = leader() ? voters() : std::vector<Str>();
+        auto v = leader() ? voters() : std::vector<std::string>();
         return b.n && std::find(v.begin(), v.end(), b.n->me().disk) != v.end();
     }
     auto show() -> void {
@@ -254,14 +258,14 @@
     }
     auto standing(int cores = 3, int nodes = 12) -> void {
         found(cores, nodes);
-        CHECK(until(3 * SEC, [&] { return leader() != nullptr; }));
+        CHECK(until(3 * SECOND, [&] { return leader() != nullptr; }));
         CHECK(config());
-        CHECK(until(
-            SEC, [&] { return std::all_of(bs.begin(), bs.end(), [&](auto& b) { return b->n->fresh(t); }); }));
-        run(2 * SEC);
+        CHECK(until(SECOND,
+            [&] { return std::all_of(bs.begin(), bs.end(), [&](auto& b) { return b->n->fresh(t); }); }));
+        run(2 * SECOND);
     }
-    auto list(Box& b, const std::vector<Str>& names, const Str& more = "") -> int {
-        auto s = Str();
+    auto list(Box& b, const std::vector<std::string>& names, const std::string& more = "") -> int {
+        auto s = std::string();
         for (auto& n : names)
             s += fmt::format(
                 R"({}{{"name":"{}","address":"10.9.0.1:80","region":"punjab","district":"lhr-hall","pool":"p"{}}})",
@@ -275,28 +279,28 @@
             if (b->up && b->n->duty(t)) v.push_back(b.get());
         return v;
     }
-    auto state(Box& b, const Str& s) -> int {
+    auto state(Box& b, const std::string& s) -> int {
         auto i = b.n->servers().find(s);
         return i == b.n->servers().end() ? -1 : int(i->second.l.state);
     }
-    auto listed(const Str& s, int state_) -> bool {
+    auto listed(const std::string& s, int state_) -> bool {
         return std::all_of(bs.begin(), bs.end(), [&](auto& b) { return !b->up || state(*b, s) == state_; });
     }
 };
 
-inline auto Box::tell(const Str& addr, const wire::Envelope& e) -> void {
+inline auto Box::tell(const std::string& addr, const wire::Envelope& e) -> void {
     f.beats += e.__isset.beat;
     f.post(*this, addr, e);
 }
 inline auto Box::disk(const DiskWrite& w) -> void {
-    under.emplace_back(f.t + 500 + Us(f.r.below(std::uint64_t(f.sync))), w);
+    under.emplace_back(f.t + 500 + Microseconds(f.r.below(std::uint64_t(f.sync))), w);
 }
 inline auto Box::done(std::int64_t id, const Outcome& o) -> void { f.outs[id] = o; }
-inline auto Box::probe(const Str&, const Str&) -> void { f.probes++; }
+inline auto Box::probe(const std::string&, const std::string&) -> void { f.probes++; }
 
 struct Quiet {
     Quiet() { logMute(!getenv("DT_SHOW")); }
     ~Quiet() { logMute(false); }
 };
 
-}  // namespace dt
+}  // namespace duneturn
--- a/tests/history_test.cpp
+++ b/tests/history_test.cpp
@@ -1,23 +1,25 @@
 #include "history.hpp"
 #include "test.hpp"
 
-namespace dt {
+namespace duneturn {
 
-static auto write(Us a, Us b, int st, std::int64_t base, std::int64_t gen, Str what, int who) -> HistOp {
+static auto write(Microseconds a, Microseconds b, int st, std::int64_t base, std::int64_t gen,
+    std::string what, int who) -> HistOp {
     auto o = HistOp();
     o.from = a, o.to = b, o.status = st, o.base = base, o.gen = gen, o.what = what, o.who = who;
     return o;
 }
-static auto read(Us a, Us b, std::int64_t gen, Str what, std::vector<int> applied) -> HistOp {
+static auto read(Microseconds a, Microseconds b, std::int64_t gen, std::string what, std::vector<int> applied)
+    -> HistOp {
     auto o = HistOp();
     o.read = true, o.from = a, o.to = b, o.gen = gen, o.what = what, o.applied = std::move(applied);
     return o;
 }
 
 TEST(History, knownOnes) {
-    CHECK_EQ(Str(), historyCheck({}, ""));
+    CHECK_EQ(std::string(), historyCheck({}, ""));
     // Two race; the reader overlaps both.
-    CHECK_EQ(Str(),
+    CHECK_EQ(std::string(),
         historyCheck({write(0, 10, 200, 0, 1, "a", 0), write(1, 9, 409, 0, 0, "b", 1), read(2, 8, 0, "", {}),
                          read(3, 9, 1, "a", {0})},
             ""));
@@ -32,8 +34,8 @@
     CHECK(historyCheck({write(0, 5, 409, 0, 0, "a", 0)}, "") != "");
     // One not known may come late, or never, but not twice, nor half: its success is looked up.
     auto u = write(0, -1, 0, 0, 0, "a", 0);
-    CHECK_EQ(Str(), historyCheck({u, read(10, 11, 0, "", {}), read(20, 21, 1, "a", {0})}, ""));
-    CHECK_EQ(Str(), historyCheck({u, read(10, 11, 0, "", {})}, ""));
+    CHECK_EQ(std::string(), historyCheck({u, read(10, 11, 0, "", {}), read(20, 21, 1, "a", {0})}, ""));
+    CHECK_EQ(std::string(), historyCheck({u, read(10, 11, 0, "", {})}, ""));
     CHECK(historyCheck({u, read(10, 11, 1, "a", {})}, "") != "");
     CHECK(historyCheck({u, read(10, 11, 1, "a", {0}), read(20, 21, 0, "", {})}, "") != "");
 }
@@ -45,11 +47,11 @@
     for (auto i = 0; i < 300; i++) {
         auto ops = std::vector<HistOp>();
         auto gen = std::int64_t(0);
-        auto what = Str();
+        auto what = std::string();
         auto applied = std::vector<int>();
         for (auto k = 0; k < 24; k++) {
-            auto t = Us(k) * 100 + 50;  // its moment; asked before, told after
-            auto a = t - Us(g.below(250)), b = t + Us(g.below(250));
+            auto t = Microseconds(k) * 100 + 50;  // its moment; asked before, told after
+            auto a = t - Microseconds(g.below(250)), b = t + Microseconds(g.below(250));
             if (g.chance(.5)) {
                 ops.push_back(read(a, b, gen, what, applied));
                 continue;
@@ -63,7 +65,7 @@
             if (g.chance(.2)) o.to = -1, o.status = 0;
             ops.push_back(o);
         }
-        CHECK_EQ(Str(), historyCheck(ops, ""));
+        CHECK_EQ(std::string(), historyCheck(ops, ""));
         for (auto& o : ops)
             if (o.read && g.chance(.3)) {
                 o.gen += g.chance(.5) ? 1 : -1;
@@ -76,4 +78,4 @@
     CHECK_EQ(changed, caught);
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -1,38 +1,39 @@
 #include "http.hpp"
 #include "test.hpp"
 
-namespace dt {
+namespace duneturn {
 
 // Any text cut into any pieces gives the events that it gives in one piece.
 TEST(EventSplit, fuzzPieces) {
     auto r = Rng{11};
     auto whole = 0;
     for (auto i = 0; i < 2000; i++) {
-        auto t = Str();
+        auto t = std::string();
         for (auto n = r.below(6); n > 0; n--) {
             auto nl = r.chance(.3) ? "\r\n" : "\n";
             if (r.chance(.7)) t += fmt::format("id: {}{}", r.below(100), nl);
             if (r.chance(.3)) t += fmt::format("event:e{}{}", r.below(3), nl);
-            for (auto k = r.below(3); k > 0; k--) t += fmt::format("data: {}{}", Str(r.below(9), 'd'), nl);
-            t += r.chance(.1) ? Str(r.below(4), char(r.below(256))) : Str();
+            for (auto k = r.below(3); k > 0; k--)
+                t += fmt::format("data: {}{}", std::string(r.below(9), 'd'), nl);
+            t += r.chance(.1) ? std::string(r.below(4), char(r.below(256))) : std::string();
             t += nl;
         }
-        auto take = [](EventSplit& s, std::vector<Str>& o) {
+        auto take = [](EventSplit& s, std::vector<std::string>& o) {
             for (auto e = Event(); s.next(e);) o.push_back(e.id + "|" + e.type + "|" + e.data + "|" + e.raw);
         };
         auto a = EventSplit(), b = EventSplit();
-        auto x = std::vector<Str>(), y = std::vector<Str>();
+        auto x = std::vector<std::string>(), y = std::vector<std::string>();
         a.feed(t);
         take(a, x);
         for (auto p = std::size_t(0); p < t.size();) {
             auto n = 1 + r.below(7);
-            b.feed(View(t).substr(p, n));
+            b.feed(std::string_view(t).substr(p, n));
             take(b, y);
             p += n;
         }
         CHECK(x == y);
         CHECK_EQ(a.buf, b.buf);
-        auto j = Str();
+        auto j = std::string();
         for (auto& l : x) j += l.substr(l.rfind('|') + 1);
         whole += int(x.size());
     }
@@ -41,10 +42,10 @@
     s.feed("id: 7\r\nevent: done\r\ndata: a\r\ndata: b\r\n\r\nid: 8\n");
     auto e = Event();
     CHECK(s.next(e));
-    CHECK_EQ(Str("7"), e.id);
+    CHECK_EQ(std::string("7"), e.id);
     CHECK(e.done());
-    CHECK_EQ(Str("a\nb"), e.data);
+    CHECK_EQ(std::string("a\nb"), e.data);
     CHECK(!s.next(e));
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/tests/incident_edge_test.cpp
+++ b/tests/incident_edge_test.cpp
@@ -3,7 +3,7 @@
 #include "edge.hpp"
 #include "test.hpp"
 
-namespace dt {
+namespace duneturn {
 namespace {
 
 auto dialect() -> Dialect {
@@ -19,64 +19,64 @@
     struct Sent {
         std::int64_t x;
         int a;
-        Str server;
+        std::string server;
     };
     Settings st;
     Counters ct;
     std::unique_ptr<Node> n;
     std::unique_ptr<Edge> e;
     std::deque<DiskWrite> dq;
-    Us now = 10 * SEC;
+    Microseconds now = 10 * SECOND;
     std::map<std::int64_t, int> outs, replies;
     std::map<std::int64_t, bool> ends;
     std::vector<Sent> sends;
     std::int64_t names = 0;
 
-    Rig(const Str& mappings, const std::vector<std::pair<Str, Str>>& servers) {
+    Rig(const std::string& mappings, const std::vector<std::pair<std::string, std::string>>& servers) {
         logMute(true);
         st.node = "a", st.district = "d", st.region = "near", st.peer = "127.0.0.1:1";
         st.roster = st.seats = {"a"};
         n = std::make_unique<Node>(st, *this, ct, 7, 2);
         e = std::make_unique<Edge>(*n, *this, ct, 2, dialect());
         n->startCore({}, "disk", now);
-        run(8 * SEC);
+        run(8 * SECOND);
         n->order(1, "config", "k",
             R"({"base":0,"config":{"budget":{"slack":64,"share":0.2},"models":{"m":{"migrationLimit":1}},"mappings":[)"
                 + mappings + "]}}",
             now);
-        run(SEC);
+        run(SECOND);
         CHECK_EQ(200, outs[1]);
-        auto o = Str();
+        auto o = std::string();
         for (auto& [s, z] : servers)
             o += (o.empty() ? "" : ",")
                 + bodyOf({{"name", jsQuote(s)}, {"address", "\"127.0.0.1:9\""}, {"region", "\"near\""},
                     {"district", jsQuote(z)}, {"pool", "\"p\""}, {"slots", "8"}});
         n->list(2, "{\"revision\":1,\"servers\":[" + o + "]}", now);
-        run(SEC);
+        run(SECOND);
     }
-    auto tell(const Str&, const wire::Envelope&) -> void override {}
+    auto tell(const std::string&, const wire::Envelope&) -> void override {}
     auto disk(const DiskWrite& w) -> void override { dq.push_back(w); }
     auto done(std::int64_t id, const Outcome& o) -> void override { outs[id] = o.status; }
-    auto book(const std::vector<Str>&) -> void override {}
-    auto probe(const Str&, const Str&) -> void override {}
-    auto send(std::int64_t x, int a, const Str& s, const Str&) -> void override {
+    auto book(const std::vector<std::string>&) -> void override {}
+    auto probe(const std::string&, const std::string&) -> void override {}
+    auto send(std::int64_t x, int a, const std::string& s, const std::string&) -> void override {
         sends.push_back({x, a, s});
     }
     auto drop(std::int64_t, int) -> void override {}
     auto head(std::int64_t, int, const Headers&) -> void override {}
-    auto part(std::int64_t, const Str&) -> void override {}
+    auto part(std::int64_t, const std::string&) -> void override {}
     auto end(std::int64_t x, bool w) -> void override { ends[x] = w; }
-    auto reply(std::int64_t x, int s, const Headers&, const Str&) -> void override { replies[x] = s; }
-    auto run(Us d) -> void {
-        for (auto t = now + d; now < t; now += 20 * MS) {
-            n->tick(now, 1800000000 * SEC + now);
+    auto reply(std::int64_t x, int s, const Headers&, const std::string&) -> void override { replies[x] = s; }
+    auto run(Microseconds d) -> void {
+        for (auto t = now + d; now < t; now += 20 * MILLISECOND) {
+            n->tick(now, 1800000000 * SECOND + now);
             e->tick(now);
             auto q = std::move(dq);
             dq.clear();
             for (auto& w : q) n->diskDone(w.seq, true, now);
         }
     }
-    auto ask(const Str& path) -> std::int64_t {
+    auto ask(const std::string& path) -> std::int64_t {
         return e->accept("POST", path,
             {{"Host", "h"}, {"X-Model", "m"}, {"X-Try", fmt::format("t{}", ++names)}}, "body", now);
     }
@@ -91,7 +91,7 @@
 
 // Where nobody was there, nothing was migrated: a second closed door is no reason to give up.
 TEST(Incident, refusedIsNoMigration) {
-    auto six = std::vector<std::pair<Str, Str>>{
+    auto six = std::vector<std::pair<std::string, std::string>>{
         {"u", "z"}, {"v", "z"}, {"w", "z"}, {"x", "z"}, {"y", "z"}, {"z", "z"}};
     for (auto path : {"/o/1", "/r/1"}) {
         auto r = Rig(fmt::format("{},{}", ONCE, AGAIN), six);
@@ -115,4 +115,4 @@
     CHECK_EQ(502, r.replies[x]);
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/tests/incident_reply_test.cpp
+++ b/tests/incident_reply_test.cpp
@@ -3,11 +3,11 @@
 #include "http.hpp"
 #include "test.hpp"
 
-namespace dt {
+namespace duneturn {
 namespace {
 
 // What a parser that was fed this makes of the connection's end.
-auto end(const Str& s, bool noBody = false) -> beast::error_code {
+auto end(const std::string& s, bool noBody = false) -> beast::error_code {
     auto p = http::response_parser<http::string_body>();
     auto ec = beast::error_code();
     p.skip(noBody);
@@ -30,4 +30,4 @@
     CHECK(!end("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n", true));
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/tests/model_check_test.cpp
+++ b/tests/model_check_test.cpp
@@ -3,10 +3,10 @@
 #include "modelcheck/search.hpp"
 #include "test.hpp"
 
-namespace dt::modelcheck {
+namespace duneturn::modelcheck {
 namespace {
 
-auto optionsOf(const Str& scenario, const Str& bounds, std::size_t depth) -> SearchOptions {
+auto optionsOf(const std::string& scenario, const std::string& bounds, std::size_t depth) -> SearchOptions {
     logMute(true);
     auto options = SearchOptions();
     options.scenario = scenario;
@@ -18,13 +18,14 @@
 
 auto isClean(const SearchOptions& options) -> SearchResult {
     auto result = search(options);
-    CPPUNIT_ASSERT_EQUAL_MESSAGE(result.violation, Str(), result.violation);
+    CPPUNIT_ASSERT_EQUAL_MESSAGE(result.violation, std::string(), result.violation);
     return result;
 }
 
 // The variant breaks `invariant`; the shortest trace has `length` actions behind the scenario, and
 // performed again it ends in the same violation.
-auto mustFind(SearchOptions options, const Str& variant, const Str& invariant, std::size_t length) -> void {
+auto mustFind(SearchOptions options, const std::string& variant, const std::string& invariant,
+    std::size_t length) -> void {
     options.model.broken = variant;
     auto result = search(options);
     CPPUNIT_ASSERT_MESSAGE(variant + ": " + result.violation, result.violation.starts_with(invariant));
@@ -90,4 +91,4 @@
     CHECK(impossible.violation.starts_with("not possible here"));
 }
 
-}  // namespace dt::modelcheck
+}  // namespace duneturn::modelcheck
--- a/tests/node_fixture.hpp
+++ b/tests/node_fixture.hpp
@@ -7,7 +7,7 @@
 
 #include "edge.hpp"
 
-namespace dt {
+namespace duneturn {
 
 // One node that is a fleet of its own, its disk as fast as asked for.
 struct NodeFixture : NodePort, EdgePort {
@@ -16,10 +16,10 @@
     std::unique_ptr<Node> n;
     std::unique_ptr<Edge> e;
     std::deque<DiskWrite> dq;
-    Us now = 10 * SEC;
+    Microseconds now = 10 * SECOND;
     std::map<std::int64_t, Outcome> outs;
-    std::vector<std::pair<std::int64_t, Str>> sends;  // exchange, server
-    std::map<std::int64_t, std::pair<int, Str>> replies;
+    std::vector<std::pair<std::int64_t, std::string>> sends;  // exchange, server
+    std::map<std::int64_t, std::pair<int, std::string>> replies;
     std::map<std::int64_t, Headers> heads;
     std::set<std::int64_t> cut, whole;
     std::int64_t rev = 0;
@@ -30,23 +30,27 @@
         n = std::make_unique<Node>(st, *this, ct, 7, 1);
         e = std::make_unique<Edge>(*n, *this, ct, 2);
         n->startCore({}, "disk", now);
-        run(8 * SEC);
+        run(8 * SECOND);
     }
-    auto tell(const Str&, const wire::Envelope&) -> void override {}
+    auto tell(const std::string&, const wire::Envelope&) -> void override {}
     auto disk(const DiskWrite& w) -> void override { dq.push_back(w); }
     auto done(std::int64_t id, const Outcome& o) -> void override { outs[id] = o; }
-    auto book(const std::vector<Str>&) -> void override {}
-    auto probe(const Str& s, const Str&) -> void override { probes.push_back(s); }
-    std::vector<Str> probes;
-    auto send(std::int64_t x, int, const Str& s, const Str&) -> void override { sends.emplace_back(x, s); }
+    auto book(const std::vector<std::string>&) -> void override {}
+    auto probe(const std::string& s, const std::string&) -> void override { probes.push_back(s); }
+    std::vector<std::string> probes;
+    auto send(std::int64_t x, int, const std::string& s, const std::string&) -> void override {
+        sends.emplace_back(x, s);
+    }
     auto drop(std::int64_t, int) -> void override {}
     auto head(std::int64_t x, int, const Headers& h) -> void override { heads[x] = h; }
-    auto part(std::int64_t, const Str&) -> void override {}
+    auto part(std::int64_t, const std::string&) -> void override {}
     auto end(std::int64_t x, bool w) -> void override { (w ? whole : cut).insert(x); }
-    auto reply(std::int64_t x, int s, const Headers&, const Str& b) -> void override { replies[x] = {s, b}; }
-    auto run(Us d) -> void {
-        for (auto t = now + d; now < t; now += 20 * MS) {
-            n->tick(now, 1800000000 * SEC + now);
+    auto reply(std::int64_t x, int s, const Headers&, const std::string& b) -> void override {
+        replies[x] = {s, b};
+    }
+    auto run(Microseconds d) -> void {
+        for (auto t = now + d; now < t; now += 20 * MILLISECOND) {
+            n->tick(now, 1800000000 * SECOND + now);
             e->tick(now);
             auto q = std::move(dq);
             dq.clear();
@@ -55,29 +59,30 @@
             probes.clear();
             for (auto& s : p) {
                 auto l = wire::Load();
-                l.slots = 4, l.boot = 1, l.up = 3600 * SEC;
+                l.slots = 4, l.boot = 1, l.up = 3600 * SECOND;
                 n->loadSeen(s, true, false, l, now);
             }
         }
     }
-    auto config(const Str& c) -> int {
+    auto config(const std::string& c) -> int {
         auto id = std::int64_t(rng.next() >> 8);
         n->order(id, "config", fmt::format("k{}", id),
             fmt::format("{{\"base\":{},\"config\":{}}}", n->word().configGen(), c), now);
-        run(2 * SEC);
+        run(2 * SECOND);
         return outs[id].status;
     }
     Rng rng{3};
-    auto list(const std::vector<std::array<Str, 5>>& v) -> void {  // name, region, district, pool, weights
-        auto o = Str();
+    auto list(const std::vector<std::array<std::string, 5>>& v)
+        -> void {  // name, region, district, pool, weights
+        auto o = std::string();
         for (auto& s : v)
             o += (o.empty() ? "" : ",")
                 + bodyOf({{"name", jsQuote(s[0])}, {"address", "\"127.0.0.1:9\""}, {"region", jsQuote(s[1])},
                     {"district", jsQuote(s[2])}, {"pool", jsQuote(s[3])}, {"weights", jsQuote(s[4])},
                     {"slots", "4"}});
         n->list(1, fmt::format("{{\"revision\":{},\"servers\":[{}]}}", ++rev, o), now);
-        run(SEC);
+        run(SECOND);
     }
 };
 
-}  // namespace dt
+}  // namespace duneturn
--- a/tests/node_learnt_test.cpp
+++ b/tests/node_learnt_test.cpp
@@ -1,7 +1,7 @@
 // A fleet whose membership is learnt, over virtual time.
 #include "fleet_fixture.hpp"
 
-namespace dt {
+namespace duneturn {
 
 TEST(NodeLearnt, founds) {
     auto q = Quiet();
@@ -9,12 +9,12 @@
         auto f = Fleet(seed);
         f.found();
         for (auto& b : f.bs) CHECK(!b->n->fresh(f.t));
-        CHECK(f.until(3 * SEC, [&] { return f.leader() != nullptr; }));
+        CHECK(f.until(3 * SECOND, [&] { return f.leader() != nullptr; }));
         CHECK_EQ(std::size_t(3), f.voters().size());
         auto a = f.t;
         CHECK(f.config());
-        CHECK(f.t - a < SEC);
-        CHECK(f.until(SEC, [&] {
+        CHECK(f.t - a < SECOND);
+        CHECK(f.until(SECOND, [&] {
             return std::all_of(f.bs.begin(), f.bs.end(), [&](auto& b) { return b->n->fresh(f.t); });
         }));
         for (auto& b : f.bs) CHECK_EQ(std::size_t(12), b->n->aliveNodes(f.t).size());
@@ -29,9 +29,9 @@
     auto q = Quiet();
     auto f = Fleet(3);
     f.found(6);
-    CHECK(f.until(3 * SEC, [&] { return f.leader() != nullptr; }));
+    CHECK(f.until(3 * SECOND, [&] { return f.leader() != nullptr; }));
     CHECK_EQ(std::size_t(5), f.voters().size());
-    auto in = std::map<Str, int>();
+    auto in = std::map<std::string, int>();
     for (auto& b : f.bs)
         if (f.seated(*b)) in[b->st.district]++;
     CHECK_EQ(std::size_t(3), in.size());
@@ -46,7 +46,7 @@
         f.stop(*b);
         f.restart(*b);
     }
-    CHECK(!f.until(10 * SEC, [&] { return f.leader() != nullptr; }));
+    CHECK(!f.until(10 * SECOND, [&] { return f.leader() != nullptr; }));
 }
 
 TEST(NodeLearnt, orderIsEverywhereWithinASecond) {
@@ -55,8 +55,8 @@
     f.standing();
     for (auto& b : f.bs) {
         auto id = f.order(*b, b->st.node);
-        CHECK(f.until(SEC, [&] { return f.ok(id); }));
-        CHECK(f.until(SEC, [&] { return f.everywhere(b->st.node); }));
+        CHECK(f.until(SECOND, [&] { return f.ok(id); }));
+        CHECK(f.until(SECOND, [&] { return f.everywhere(b->st.node); }));
     }
 }
 
@@ -68,12 +68,12 @@
         auto l = f.leader();
         f.stop(*l);
         auto a = f.t;
-        CHECK(f.until(2 * SEC, [&] { return f.leader() != nullptr; }));
-        CHECK(f.ordered("z", 4 * SEC - (f.t - a)));
-        CHECK(f.until(2500 * MS, [&] { return f.everywhere("z"); }));
+        CHECK(f.until(2 * SECOND, [&] { return f.leader() != nullptr; }));
+        CHECK(f.ordered("z", 4 * SECOND - (f.t - a)));
+        CHECK(f.until(2500 * MILLISECOND, [&] { return f.everywhere("z"); }));
         f.restart(*l);
         CHECK(l->n->fresh(f.t));  // by its disk, at once
-        CHECK(f.until(3 * SEC, [&] { return f.everywhere("z"); }));
+        CHECK(f.until(3 * SECOND, [&] { return f.everywhere("z"); }));
     }
 }
 
@@ -84,10 +84,10 @@
         for (auto i = 3u; i < 12; i++) {
             auto f = Fleet(seed);
             f.standing();
-            f.run(Us(f.r.below(SEC)));
+            f.run(Microseconds(f.r.below(SECOND)));
             f.stop(*f.bs[i]);
-            CHECK(f.ordered("z", 2 * SEC));
-            CHECK(f.until(1700 * MS, [&] { return f.everywhere("z"); }));
+            CHECK(f.ordered("z", 2 * SECOND));
+            CHECK(f.until(1700 * MILLISECOND, [&] { return f.everywhere("z"); }));
         }
 }
 
@@ -99,15 +99,15 @@
         f.standing();
         f.loss = .3;
         for (auto k = 0; k < 30; k++) {
-            auto ns = std::vector<Str>();
+            auto ns = std::vector<std::string>();
             for (auto i = 0; i < 6; i++)
                 if (f.r.chance(.7)) ns.push_back(fmt::format("s{}", i));
             if (auto d = f.duties(); !d.empty()) f.list(*d[f.r.below(d.size())], ns);
             if (f.r.chance(.2)) f.order(*f.bs[f.r.below(12)], fmt::format("z{}", k));
-            f.run(Us(f.r.below(600 * MS)));
+            f.run(Microseconds(f.r.below(600 * MILLISECOND)));
         }
         f.loss = 0;
-        f.run(4 * SEC);
+        f.run(4 * SECOND);
         CHECK(f.leader() && f.leader()->n->duty(f.t));
         auto& l = *f.leader()->n;
         for (auto& b : f.bs) {
@@ -138,16 +138,16 @@
         auto l = f.leader();
         if (l == f.bs[i].get()) continue;
         CHECK_EQ(200, f.list(*l, {"s1", "s2"}));
-        f.run(SEC);
+        f.run(SECOND);
         auto& c = *f.bs[i];
         f.lone(c, true);
         CHECK_EQ(200, f.list(*l, {"s1"}));
-        f.run(70 * SEC);
+        f.run(70 * SECOND);
         CHECK_EQ(-1, f.state(*l, "s2"));
         CHECK_EQ(int(UP), f.state(c, "s2"));
         f.lone(c, false);
-        CHECK(f.until(3 * SEC, [&] { return f.state(c, "s2") == -1 && f.listed("s1", UP); }));
-        f.run(3 * SEC);
+        CHECK(f.until(3 * SECOND, [&] { return f.state(c, "s2") == -1 && f.listed("s1", UP); }));
+        f.run(3 * SECOND);
         CHECK(f.listed("s2", -1));
     }
 }
@@ -160,9 +160,9 @@
         auto f = Fleet(seed);
         f.standing();
         CHECK_EQ(200, f.list(*f.leader(), {"s0"}));
-        f.run(SEC);
+        f.run(SECOND);
         for (auto i = 0u; i < 3; i++) f.stop(*f.bs[i]);
-        f.run(5 * SEC);
+        f.run(5 * SECOND);
         auto part = [&](bool on) {
             for (auto i = 0u; i < 12; i++)
                 for (auto j = 0u; j < 12; j++)
@@ -172,19 +172,19 @@
                     }
         };
         part(true);
-        f.run(6 * SEC);
+        f.run(6 * SECOND);
         auto ds = f.duties();
         CHECK_EQ(std::size_t(2), ds.size());
         for (auto k = 0u; k < 3; k++)
             for (auto i = 0u; i < 2; i++) {
-                auto ns = std::vector<Str>{"s0"};
+                auto ns = std::vector<std::string>{"s0"};
                 for (auto x = 0u; x <= k; x++)
                     if (f.r.chance(.6)) ns.push_back(fmt::format("half{}-{}", i, x));
                 CHECK_EQ(200, f.list(*ds[i], ns));
-                f.run(Us(f.r.below(SEC)));
+                f.run(Microseconds(f.r.below(SECOND)));
             }
         part(false);
-        f.run(5 * SEC);
+        f.run(5 * SECOND);
         CHECK_EQ(std::size_t(1), f.duties().size());
         auto& a = *f.duties()[0]->n;
         for (auto& b : f.bs) {
@@ -205,10 +205,10 @@
     auto f = Fleet(93);
     f.standing();
     auto l = f.leader();
-    auto other = Str();
+    auto other = std::string();
     for (auto& d : f.voters())
         if (d != l->n->me().disk) other = d;
-    auto say = [&](const Str& disk) {
+    auto say = [&](const std::string& disk) {
         auto e = wire::Envelope();
         auto r = wire::AppendReply();
         r.term = l->n->voter()->term() + 5;
@@ -229,9 +229,9 @@
 TEST(NodeLearnt, retiresBehindItsLogOnly) {
     auto q = Quiet();
     struct Port : VoterPort {
-        auto voterTell(const Str&, wire::Envelope&) -> void override {}
+        auto voterTell(const std::string&, wire::Envelope&) -> void override {}
         auto voterDisk(const DiskWrite&) -> void override {}
-        auto voterWord(const Word&, const Str&, const Outcome&) -> void override {}
+        auto voterWord(const Word&, const std::string&, const Outcome&) -> void override {}
         auto voterRead(std::int64_t, bool) -> void override {}
     } p;
     auto ct = Counters();
@@ -258,25 +258,25 @@
     v.hear(e, 1);
     CHECK_EQ(std::int64_t(3), v.last());
     CHECK(!v.retire(3, "new", 2));
-    CHECK_EQ(Str("a"), v.disk());
+    CHECK_EQ(std::string("a"), v.disk());
     CHECK(v.retire(4, "new", 2));
     CHECK(v.blank());
-    CHECK_EQ(Str("new"), v.disk());
+    CHECK_EQ(std::string("new"), v.disk());
     CHECK(!v.retire(9, "newer", 3));
 }
 
 // One core loses its disk at the moment of an acknowledgement, others their power. True if all
 // that was acknowledged can be read back, and the seat is filled again.
-static auto wiped(std::uint64_t seed, Us sync, bool broken) -> bool {
+static auto wiped(std::uint64_t seed, Microseconds sync, bool broken) -> bool {
     {
         auto f = Fleet(seed);
         f.broken = broken;
         f.standing();
         f.sync = sync;
-        auto acked = std::vector<Str>();
+        auto acked = std::vector<std::string>();
         for (auto round = 0; round < 3; round++) {
             auto what = fmt::format("z{}", round);
-            CHECK(f.ordered(what, 6 * SEC));
+            CHECK(f.ordered(what, 6 * SECOND));
             acked.push_back(what);
             // At the very moment of the acknowledgement.
             auto cs = std::vector<Box*>{f.bs[0].get(), f.bs[1].get(), f.bs[2].get()};
@@ -284,19 +284,19 @@
             for (auto i = 0u; i < 3; i++)
                 if (i == w || f.r.chance(.7)) f.stop(*cs[i]);
             f.wipe(*cs[w]);
-            f.run(Us(f.r.below(800 * MS)));
+            f.run(Microseconds(f.r.below(800 * MILLISECOND)));
             for (auto c : cs)
                 if (!c->up) f.restart(*c);
-            if (!f.until(6 * SEC, [&] { return f.leader() != nullptr; })) return false;
+            if (!f.until(6 * SECOND, [&] { return f.leader() != nullptr; })) return false;
             auto id = ++f.ids;
             f.bs[5]->n->read(id, f.t);
-            if (!f.until(4 * SEC, [&] { return f.ok(id); })) return false;
-            auto d = Doc();
+            if (!f.until(4 * SECOND, [&] { return f.ok(id); })) return false;
+            auto d = rapidjson::Document();
             CHECK(jsParse(f.outs[id].body, d));
             for (auto& a : acked)
                 if (!d["empties"].HasMember(a.c_str())) return false;
             // The wiped one sits in its seat again before the next.
-            auto back = f.until(8 * SEC, [&] { return f.seated(*cs[w]) && f.voters().size() == 3; });
+            auto back = f.until(8 * SECOND, [&] { return f.seated(*cs[w]) && f.voters().size() == 3; });
             if (!back) {
                 f.show();
                 return false;
@@ -307,10 +307,11 @@
 }
 TEST(NodeLearnt, wipedAndPowerCycledLoseNothing) {
     auto q = Quiet();
-    for (auto seed = 1u; seed < 16; seed++) CHECK(wiped(seed, seed % 2 ? 3 * MS : 300 * MS, false));
+    for (auto seed = 1u; seed < 16; seed++)
+        CHECK(wiped(seed, seed % 2 ? 3 * MILLISECOND : 300 * MILLISECOND, false));
     // The check must see voters that speak before their disk holds what they say.
     auto n = 0;
-    for (auto seed = 1u; seed < 31; seed++) n += !wiped(seed, 300 * MS, true);
+    for (auto seed = 1u; seed < 31; seed++) n += !wiped(seed, 300 * MILLISECOND, true);
     CHECK(n > 0);
 }
 
@@ -319,17 +320,17 @@
     auto q = Quiet();
     auto f = Fleet(2);
     f.standing();
-    CHECK(f.ordered("z", 6 * SEC));
+    CHECK(f.ordered("z", 6 * SECOND));
     for (auto i : {0, 1}) f.stop(*f.bs[std::size_t(i)]), f.wipe(*f.bs[std::size_t(i)]);
-    f.run(500 * MS);
+    f.run(500 * MILLISECOND);
     for (auto i : {0, 1}) f.restart(*f.bs[std::size_t(i)]);
-    CHECK(!f.until(10 * SEC, [&] { return f.leader() != nullptr; }));
+    CHECK(!f.until(10 * SECOND, [&] { return f.leader() != nullptr; }));
     // None founds anew; what is known is served on, and a survivor can be told to begin.
     for (auto i = 2u; i < 12; i++) CHECK(f.bs[i]->n->fresh(f.t));
     auto& w = f.bs[2]->n->newest();
     CHECK_EQ(409, f.bs[2]->n->rescue(w.reign, w.gen - 1, f.t).status);
     CHECK_EQ(200, f.bs[2]->n->rescue(w.reign, w.gen, f.t).status);
-    CHECK(f.until(8 * SEC, [&] { return f.leader() != nullptr; }));
+    CHECK(f.until(8 * SECOND, [&] { return f.leader() != nullptr; }));
     CHECK(f.leader()->n->word().emptied("z"));
 }
 
@@ -338,19 +339,19 @@
     for (auto k = 0u; k < 3; k++) {
         auto f = Fleet(20 + k);
         f.standing();
-        CHECK(f.ordered("a", 4 * SEC));
+        CHECK(f.ordered("a", 4 * SECOND));
         auto& gone = *f.bs[k];
         f.stop(gone);
         gone.removed = true;
-        f.run(f.r.below(2) ? 300 * MS : 4 * SEC);
+        f.run(f.r.below(2) ? 300 * MILLISECOND : 4 * SECOND);
         auto& n = f.add(gone.st.region, gone.st.district, true, false);
         f.start(n);
-        CHECK(f.until(5 * SEC, [&] { return f.seated(n) && f.voters().size() == 3; }));
-        CHECK(f.ordered("b", 4 * SEC));
+        CHECK(f.until(5 * SECOND, [&] { return f.seated(n) && f.voters().size() == 3; }));
+        CHECK(f.ordered("b", 4 * SECOND));
         // Then one of the old ones may go as well.
         f.stop(*f.bs[(k + 1) % 3]);
-        CHECK(f.ordered("c", 5 * SEC));
-        CHECK(f.until(3 * SEC, [&] { return f.everywhere("c"); }));
+        CHECK(f.ordered("c", 5 * SECOND));
+        CHECK(f.until(3 * SECOND, [&] { return f.everywhere("c"); }));
     }
 }
 
@@ -360,22 +361,22 @@
     for (auto k = 0u; k < 3; k++) {
         auto f = Fleet(60 + k);
         f.standing();
-        CHECK(f.ordered("a", 4 * SEC));
+        CHECK(f.ordered("a", 4 * SECOND));
         auto& leaving = *f.bs[k];
         CHECK(leaving.n->seatHandedOver(f.t));
         auto& spare = f.add(leaving.st.region, leaving.st.district, true, false);
         f.start(spare);
-        f.run(2 * SEC);
+        f.run(2 * SECOND);
         CHECK(!f.seated(spare));
         CHECK(!leaving.n->seatHandedOver(f.t));
         leaving.n->leave(f.t);
-        CHECK(f.until(3 * SEC, [&] { return leaving.n->seatHandedOver(f.t); }));
+        CHECK(f.until(3 * SECOND, [&] { return leaving.n->seatHandedOver(f.t); }));
         CHECK(f.seated(spare) && f.voters().size() == 3);
         f.stop(leaving);
-        CHECK(f.ordered("b", 4 * SEC));
+        CHECK(f.ordered("b", 4 * SECOND));
         // One more loss is borne.
         f.stop(*f.bs[(k + 1) % 3]);
-        CHECK(f.ordered("c", 5 * SEC));
+        CHECK(f.ordered("c", 5 * SECOND));
     }
 }
 
@@ -391,12 +392,12 @@
         auto& n = f.add(old.st.region, old.st.district, true, false);
         f.lone(old, true);
         f.start(n);
-        CHECK(f.until(6 * SEC, [&] { return f.seated(n) && f.voters().size() == 3; }));
-        for (auto i = 0; i < 20; i++) CHECK(f.ordered(fmt::format("z{}", i), 4 * SEC));
+        CHECK(f.until(6 * SECOND, [&] { return f.seated(n) && f.voters().size() == 3; }));
+        for (auto i = 0; i < 20; i++) CHECK(f.ordered(fmt::format("z{}", i), 4 * SECOND));
         auto l = f.leader();
         auto term = l->n->voter()->term();
         f.lone(old, false);
-        f.run(6 * SEC);
+        f.run(6 * SECOND);
         CHECK(f.leader() == l);
         CHECK_EQ(term, l->n->voter()->term());
         CHECK(!f.seated(old));
@@ -405,8 +406,8 @@
         CHECK(f.everywhere("z19"));
         // Two seats' worth of losses, one after the other: the old machine takes the first.
         f.stop(n);
-        CHECK(f.until(6 * SEC, [&] { return f.seated(old) && f.voters().size() == 3; }));
-        CHECK(f.ordered("after", 4 * SEC));
+        CHECK(f.until(6 * SECOND, [&] { return f.seated(old) && f.voters().size() == 3; }));
+        CHECK(f.ordered("after", 4 * SECOND));
     }
 }
 
@@ -418,14 +419,14 @@
         auto l = f.leader();
         auto& c = *(l == f.bs[2].get() ? f.bs[1] : f.bs[2]);
         f.lone(c, true);
-        CHECK(f.ordered("z", 4 * SEC));
-        f.run(5 * SEC);
+        CHECK(f.ordered("z", 4 * SECOND));
+        f.run(5 * SECOND);
         CHECK(c.n->fresh(f.t));  // it serves on by what it knows
         CHECK(!c.n->word().emptied("z"));
         auto term = l->n->voter()->term();
         f.lone(c, false);
-        CHECK(f.until(2 * SEC, [&] { return f.everywhere("z"); }));
-        f.run(3 * SEC);
+        CHECK(f.until(2 * SECOND, [&] { return f.everywhere("z"); }));
+        f.run(3 * SECOND);
         CHECK(f.leader() == l);
         CHECK_EQ(term, l->n->voter()->term());
     }
@@ -439,11 +440,11 @@
     f.standing();
     auto& c = *f.bs[7];
     f.lone(c, true);
-    f.run(4 * SEC);
+    f.run(4 * SECOND);
     CHECK(!c.n->fresh(f.t));
     CHECK(f.bs[8]->n->fresh(f.t));
     f.lone(c, false);
-    CHECK(f.until(2 * SEC, [&] { return c.n->fresh(f.t); }));
+    CHECK(f.until(2 * SECOND, [&] { return c.n->fresh(f.t); }));
 }
 
 TEST(NodeLearnt, allLosePower) {
@@ -451,19 +452,19 @@
     for (auto seed = 60u; seed < 66; seed++) {
         auto f = Fleet(seed);
         f.standing();
-        CHECK(f.ordered("z", 4 * SEC));
+        CHECK(f.ordered("z", 4 * SECOND));
         for (auto& b : f.bs) f.stop(*b);
-        f.run(500 * MS);
+        f.run(500 * MILLISECOND);
         for (auto& b : f.bs) {
             // The seeds that the later settings name may be dead; cores keep a book.
             if (seed % 2) b->st.seeds = {b->core ? "10.1.0.99:7720" : "10.1.0.1:7720"};
             f.restart(*b);
         }
         for (auto i = 0u; i < 3; i++) CHECK(f.bs[i]->n->fresh(f.t));
-        CHECK(f.until(5 * SEC, [&] { return f.leader() && f.everywhere("z"); }));
-        CHECK(f.ordered("y", 4 * SEC));
+        CHECK(f.until(5 * SECOND, [&] { return f.leader() && f.everywhere("z"); }));
+        CHECK(f.ordered("y", 4 * SECOND));
         for (auto& b : f.bs) CHECK(b->n->fresh(f.t));
-        f.run(2 * SEC);
+        f.run(2 * SECOND);
         for (auto& b : f.bs) CHECK_EQ(std::size_t(12), b->n->aliveNodes(f.t).size());
     }
 }
@@ -475,15 +476,15 @@
     CHECK_EQ(200, f.list(*f.leader(), {"s1", "s2"}));
     auto& n = f.add("sindh", "khi-hall", false, false);
     f.start(n);
-    CHECK(f.until(SEC, [&] { return n.n->ready(f.t); }));
-    CHECK(f.until(2 * SEC, [&] {
+    CHECK(f.until(SECOND, [&] { return n.n->ready(f.t); }));
+    CHECK(f.until(2 * SECOND, [&] {
         return std::all_of(f.bs.begin(), f.bs.end(), [&](auto& b) { return b->n->alive(n.st.node, f.t); });
     }));
-    f.run(3 * SEC);
+    f.run(3 * SECOND);
     for (auto& b : f.bs) CHECK_EQ(std::size_t(13), b->n->aliveNodes(f.t).size());
     f.stop(n);
     n.removed = true;
-    f.run(4 * SEC);
+    f.run(4 * SECOND);
     for (auto& b : f.bs)
         if (b->up) CHECK_EQ(std::size_t(12), b->n->aliveNodes(f.t).size());
 }
@@ -494,11 +495,11 @@
     f.weigh = true;
     f.standing();
     for (auto i = 0; i < 20; i++) {
-        auto ns = std::vector<Str>();
+        auto ns = std::vector<std::string>();
         for (auto k = 0; k < 14; k++) ns.push_back(fmt::format("server-{}", k));
         CHECK_EQ(200, f.list(*f.leader(), ns));
         if (i == 4) f.between = f.beats = 0;
-        f.run(SEC);
+        f.run(SECOND);
     }
     auto rate = f.between / 16;
     if (getenv("DT_SHOW")) fmt::print("{} bytes and {} beats a second\n", rate, f.beats / 16);
@@ -509,7 +510,7 @@
     f.bs[0]->st.probes = true;
     f.stop(*f.bs[0]);
     f.restart(*f.bs[0]);
-    f.run(2 * SEC);
+    f.run(2 * SECOND);
     CHECK(f.probes > 0);
 }
 
@@ -522,26 +523,26 @@
     CHECK(f.duties()[0] == l);
     CHECK_EQ(409, f.list(*f.bs[8], {"x"}));
     CHECK_EQ(200, f.list(*l, {"s1", "s2"}, R"(,"coldUs":5000000)"));
-    CHECK(f.until(400 * MS, [&] { return f.listed("s1", UP) && f.listed("s2", UP); }));
+    CHECK(f.until(400 * MILLISECOND, [&] { return f.listed("s1", UP) && f.listed("s2", UP); }));
     for (auto& b : f.bs) {
         auto left = b->n->servers().at("s1").coldTill - f.t;
-        CHECK(left > 4 * SEC && left <= 5 * SEC + 300 * MS);
+        CHECK(left > 4 * SECOND && left <= 5 * SECOND + 300 * MILLISECOND);
     }
     // Not told again it still stands: the platform may be out of reach.
-    f.run(20 * SEC);
+    f.run(20 * SECOND);
     CHECK(f.listed("s1", UP));
     CHECK_EQ(200, f.list(*l, {"s1"}));
-    CHECK(f.until(400 * MS, [&] { return f.listed("s2", LEAVING) && f.listed("s1", UP); }));
+    CHECK(f.until(400 * MILLISECOND, [&] { return f.listed("s2", LEAVING) && f.listed("s1", UP); }));
     f.bs[6]->n->mark(++f.ids, "s1", 0, f.t);
     CHECK(f.ok(f.ids));
     f.stop(*l);
-    CHECK(f.until(4 * SEC, [&] { return f.duties().size() == 1; }));
+    CHECK(f.until(4 * SECOND, [&] { return f.duties().size() == 1; }));
     auto d = f.duties()[0];
     CHECK(d != l);
     CHECK_EQ(200, f.list(*d, {"s1", "s3"}));
     CHECK(f.until(
-        3 * SEC, [&] { return f.listed("s3", UP) && f.listed("s1", UP) && f.listed("s2", LEAVING); }));
-    f.run(61 * SEC);
+        3 * SECOND, [&] { return f.listed("s3", UP) && f.listed("s1", UP) && f.listed("s2", LEAVING); }));
+    f.run(61 * SECOND);
     CHECK(f.listed("s2", -1));
     CHECK(f.listed("s3", UP));
 }
@@ -554,20 +555,20 @@
     f.standing();
     auto l = f.leader();
     CHECK_EQ(200, f.list(*l, {"s1"}));
-    f.run(SEC);
-    l->frozen = f.t + 4 * SEC;
-    CHECK(f.until(4 * SEC, [&] { return f.leader() && f.leader() != l; }));
+    f.run(SECOND);
+    l->frozen = f.t + 4 * SECOND;
+    CHECK(f.until(4 * SECOND, [&] { return f.leader() && f.leader() != l; }));
     CHECK_EQ(200, f.list(*f.leader(), {"s2"}));
-    f.run(l->frozen - f.t - 2 * MS);
-    f.run(4 * MS);
+    f.run(l->frozen - f.t - 2 * MILLISECOND);
+    f.run(4 * MILLISECOND);
     CHECK_EQ(409, f.list(*l, {"s1"}));
-    f.run(2 * SEC);
+    f.run(2 * SECOND);
     CHECK(f.listed("s2", UP) && f.listed("s1", LEAVING));
     for (auto i = 0u; i < 3; i++) f.stop(*f.bs[i]);
-    f.run(6 * SEC);
+    f.run(6 * SECOND);
     CHECK_EQ(std::size_t(1), f.duties().size());
     CHECK_EQ(200, f.list(*f.duties()[0], {"s3"}));
-    CHECK(f.until(SEC, [&] { return f.listed("s3", UP); }));
+    CHECK(f.until(SECOND, [&] { return f.listed("s3", UP); }));
 }
 
 // All lose power at once: nobody has a listing then, and one is asked for before there is a leader.
@@ -577,13 +578,13 @@
         auto f = Fleet(seed);
         f.standing();
         CHECK_EQ(200, f.list(*f.leader(), {"s1"}));
-        f.run(SEC);
+        f.run(SECOND);
         for (auto& b : f.bs) f.stop(*b);
-        f.run(SEC);
+        f.run(SECOND);
         for (auto& b : f.bs) f.start(*b);
-        CHECK(f.until(450 * MS, [&] { return !f.leader() && !f.duties().empty(); }));
+        CHECK(f.until(450 * MILLISECOND, [&] { return !f.leader() && !f.duties().empty(); }));
         CHECK_EQ(200, f.list(*f.duties()[0], {"s1"}));
-        CHECK(f.until(3 * SEC, [&] { return f.listed("s1", UP); }));
+        CHECK(f.until(3 * SECOND, [&] { return f.listed("s1", UP); }));
     }
 }
 
@@ -594,40 +595,40 @@
         auto f = Fleet(seed);
         f.standing();
         auto l = f.leader();
-        l->frozen = f.t + 3 * SEC;
-        CHECK(f.ordered("z", 3 * SEC));
-        f.run(l->frozen - f.t + 2 * MS);
+        l->frozen = f.t + 3 * SECOND;
+        CHECK(f.ordered("z", 3 * SECOND));
+        f.run(l->frozen - f.t + 2 * MILLISECOND);
         auto id = f.order(*l, "y");
         auto rd = ++f.ids;
         l->n->read(rd, f.t);
-        f.until(4 * SEC, [&] { return f.ok(id) && f.ok(rd); });
+        f.until(4 * SECOND, [&] { return f.ok(id) && f.ok(rd); });
         CHECK(f.ok(id));
         CHECK(f.ok(rd));
-        auto d = Doc();
+        auto d = rapidjson::Document();
         CHECK(jsParse(f.outs[rd].body, d));
         CHECK(d["empties"].HasMember("z"));
-        CHECK(f.until(2 * SEC, [&] { return f.everywhere("z") && f.everywhere("y"); }));
+        CHECK(f.until(2 * SECOND, [&] { return f.everywhere("z") && f.everywhere("y"); }));
     }
 }
 
 // Whatever happens within what is to be borne, what was acknowledged stays and a calm fleet serves.
 // `cores` with a disk, three or five of them voters: one beyond that is a spare.
-static auto fuzz(unsigned seed, int cores) -> Str {
+static auto fuzz(unsigned seed, int cores) -> std::string {
     auto f = Fleet(seed);
     f.standing(cores);
-    auto acked = std::vector<Str>();
+    auto acked = std::vector<std::string>();
     auto size = cores > 4 ? 5u : 3u;
     auto cs = std::vector<Box*>();
     for (auto i = 0; i < cores; i++) cs.push_back(f.bs[std::size_t(i)].get());
     for (auto k = 0; k < 12; k++) {
         auto at = fmt::format("seed {}, {} cores, round {}: ", seed, cores, k);
         auto what = fmt::format("z{}", k);
-        if (f.ordered(what, Us(f.r.below(3 * SEC)))) acked.push_back(what);
+        if (f.ordered(what, Microseconds(f.r.below(3 * SECOND)))) acked.push_back(what);
         auto i = f.r.below(cs.size());
         auto c = cs[i];
         auto e = f.bs[std::size_t(cores) + f.r.below(std::uint64_t(12 - cores))].get();
         auto fault = f.r.below(7);
-        auto d = Us(f.r.below(f.r.chance(.5) ? 2 * SEC : 7 * SEC));
+        auto d = Microseconds(f.r.below(f.r.chance(.5) ? 2 * SECOND : 7 * SECOND));
         if (getenv("DT_SHOW")) fmt::print("{} {} fault {} of {}, {} us\n", f.t, at, fault, c->st.node, d);
         if (fault == 0) {
             for (auto& b : f.bs)
@@ -650,7 +651,7 @@
         } else if (fault == 5) f.stop(*c), f.run(d), f.back(*c);
         else f.stop(*e), f.run(d), f.back(*e);
         // One loss at a time: the next one only when all seats are filled again.
-        auto whole = f.until(20 * SEC, [&] {
+        auto whole = f.until(20 * SECOND, [&] {
             if (!f.leader() || f.voters().size() != size) return false;
             auto n = 0u;
             for (auto x : cs) n += x->up && x->frozen <= f.t && f.seated(*x);
@@ -660,7 +661,7 @@
             f.show();
             return at + "the seats are not filled";
         }
-        f.run(3 * SEC);
+        f.run(3 * SECOND);
         if (!f.leader()) return at + "no leader";
         for (auto& b : f.bs)
             if (b->up && !b->n->fresh(f.t)) return at + b->st.node + " has no configuration";
@@ -673,7 +674,7 @@
     auto q = Quiet();
     auto more = getenv("DT_SEEDS") ? unsigned(atoi(getenv("DT_SEEDS"))) : 8u;
     for (auto seed = 200u; seed < 200 + more; seed++)
-        for (auto cores : {3, 4, 6}) CHECK_EQ(Str(), fuzz(seed, cores));
+        for (auto cores : {3, 4, 6}) CHECK_EQ(std::string(), fuzz(seed, cores));
 }
 
 // A larger fleet: nobody is thought gone that is not, and what a node says grows no faster than
@@ -683,7 +684,7 @@
     auto f = Fleet(300);
     auto nodes = getenv("DT_NODES") ? atoi(getenv("DT_NODES")) : 60;
     f.standing(3, nodes);
-    f.run((2 + nodes / 100) * SEC);  // hundreds that start at once take a while to settle
+    f.run((2 + nodes / 100) * SECOND);  // hundreds that start at once take a while to settle
     f.weigh = true;
     auto again = [&] {
         auto n = std::int64_t(0);
@@ -692,7 +693,7 @@
     };
     auto was = again();
     auto c = clock();
-    f.run(5 * SEC);
+    f.run(5 * SECOND);
     if (getenv("DT_SHOW"))
         fmt::print(
             "{} nodes: {} bytes a second between regions, {} a node; {} us of work a node and second\n",
@@ -701,23 +702,24 @@
     for (auto& b : f.bs) CHECK_EQ(std::size_t(nodes), b->n->aliveNodes(f.t).size());
     CHECK(f.all / 5 / nodes < 80 * nodes);
     auto id = f.order(*f.bs.back(), "z");
-    CHECK(f.until(SEC, [&] { return f.ok(id); }));
-    CHECK(f.until(SEC, [&] { return f.everywhere("z"); }));
+    CHECK(f.until(SECOND, [&] { return f.ok(id); }));
+    CHECK(f.until(SECOND, [&] { return f.everywhere("z"); }));
 }
 
 TEST(NodeLearnt, settings) {
-    auto base = std::map<Str, Str>{{"node", "a"}, {"peer", "127.0.0.1:1"}, {"sender", "127.0.0.1:2"},
-        {"operator", "127.0.0.1:3"}, {"seeds", "127.0.0.1:1"}, {"district", "d"}, {"region", "r"}};
+    auto base =
+        std::map<std::string, std::string>{{"node", "a"}, {"peer", "127.0.0.1:1"}, {"sender", "127.0.0.1:2"},
+            {"operator", "127.0.0.1:3"}, {"seeds", "127.0.0.1:1"}, {"district", "d"}, {"region", "r"}};
     auto s = settingsRead("", base);
     CHECK(s && !s->learnt && !s->bootstrap && !s->serveOn && s->probes && !s->beat);
-    auto with = [&](std::map<Str, Str> m) {
+    auto with = [&](std::map<std::string, std::string> m) {
         m.insert(base.begin(), base.end());
         return settingsRead("", m);
     };
     s = with({{"membership", "learnt"}, {"bootstrap", "true"}, {"outOfTouch", "serve"}, {"probes", "false"},
         {"beatUs", "300000"}});
     CHECK(s && s->learnt && s->bootstrap && s->serveOn && !s->probes);
-    CHECK_EQ(Us(300000), s->beat);
+    CHECK_EQ(Microseconds(300000), s->beat);
     CHECK(!with({{"outOfTouch", "serve"}}));
     CHECK(!with({{"bootstrap", "true"}}));
     CHECK(!with({{"membership", "learnt"}, {"roster", "a"}}));
@@ -726,4 +728,4 @@
     CHECK(!with({{"beatUs", "1"}}));
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -1,7 +1,7 @@
 #include "node_fixture.hpp"
 #include "test.hpp"
 
-namespace dt {
+namespace duneturn {
 
 // A clock that was set back between two lives, and a freeze, as one node sees them.
 TEST(Node, clocksAndFreezes) {
@@ -19,7 +19,7 @@
     // The load that comes after a freeze was written before it.
     r.list({{"x", "near", "z", "p", "w"}});
     auto seen = r.n->servers().at("x").seen;
-    r.now += 5 * SEC;
+    r.now += 5 * SECOND;
     e.beat.rows.resize(1);
     e.beat.rows[0].beat = 2;
     e.beat.loads.resize(1);
@@ -33,7 +33,7 @@
 // What the platform says late undoes nothing newer; what it says later is believed.
 TEST(Node, listingsByNumber) {
     auto r = NodeFixture();
-    auto l = [](std::int64_t rev, const Str& st) {
+    auto l = [](std::int64_t rev, const std::string& st) {
         return fmt::format(
             R"({{"revision":{},"servers":[{{"name":"x","address":"127.0.0.1:9","region":"r","district":"d","pool":"p","state":"{}"}}]}})",
             rev, st);
@@ -41,7 +41,7 @@
     r.n->list(1, l(10, "up"), r.now);
     CHECK_EQ(200, r.outs[1].status);
     r.n->mark(2, "x", 12, r.now);
-    r.run(SEC);
+    r.run(SECOND);
     CHECK_EQ(200, r.outs[2].status);
     r.n->list(3, l(11, "up"), r.now);
     CHECK_EQ(409, r.outs[3].status);
@@ -60,4 +60,4 @@
     CHECK_EQ(409, r.n->rescue(r.n->word().reign, r.n->word().gen + 1, r.now).status);
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/tests/operator_history_test.cpp
+++ b/tests/operator_history_test.cpp
@@ -4,7 +4,7 @@
 #include "operator_history.hpp"
 #include "test.hpp"
 
-namespace dt::sim {
+namespace duneturn::sim {
 
 namespace {
 
@@ -29,12 +29,12 @@
         return add(OrderKind::Put, base, number, status);
     }
     auto read(std::int64_t number) -> OperatorOrder& { return add(OrderKind::Read, 0, number, 200); }
-    auto rules() const -> std::vector<Str> {
-        auto found = std::vector<Str>();
+    auto rules() const -> std::vector<std::string> {
+        auto found = std::vector<std::string>();
         for (auto& violation : checkConfigurationHistory(orders)) found.push_back(violation.rule);
         return found;
     }
-    auto breaks(const Str& rule) const -> bool {
+    auto breaks(const std::string& rule) const -> bool {
         auto found = rules();
         return std::find(found.begin(), found.end(), rule) != found.end();
     }
@@ -126,4 +126,4 @@
     CHECK(history.breaks("accepted orders form one chain of versions"));
 }
 
-}  // namespace dt::sim
+}  // namespace duneturn::sim
--- a/tests/order_state_test.cpp
+++ b/tests/order_state_test.cpp
@@ -5,26 +5,26 @@
 #include "test.hpp"
 #include "word.hpp"
 
-namespace dt {
+namespace duneturn {
 
 namespace {
 
-auto lay(Word& state, const Str& op, const Str& key, const Str& body) -> Outcome {
+auto lay(Word& state, const std::string& op, const std::string& key, const std::string& body) -> Outcome {
     auto entry = orderPrepare(state, op, key, body, 1000);
     return entry ? state.apply(*entry) : entry.error();
 }
-auto configBody(std::int64_t base, int version) -> Str {
+auto configBody(std::int64_t base, int version) -> std::string {
     return fmt::format(
         R"({{"base":{},"config":{{"origin":{{"number":{},"text":"t"}},"mappings":[]}}}})", base, version);
 }
-auto zoneBody(const Str& zone, std::int64_t revision) -> Str {
+auto zoneBody(const std::string& zone, std::int64_t revision) -> std::string {
     return fmt::format(R"({{"district":"{}","revision":{}}})", zone, revision);
 }
 
 }  // namespace
 
 TEST(OrderState, changesAreRememberedInOrder) {
-    auto document = Doc();
+    auto document = rapidjson::Document();
     document.SetObject();
     auto& allocator = document.GetAllocator();
     auto memory = AcceptedChanges::make(5, 50, allocator);
@@ -82,7 +82,7 @@
 
 TEST(OrderState, zonesAreFencedByRevision) {
     auto state = Word();
-    auto revision = [&](const Str& zone) { return Evacuations::zone(state.d, zone).revision; };
+    auto revision = [&](const std::string& zone) { return Evacuations::zone(state.d, zone).revision; };
     auto first = revision("z");
     CHECK_EQ(200, lay(state, "empty", "a", zoneBody("z", first)).status);
     CHECK(state.emptied("z"));
@@ -93,7 +93,7 @@
     auto before = state.gen;
     auto late = lay(state, "empty", "late", zoneBody("z", first));
     CHECK_EQ(409, late.status);
-    CHECK(late.body.find("superseded") != Str::npos);
+    CHECK(late.body.find("superseded") != std::string::npos);
     CHECK(!state.emptied("z"));
     CHECK_EQ(before, state.gen);
     // The same order again, by its key, is acknowledged and changes nothing.
@@ -117,7 +117,7 @@
 
 // A document of the earlier format: one list of all outcomes.
 TEST(OrderState, anEarlierFormatIsTakenOver) {
-    auto text = Str(
+    auto text = std::string(
         R"({"reign":1,"generation":9,"configGeneration":3,"config":{"origin":{"number":30,"text":"t"},"mappings":[]},)"
         R"("empties":{"z":5},"plan":[],"roster":[],"voters":[],"outcomes":[)"
         R"({"key":"put-10-aa-1","status":200,"body":{"configGeneration":2,"generation":4}},)"
@@ -140,7 +140,7 @@
     CHECK(again.load(state.text()));
     CHECK_EQ(state.text(), again.text());
     // A memory that does not reach the configuration in force tells nothing.
-    auto behind = Doc();
+    auto behind = rapidjson::Document();
     jsParse(state.text(), behind);
     behind["configGeneration"].SetInt64(7);
     CHECK(again.load(js(behind)));
@@ -167,4 +167,4 @@
     CHECK(!ChangeState::parse("{}"));
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/tests/platform_adapter_test.cpp
+++ b/tests/platform_adapter_test.cpp
@@ -7,12 +7,12 @@
 #include "test.hpp"
 #include "word.hpp"
 
-namespace dt::platform {
+namespace duneturn::platform {
 
 namespace {
 
-auto withoutRevision(const Str& body) -> Str {
-    auto d = Doc();
+auto withoutRevision(const std::string& body) -> std::string {
+    auto d = rapidjson::Document();
     jsParse(body, d);
     d.RemoveMember("revision");
     return js(d);
@@ -25,12 +25,13 @@
     bool unfenced = false;  // a deliberate fault: evacuations don't name what they rest on
     int status = 0;         // what orders answer instead of doing anything
     std::function<void()> before;
-    std::map<Str, std::pair<unsigned, Str>> pages;
-    std::vector<Str> asked, lists, keys;
-    Str places = R"({"nodes":[]})";
+    std::map<std::string, std::pair<unsigned, std::string>> pages;
+    std::vector<std::string> asked, lists, keys;
+    std::string places = R"({"nodes":[]})";
 
     FakeShell() { w.found({"n1"}, {{"n1", "d1"}}); }
-    auto order(const Str& op, const Str& key, const Str& body) -> asio::awaitable<Outcome> override {
+    auto order(const std::string& op, const std::string& key, const std::string& body)
+        -> asio::awaitable<Outcome> override {
         auto f = std::move(before);
         before = nullptr;
         if (f) f();
@@ -48,15 +49,15 @@
         if (!up) co_return Outcome{503, "{}"};
         co_return Outcome{200, query.answer(w)};
     }
-    auto list(const Str& body) -> asio::awaitable<Outcome> override {
+    auto list(const std::string& body) -> asio::awaitable<Outcome> override {
         lists.push_back(body);
         co_return Outcome{200, "{}"};
     }
-    auto where(const Str&, const Str&) -> Str override { return places; }
+    auto where(const std::string&, const std::string&) -> std::string override { return places; }
     auto ready() -> bool override { return ok; }
     auto duty() -> bool override { return true; }
-    auto word() -> Str override { return w.text(); }
-    auto fetch(const Str& addr, const Str& target, Us)
+    auto word() -> std::string override { return w.text(); }
+    auto fetch(const std::string& addr, const std::string& target, Microseconds)
         -> asio::awaitable<tl::expected<Res, CallError>> override {
         asked.push_back(addr + target);
         auto i = pages.find(target);
@@ -96,23 +97,23 @@
     FakeShell sh;
     PlatformAdapter ad{given(), ""};
 
-    auto ask(http::verb m, const Str& target, const Str& body = "", const Str& base = "",
-        Str at = "10.0.0.1:1") -> Res {
+    auto ask(http::verb m, const std::string& target, const std::string& body = "",
+        const std::string& base = "", std::string at = "10.0.0.1:1") -> Res {
         auto q = Req(m, target, 11);
         q.body() = body;
         if (!base.empty()) q.set("If-Match", base);
         return wait(ad.serve(at, q, sh));
     }
-    auto put(const Str& body, const Str& base) -> unsigned {
+    auto put(const std::string& body, const std::string& base) -> unsigned {
         return ask(http::verb::put, "/v1/config", body, base).result_int();
     }
-    auto patch(const Str& body, const Str& base) -> unsigned {
+    auto patch(const std::string& body, const std::string& base) -> unsigned {
         return ask(http::verb::patch, "/v1/config", body, base).result_int();
     }
-    auto held() -> Str { return ask(http::verb::get, "/v1/config").body(); }
+    auto held() -> std::string { return ask(http::verb::get, "/v1/config").body(); }
 };
 
-auto document(int version, int deadline = 100, const Str& more = "") -> Str {
+auto document(int version, int deadline = 100, const std::string& more = "") -> std::string {
     return fmt::format(
         R"({{"ConfigVersion": {},"Routes":[{{"Name":"r","Hostname":"h","PathPrefix":"/","DeadlineMs":{},"Backend":"b"}}],"Backends":[{{"Name":"b"}}]{}}})",
         version, deadline, more);
@@ -162,7 +163,7 @@
 TEST(PlatformAdapter, patchesOnTheSameTerms) {
     auto s = Site();
     CHECK_EQ(200u, s.put(document(5), "0"));
-    auto p = Str(
+    auto p = std::string(
         R"({"ConfigVersion":7,"Upsert":{"Routes":[{"Name":"q","Hostname":"h","PathPrefix":"/q/","DeadlineMs":5,"Backend":"b"}]}})");
     CHECK_EQ(200u, s.patch(p, "5"));
     auto seven = s.held();
@@ -208,7 +209,7 @@
     s.sh.hidden = true;
     auto r = s.ask(http::verb::put, "/v1/config", document(2), "0");
     CHECK_EQ(503u, r.result_int());
-    CHECK_EQ(Str("0.3"), Str(r["Retry-After"]));
+    CHECK_EQ(std::string("0.3"), std::string(r["Retry-After"]));
     CHECK_EQ(200u, s.put(document(2), "0"));
     CHECK_EQ(std::size_t(1), s.sh.keys.size());
     s.sh.hidden = false;
@@ -234,11 +235,11 @@
         auto r = Rng{std::uint64_t(seed)};
         auto s = Site();
         struct Call {
-            Str body;
+            std::string body;
             std::int64_t base;
         };
         auto open = std::vector<Call>();
-        auto taken = std::set<Str>();
+        auto taken = std::set<std::string>();
         auto was = Origin();
         for (auto i = 0; i < 60; i++) {
             auto c = Call();
@@ -258,7 +259,7 @@
                 CHECK_EQ(was.number, c.base);
                 CHECK(is.number > was.number);
                 CHECK_EQ(c.body, is.text);
-                CHECK(c.body.find("\"DeadlineMs\":0,") == Str::npos);
+                CHECK(c.body.find("\"DeadlineMs\":0,") == std::string::npos);
                 CHECK(st == 200 || st == 503);
                 taken.insert(c.body);
             }
@@ -286,12 +287,12 @@
     CHECK_EQ(404u, s.ask(http::verb::post, "/v1/evacuation/").result_int());
     auto r = s.ask(http::verb::put, "/v1/evacuation/x");
     CHECK_EQ(405u, r.result_int());
-    CHECK_EQ(Str("POST, DELETE"), Str(r["Allow"]));
+    CHECK_EQ(std::string("POST, DELETE"), std::string(r["Allow"]));
     // Each order that was laid has a key of its own.
     CHECK_EQ(std::size_t(3), s.sh.keys.size());
-    CHECK_EQ(std::size_t(3), std::set<Str>(s.sh.keys.begin(), s.sh.keys.end()).size());
+    CHECK_EQ(std::size_t(3), std::set<std::string>(s.sh.keys.begin(), s.sh.keys.end()).size());
     CHECK_EQ(200u, s.ask(http::verb::post, "/v1/evacuation/x").result_int());
-    CHECK_EQ(std::size_t(4), std::set<Str>(s.sh.keys.begin(), s.sh.keys.end()).size());
+    CHECK_EQ(std::size_t(4), std::set<std::string>(s.sh.keys.begin(), s.sh.keys.end()).size());
     s.sh.up = false;
     CHECK_EQ(503u, s.ask(http::verb::post, "/v1/evacuation/x").result_int());
 }
@@ -301,7 +302,7 @@
 static auto heldUpEvacuation(bool unfenced, int others) -> std::pair<unsigned, bool> {
     auto s = Site();
     s.sh.unfenced = unfenced;
-    auto zone = Str("/v1/evacuation/x");
+    auto zone = std::string("/v1/evacuation/x");
     s.sh.before = [&] {
         CHECK_EQ(200u, s.ask(http::verb::post, zone).result_int());
         CHECK_EQ(200u, s.ask(http::verb::delete_, zone).result_int());
@@ -322,7 +323,7 @@
     CHECK(heldUpEvacuation(true, 300).second);
     // Superseded by one that wants the same: acknowledged.
     auto s = Site();
-    auto zone = Str("/v1/evacuation/x");
+    auto zone = std::string("/v1/evacuation/x");
     s.sh.before = [&] { CHECK_EQ(200u, s.ask(http::verb::post, zone).result_int()); };
     CHECK_EQ(200u, s.ask(http::verb::post, zone).result_int());
     CHECK(s.sh.w.emptied("x"));
@@ -370,10 +371,10 @@
     CHECK_EQ(200u, s.ask(http::verb::get, "/v1/ready", "", "", "10.0.0.1:3").result_int());
     s.sh.ok = false;
     CHECK_EQ(503u, s.ask(http::verb::get, "/v1/ready", "", "", "10.0.0.1:3").result_int());
-    auto q = Str("/v1/resolve?Name=h&Region=p&Zone=x");
+    auto q = std::string("/v1/resolve?Name=h&Region=p&Zone=x");
     CHECK_EQ(503u, s.ask(http::verb::get, q, "", "", "10.0.0.1:2").result_int());
     s.sh.places = R"({"nodes":[{"node":"n","address":"10.0.0.1:7","region":"p","district":"x"}]})";
-    CHECK_EQ(Str(R"({"Addresses":["10.0.0.1:7"],"TtlS":2})"),
+    CHECK_EQ(std::string(R"({"Addresses":["10.0.0.1:7"],"TtlS":2})"),
         s.ask(http::verb::get, q, "", "", "10.0.0.1:2").body());
     CHECK_EQ(405u, s.ask(http::verb::post, q, "", "", "10.0.0.1:2").result_int());
     // Each at its own address only.
@@ -388,7 +389,7 @@
 TEST(PlatformAdapter, pullsAllPagesOrNothing) {
     using P = PlatformAdapter::Pulled;
     auto s = Site();
-    auto page = [](const Str& id, const Str& state, const Str& next) {
+    auto page = [](const std::string& id, const std::string& state, const std::string& next) {
         return std::pair(200u,
             fmt::format(
                 R"({{"Instances":[{{"InstanceId":"{}","Backend":"b","Address":"10.0.1.1:1","Zone":"x","State":"{}"}}],"NextToken":{}}})",
@@ -396,16 +397,17 @@
     };
     s.sh.pages["/instances"] = page("i1", "ready", "a/b");
     CHECK(wait(s.ad.pull(s.sh)) == P::Nothing);
-    CHECK_EQ(Str("10.9.0.1:9/instances?PageToken=a%2Fb"), s.sh.asked.back());
+    CHECK_EQ(std::string("10.9.0.1:9/instances?PageToken=a%2Fb"), s.sh.asked.back());
     CHECK(s.sh.lists.empty());
     s.sh.pages["/instances?PageToken=a%2Fb"] = page("i2", "ready", "");
     CHECK(wait(s.ad.pull(s.sh)) == P::News);
-    CHECK(s.sh.lists.back().find("\"i1\"") != Str::npos && s.sh.lists.back().find("\"i2\"") != Str::npos);
+    CHECK(s.sh.lists.back().find("\"i1\"") != std::string::npos
+        && s.sh.lists.back().find("\"i2\"") != std::string::npos);
     CHECK(wait(s.ad.pull(s.sh)) == P::Same);
     CHECK_EQ(std::size_t(2), s.sh.lists.size());
     s.sh.pages["/instances?PageToken=a%2Fb"] = page("i2", "draining", "");
     CHECK(wait(s.ad.pull(s.sh)) == P::News);
-    CHECK(s.sh.lists.back().find("leaving") != Str::npos);
+    CHECK(s.sh.lists.back().find("leaving") != std::string::npos);
     s.sh.pages["/instances?PageToken=a%2Fb"] = {429u, "{}"};
     CHECK(wait(s.ad.pull(s.sh)) == P::Nothing);
     s.sh.pages["/instances?PageToken=a%2Fb"] = {200u, R"({"Instances":[{"Instan)"};
@@ -416,4 +418,4 @@
     CHECK_EQ(std::size_t(3), s.sh.lists.size());
 }
 
-}  // namespace dt::platform
+}  // namespace duneturn::platform
--- a/tests/platform_config_test.cpp
+++ b/tests/platform_config_test.cpp
@@ -7,10 +7,10 @@
 #include "test.hpp"
 #include "word.hpp"
 
-namespace dt::platform {
+namespace duneturn::platform {
 
 static constexpr auto BOUNDS = Bounds{0.2, 64, 1.5, 5};
-static const auto DOCUMENT = Str(
+static const auto DOCUMENT = std::string(
     R"({"ConfigVersion":7,"Routes":[{"Name":"r-1","Hostname":"Ficu95.example","PathPrefix":"/lohu/","Variant":"stream","DeadlineMs":8000,"TargetMs":1000,"Rank":1,"Weighted":[{"Backend":"desk","Share":90},{"Backend":"map","Share":10}],"MaxTries":1,"Sticky":true,"Resumable":false,"GapTargetMs":400,"HomeRegions":[]},)"
     R"({"Name":"r-2","Hostname":"ficu95.example","PathPrefix":"/pufi/","Variant":"stream","DeadlineMs":4000,"TargetMs":800,"Rank":0,"Backend":"desk","MaxTries":3,"Sticky":true,"Resumable":true,"GapTargetMs":400,"HomeRegions":["punjab","sindh"],"New":{"a":[1.5,null]}},)"
     R"({"Name":"r-3","Hostname":"ficu95.example","PathPrefix":"/","Variant":"safe","DeadlineMs":2500.5,"TargetMs":500,"Rank":12,"Backend":"map","MaxTries":2},)"
@@ -18,13 +18,13 @@
     R"("Backends":[{"Name":"desk","HealthPath":"/health","MaxConns":390,"Protocol":"h1","Tls":false,"ColdS":3.0,"ColdRateS":45.5,"Engine":{"Slots":64,"KvCapacity":319818,"KvTokenBytes":163840,"LinkMbps":1100000.0,"Stride":6,"Models":[{"Name":"m"}]}},{"Name":"map","MaxConns":130,"ColdS":0.0,"ColdRateS":0.0}],)"
     R"("Limits":{"MaxHeaderBytes":16384,"MaxBodyBytes":4194304,"HeaderReadMs":3000,"IdleMs":15000},"Added":true})");
 
-static auto replaced(Str s, const Str& a, const Str& b) -> Str {
+static auto replaced(std::string s, const std::string& a, const std::string& b) -> std::string {
     auto i = s.find(a);
-    CPPUNIT_ASSERT_MESSAGE(a, i != Str::npos);
+    CPPUNIT_ASSERT_MESSAGE(a, i != std::string::npos);
     return s.replace(i, a.size(), b);
 }
-static auto parsed(const Str& s) -> Doc {
-    auto d = Doc();
+static auto parsed(const std::string& s) -> rapidjson::Document {
+    auto d = rapidjson::Document();
     CPPUNIT_ASSERT_MESSAGE(s.substr(0, 200), jsParse(s, d));
     return d;
 }
@@ -39,23 +39,28 @@
     CHECK_EQ(std::int64_t(7), originOf(c).number);
     auto& ms = c["mappings"];
     CHECK_EQ(
-        Str(R"({"name":"r-1","host":"ficu95.example","method":"*","path":"/lohu/*","pools":[{"pool":"desk","share":90},{"pool":"map","share":10}],"model":"m","stream":true,"MaxTries":1,"urgency":8,"deadlineUs":8000000,"aimUs":1000000,"gapUs":400000,"queueUs":250000,"queue":256})"),
+        std::string(
+            R"({"name":"r-1","host":"ficu95.example","method":"*","path":"/lohu/*","pools":[{"pool":"desk","share":90},{"pool":"map","share":10}],"model":"m","stream":true,"MaxTries":1,"urgency":8,"deadlineUs":8000000,"aimUs":1000000,"gapUs":400000,"queueUs":250000,"queue":256})"),
         js(ms[0]));
     CHECK_EQ(
-        Str(R"({"name":"r-2","host":"ficu95.example","method":"*","path":"/pufi/*","pool":"desk","model":"m","stream":true,"Resumable":true,"MaxTries":3,"homes":["punjab","sindh"],"urgency":9,"deadlineUs":4000000,"aimUs":800000,"gapUs":400000,"queueUs":200000,"queue":256})"),
+        std::string(
+            R"({"name":"r-2","host":"ficu95.example","method":"*","path":"/pufi/*","pool":"desk","model":"m","stream":true,"Resumable":true,"MaxTries":3,"homes":["punjab","sindh"],"urgency":9,"deadlineUs":4000000,"aimUs":800000,"gapUs":400000,"queueUs":200000,"queue":256})"),
         js(ms[1]));
     CHECK_EQ(
-        Str(R"({"name":"r-3","host":"ficu95.example","method":"*","path":"/*","pool":"map","repeatable":true,"MaxTries":2,"urgency":0,"deadlineUs":2500500,"aimUs":500000,"queueUs":125000,"queue":256})"),
+        std::string(
+            R"({"name":"r-3","host":"ficu95.example","method":"*","path":"/*","pool":"map","repeatable":true,"MaxTries":2,"urgency":0,"deadlineUs":2500500,"aimUs":500000,"queueUs":125000,"queue":256})"),
         js(ms[2]));
     // A name that the product would not take gets its hash; nobody gives up what is no stream.
     CHECK(jsStr(ms[3], "name").starts_with("r_4___."));
     CHECK(!ms[3].HasMember("idleUs"));  // how long a silence is borne, the edge weighs by aim and pause
     CHECK(!ms[3].HasMember("repeatable") && !ms[3].HasMember("queueUs"));
-    CHECK_EQ(Str(R"({"m":{"migrationLimit":2,"maxSequence":319818}})"), js(c["models"]));
+    CHECK_EQ(std::string(R"({"m":{"migrationLimit":2,"maxSequence":319818}})"), js(c["models"]));
     CHECK_EQ(
-        Str(R"({"desk":{"maxConns":390,"coldUs":3000000,"coldRate":45.5,"engine":true,"slots":64,"kvTokens":319818,"stride":6},"map":{"maxConns":130,"coldUs":0,"coldRate":0.0}})"),
+        std::string(
+            R"({"desk":{"maxConns":390,"coldUs":3000000,"coldRate":45.5,"engine":true,"slots":64,"kvTokens":319818,"stride":6},"map":{"maxConns":130,"coldUs":0,"coldRate":0.0}})"),
         js(c["pools"]));
-    CHECK_EQ(Str(R"({"headerBytes":16384,"bodyBytes":4194304,"headerReadUs":3000000,"idleUs":15000000})"),
+    CHECK_EQ(
+        std::string(R"({"headerBytes":16384,"bodyBytes":4194304,"headerReadUs":3000000,"idleUs":15000000})"),
         js(c["limits"]));
     CHECK(std::abs(c["budget"]["share"].GetDouble() - 0.15) < 1e-9);
     CHECK_EQ(32.0, c["budget"]["slack"].GetDouble());
@@ -79,8 +84,8 @@
     for (auto& f : configCheck(c)) CPPUNIT_FAIL(f.path + ": " + f.why);
     CHECK_EQ(std::int64_t(16), jsInt(c["models"]["m"], "migrationLimit"));
     CHECK_EQ(std::int64_t(1048576), jsInt(c["models"]["m"], "maxSequence"));
-    CHECK_EQ(
-        Str(R"([{"pool":"desk","share":1000000},{"pool":"map","share":1}])"), js(c["mappings"][0]["pools"]));
+    CHECK_EQ(std::string(R"([{"pool":"desk","share":1000000},{"pool":"map","share":1}])"),
+        js(c["mappings"][0]["pools"]));
     // Where several pools hold a model, the least memory bounds it.
     s = replaced(DOCUMENT, R"({"Name":"map",)",
         R"({"Name":"map","Engine":{"KvCapacity":1000,"Models":[{"Name":"m"}]},)");
@@ -109,7 +114,7 @@
 
 TEST(PlatformConfig, everyInvalidKind) {
     struct {
-        Str from, to, where;
+        std::string from, to, where;
     } cases[] = {
         {"\"Backend\":\"map\",\"MaxTries\":2", "\"Backend\":\"gone\",\"MaxTries\":2", "/Routes/2/Backend"},
         {"\"Backend\":\"map\",\"Share\":10", "\"Backend\":\"gone\",\"Share\":0", "/Routes/0/Backend"},
@@ -161,10 +166,10 @@
         {"\"Rank\":1", "\"Rank\":1,\"Rank\":1", "/"}, {"\"Added\":true}", "\"Added\":true}}", "/"},
         {"\"Added\":true}", "\"Added\":true}x", "/"}, {"\"Added\":true}", "\"Added\":true},", "/"},
         {"\"Added\":true}", "\"Added\":tru}", "/"}, {"\"Added\":true}", "\"Added\":NaN}", "/"},
-        {"\"Added\":true}", Str("\"Added\":true}\0{}", 17), "/"},
+        {"\"Added\":true}", std::string("\"Added\":true}\0{}", 17), "/"},
         {"\"Added\":true", "\"Added\":\"\\ud800\"", "/"}, {"\"Added\":true", "\"Added\":\"\\udc00\"", "/"},
         {"\"Added\":true", "\"Added\":\"\xff\"", "/"}, {"\"Name\":\"r-1\"", "\"Name\":\"r-1\\u0000\"", "/"},
-        {"\"Added\":true", "\"Added\":" + Str(100000, '[') + Str(100000, ']'), "/"}};
+        {"\"Added\":true", "\"Added\":" + std::string(100000, '[') + std::string(100000, ']'), "/"}};
     for (auto& c : cases) {
         auto s = replaced(DOCUMENT, c.from, c.to);
         if (c.where.empty() && c.to == "\"Share\":0") {  // 10 is left
@@ -173,7 +178,7 @@
         }
         auto t = translate(s, 5, BOUNDS);
         CPPUNIT_ASSERT_MESSAGE(c.to.substr(0, 100), !t);
-        auto all = Str();
+        auto all = std::string();
         for (auto& f : t.error()) all += f.path + ": " + f.why + "\n";
         CPPUNIT_ASSERT_MESSAGE(c.where + " in " + all,
             std::any_of(
@@ -191,7 +196,7 @@
 TEST(PlatformConfig, cutShortAnywhere) {
     auto s = DOCUMENT + " \n";
     for (auto i = std::size_t(0); i <= s.size(); i++) {
-        auto t = translate(View(s).substr(0, i), 0, BOUNDS);
+        auto t = translate(std::string_view(s).substr(0, i), 0, BOUNDS);
         CHECK_EQ(i >= DOCUMENT.size(), bool(t));
         if (t) CHECK_EQ(s.substr(0, i), originOf(parsed(t->config)).text);
     }
@@ -202,7 +207,7 @@
 TEST(PlatformConfig, fuzzAltered) {
     auto r = Rng{3};
     auto good = 0;
-    static constexpr View pieces[] = {
+    static constexpr std::string_view pieces[] = {
         "0", "-1", "1e9", "\"", "null", "[]", "{}", ",", "\"r-1\"", "/", "\\u00e9", "desk", ":", "9"};
     for (auto i = 0; i < 6000; i++) {
         auto s = DOCUMENT;
@@ -244,8 +249,8 @@
     }
 }
 
-static auto many(int n) -> Str {
-    auto s = Str(R"({"ConfigVersion":1,"Routes":[)");
+static auto many(int n) -> std::string {
+    auto s = std::string(R"({"ConfigVersion":1,"Routes":[)");
     for (auto i = 0; i < n; i++)
         s += fmt::format(
             R"({}{{"Name":"r{}","Hostname":"h{}.example","PathPrefix":"/p{}/","Variant":"safe","DeadlineMs":100,"Backend":"b{}"}})",
@@ -274,13 +279,14 @@
         p);
     CHECK(bool(s));
     CHECK_EQ(
-        Str(R"({"Routes":[{"Name":"r-2","Y":0.1},{"Name":"r-3","f":3.0,"g":0.1,"h":1e22,"i":-9223372036854775808},{"Name":"r-9","X":1}],"Backends":[],"ConfigVersion":9,"Z":"ü\n","Limits":{"IdleMs":1},"Tenants":[{"Name":"t"}]})"),
+        std::string(
+            R"({"Routes":[{"Name":"r-2","Y":0.1},{"Name":"r-3","f":3.0,"g":0.1,"h":1e22,"i":-9223372036854775808},{"Name":"r-9","X":1}],"Backends":[],"ConfigVersion":9,"Z":"ü\n","Limits":{"IdleMs":1},"Tenants":[{"Name":"t"}]})"),
         *s);
     // Where a list's place holds one thing, it is replaced whole.
-    CHECK_EQ(Str(R"({"Limits":{"b":2},"ConfigVersion":2})"),
+    CHECK_EQ(std::string(R"({"Limits":{"b":2},"ConfigVersion":2})"),
         *patched(R"({"Limits":{"a":1}})", parsed(R"({"ConfigVersion":2,"Upsert":{"Limits":{"b":2}}})")));
     // With nothing there yet, a patch may bring all.
-    CHECK_EQ(Str(R"({"ConfigVersion":2,"Routes":[{"Name":"a"}]})"),
+    CHECK_EQ(std::string(R"({"ConfigVersion":2,"Routes":[{"Name":"a"}]})"),
         *patched("", parsed(R"({"ConfigVersion":2,"Upsert":{"Routes":[{"Name":"a"}]}})")));
 }
 
@@ -305,28 +311,28 @@
 
 // Against a plain reading: lists of names with a number each.
 TEST(PlatformConfig, fuzzPatchAgainstAPlainReading) {
-    using List = std::vector<std::pair<Str, int>>;
+    using List = std::vector<std::pair<std::string, int>>;
     auto r = Rng{17};
-    auto item = [](const std::pair<Str, int>& x) {
+    auto item = [](const std::pair<std::string, int>& x) {
         return fmt::format(R"({{"Name":"{}","n":{}}})", x.first, x.second);
     };
     auto list = [&](const List& l) {
-        auto o = Str();
+        auto o = std::string();
         for (auto& x : l) o += (o.empty() ? "" : ",") + item(x);
         return "[" + o + "]";
     };
-    auto whole = [&](int v, const std::map<Str, List>& ls) {
+    auto whole = [&](int v, const std::map<std::string, List>& ls) {
         return fmt::format(R"({{"ConfigVersion":{},"Routes":{},"Backends":{},"Others":{}}})", v,
             list(ls.at("Routes")), list(ls.at("Backends")), list(ls.at("Others")));
     };
-    auto now = std::map<Str, List>{{"Routes", {}}, {"Backends", {}}, {"Others", {}}};
+    auto now = std::map<std::string, List>{{"Routes", {}}, {"Backends", {}}, {"Others", {}}};
     auto text = whole(1, now);
     auto serial = 0;
     for (auto round = 2; round < 600; round++) {
-        auto up = Str(), down = Str();
+        auto up = std::string(), down = std::string();
         for (auto& [k, l] : now) {
             auto add = List();
-            auto gone = std::vector<Str>();
+            auto gone = std::vector<std::string>();
             for (auto i = r.below(4); i-- > 0;) {
                 auto n = fmt::format("x{}", r.below(12));
                 if (std::none_of(add.begin(), add.end(), [&](auto& a) { return a.first == n; }))
@@ -344,7 +350,7 @@
                 if (i != l.end()) i->second = a.second;
                 else l.push_back(a);
             }
-            auto names = Str();
+            auto names = std::string();
             for (auto& g : gone) names += (names.empty() ? "" : ",") + jsQuote(g);
             if (r.chance(0.8) || !add.empty())
                 up += fmt::format("{}\"{}\":{}", up.empty() ? "" : ",", k, list(add));
@@ -366,11 +372,12 @@
     auto next = page(
         R"({"Instances":[{"Backend":"desk","Address":"10.128.0.9:8080","Zone":"lhr-hall","ConfigVersion":"v1","Slots":64,"State":"ready","ColdLeftMs":1500,"Phase":"mixed","Models":[{"Name":"m","ConfigVersion":4,"Adapters":[]}],"InstanceId":"i-1"},{"Backend":"map","Address":"10.128.0.10:8080","Zone":"elsewhere","State":"draining","InstanceId":"i-2"}],"NextToken":"p-50"})",
         is);
-    CHECK_EQ(Str("p-50"), *next);
-    CHECK_EQ(Str(), *page(R"({"Instances":[],"NextToken":null})", is));
-    CHECK_EQ(Str(), *page(R"({"Instances":[]})", is));
+    CHECK_EQ(std::string("p-50"), *next);
+    CHECK_EQ(std::string(), *page(R"({"Instances":[],"NextToken":null})", is));
+    CHECK_EQ(std::string(), *page(R"({"Instances":[]})", is));
     CHECK_EQ(
-        Str(R"({"servers":[{"name":"i-1","address":"10.128.0.9:8080","region":"punjab","district":"lhr-hall","pool":"desk","weights":"4","slots":64,"state":"up","coldUs":1500000},{"name":"i-2","address":"10.128.0.10:8080","region":"","district":"elsewhere","pool":"map","weights":"","slots":8,"state":"leaving","coldUs":0}]})"),
+        std::string(
+            R"({"servers":[{"name":"i-1","address":"10.128.0.9:8080","region":"punjab","district":"lhr-hall","pool":"desk","weights":"4","slots":64,"state":"up","coldUs":1500000},{"name":"i-2","address":"10.128.0.10:8080","region":"","district":"elsewhere","pool":"map","weights":"","slots":8,"state":"leaving","coldUs":0}]})"),
         listing(is, {{"lhr-hall", "punjab"}}));
     auto o = is["i-1"];
     o.cold = 0;
@@ -391,26 +398,27 @@
 }
 
 TEST(PlatformConfig, nearNodesFirst) {
-    auto node = [](const Str& a, const Str& r, const Str& d) {
+    auto node = [](const std::string& a, const std::string& r, const std::string& d) {
         return bodyOf({{"node", jsQuote(a)}, {"address", jsQuote(a)}, {"region", jsQuote(r)},
             {"district", jsQuote(d)}});
     };
     auto all = node("a", "p", "x") + "," + node("b", "p", "y") + "," + node("c", "s", "z");
-    auto got = [&](const Str& nodes, const Str& region, const Str& zone, Spread s = {}) {
-        auto o = Str();
+    auto got = [&](const std::string& nodes, const std::string& region, const std::string& zone,
+                   Spread s = {}) {
+        auto o = std::string();
         for (auto& a : addresses("{\"nodes\":[" + nodes + "]}", region, zone, s)) o += a;
         return o;
     };
-    CHECK_EQ(Str("ab"), got(all, "p", "x"));  // one in its zone is too few
-    CHECK_EQ(Str("ad"),
+    CHECK_EQ(std::string("ab"), got(all, "p", "x"));  // one in its zone is too few
+    CHECK_EQ(std::string("ad"),
         got(node("a", "p", "x") + "," + node("d", "p", "x") + "," + all.substr(all.find("},") + 2), "p",
             "x"));
-    CHECK_EQ(Str("c"), got(all, "s", "z"));
-    CHECK_EQ(Str("abc"), got(all, "q", "w"));
-    CHECK_EQ(Str("a"), got(all, "p", "x", {1, 1, 64}));
-    CHECK_EQ(Str("ab"), got(all, "q", "w", {2, 1, 2}));
-    CHECK_EQ(Str(), got("", "p", "x"));
+    CHECK_EQ(std::string("c"), got(all, "s", "z"));
+    CHECK_EQ(std::string("abc"), got(all, "q", "w"));
+    CHECK_EQ(std::string("a"), got(all, "p", "x", {1, 1, 64}));
+    CHECK_EQ(std::string("ab"), got(all, "q", "w", {2, 1, 2}));
+    CHECK_EQ(std::string(), got("", "p", "x"));
     CHECK(addresses("no", "p", "x", {}).empty());
 }
 
-}  // namespace dt::platform
+}  // namespace duneturn::platform
--- a/tests/platform_orders_fixture.hpp
+++ b/tests/platform_orders_fixture.hpp
@@ -7,7 +7,7 @@
 #include "fleet_fixture.hpp"
 #include "platform.hpp"
 
-namespace dt {
+namespace duneturn {
 
 /// Deliberate faults that the oracles must see.
 struct ControlFaults {
@@ -26,22 +26,24 @@
     std::int64_t life;
     Req request;
     std::shared_ptr<asio::steady_timer> timer;
-    Us arrived;
+    Microseconds arrived;
     std::int64_t pending = 0;  // the node's number of the order or read under way
     bool gone = false;         // its caller has closed the connection
     int status = 0;            // 0: not answered yet
-    Str body;
+    std::string body;
 
     ControlCall(ControlFleet& s, Box& b, const Req& q);
     auto await(std::function<void(std::int64_t)> begin) -> asio::awaitable<Outcome>;
-    auto order(const Str& op, const Str& key, const Str& body) -> asio::awaitable<Outcome> override;
+    auto order(const std::string& op, const std::string& key, const std::string& body)
+        -> asio::awaitable<Outcome> override;
     auto readState(const StateQuery& query) -> asio::awaitable<Outcome> override;
-    auto list(const Str&) -> asio::awaitable<Outcome> override { co_return Outcome{200, "{}"}; }
-    auto where(const Str&, const Str&) -> Str override { return "{}"; }
+    auto list(const std::string&) -> asio::awaitable<Outcome> override { co_return Outcome{200, "{}"}; }
+    auto where(const std::string&, const std::string&) -> std::string override { return "{}"; }
     auto ready() -> bool override { return true; }
     auto duty() -> bool override { return false; }
-    auto word() -> Str override { return box.n->word().text(); }
-    auto fetch(const Str&, const Str&, Us) -> asio::awaitable<tl::expected<Res, CallError>> override {
+    auto word() -> std::string override { return box.n->word().text(); }
+    auto fetch(const std::string&, const std::string&, Microseconds)
+        -> asio::awaitable<tl::expected<Res, CallError>> override {
         co_return tl::make_unexpected(CallError{"silent"});
     }
     auto settings() -> const Settings& override { return box.st; }
@@ -68,10 +70,10 @@
 
     auto found(int cores, int nodes) -> void {
         fleet.found(cores, nodes);
-        CHECK(fleet.until(5 * SEC, [&] { return fleet.leader() != nullptr; }));
+        CHECK(fleet.until(5 * SECOND, [&] { return fleet.leader() != nullptr; }));
     }
-    auto call(Box& box, http::verb verb, const Str& target, const Str& body = "", const Str& base = "")
-        -> ControlCallPtr {
+    auto call(Box& box, http::verb verb, const std::string& target, const std::string& body = "",
+        const std::string& base = "") -> ControlCallPtr {
         auto request = Req(verb, target, 11);
         request.body() = body;
         if (!base.empty()) request.set("If-Match", base);
@@ -102,27 +104,27 @@
         if (faults.readUnconfirmed)
             for (auto& box : fleet.bs)
                 if (box->up) box->n->orderService().broken.readUnconfirmed = true;
-        fleet.run(20 * MS);
+        fleet.run(20 * MILLISECOND);
         pump();
     }
-    auto run(Us time) -> void {
+    auto run(Microseconds time) -> void {
         for (auto end = fleet.t + time; fleet.t < end;) step();
     }
     /// The status of a call that is repeated at other nodes until it has an answer other than 503.
-    auto finish(http::verb verb, const Str& target, const Str& body, const Str& base, Us limit,
-        Str* answer = nullptr) -> int {
+    auto finish(http::verb verb, const std::string& target, const std::string& body, const std::string& base,
+        Microseconds limit, std::string* answer = nullptr) -> int {
         for (auto end = fleet.t + limit; fleet.t < end;) {
             auto& box = *fleet.bs[fleet.r.below(fleet.bs.size())];
             if (!box.up || box.frozen > fleet.t) {
-                run(100 * MS);
+                run(100 * MILLISECOND);
                 continue;
             }
             auto one = call(box, verb, target, body, base);
-            for (auto till = fleet.t + SEC; fleet.t < till && !one->status;) step();
+            for (auto till = fleet.t + SECOND; fleet.t < till && !one->status;) step();
             if (answer) *answer = one->body;
             if (one->status && one->status != 503) return one->status;
             close(one, true);
-            run(300 * MS);
+            run(300 * MILLISECOND);
         }
         return 0;
     }
@@ -151,14 +153,15 @@
     co_return outcome;
 }
 
-inline auto ControlCall::order(const Str& op, const Str& key, const Str& body) -> asio::awaitable<Outcome> {
+inline auto ControlCall::order(const std::string& op, const std::string& key, const std::string& body)
+    -> asio::awaitable<Outcome> {
     auto late = !site.faults.ageless && tooLateToBegin(op, arrived, site.fleet.t);
     if (late) co_return Outcome{503, "{}"};
     auto text = body;
     auto name = key;
     if (site.faults.keyPerTry) name += fmt::format("-{}", ++site.keys);
     if (site.faults.unfenced && op != "config") {
-        auto document = Doc();
+        auto document = rapidjson::Document();
         jsParse(body, document);
         document.RemoveMember("revision");
         text = js(document);
@@ -175,4 +178,4 @@
     co_return co_await await(begin);
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/tests/platform_orders_model.hpp
+++ b/tests/platform_orders_model.hpp
@@ -3,44 +3,44 @@
 // told, and the state of a zone as its leader holds it.
 #include "platform_orders_fixture.hpp"
 
-namespace dt {
+namespace duneturn {
 
 constexpr auto CONFIG = "/v1/config";
 constexpr auto ZONE = "/v1/evacuation/x";
 
-inline auto document(std::int64_t version, std::int64_t mark) -> Str {
+inline auto document(std::int64_t version, std::int64_t mark) -> std::string {
     return fmt::format(
         R"({{"ConfigVersion":{},"Routes":[{{"Name":"r","Hostname":"h{}","PathPrefix":"/","DeadlineMs":100,"Backend":"b"}}],"Backends":[{{"Name":"b"}}]}})",
         version, mark);
 }
-inline auto versionOf(const Str& text) -> std::int64_t {
-    auto parsed = Doc();
+inline auto versionOf(const std::string& text) -> std::int64_t {
+    auto parsed = rapidjson::Document();
     return jsParse(text, parsed) && parsed.IsObject() ? jsInt(parsed, "ConfigVersion") : 0;
 }
 
 /// What an operator knows of one configuration change.
 struct Change {
-    Str body;
+    std::string body;
     std::int64_t base = 0, version = 0;
-    Us acknowledged = 0, refused = 0;  // when it was first told so; 0: never
+    Microseconds acknowledged = 0, refused = 0;  // when it was first told so; 0: never
 };
 /// A readback that was answered.
 struct Readback {
-    Us begun = 0, ended = 0;
+    Microseconds begun = 0, ended = 0;
     std::int64_t version = 0;
 };
 /// What operators sent and were told, and what is wrong with it.
 struct History {
     std::vector<Change> changes;
     std::vector<Readback> readbacks;
-    std::vector<Str> zoneFaults;
+    std::vector<std::string> zoneFaults;
 
-    auto change(const Str& body) -> Change& {
+    auto change(const std::string& body) -> Change& {
         for (auto& known : changes)
             if (known.body == body) return known;
         return changes.emplace_back(Change{body, 0, 0, 0, 0});
     }
-    auto judge() const -> std::vector<Str> {
+    auto judge() const -> std::vector<std::string> {
         auto faults = zoneFaults;
         judgeChanges(faults);
         judgeReadbacks(faults);
@@ -48,8 +48,8 @@
     }
 
   private:
-    auto judgeChanges(std::vector<Str>& faults) const -> void {
-        auto winners = std::map<std::int64_t, Str>();
+    auto judgeChanges(std::vector<std::string>& faults) const -> void {
+        auto winners = std::map<std::int64_t, std::string>();
         for (auto& change : changes) {
             if (change.acknowledged && change.refused)
                 faults.push_back(fmt::format("version {} was acknowledged and refused", change.version));
@@ -59,7 +59,7 @@
                 faults.push_back(fmt::format("two changes on version {} were acknowledged", change.base));
         }
     }
-    auto judgeReadbacks(std::vector<Str>& faults) const -> void {
+    auto judgeReadbacks(std::vector<std::string>& faults) const -> void {
         for (auto& read : readbacks) {
             for (auto& change : changes) {
                 if (change.acknowledged && change.acknowledged < read.begun && read.version < change.version)
@@ -83,16 +83,17 @@
     Rng random;
     double lostAnswers;
     http::verb verb = http::verb::get;
-    Str target, body, base;
+    std::string target, body, base;
     ControlCallPtr call;
-    Us begun = 0, sent = 0, next = 0, limit = 0;
+    Microseconds begun = 0, sent = 0, next = 0, limit = 0;
     bool busy = false;
     int status = 0;
-    Str answer;
+    std::string answer;
 
     Operator(ControlFleet& s, std::uint64_t seed, double lost) : site(s), random{seed}, lostAnswers(lost) {}
 
-    auto begin(http::verb v, const Str& t, const Str& b, const Str& ifMatch, Us most) -> void {
+    auto begin(http::verb v, const std::string& t, const std::string& b, const std::string& ifMatch,
+        Microseconds most) -> void {
         verb = v, target = t, body = b, base = ifMatch;
         begun = next = site.fleet.t;
         limit = most;
@@ -109,7 +110,7 @@
             return false;
         }
         if (call->status) return answered(now);
-        if (now - sent < SEC) return false;
+        if (now - sent < SECOND) return false;
         site.close(call, !cutOff(call->box));
         retry(now);
         return false;
@@ -127,17 +128,17 @@
         call = nullptr;
         return true;
     }
-    auto retry(Us now) -> void {
+    auto retry(Microseconds now) -> void {
         call = nullptr;
-        next = now + 100 * MS + Us(random.below(400 * MS));
+        next = now + 100 * MILLISECOND + Microseconds(random.below(400 * MILLISECOND));
     }
     auto send() -> void {
         auto& box = *site.fleet.bs[random.below(site.fleet.bs.size())];
         sent = site.fleet.t;
-        if (!box.up || box.frozen > site.fleet.t) return retry(sent + (box.up ? SEC : 0));
+        if (!box.up || box.frozen > site.fleet.t) return retry(sent + (box.up ? SECOND : 0));
         call = site.call(box, verb, target, body, base);
     }
-    auto answered(Us now) -> bool {
+    auto answered(Microseconds now) -> bool {
         auto result = call->status;
         answer = call->body;
         if (result == 503 || random.chance(lostAnswers)) {
@@ -152,7 +153,7 @@
 struct ConfigOperator : Operator {
     History& history;
     std::int64_t mark = 0, known = 0, newest = 0;
-    Str change;
+    std::string change;
 
     ConfigOperator(ControlFleet& s, History& h, std::uint64_t seed, double lost)
         : Operator(s, seed, lost), history(h), mark(std::int64_t(seed) * 100000) {}
@@ -171,18 +172,18 @@
   private:
     auto choose() -> void {
         auto dice = random.below(10);
-        if (dice < 3) return begin(http::verb::get, CONFIG, "", "", 8 * SEC);
+        if (dice < 3) return begin(http::verb::get, CONFIG, "", "", 8 * SECOND);
         if (dice < 5 && !history.changes.empty()) return sendAgain();
         auto version = known + 1 + std::int64_t(random.below(3));
         change = document(version, ++mark);
         auto& record = history.change(change);
         record.base = known, record.version = version;
-        begin(http::verb::put, CONFIG, change, fmt::to_string(known), 8 * SEC);
+        begin(http::verb::put, CONFIG, change, fmt::to_string(known), 8 * SECOND);
     }
     auto sendAgain() -> void {
         auto record = history.changes[random.below(history.changes.size())];
         change = record.body;
-        begin(http::verb::put, CONFIG, change, fmt::to_string(record.base), 8 * SEC);
+        begin(http::verb::put, CONFIG, change, fmt::to_string(record.base), 8 * SECOND);
     }
     auto readBack() -> void {
         known = status == 200 ? versionOf(answer) : 0;
@@ -194,20 +195,22 @@
 struct ZoneOperator : Operator {
     History& history;
     bool wanted = false, acknowledged = false;
-    Us calmTill = 0;
+    Microseconds calmTill = 0;
 
     ZoneOperator(ControlFleet& s, History& h, std::uint64_t seed, double lost)
         : Operator(s, seed, lost), history(h) {}
     auto step() -> void {
         if (busy) {
-            if (over()) acknowledged = status == 200, calmTill = site.fleet.t + Us(random.below(6 * SEC));
+            if (over())
+                acknowledged = status == 200,
+                calmTill = site.fleet.t + Microseconds(random.below(6 * SECOND));
             return;
         }
         look();
         if (site.fleet.t < calmTill) return;
         wanted = !wanted;
         acknowledged = false;
-        begin(wanted ? http::verb::post : http::verb::delete_, ZONE, "", "", 8 * SEC);
+        begin(wanted ? http::verb::post : http::verb::delete_, ZONE, "", "", 8 * SECOND);
     }
 
   private:
@@ -225,7 +228,7 @@
 struct Trouble {
     ControlFleet& site;
     Rng random;
-    Us next = 0;
+    Microseconds next = 0;
     std::function<void()> undo;
 
     Trouble(ControlFleet& s, std::uint64_t seed) : site(s), random{seed} {}
@@ -233,7 +236,7 @@
         if (site.fleet.t < next) return;
         if (undo) {
             std::exchange(undo, nullptr)();
-            next = site.fleet.t + SEC + Us(random.below(2 * SEC));
+            next = site.fleet.t + SECOND + Microseconds(random.below(2 * SECOND));
             return;
         }
         auto leader = site.fleet.leader();
@@ -252,18 +255,18 @@
         if (kind == 0) {
             fleet.lone(box, true);
             undo = [&] { site.fleet.lone(box, false); };
-            next = fleet.t + SEC + Us(random.below(19 * SEC));
+            next = fleet.t + SECOND + Microseconds(random.below(19 * SECOND));
         } else if (kind == 1) {
-            auto time = 1500 * MS + Us(random.below(6 * SEC));
+            auto time = 1500 * MILLISECOND + Microseconds(random.below(6 * SECOND));
             box.frozen = fleet.t + time;
             undo = [] {};
             next = box.frozen;
         } else {
             fleet.stop(box);
             undo = [&] { site.fleet.restart(box); };
-            next = fleet.t + 500 * MS + Us(random.below(2 * SEC));
+            next = fleet.t + 500 * MILLISECOND + Microseconds(random.below(2 * SECOND));
         }
     }
 };
 
-}  // namespace dt
+}  // namespace duneturn
--- a/tests/platform_orders_test.cpp
+++ b/tests/platform_orders_test.cpp
@@ -3,11 +3,11 @@
 #include "platform_orders_model.hpp"
 #include "state/accepted_changes.hpp"
 
-namespace dt {
+namespace duneturn {
 
 namespace {
 
-auto judged(std::uint64_t seed, ControlFaults faults, Us time) -> std::vector<Str> {
+auto judged(std::uint64_t seed, ControlFaults faults, Microseconds time) -> std::vector<std::string> {
     auto site = ControlFleet(seed, faults);
     auto history = History();
     site.found(3, 5);
@@ -23,17 +23,17 @@
         trouble.step();
     }
     trouble.end();
-    site.run(5 * SEC);
+    site.run(5 * SECOND);
     // All that was acknowledged is acknowledged again, and the newest of it is read back.
     for (auto& change : history.changes) {
         if (!change.acknowledged) continue;
         auto status =
-            site.finish(http::verb::put, CONFIG, change.body, fmt::to_string(change.base), 10 * SEC);
+            site.finish(http::verb::put, CONFIG, change.body, fmt::to_string(change.base), 10 * SECOND);
         if (status != 200) history.zoneFaults.push_back(fmt::format("sent again, answered with {}", status));
     }
-    auto text = Str();
+    auto text = std::string();
     auto begun = site.fleet.t;
-    auto status = site.finish(http::verb::get, CONFIG, "", "", 10 * SEC, &text);
+    auto status = site.finish(http::verb::get, CONFIG, "", "", 10 * SECOND, &text);
     if (status != 200 && status != 404) history.zoneFaults.push_back("no readback in calm time");
     history.readbacks.push_back({begun, site.fleet.t, status == 200 ? versionOf(text) : 0});
     return history.judge();
@@ -49,17 +49,17 @@
 TEST(ControlOrders, randomisedOperatorsAndTroubles) {
     auto quiet = Quiet();
     for (auto seed = std::uint64_t(1); seed <= seeds(); seed++) {
-        auto faults = judged(seed, {}, 40 * SEC);
+        auto faults = judged(seed, {}, 40 * SECOND);
         CPPUNIT_ASSERT_EQUAL_MESSAGE(
             fmt::format("seed {}: {}", seed, faults.empty() ? "" : faults[0]), std::size_t(0), faults.size());
     }
 }
 
 // Each oracle sees the fault that it is there for.
-static auto seen(ControlFaults faults, const Str& what) -> bool {
+static auto seen(ControlFaults faults, const std::string& what) -> bool {
     for (auto seed = std::uint64_t(1); seed <= 200; seed++)
-        for (auto& fault : judged(seed, faults, 40 * SEC))
-            if (fault.find(what) != Str::npos) return true;
+        for (auto& fault : judged(seed, faults, 40 * SECOND))
+            if (fault.find(what) != std::string::npos) return true;
     return false;
 }
 TEST(ControlOrders, aMissingMemoryIsSeen) {
@@ -82,28 +82,28 @@
 }
 
 // A leader is cut off with an operator at it. Returns the faults of what it is told meanwhile.
-static auto cutOffLeader(std::uint64_t seed, ControlFaults faults) -> std::vector<Str> {
+static auto cutOffLeader(std::uint64_t seed, ControlFaults faults) -> std::vector<std::string> {
     auto site = ControlFleet(seed, faults);
     auto history = History();
     site.found(3, 5);
     auto last = std::int64_t(1);
-    CHECK_EQ(200, site.finish(http::verb::put, CONFIG, document(1, 1), "0", 8 * SEC));
-    site.run(SEC);
+    CHECK_EQ(200, site.finish(http::verb::put, CONFIG, document(1, 1), "0", 8 * SECOND));
+    site.run(SECOND);
     auto old = site.fleet.leader();
     CHECK(old);
     site.fleet.lone(*old, true);
-    auto end = site.fleet.t + 20 * SEC;
-    auto reads = std::vector<std::pair<Us, ControlCallPtr>>();
+    auto end = site.fleet.t + 20 * SECOND;
+    auto reads = std::vector<std::pair<Microseconds, ControlCallPtr>>();
     auto write = ControlCallPtr();
-    auto due = Us(0), wrote = Us(0);
+    auto due = Microseconds(0), wrote = Microseconds(0);
     while (site.fleet.t < end) {
         // At the one that is cut off: readbacks, and a change that would be refused by what it last heard.
         if (site.fleet.t >= due) {
-            due = site.fleet.t + 60 * MS;
+            due = site.fleet.t + 60 * MILLISECOND;
             reads.emplace_back(site.fleet.t, site.call(*old, http::verb::get, CONFIG));
         }
         // At the others: changes.
-        if (!write || write->status || site.fleet.t - wrote > SEC) {
+        if (!write || write->status || site.fleet.t - wrote > SECOND) {
             if (write && write->status == 200) {
                 auto& record = history.change(document(last + 1, last + 1));
                 record.base = last, record.version = last + 1, record.acknowledged = site.fleet.t;
@@ -124,7 +124,7 @@
     CHECK(last > 2);
     site.fleet.lone(*old, false);
     // Replies to rounds of before the cut are still on their way: they confirm nothing.
-    site.run(5 * SEC);
+    site.run(5 * SECOND);
     for (auto& [begun, call] : reads)
         if (call->status == 200) history.readbacks.push_back({begun, site.fleet.t, versionOf(call->body)});
     return history.judge();
@@ -150,10 +150,10 @@
     fleet.lone(*leader, true);
     auto lost = ++fleet.ids;
     leader->n->order(lost, "config", "lost", R"({"base":1,"config":{"mappings":[]}})", fleet.t);
-    fleet.run(60 * MS);
+    fleet.run(60 * MILLISECOND);
     auto merge = ++fleet.ids;
     leader->n->order(merge, "merge", "merge", R"({"base":1,"patch":{"name":"n"}})", fleet.t);
-    fleet.until(6 * SEC, [&] { return fleet.outs.count(merge) > 0; });
+    fleet.until(6 * SECOND, [&] { return fleet.outs.count(merge) > 0; });
     return fleet.outs[merge].status;
 }
 TEST(ControlOrders, aRefusalRestsOnCommittedState) {
@@ -166,7 +166,7 @@
     fleet.standing(3, 5);
     auto id = ++fleet.ids;
     fleet.bs[4]->n->order(id, "merge", "late", R"({"base":0,"patch":{"name":"n"}})", fleet.t);
-    CHECK(fleet.until(SEC, [&] { return fleet.outs.count(id) > 0; }));
+    CHECK(fleet.until(SECOND, [&] { return fleet.outs.count(id) > 0; }));
     CHECK_EQ(409, fleet.outs[id].status);
 }
 
@@ -177,18 +177,18 @@
     faults.unfenced = unfenced;
     auto site = ControlFleet(seed, faults);
     site.found(3, 5);
-    CHECK_EQ(200, site.finish(http::verb::put, CONFIG, document(1, 1), "0", 8 * SEC));
+    CHECK_EQ(200, site.finish(http::verb::put, CONFIG, document(1, 1), "0", 8 * SECOND));
     auto& held = *site.fleet.bs[4];
     auto call = site.call(held, http::verb::post, ZONE);
     // Until the read is answered and the order is under way.
     auto read = call->pending;
     for (auto i = 0; i < 100 && call->pending == read; i++) site.step();
     CHECK(call->status == 0);
-    held.frozen = site.fleet.t + 3 * SEC;
+    held.frozen = site.fleet.t + 3 * SECOND;
     auto others = [&](http::verb verb) {
         for (auto i = 0; i < 20; i++) {
             auto one = site.call(*site.fleet.bs[3], verb, ZONE);
-            site.run(SEC);
+            site.run(SECOND);
             if (one->status == 200) return;
         }
         CHECK(false);
@@ -196,7 +196,7 @@
     others(http::verb::post);
     others(http::verb::delete_);
     CHECK(held.frozen > site.fleet.t);
-    site.run(8 * SEC);
+    site.run(8 * SECOND);
     CHECK(call->status == 200 || call->status == 503);
     return site.fleet.leader()->n->word().emptied("x");
 }
@@ -214,18 +214,18 @@
     faults.ageless = ageless;
     auto site = ControlFleet(seed, faults);
     site.found(3, 5);
-    CHECK_EQ(200, site.finish(http::verb::put, CONFIG, document(1, 1), "0", 8 * SEC));
+    CHECK_EQ(200, site.finish(http::verb::put, CONFIG, document(1, 1), "0", 8 * SECOND));
     auto& node = *site.fleet.bs[4];
     site.fleet.lone(node, true);
     auto call = site.call(node, http::verb::post, ZONE);
-    site.run(SEC);
+    site.run(SECOND);
     for (auto verb : {http::verb::post, http::verb::delete_}) {
         auto one = site.call(*site.fleet.bs[3], verb, ZONE);
-        site.run(SEC);
+        site.run(SECOND);
         CHECK_EQ(200, one->status);
     }
     site.fleet.lone(node, false);
-    site.run(8 * SEC);
+    site.run(8 * SECOND);
     CHECK_EQ(ageless ? 200 : 503, call->status);
     return site.fleet.leader()->n->word().emptied("x");
 }
@@ -233,7 +233,7 @@
     auto quiet = Quiet();
     for (auto seed = std::uint64_t(1); seed <= 4; seed++) CHECK(!cutOffEvacuationEmpties(seed, false));
     CHECK(cutOffEvacuationEmpties(1, true));
-    CHECK(!tooLateToBegin("config", 0, 60 * SEC));
+    CHECK(!tooLateToBegin("config", 0, 60 * SECOND));
     CHECK(!tooLateToBegin("empty", 0, CALLER_PATIENCE));
     CHECK(tooLateToBegin("give-back", 0, CALLER_PATIENCE + 1));
 }
@@ -245,13 +245,13 @@
     fleet.standing(3, 5);
     auto& node = *fleet.bs[4];
     fleet.lone(node, true);
-    fleet.run(4 * SEC);  // it knows of no leader any more
+    fleet.run(4 * SECOND);  // it knows of no leader any more
     auto id = fleet.order(node, "zone");
-    fleet.run(200 * MS);
+    fleet.run(200 * MILLISECOND);
     node.n->cancelOrder(id);
     CHECK_EQ(504, fleet.outs[id].status);
     fleet.lone(node, false);
-    fleet.run(5 * SEC);
+    fleet.run(5 * SECOND);
     CHECK(!fleet.leader()->n->word().emptied("zone"));
 }
 
@@ -262,15 +262,15 @@
     fleet.standing(3, 5);
     auto& node = *fleet.bs[4];
     CHECK(!node.n->frozenSince(fleet.t, fleet.t));
-    node.frozen = fleet.t + 3 * SEC;
+    node.frozen = fleet.t + 3 * SECOND;
     auto before = fleet.t;
-    fleet.run(2980 * MS);
+    fleet.run(2980 * MILLISECOND);
     // The process goes on, and a request is read before anything else.
     CHECK(node.n->frozenSince(fleet.t, fleet.t));
-    fleet.run(100 * MS);
+    fleet.run(100 * MILLISECOND);
     CHECK(node.n->frozenSince(before, fleet.t));
     CHECK(node.n->frozenSince(fleet.t, fleet.t));
-    fleet.run(SEC);
+    fleet.run(SECOND);
     CHECK(node.n->frozenSince(before, fleet.t));
     CHECK(!node.n->frozenSince(fleet.t, fleet.t));
 }
@@ -280,29 +280,31 @@
     struct Port : OrderClientPort {
         std::vector<wire::OrderAsk> sent;
         std::map<std::int64_t, Outcome> done;
-        auto findLeader(Us) -> Str override { return "leader"; }
-        auto lastLeader() -> Str override { return "leader"; }
-        auto sendOrder(const Str&, wire::OrderAsk& ask, Us) -> void override { sent.push_back(ask); }
+        auto findLeader(Microseconds) -> std::string override { return "leader"; }
+        auto lastLeader() -> std::string override { return "leader"; }
+        auto sendOrder(const std::string&, wire::OrderAsk& ask, Microseconds) -> void override {
+            sent.push_back(ask);
+        }
         auto orderDone(std::int64_t id, const Outcome& outcome) -> void override { done[id] = outcome; }
     };
     auto port = Port();
     auto client = OrderClient(port, {}, 100);
-    client.order(1, "empty", "key", "{}", SEC);
-    client.tick(50, SEC);
+    client.order(1, "empty", "key", "{}", SECOND);
+    client.tick(50, SECOND);
     CHECK_EQ(std::size_t(1), port.sent.size());
     CHECK_EQ(std::int64_t(50), port.sent[0].boot);
     auto reply = wire::OrderReply();
     reply.id = port.sent[0].id;
     reply.status = 200;
     reply.__set_boot(49);
-    client.answered(reply, 50, SEC);
+    client.answered(reply, 50, SECOND);
     CHECK(port.done.empty());
     // Only one of the present life, and only once.
     reply.__set_boot(50);
-    client.answered(reply, 50, SEC);
+    client.answered(reply, 50, SECOND);
     CHECK_EQ(200, port.done[1].status);
     port.done.clear();
-    client.answered(reply, 50, SEC);
+    client.answered(reply, 50, SECOND);
     CHECK(port.done.empty());
 }
 
@@ -316,15 +318,15 @@
         auto& node = *fleet.bs[4];
         for (auto i = 0; i < 3; i++) fleet.order(node, fmt::format("z{}-{}", life, i));
         for (auto i = 0; i < 10; i++) {
-            fleet.run(2 * MS);
+            fleet.run(2 * MILLISECOND);
             for (auto& [when, post] : fleet.net)
                 if (post.e.__isset.orderAsk && post.from == 4) asked.insert(post.e.orderAsk.id);
         }
-        fleet.run(SEC);
+        fleet.run(SECOND);
         fleet.stop(node);
-        fleet.run(100 * MS);
+        fleet.run(100 * MILLISECOND);
         fleet.restart(node);
-        fleet.run(3 * SEC);
+        fleet.run(3 * SECOND);
     }
     CHECK_EQ(std::size_t(9), asked.size());
 }
@@ -337,11 +339,11 @@
     auto leader = fleet.leader();
     fleet.lone(*leader, true);
     auto logged = fleet.order(*leader, "zone");
-    fleet.run(6 * SEC);
+    fleet.run(6 * SECOND);
     CHECK_EQ(504, fleet.outs[logged].status);
     auto unsent = fleet.order(*leader, "other");
-    fleet.run(6 * SEC);
+    fleet.run(6 * SECOND);
     CHECK_EQ(503, fleet.outs[unsent].status);
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/tests/platform_settings_test.cpp
+++ b/tests/platform_settings_test.cpp
@@ -5,9 +5,9 @@
 #include "platform.hpp"
 #include "test.hpp"
 
-namespace dt::platform {
+namespace duneturn::platform {
 
-static const auto SETTINGS = Str(R"(
+static const auto SETTINGS = std::string(R"(
 NodeName = "edge-lhr-hall-1"
 Role = "node"
 Ip = "10.1.0.13"
@@ -43,9 +43,9 @@
 )");
 
 // The file with what begins one of its lines replaced by another whole line.
-static auto with(const Str& begins, const Str& line) -> Str {
+static auto with(const std::string& begins, const std::string& line) -> std::string {
     auto at = SETTINGS.find("\n" + begins);
-    CHECK(at != Str::npos);
+    CHECK(at != std::string::npos);
     auto end = SETTINGS.find('\n', at + 1);
     return SETTINGS.substr(0, at + 1) + line + SETTINGS.substr(end);
 }
@@ -53,22 +53,22 @@
 TEST(PlatformSettings, allIsTranslated) {
     auto p = settingsParse(SETTINGS);
     CHECK(bool(p));
-    CHECK_EQ(Str("edge-lhr-hall-1"), p->st.node);
-    CHECK_EQ(Str("lhr-hall"), p->st.district);
-    CHECK_EQ(Str("punjab"), p->st.region);
-    CHECK_EQ(Str("10.1.0.13:8161"), p->st.sender);
-    CHECK_EQ(Str("10.1.0.13:7720"), p->st.peer);
-    CHECK_EQ(Str("10.1.0.13:7735"), p->st.opr);
+    CHECK_EQ(std::string("edge-lhr-hall-1"), p->st.node);
+    CHECK_EQ(std::string("lhr-hall"), p->st.district);
+    CHECK_EQ(std::string("punjab"), p->st.region);
+    CHECK_EQ(std::string("10.1.0.13:8161"), p->st.sender);
+    CHECK_EQ(std::string("10.1.0.13:7720"), p->st.peer);
+    CHECK_EQ(std::string("10.1.0.13:7735"), p->st.opr);
     CHECK_EQ(std::size_t(2), p->st.seeds.size());
-    CHECK_EQ(Str("10.2.0.30:7720"), p->st.seeds[1]);
-    CHECK_EQ(Str("/data/node"), p->st.data);
+    CHECK_EQ(std::string("10.2.0.30:7720"), p->st.seeds[1]);
+    CHECK_EQ(std::string("/data/node"), p->st.data);
     CHECK(p->st.learnt && p->st.bootstrap && p->st.serveOn && !p->st.probes);
-    CHECK_EQ(500 * MS, p->st.beat);
+    CHECK_EQ(500 * MILLISECOND, p->st.beat);
     CHECK(p->st.roster.empty() && p->st.seats.empty());
-    CHECK_EQ(Str("10.1.0.13:8167"), p->readiness);
-    CHECK_EQ(Str("10.200.0.79:8169"), p->api);
-    CHECK_EQ(Str("sindh"), p->zones.at("khi-hall"));
-    CHECK_EQ(8 * SEC, p->grace);
+    CHECK_EQ(std::string("10.1.0.13:8167"), p->readiness);
+    CHECK_EQ(std::string("10.200.0.79:8169"), p->api);
+    CHECK_EQ(std::string("sindh"), p->zones.at("khi-hall"));
+    CHECK_EQ(8 * SECOND, p->grace);
     CHECK_EQ(1.5, p->ttl);
     CHECK_EQ(0.2, p->bounds.retryRatio);
     CHECK_EQ(5.0, p->bounds.coldSlack);
@@ -82,9 +82,9 @@
 }
 
 TEST(PlatformSettings, aCoreIsACountedMachineWithADisk) {
-    CHECK_EQ(Str(), settingsParse(with("DataPath", ""))->st.data);
-    CHECK_EQ(Str(), settingsParse(with("DataPath", "DataPath = \"\""))->st.data);
-    CHECK_EQ(Str(), settingsParse(with("QuorumMember", "QuorumMember = false"))->st.data);
+    CHECK_EQ(std::string(), settingsParse(with("DataPath", ""))->st.data);
+    CHECK_EQ(std::string(), settingsParse(with("DataPath", "DataPath = \"\""))->st.data);
+    CHECK_EQ(std::string(), settingsParse(with("QuorumMember", "QuorumMember = false"))->st.data);
     CHECK(!settingsParse(with("Bootstrap", ""))->st.bootstrap);
 }
 
@@ -92,12 +92,12 @@
     for (auto k : {"Readiness", "Control", "Directory", "GraceS", "ColdSlack", "RatePerS", "ttl_max_s"})
         CHECK(bool(settingsParse(with(k, ""))));
     // One internal port only: none is left for the product's own operators.
-    CHECK_EQ(Str(), settingsParse(with("InternalPorts", "InternalPorts = [7720, 7720]"))->st.opr);
+    CHECK_EQ(std::string(), settingsParse(with("InternalPorts", "InternalPorts = [7720, 7720]"))->st.opr);
 }
 
 TEST(PlatformSettings, everyFaultIsNamed) {
     struct {
-        Str begins, line, path;
+        std::string begins, line, path;
     } cases[] = {{"NodeName", "", "/NodeName"}, {"NodeName", "NodeName = \"a b\"", "/NodeName"},
         {"NodeName", "NodeName = \"\"", "/NodeName"}, {"Zone ", "Zone = 3", "/Zone"},
         {"Region", "", "/Region"}, {"Ip", "Ip = \"host\"", "/Ip"}, {"Ip", "", "/Ip"},
@@ -126,10 +126,11 @@
     }
     auto all = settingsParse("NodeName = 1\nBootstrap = 2\n[Bounds]\nGraceS = false");
     CHECK(!all);
-    auto paths = Str();
+    auto paths = std::string();
     for (auto& f : all.error()) paths += f.path + " ";
     CHECK_EQ(
-        Str("/NodeName /Zone /Region /Ip /InternalPorts /SeedAddrs /Bootstrap /BindAddrs /BindAddrs/Front "
+        std::string(
+            "/NodeName /Zone /Region /Ip /InternalPorts /SeedAddrs /Bootstrap /BindAddrs /BindAddrs/Front "
             "/Zones /Bounds/GraceS /PlatformApi /PlatformApi/Address "),
         paths);
     CHECK(!settingsRead("/nowhere/at/all"));
@@ -150,16 +151,17 @@
 
 // The deploy file asks for what the page of packages lists.
 TEST(PlatformSettings, packagesAreOneList) {
-    auto root = Str(DT_EXAMPLES) + "/../";
+    auto root = std::string(DT_EXAMPLES) + "/../";
     auto l = fileRead(root + "packages.txt"), d = fileRead(root + "deploy/system.toml");
     CHECK(l && d);
     auto in = std::stringstream(*l);
     auto n = 0;
-    for (auto p = Str(); std::getline(in, p); n++) CHECK(d->find("\"" + p + "\"") != Str::npos);
+    for (auto p = std::string(); std::getline(in, p); n++)
+        CHECK(d->find("\"" + p + "\"") != std::string::npos);
     CHECK(n > 5);
     auto list = d->substr(d->find("packages"));
     list = list.substr(0, list.find(']'));
     CHECK_EQ(std::ptrdiff_t(2 * n), std::count(list.begin(), list.end(), '"'));
 }
 
-}  // namespace dt::platform
+}  // namespace duneturn::platform
--- a/tests/platform_simulator_test.cpp
+++ b/tests/platform_simulator_test.cpp
@@ -3,29 +3,29 @@
 #include "platform_simulator.hpp"
 #include "test.hpp"
 
-namespace dt::sim {
+namespace duneturn::sim {
 
 namespace {
 
 auto play(PlatformDayOptions options) -> PlatformDayResult { return runPlatformDay(options); }
 
-auto firstViolation(const PlatformDayResult& day) -> Str {
-    return day.violations.empty() ? Str() : day.violations.front();
+auto firstViolation(const PlatformDayResult& day) -> std::string {
+    return day.violations.empty() ? std::string() : day.violations.front();
 }
 
 struct Variant {
-    Str name;
-    std::vector<Str> faults;  // that bring it about
+    std::string name;
+    std::vector<std::string> faults;  // that bring it about
     double perMinute;
     int seeds;  // within which it must be seen
-    Str rule;
+    std::string rule;
 };
 
 auto seen(const Variant& variant) -> bool {
     for (auto seed = 1; seed <= variant.seeds; seed++) {
         auto options = PlatformDayOptions();
         options.seed = std::uint64_t(seed);
-        options.duration = 30 * SEC;
+        options.duration = 30 * SECOND;
         options.faults = variant.faults;
         options.perMinute = variant.perMinute;
         options.broken = variant.name;
@@ -39,7 +39,7 @@
 
 TEST(PlatformDays, theSameSeedGivesTheSameDay) {
     auto options = PlatformDayOptions();
-    options.duration = 20 * SEC;
+    options.duration = 20 * SECOND;
     options.seed = 3;
     CHECK_EQ(play(options).digest, play(options).digest);
 }
@@ -48,7 +48,7 @@
     for (auto seed = std::uint64_t(1); seed <= 6; seed++) {
         auto options = PlatformDayOptions();
         options.seed = seed;
-        CHECK_EQ(Str(), firstViolation(play(options)));
+        CHECK_EQ(std::string(), firstViolation(play(options)));
     }
 }
 
@@ -58,17 +58,17 @@
     auto options = PlatformDayOptions();
     options.seed = 3127;
     options.perMinute = 20;
-    options.duration = 60 * SEC;
-    CHECK_EQ(Str(), firstViolation(play(options)));
+    options.duration = 60 * SECOND;
+    CHECK_EQ(std::string(), firstViolation(play(options)));
 }
 
 TEST(PlatformDays, quietDayKeepsEveryBound) {
     auto options = PlatformDayOptions();
     options.perMinute = 0;
     auto day = play(options);
-    CHECK_EQ(Str(), firstViolation(day));
+    CHECK_EQ(std::string(), firstViolation(day));
     CHECK(day.versions > 20);
-    CHECK(day.slowestAck < SEC);
+    CHECK(day.slowestAck < SECOND);
     CHECK_EQ(std::int64_t(0), day.unknown);
 }
 
@@ -86,7 +86,7 @@
     for (auto seed : {17, 20}) {
         auto options = PlatformDayOptions();
         options.seed = std::uint64_t(seed);
-        CHECK_EQ(Str(), firstViolation(play(options)));
+        CHECK_EQ(std::string(), firstViolation(play(options)));
     }
 }
 
@@ -110,4 +110,4 @@
         CPPUNIT_ASSERT_MESSAGE(variant.name + " was not seen by: " + variant.rule, seen(variant));
 }
 
-}  // namespace dt::sim
+}  // namespace duneturn::sim
--- a/tests/power_loss_files.cpp
+++ b/tests/power_loss_files.cpp
@@ -4,24 +4,24 @@
 #include <filesystem>
 #include <fstream>
 
-namespace dt {
+namespace duneturn {
 
 namespace {
 
 constexpr auto PAGE_BYTES = std::size_t(4096);
 constexpr auto LAST_PAGES = 2 * PAGE_BYTES;  // written last and alone, behind a sync
 
-auto readFile(const Str& path) -> Str { return fileRead(path).value_or(""); }
+auto readFile(const std::string& path) -> std::string { return fileRead(path).value_or(""); }
 
 // Every other page of `newer` over `older`, and none of the pages written last.
-auto torn(const Str& older, const Str& newer) -> Str {
+auto torn(const std::string& older, const std::string& newer) -> std::string {
     auto mixed = older;
     mixed.resize(std::max(older.size(), newer.size()));
     for (auto at = LAST_PAGES; at < newer.size(); at += 2 * PAGE_BYTES)
         mixed.replace(at, PAGE_BYTES, newer, at, PAGE_BYTES);
     return mixed;
 }
-auto withoutLastPages(const Str& older, const Str& newer) -> Str {
+auto withoutLastPages(const std::string& older, const std::string& newer) -> std::string {
     auto mixed = newer;
     mixed.resize(std::max(older.size(), newer.size()));
     mixed.replace(0, LAST_PAGES, older, 0, LAST_PAGES);
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-auto DiskImage::restore(const Str& path) const -> void {
+auto DiskImage::restore(const std::string& path) const -> void {
     std::filesystem::remove_all(path);
     if (!folder) return;
     std::filesystem::create_directory(path);
@@ -44,7 +44,7 @@
     if (change.kind != NameChange::Kind::Removed) names[change.to] = change.file;
 }
 
-auto PowerLossFiles::makeDirectory(const Str& path) -> int {
+auto PowerLossFiles::makeDirectory(const std::string& path) -> int {
     atPoint();
     auto error = systemFiles().makeDirectory(path);
     folderMade_ = folderMade_ || !error;
@@ -52,7 +52,7 @@
     return error;
 }
 
-auto PowerLossFiles::createFile(const Str& path) -> int {
+auto PowerLossFiles::createFile(const std::string& path) -> int {
     atPoint();
     auto error = systemFiles().createFile(path);
     if (!error) {
@@ -63,7 +63,7 @@
     return error;
 }
 
-auto PowerLossFiles::renameFile(const Str& from, const Str& to) -> int {
+auto PowerLossFiles::renameFile(const std::string& from, const std::string& to) -> int {
     atPoint();
     auto error = systemFiles().renameFile(from, to);
     if (!error) {
@@ -74,7 +74,7 @@
     return error;
 }
 
-auto PowerLossFiles::removeFile(const Str& path) -> int {
+auto PowerLossFiles::removeFile(const std::string& path) -> int {
     atPoint();
     auto error = systemFiles().removeFile(path);
     if (auto known = names_.find(path); !error && known != names_.end()) {
@@ -85,14 +85,14 @@
     return error;
 }
 
-auto PowerLossFiles::syncFile(const Str& path, int) -> int {
+auto PowerLossFiles::syncFile(const std::string& path, int) -> int {
     atPoint();
     if (!skipsFileSync) synced_[names_.at(path)] = readFile(path);
     atPoint();
     return 0;
 }
 
-auto PowerLossFiles::syncDirectory(const Str& path) -> int {
+auto PowerLossFiles::syncDirectory(const std::string& path) -> int {
     atPoint();
     if (failingDirectorySyncs > 0 && path == folder()) {
         failingDirectorySyncs--;
@@ -107,8 +107,8 @@
     return 0;
 }
 
-auto PowerLossFiles::contents(FileId file) const -> std::vector<Str> {
-    auto now = Str();
+auto PowerLossFiles::contents(FileId file) const -> std::vector<std::string> {
+    auto now = std::string();
     for (auto& [path, id] : names_)
         if (id == file) now = readFile(path);
     auto synced = synced_.find(file);
@@ -145,4 +145,4 @@
     return all;
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/tests/power_loss_files.hpp
+++ b/tests/power_loss_files.hpp
@@ -5,15 +5,15 @@
 
 #include "storage/file_layer.hpp"
 
-namespace dt {
+namespace duneturn {
 
 /// What a disk holds after a loss of power: the folder's files by name, or no folder.
 struct DiskImage {
     bool folder = false;
-    std::map<Str, Str> files;
+    std::map<std::string, std::string> files;
 
     /// Writes the image as the folder `path`.
-    auto restore(const Str& path) const -> void;
+    auto restore(const std::string& path) const -> void;
 };
 
 /// The failure model: each file that was created, renamed or removed in a folder that was not
@@ -22,15 +22,15 @@
 /// others. The store's folder is `root`/data.
 class PowerLossFiles : public FileLayer {
   public:
-    explicit PowerLossFiles(Str root) : root_(std::move(root)) {}
-    auto folder() const -> Str { return root_ + "/data"; }
+    explicit PowerLossFiles(std::string root) : root_(std::move(root)) {}
+    auto folder() const -> std::string { return root_ + "/data"; }
 
-    auto makeDirectory(const Str& path) -> int override;
-    auto createFile(const Str& path) -> int override;
-    auto renameFile(const Str& from, const Str& to) -> int override;
-    auto removeFile(const Str& path) -> int override;
-    auto syncFile(const Str& path, int descriptor) -> int override;
-    auto syncDirectory(const Str& path) -> int override;
+    auto makeDirectory(const std::string& path) -> int override;
+    auto createFile(const std::string& path) -> int override;
+    auto renameFile(const std::string& from, const std::string& to) -> int override;
+    auto removeFile(const std::string& path) -> int override;
+    auto syncFile(const std::string& path, int descriptor) -> int override;
+    auto syncDirectory(const std::string& path) -> int override;
 
     /// Every image that a loss of power at this moment may leave.
     auto images() const -> std::vector<DiskImage>;
@@ -45,24 +45,24 @@
 
   private:
     using FileId = int;
-    using Names = std::map<Str, FileId>;
+    using Names = std::map<std::string, FileId>;
     struct NameChange {
         enum class Kind { Made, Renamed, Removed };
         Kind kind;
-        Str from, to;
+        std::string from, to;
         FileId file;
     };
     static auto apply(Names& names, const NameChange& change) -> void;
-    auto contents(FileId file) const -> std::vector<Str>;
+    auto contents(FileId file) const -> std::vector<std::string>;
     auto imagesOf(const Names& names) const -> std::vector<DiskImage>;
 
-    Str root_;
+    std::string root_;
     FileId nextFile_ = 1;
     Names names_, durableNames_;
     std::vector<NameChange> pending_;
-    std::map<FileId, Str> synced_;
+    std::map<FileId, std::string> synced_;
     bool folderMade_ = false;
     bool folderDurable_ = false;
 };
 
-}  // namespace dt
+}  // namespace duneturn
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -1,16 +1,16 @@
 #include "sim/scale.hpp"
 #include "test.hpp"
 
-namespace dt {
+namespace duneturn {
 
-static auto flags(Str nodes, Str servers) -> ScaleFlags {
+static auto flags(std::string nodes, std::string servers) -> ScaleFlags {
     auto f = ScaleFlags();
     f.nodes = std::move(nodes);
     f.servers = std::move(servers);
     f.membership = "roster";
     return f;
 }
-static auto why(const ScaleFlags& f) -> Str {
+static auto why(const ScaleFlags& f) -> std::string {
     auto o = scaleParse(f);
     return o ? "" : o.error().why;
 }
@@ -47,8 +47,8 @@
 }
 
 TEST(Scale, wrongUse) {
-    CHECK_EQ(Str(""), why(flags("12,24", "27")));
-    CHECK_EQ(Str(""), why(flags("12,24", "27,54")));
+    CHECK_EQ(std::string(""), why(flags("12,24", "27")));
+    CHECK_EQ(std::string(""), why(flags("12,24", "27,54")));
     for (auto n : {"5", "0", "-12", "many", "12,,24", "4097", "99999999999", "12.5", ","})
         CHECK(why(flags(n, "27")).starts_with("--nodes: "));
     for (auto n : {"0", "x", "4097", "1,2,3"}) CHECK(why(flags("12,24", n)).starts_with("--servers: "));
@@ -64,10 +64,10 @@
     // What would take over half of the memory is refused before it begins.
     f = flags("390", "870");
     f.memory = std::int64_t(4) << 30;
-    CHECK(why(f).find("over half of this machine's 4096 MB") != Str::npos);
+    CHECK(why(f).find("over half of this machine's 4096 MB") != std::string::npos);
     f.memory = std::int64_t(64) << 30;
-    CHECK_EQ(Str(""), why(f));
+    CHECK_EQ(std::string(""), why(f));
     CHECK_EQ(2, scaleMain(flags("many", "27")));
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/tests/server_model.cpp
+++ b/tests/server_model.cpp
@@ -1,29 +1,31 @@
 #include "server_model.hpp"
 
-namespace dt {
+namespace duneturn {
 namespace {
 
-constexpr Us DEADLINE = 2 * SEC;
+constexpr Microseconds DEADLINE = 2 * SECOND;
 constexpr int NO_CONTENT = 204;
 constexpr int MISDIRECTED = 421;
 using Kind = ServerBehaviour::Kind;
 
-auto isStream(const Str& path) -> bool { return path == "/stream" || path == "/resumable"; }
-auto isRepeatable(const Str& path) -> bool { return path == "/safe" || path == "/resumable"; }
+auto isStream(const std::string& path) -> bool { return path == "/stream" || path == "/resumable"; }
+auto isRepeatable(const std::string& path) -> bool { return path == "/safe" || path == "/resumable"; }
 auto isPromise(int status) -> bool {
     return status == 503 || status == 429 || status == 408 || status == 421;
 }
-auto streamText(const Str& id, int after) -> Str {
-    auto text = Str();
+auto streamText(const std::string& id, int after) -> std::string {
+    auto text = std::string();
     for (auto number = after + 1; number <= ServerModel::EVENTS; number++)
         text += fmt::format("id: {0}\ndata: {1}/{0}\n\n", number, id);
     return text;
 }
-auto chunk(const Str& text) -> Str { return fmt::format("{:x}\r\n{}\r\n", text.size(), text); }
+auto chunk(const std::string& text) -> std::string {
+    return fmt::format("{:x}\r\n{}\r\n", text.size(), text);
+}
 
 // Each event in a chunk of its own.
-auto chunked(const Str& text) -> Str {
-    auto out = Str();
+auto chunked(const std::string& text) -> std::string {
+    auto out = std::string();
     for (auto from = std::size_t(0); from < text.size();) {
         auto to = text.find("\n\n", from) + 2;
         out += chunk(text.substr(from, to - from));
@@ -33,8 +35,8 @@
 }
 
 // The bytes of an answer. An empty `id`: it names no request.
-auto answerText(const Str& id, int status, const Str& seal, const Str& body, bool stream, bool unframed,
-    bool declined = false) -> Str {
+auto answerText(const std::string& id, int status, const std::string& seal, const std::string& body,
+    bool stream, bool unframed, bool declined = false) -> std::string {
     auto text = fmt::format("HTTP/1.1 {} Status\r\n", status);
     if (!id.empty()) text += "X-Try: " + id + "\r\n";
     text += "X-Seal: " + seal + "\r\n";
@@ -64,7 +66,7 @@
 
 // ---- the daemon's part: connections and the reading of answers
 
-auto ServerModel::send(std::int64_t x, int a, const Str& server, const Str&) -> void {
+auto ServerModel::send(std::int64_t x, int a, const std::string& server, const std::string&) -> void {
     auto attempt = std::make_shared<Attempt>();
     attempt->request = x;
     attempt->number = a;
@@ -132,7 +134,7 @@
     if (delivery == Delivery::Reading) return true;
     if (delivery == Delivery::Whole && !attempt.over) {
         attempt.link->used = true;
-        auto life = faults.keepAnyConnection ? SEC : reader.keepFor();
+        auto life = faults.keepAnyConnection ? SECOND : reader.keepFor();
         kept_.put(attempt.server, attempt.link, life, now, 4);
         for (auto& piece : attempt.pieces) attempt.link->unasked += piece;  // late, while it rests
     }
@@ -157,15 +159,15 @@
 
 // ---- the servers' part
 
-auto ServerModel::parseRequest(const Str& bytes) -> std::optional<ParsedRequest> {
+auto ServerModel::parseRequest(const std::string& bytes) -> std::optional<ParsedRequest> {
     auto parser = http::request_parser<http::string_body>();
     auto ec = beast::error_code();
     parser.eager(true);
     auto used = parser.put(asio::buffer(bytes), ec);
     if (ec || !parser.is_done() || used != bytes.size()) return std::nullopt;
     auto& q = parser.get();
-    return ParsedRequest{Str(q["X-Try"]), Str(q.method_string()), Str(q.target()), q.body(),
-        Str(q["Last-Event-Id"]), Str(q["X-Left"])};
+    return ParsedRequest{std::string(q["X-Try"]), std::string(q.method_string()), std::string(q.target()),
+        q.body(), std::string(q["Last-Event-Id"]), std::string(q["X-Left"])};
 }
 
 auto ServerModel::execute(const ParsedRequest& request, const ServerBehaviour& how) -> Run {
@@ -182,7 +184,7 @@
 }
 
 // What a server sees of a request, and what it does.
-auto ServerModel::serve(Attempt& attempt, const Str& bytes) -> void {
+auto ServerModel::serve(Attempt& attempt, const std::string& bytes) -> void {
     auto how = ServerBehaviour();
     if (!script_.empty()) {
         how = script_.front();
@@ -193,7 +195,7 @@
     if (request->id != id_ || request->method != "POST" || request->target != path_
         || request->body != "body")
         complain("a request of another identity or content was sent");
-    auto left = std::max<Us>(1, (askedAt_ + DEADLINE - now) / MS);
+    auto left = std::max<Microseconds>(1, (askedAt_ + DEADLINE - now) / MILLISECOND);
     if (request->left.empty() || std::stoll(request->left) > left)
         complain("more time was given than is left");
     switch (how.kind) {
@@ -213,10 +215,10 @@
     auto declined = how.kind == Kind::Decline;
     if (declined) runs_.push_back(run);
     else run = execute(request, how);
-    auto name = how.kind == Kind::OtherIdentity ? Str("another")
+    auto name = how.kind == Kind::OtherIdentity ? std::string("another")
         : how.kind == Kind::NoIdentity          ? ""
                                                 : request.id;
-    auto make = [&](const Str& id) {
+    auto make = [&](const std::string& id) {
         return answerText(id, run.status, run.seal, run.body, isStream(path_), how.unframed, declined);
     };
     auto text = make(name), second = make(how.nameless ? "" : name);
@@ -225,7 +227,7 @@
     switch (how.kind) {
     case Kind::CutAnswer:
     case Kind::Decline:
-        if (how.at != Str::npos || how.unframed) attempt.end = how.end;
+        if (how.at != std::string::npos || how.unframed) attempt.end = how.end;
         return;
     case Kind::StallAnswer: return;
     case Kind::AnswerTwice: attempt.pieces.back() += second; return;
@@ -237,14 +239,14 @@
     }
 }
 
-auto ServerModel::answerLength(const Str& path, const ServerBehaviour& how) -> std::size_t {
+auto ServerModel::answerLength(const std::string& path, const ServerBehaviour& how) -> std::size_t {
     auto id = fmt::format("t{}", names + 1);
     auto declined = how.kind == Kind::Decline;
     auto stream = isStream(path);
-    auto body = declined              ? Str("declined")
+    auto body = declined              ? std::string("declined")
         : stream && how.status == 200 ? streamText(id, 0)
                                       : fmt::format("run 0 of {}", id);
-    auto seal = declined ? Str("seal-declined") : fmt::format("seal-{}-0", id);
+    auto seal = declined ? std::string("seal-declined") : fmt::format("seal-{}-0", id);
     return answerText(id, how.status, seal, body, stream, how.unframed, declined).size();
 }
 
@@ -257,7 +259,8 @@
         if (key.first == request_) complain("a send lives on though its client has left");
 }
 
-auto ServerModel::play(const Str& path, std::vector<ServerBehaviour> script, int leaveAfter) -> Str {
+auto ServerModel::play(const std::string& path, std::vector<ServerBehaviour> script, int leaveAfter)
+    -> std::string {
     constexpr auto MOST_STEPS = 400, AFTERWARDS = 3;
     script_ = std::move(script);
     path_ = path;
@@ -282,14 +285,14 @@
     return int(std::count_if(runs_.begin(), runs_.end(), [](auto& run) { return run.executed; }));
 }
 
-auto ServerModel::judge() -> Str {
+auto ServerModel::judge() -> std::string {
     lastFate_ = fate(request_);
     if (!isRepeatable(path_) && executions() > 1) complain("what may not be repeated ran twice");
     if (sendsAfterLeaving_) complain("it was sent after its client had left");
     if (ct.get("illegal_transitions_total")) complain("an illegal transition");
     if (left_) return complaint_;
     if (!lastFate_) complain("it never ended");
-    if (now > askedAt_ + DEADLINE + 250 * MS) complain("it ended too late");
+    if (now > askedAt_ + DEADLINE + 250 * MILLISECOND) complain("it ended too late");
     if (heads.count(request_)) judgeStream(whole.count(request_) > 0);
     else if (replies.count(request_)) judgeReply(replies[request_]);
     return complaint_;
@@ -319,4 +322,4 @@
     if (!got.empty() && !got.ends_with("\n\n")) complain("a part of an event was passed on");
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/tests/server_model.hpp
+++ b/tests/server_model.hpp
@@ -9,7 +9,7 @@
 #include "routing/answer_reader.hpp"
 #include "routing/kept_connections.hpp"
 
-namespace dt {
+namespace duneturn {
 
 /// What a server does with the next request that reaches it.
 struct ServerBehaviour {
@@ -28,7 +28,7 @@
         Refuse,         ///< Accepts no connection; one that rests ends unseen.
     };
     Kind kind = Answer;
-    std::size_t at = Str::npos;
+    std::size_t at = std::string::npos;
     ConnectionEnd end = ConnectionEnd::Reset;
     bool unframed = false;  ///< The answer has no length and ends with its connection.
     int status = 200;
@@ -49,9 +49,10 @@
     /// Plays one request of `path` against the servers' script until it ends, and judges it. Empty
     /// if all was proper, else what was not.
     /// `leaveAfter`: the client leaves after so many steps of the model.
-    auto play(const Str& path, std::vector<ServerBehaviour> script, int leaveAfter = NEVER) -> Str;
+    auto play(const std::string& path, std::vector<ServerBehaviour> script, int leaveAfter = NEVER)
+        -> std::string;
     /// How long the answer of a server that behaves so to a first run is, in bytes.
-    auto answerLength(const Str& path, const ServerBehaviour& how = {}) -> std::size_t;
+    auto answerLength(const std::string& path, const ServerBehaviour& how = {}) -> std::size_t;
     /// How the last request ended: its status, 1 for a whole stream, 2 for a cut one.
     auto lastFate() const -> int { return lastFate_; }
     /// Executions of the last request.
@@ -59,7 +60,7 @@
     /// Connections that carried a further request.
     int reused = 0;
 
-    auto send(std::int64_t x, int a, const Str& server, const Str& addr) -> void override;
+    auto send(std::int64_t x, int a, const std::string& server, const std::string& addr) -> void override;
     auto drop(std::int64_t x, int a) -> void override;
 
     static constexpr int EVENTS = 3;
@@ -68,42 +69,42 @@
   private:
     struct Link {
         bool open = true, used = false;
-        Str unasked;     // what has come while nobody reads
-        Str atNextSend;  // what comes right after the next request was written
+        std::string unasked;     // what has come while nobody reads
+        std::string atNextSend;  // what comes right after the next request was written
     };
     struct Run {
         int status = 200;
-        Str seal, body;
+        std::string seal, body;
         bool executed = true;
     };
     struct Attempt {
         std::int64_t request = 0;
         int number = 0;
-        Str server;
+        std::string server;
         bool over = false;
         std::shared_ptr<Link> link;
         std::unique_ptr<AnswerReader> reader;
-        std::vector<Str> pieces;  // still to come
+        std::vector<std::string> pieces;  // still to come
         std::optional<ConnectionEnd> end;
     };
     struct ParsedRequest {
-        Str id, method, target, body, lastEvent, left;
+        std::string id, method, target, body, lastEvent, left;
     };
 
     auto connect(Attempt& attempt) -> bool;
     auto begin(Attempt& attempt) -> bool;
-    auto serve(Attempt& attempt, const Str& bytes) -> void;
+    auto serve(Attempt& attempt, const std::string& bytes) -> void;
     auto serveAnswer(Attempt& attempt, const ParsedRequest& request, const ServerBehaviour& how) -> void;
     auto execute(const ParsedRequest& request, const ServerBehaviour& how) -> Run;
-    auto parseRequest(const Str& bytes) -> std::optional<ParsedRequest>;
+    auto parseRequest(const std::string& bytes) -> std::optional<ParsedRequest>;
     auto progress(Attempt& attempt) -> bool;
     auto advance() -> bool;
     auto leave() -> void;
     auto executions() const -> int;
-    auto judge() -> Str;
+    auto judge() -> std::string;
     auto judgeStream(bool whole) -> void;
     auto judgeReply(const Reply& reply) -> void;
-    auto complain(const Str& what) -> void {
+    auto complain(const std::string& what) -> void {
         if (complaint_.empty()) complaint_ = what;
     }
 
@@ -113,10 +114,10 @@
     std::map<std::pair<std::int64_t, int>, std::shared_ptr<Attempt>> attempts_;
     std::vector<Run> runs_;
     std::int64_t request_ = 0;
-    Str path_, id_, complaint_;
-    Us askedAt_ = 0;
+    std::string path_, id_, complaint_;
+    Microseconds askedAt_ = 0;
     int lastFate_ = 0, sendsAfterLeaving_ = 0;
     bool left_ = false;
 };
 
-}  // namespace dt
+}  // namespace duneturn
--- a/tests/server_model_test.cpp
+++ b/tests/server_model_test.cpp
@@ -2,7 +2,7 @@
 // answers, for requests that may be repeated, that may not, and that may be resumed.
 #include "server_model.hpp"
 
-namespace dt {
+namespace duneturn {
 namespace {
 
 using Kind = ServerBehaviour::Kind;
@@ -18,7 +18,7 @@
     using Setup = std::function<void(ServerModel&)>;
     explicit Campaign(Setup setup = {}) : setup_(std::move(setup)) { renew(); }
 
-    auto play(const Str& path, const Script& script, int leaveAfter = ServerModel::NEVER) -> void {
+    auto play(const std::string& path, const Script& script, int leaveAfter = ServerModel::NEVER) -> void {
         if (++plays_ % PLAYS_EACH == 0) renew();
         auto complaint = model_->play(path, script, leaveAfter);
         fates[path][model_->lastFate()]++;
@@ -34,8 +34,8 @@
     auto model() -> ServerModel& { return *model_; }
     /// Requests that were treated wrongly, and what was wrong of the first.
     int faults = 0;
-    Str first;
-    std::map<Str, std::map<int, int>> fates;
+    std::string first;
+    std::map<std::string, std::map<int, int>> fates;
     int reused = 0;
 
   private:
@@ -51,7 +51,7 @@
 
 // Every place at which an answer may be cut, and how.
 auto cutEverywhere(Campaign& c, const Script& afterwards) -> void {
-    for (Str path : PATHS)
+    for (std::string path : PATHS)
         for (auto unframed : {false, true}) {
             auto whole = c.model().answerLength(path, {Kind::CutAnswer, 0, ConnectionEnd::Reset, unframed});
             for (auto at = std::size_t(0); at <= whole; at++)
@@ -66,7 +66,7 @@
 }
 
 auto declineEverywhere(Campaign& c) -> void {
-    for (Str path : PATHS) {
+    for (std::string path : PATHS) {
         auto whole = c.model().answerLength(path, {Kind::Decline, 0, ConnectionEnd::Reset, false, 503});
         for (auto at = std::size_t(0); at <= whole; at++)
             for (auto end : {ConnectionEnd::Reset, ConnectionEnd::Closed})
@@ -75,7 +75,7 @@
 }
 
 auto splitEverywhere(Campaign& c) -> void {
-    for (Str path : PATHS)
+    for (std::string path : PATHS)
         for (auto unframed : {false, true}) {
             auto whole = c.model().answerLength(path, {Kind::Answer, 0, ConnectionEnd::Closed, unframed});
             for (auto at = std::size_t(0); at <= whole; at++)
@@ -84,7 +84,7 @@
 }
 
 auto stallEverywhere(Campaign& c) -> void {
-    for (Str path : PATHS) {
+    for (std::string path : PATHS) {
         auto whole = c.model().answerLength(path);
         for (auto at = std::size_t(0); at < whole; at++) c.play(path, {{Kind::StallAnswer, at}});
     }
@@ -93,11 +93,12 @@
 // One request leaves something behind on its connection; the next one finds it.
 auto surplusOnReuse(Campaign& c) -> void {
     for (auto kind : {Kind::AnswerTwice, Kind::AnswerLate, Kind::AnswerLateOn})
-        for (Str before : {"/safe", "/resumable", "/once"})
-            for (Str path : PATHS)
+        for (std::string before : {"/safe", "/resumable", "/once"})
+            for (std::string path : PATHS)
                 for (auto status : {200, 500, 404})
                     for (auto nameless : {false, true}) {
-                        auto first = ServerBehaviour{kind, Str::npos, ConnectionEnd::Reset, false, status};
+                        auto first =
+                            ServerBehaviour{kind, std::string::npos, ConnectionEnd::Reset, false, status};
                         first.nameless = nameless;
                         for (auto i = 0; i < 3; i++) c.play(before, {first});
                         for (auto i = 0; i < 3; i++) c.play(path, {});
@@ -106,21 +107,22 @@
 }
 
 auto otherFaults(Campaign& c) -> void {
-    for (Str path : PATHS)
+    for (std::string path : PATHS)
         for (auto kind :
             {Kind::OtherIdentity, Kind::NoIdentity, Kind::Garbage, Kind::Refuse, Kind::CutRequest})
             for (auto status : {200, 204, 400, 408, 421, 429, 500, 503})
                 for (auto second : {Kind::Answer, Kind::Refuse, Kind::CutAnswer, Kind::Garbage}) {
-                    auto one = ServerBehaviour{kind, Str::npos, ConnectionEnd::Closed, false, status};
+                    auto one = ServerBehaviour{kind, std::string::npos, ConnectionEnd::Closed, false, status};
                     auto two = ServerBehaviour{second, 30, ConnectionEnd::Reset, false, 200};
                     c.play(path, {one, two});
                     c.play(path, {two, one});
-                    c.play(path, {{Kind::Answer, Str::npos, ConnectionEnd::Closed, false, status}, one});
+                    c.play(
+                        path, {{Kind::Answer, std::string::npos, ConnectionEnd::Closed, false, status}, one});
                 }
 }
 
 auto clientsLeave(Campaign& c) -> void {
-    for (Str path : PATHS)
+    for (std::string path : PATHS)
         for (auto steps = 0; steps < 12; steps++)
             for (auto kind : {Kind::Answer, Kind::StallAnswer, Kind::CutAnswer, Kind::Refuse})
                 c.play(path, {{kind, 60}, {Kind::StallAnswer, 90}}, steps);
@@ -145,7 +147,7 @@
     CPPUNIT_ASSERT_EQUAL_MESSAGE(c.first, 0, c.faults);
     // The model reaches what it is for.
     CHECK(c.reused > 100);
-    for (Str path : PATHS) {
+    for (std::string path : PATHS) {
         auto stream = path == "/stream" || path == "/resumable";
         CHECK(c.fates[path][stream ? 1 : 200] > 300);
     }
@@ -158,15 +160,15 @@
 TEST(ServerModel, endings) {
     auto c = Campaign();
     auto& m = c.model();
-    auto fate = [&](const Str& path, const Script& script) {
-        CHECK_EQ(Str(), m.play(path, script));
+    auto fate = [&](const std::string& path, const Script& script) {
+        CHECK_EQ(std::string(), m.play(path, script));
         return m.lastFate();
     };
     // An answer without a length ends with its connection; a reset one is not complete.
-    auto unframed = ServerBehaviour{Kind::Answer, Str::npos, ConnectionEnd::Closed, true};
+    auto unframed = ServerBehaviour{Kind::Answer, std::string::npos, ConnectionEnd::Closed, true};
     CHECK_EQ(200, fate("/once", {unframed}));
     CHECK_EQ(1, fate("/stream", {unframed}));
-    auto reset = ServerBehaviour{Kind::CutAnswer, Str::npos, ConnectionEnd::Reset, true};
+    auto reset = ServerBehaviour{Kind::CutAnswer, std::string::npos, ConnectionEnd::Reset, true};
     CHECK_EQ(502, fate("/once", {reset}));
     CHECK_EQ(2, fate("/stream", {reset}));
     CHECK_EQ(200, fate("/safe", {reset}));
@@ -201,4 +203,4 @@
     CHECK(found([](auto& m) { m.faults.keepAnyConnection = true, m.e->broken.anyIdentity = true; }) > 0);
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/tests/shared_test.cpp
+++ b/tests/shared_test.cpp
@@ -1,28 +1,28 @@
 #include "shared.hpp"
 #include "test.hpp"
 
-namespace dt {
+namespace duneturn {
 
 TEST(Settings, everyFaultIsNamed) {
     auto s = settingsRead("",
         {{"node", "a b"}, {"peer", "host:1"}, {"sender", "127.0.0.1:99999"}, {"seeds", "127.0.0.1:1,x"},
             {"colour", "red"}});
     CHECK(!s);
-    auto all = Str();
+    auto all = std::string();
     for (auto& f : s.error().faults) all += f.path + "\n";
     for (auto p : {"/node", "/peer", "/sender", "/seeds/1", "/colour", "/operator", "/district", "/region"})
-        CHECK(all.find(p) != Str::npos);
+        CHECK(all.find(p) != std::string::npos);
     auto ok = settingsRead("",
         {{"node", "a"}, {"peer", "127.0.0.1:1"}, {"sender", "[::1]:2"}, {"operator", "127.0.0.1:3"},
             {"seeds", "127.0.0.1:1"}, {"district", "d"}, {"region", "r"}});
     CHECK(bool(ok));
-    CHECK_EQ(Str("a"), ok->node);
+    CHECK_EQ(std::string("a"), ok->node);
 }
 
 TEST(Settings, times) {
-    CHECK_EQ(Str("2026-01-31T06:00:00Z"), wallText(wallParse("2026-01-31T06:00:00Z")));
+    CHECK_EQ(std::string("2026-01-31T06:00:00Z"), wallText(wallParse("2026-01-31T06:00:00Z")));
     CHECK(wallParse("2026-01-31") < 0);
     CHECK(wallParse("2026-01-31T06:00:00Zx") < 0);
 }
 
-}  // namespace dt
+}  // namespace duneturn
