--- a/tests/shell_test.cpp
+++ b/tests/shell_test.cpp
@@ -2,7 +2,7 @@
 #include "http.hpp"
 #include "test.hpp"
 
-namespace dt {
+namespace duneturn {
 
 TEST(Shell, keepAlive) {
     CHECK_EQ(std::int64_t(5), keepAliveSeconds("timeout=5"));
@@ -15,13 +15,13 @@
     CHECK_EQ(std::int64_t(-1), keepAliveSeconds("timeouts"));
     CHECK(keepAliveSeconds("timeout=99999999999999999999") > 0);
 
-    CHECK_EQ(4 * SEC, keepFor({}));
-    CHECK_EQ(4 * SEC, keepFor({{"keep-alive", "timeout=60"}}));
-    CHECK_EQ(2 * SEC, keepFor({{"Keep-Alive", "timeout=3"}}));
-    CHECK_EQ(Us(0), keepFor({{"Keep-Alive", "timeout=1"}}));
-    CHECK_EQ(Us(0), keepFor({{"Keep-Alive", "timeout=0"}}));
-    CHECK_EQ(Us(0), keepFor({{"connection", "foo, Close"}, {"Keep-Alive", "timeout=60"}}));
-    CHECK_EQ(4 * SEC, keepFor({{"Connection", "keep-alive"}, {"Keep-Alive", "max=1"}}));
+    CHECK_EQ(4 * SECOND, keepFor({}));
+    CHECK_EQ(4 * SECOND, keepFor({{"keep-alive", "timeout=60"}}));
+    CHECK_EQ(2 * SECOND, keepFor({{"Keep-Alive", "timeout=3"}}));
+    CHECK_EQ(Microseconds(0), keepFor({{"Keep-Alive", "timeout=1"}}));
+    CHECK_EQ(Microseconds(0), keepFor({{"Keep-Alive", "timeout=0"}}));
+    CHECK_EQ(Microseconds(0), keepFor({{"connection", "foo, Close"}, {"Keep-Alive", "timeout=60"}}));
+    CHECK_EQ(4 * SECOND, keepFor({{"Connection", "keep-alive"}, {"Keep-Alive", "max=1"}}));
 }
 
 TEST(Shell, hopByHop) {
@@ -37,18 +37,18 @@
     auto p = Pool();
     auto none = std::vector<std::int64_t>();
     CHECK_EQ(std::int64_t(-1), p.take("a", 0));
-    for (auto i = 1; i <= 4; i++) CHECK(p.put("a", i, 4 * SEC, i) == none);
+    for (auto i = 1; i <= 4; i++) CHECK(p.put("a", i, 4 * SECOND, i) == none);
     // A fifth takes the place of the one idle for longest.
-    CHECK(p.put("a", 5, 4 * SEC, 5) == std::vector<std::int64_t>{1});
+    CHECK(p.put("a", 5, 4 * SECOND, 5) == std::vector<std::int64_t>{1});
     CHECK_EQ(std::size_t(4), p.size());
     // The one used last is taken first, and only under its own server's name and address.
     CHECK_EQ(std::int64_t(-1), p.take("b", 6));
     CHECK_EQ(std::int64_t(5), p.take("a", 6));
     CHECK_EQ(std::int64_t(4), p.take("a", 6));
     // None whose time is over is taken; it is given back once, to be closed.
-    CHECK_EQ(std::int64_t(-1), p.take("a", 4 * SEC));
-    CHECK(p.expire(4 * SEC - 1) == none);
-    CHECK(p.expire(4 * SEC) == (std::vector<std::int64_t>{2, 3}));
+    CHECK_EQ(std::int64_t(-1), p.take("a", 4 * SECOND));
+    CHECK(p.expire(4 * SECOND - 1) == none);
+    CHECK(p.expire(4 * SECOND) == (std::vector<std::int64_t>{2, 3}));
     CHECK_EQ(std::size_t(0), p.size());
     // One with no time left is not kept.
     CHECK(p.put("a", 9, 5, 5) == std::vector<std::int64_t>{9});
@@ -65,9 +65,9 @@
         for (auto c = 1; c < 500; c += 7)
             CHECK(4 * idleShare(c, std::size_t(n)) * std::size_t(n) <= std::size_t(c));
     auto p = Pool();
-    CHECK(p.put("a", 1, SEC, 0, 0) == std::vector<std::int64_t>{1});
-    CHECK(p.put("a", 2, SEC, 0, 1).empty());
-    CHECK(p.put("a", 3, SEC, 0, 1) == std::vector<std::int64_t>{2});
+    CHECK(p.put("a", 1, SECOND, 0, 0) == std::vector<std::int64_t>{1});
+    CHECK(p.put("a", 2, SECOND, 0, 1).empty());
+    CHECK(p.put("a", 3, SECOND, 0, 1) == std::vector<std::int64_t>{2});
 }
 
 // Against a plain list: nothing is lost, taken twice, or taken after its time.
@@ -75,14 +75,14 @@
     auto r = Rng{3};
     auto p = Pool();
     p.all = 9;
-    auto held = std::map<std::int64_t, std::pair<Str, Us>>();
+    auto held = std::map<std::int64_t, std::pair<std::string, Microseconds>>();
     auto id = std::int64_t(0);
     auto taken = 0, closed = 0;
-    for (auto now = Us(1); now < 20000; now++) {
+    for (auto now = Microseconds(1); now < 20000; now++) {
         auto key = fmt::format("s{}", r.below(4));
         auto back = std::vector<std::int64_t>();
         if (r.chance(.5)) {
-            auto till = now + Us(r.below(40));
+            auto till = now + Microseconds(r.below(40));
             held[++id] = {key, till};
             back = p.put(key, id, till, now);
         } else if (auto t = p.take(key, now); t >= 0) {
@@ -103,7 +103,7 @@
         }
         CHECK_EQ(held.size(), p.size());
         CHECK(p.size() <= 9);
-        auto n = std::map<Str, int>();
+        auto n = std::map<std::string, int>();
         for (auto& [i, h] : held) n[h.first]++;
         for (auto& [k, c] : n) CHECK(c <= 4);
     }
@@ -113,43 +113,43 @@
 
 TEST(Shell, limits) {
     auto l = [](const char* s) {
-        auto d = Doc();
+        auto d = rapidjson::Document();
         CHECK(jsParse(s, d));
         return limitsOf(d);
     };
     for (auto s : {"{}", "null", R"({"limits":{}})", R"({"limits":3})", R"({"limits":{"bodyBytes":0}})"}) {
         CHECK_EQ(std::size_t(16 * 1024), l(s).headerBytes);
         CHECK_EQ(std::size_t(8u << 20), l(s).bodyBytes);
-        CHECK_EQ(10 * SEC, l(s).headerRead);
-        CHECK_EQ(60 * SEC, l(s).idle);
+        CHECK_EQ(10 * SECOND, l(s).headerRead);
+        CHECK_EQ(60 * SECOND, l(s).idle);
     }
     auto x = l(R"({"limits":{"headerBytes":4096,"bodyBytes":100,"headerReadUs":3000000,"idleUs":15000000}})");
     CHECK_EQ(std::size_t(4096), x.headerBytes);
     CHECK_EQ(std::size_t(100), x.bodyBytes);
-    CHECK_EQ(3 * SEC, x.headerRead);
-    CHECK_EQ(15 * SEC, x.idle);
+    CHECK_EQ(3 * SECOND, x.headerRead);
+    CHECK_EQ(15 * SECOND, x.idle);
 }
 
 TEST(Shell, stopSchedule) {
     auto s = StopSchedule();
-    CHECK(s.step(100 * SEC, false) == StopSchedule::Serve);
-    s = {10 * SEC, 8 * SEC};
-    auto at = [&](Us t, bool busy) { return s.step(10 * SEC + t, busy); };
+    CHECK(s.step(100 * SECOND, false) == StopSchedule::Serve);
+    s = {10 * SECOND, 8 * SECOND};
+    auto at = [&](Microseconds t, bool busy) { return s.step(10 * SECOND + t, busy); };
     // Served for the first 40% of the grace, then refused, cut at 85%.
     CHECK(at(0, true) == StopSchedule::Serve);
-    CHECK(at(3200 * MS - 1, true) == StopSchedule::Serve);
-    CHECK(at(3200 * MS, true) == StopSchedule::Refuse);
-    CHECK(at(6800 * MS - 1, true) == StopSchedule::Refuse);
-    CHECK(at(6800 * MS, true) == StopSchedule::Cut);
+    CHECK(at(3200 * MILLISECOND - 1, true) == StopSchedule::Serve);
+    CHECK(at(3200 * MILLISECOND, true) == StopSchedule::Refuse);
+    CHECK(at(6800 * MILLISECOND - 1, true) == StopSchedule::Refuse);
+    CHECK(at(6800 * MILLISECOND, true) == StopSchedule::Cut);
     // Idle, it ends; but not before the senders' lists can have caught up.
-    CHECK(at(1500 * MS - 1, false) == StopSchedule::Serve);
-    CHECK(at(1500 * MS, false) == StopSchedule::End);
-    CHECK(at(5 * SEC, false) == StopSchedule::End);
-    CHECK(at(7 * SEC, false) == StopSchedule::End);
+    CHECK(at(1500 * MILLISECOND - 1, false) == StopSchedule::Serve);
+    CHECK(at(1500 * MILLISECOND, false) == StopSchedule::End);
+    CHECK(at(5 * SECOND, false) == StopSchedule::End);
+    CHECK(at(7 * SECOND, false) == StopSchedule::End);
     // A grace shorter than that is kept to.
-    s.grace = SEC;
-    CHECK(at(850 * MS, true) == StopSchedule::Cut);
-    CHECK(at(850 * MS, false) == StopSchedule::End);
+    s.grace = SECOND;
+    CHECK(at(850 * MILLISECOND, true) == StopSchedule::Cut);
+    CHECK(at(850 * MILLISECOND, false) == StopSchedule::End);
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/tests/simulate_test.cpp
+++ b/tests/simulate_test.cpp
@@ -1,14 +1,14 @@
 #include "simulate.hpp"
 #include "test.hpp"
 
-namespace dt {
+namespace duneturn {
 
-static auto sim(std::uint64_t seed, std::vector<Str> faults, double perMinute, Str broken = "",
-    double scale = 0.5) -> SimResult {
+static auto sim(std::uint64_t seed, std::vector<std::string> faults, double perMinute,
+    std::string broken = "", double scale = 0.5) -> SimResult {
     auto o = SimOptions();
     o.example = DT_EXAMPLES "/radar";
     o.seed = seed;
-    o.duration = 90 * SEC;
+    o.duration = 90 * SECOND;
     o.scale = scale;
     o.faults = std::move(faults);
     o.perMinute = perMinute;
@@ -28,11 +28,11 @@
 // Each deliberate fault breaks the rule that it should, in at least one of a few seeds.
 namespace {
 struct Variant {
-    Str name;
-    std::vector<Str> faults;
+    std::string name;
+    std::vector<std::string> faults;
     double perMinute;
     int seeds;
-    Str rule;
+    std::string rule;
     double scale = 0.5;
 };
 }  // namespace
@@ -82,7 +82,7 @@
     auto o = SimOptions();
     o.example = DT_EXAMPLES "/radar";
     o.faults = {"colour"};
-    CHECK_EQ(Str("unknown fault: colour"), simRun(o).error().why);
+    CHECK_EQ(std::string("unknown fault: colour"), simRun(o).error().why);
     o.faults = {};
     o.broken = "colour";
     CHECK(!simRun(o));
@@ -91,4 +91,4 @@
     CHECK(!simRun(o));
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/tests/storage_fixture.hpp
+++ b/tests/storage_fixture.hpp
@@ -5,11 +5,11 @@
 
 #include "core.hpp"
 
-namespace dt {
+namespace duneturn {
 
 /// A folder of its own for a test, removed with everything in it.
 struct TemporaryDirectory {
-    Str path;
+    std::string path;
 
     TemporaryDirectory() {
         char name[] = "/tmp/duneturn-storage-XXXXXX";
@@ -28,7 +28,7 @@
     entry.idx = index;
     entry.term = term;
     entry.kind = 1;
-    entry.body = Str(bytes, char('a' + index % 20));
+    entry.body = std::string(bytes, char('a' + index % 20));
     return entry;
 }
 
@@ -38,4 +38,4 @@
         && a.snapDoc == b.snapDoc && a.log == b.log;
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/tests/storage_full_test.cpp
+++ b/tests/storage_full_test.cpp
@@ -7,7 +7,7 @@
 #include "storage_fixture.hpp"
 #include "test.hpp"
 
-namespace dt {
+namespace duneturn {
 
 namespace {
 
@@ -37,7 +37,7 @@
         next.add = {makeEntry(last() + 1, 1, bytes)};
         return write(next);
     }
-    auto snapshot(std::int64_t index, Str document) -> bool {
+    auto snapshot(std::int64_t index, std::string document) -> bool {
         auto next = base();
         next.snap = true;
         next.meta.snapIdx = index;
@@ -49,7 +49,7 @@
 
 // What the program before this one wrote: the records of format 1, by LMDB itself, in a file
 // of at most 32 MB that a synced last page makes count.
-auto writeEarlierStore(const Str& directory, const DiskState& state) -> void {
+auto writeEarlierStore(const std::string& directory, const DiskState& state) -> void {
     MDB_env* environment = nullptr;
     MDB_txn* transaction = nullptr;
     auto database = MDB_dbi();
@@ -58,15 +58,15 @@
     CHECK_EQ(0, mdb_env_open(environment, directory.c_str(), MDB_NOTLS | MDB_NOLOCK | MDB_NOMETASYNC, 0644));
     CHECK_EQ(0, mdb_txn_begin(environment, nullptr, 0, &transaction));
     CHECK_EQ(0, mdb_dbi_open(transaction, nullptr, 0, &database));
-    auto put = [&](const Str& key, const Str& bytes) {
+    auto put = [&](const std::string& key, const std::string& bytes) {
         auto checksum = hash64(bytes, hash64(key));
-        auto sealed = Str(reinterpret_cast<const char*>(&checksum), sizeof checksum) + bytes;
+        auto sealed = std::string(reinterpret_cast<const char*>(&checksum), sizeof checksum) + bytes;
         auto keyValue = MDB_val{key.size(), const_cast<char*>(key.data())};
         auto dataValue = MDB_val{sealed.size(), sealed.data()};
         CHECK_EQ(0, mdb_put(transaction, database, &keyValue, &dataValue, 0));
     };
     for (auto& entry : state.log) {
-        auto key = Str("e");
+        auto key = std::string("e");
         for (auto shift = 56; shift >= 0; shift -= 8) key += char(std::uint64_t(entry.idx) >> shift);
         put(key, packRecord(entry));
     }
@@ -106,23 +106,23 @@
     Store store;
     std::deque<DiskWrite> writes;
     Voter voter{*this, counters, 1};
-    Us now = SEC;
+    Microseconds now = SECOND;
     int applied = 0;
 
-    explicit LoneVoter(const Str& directory) {
+    explicit LoneVoter(const std::string& directory) {
         auto state = store.open(directory);
         CHECK(bool(state));
         CHECK(!store.setAside);
         voter.start(*state, "d", now);
     }
-    auto voterTell(const Str&, wire::Envelope&) -> void override {}
+    auto voterTell(const std::string&, wire::Envelope&) -> void override {}
     auto voterDisk(const DiskWrite& write) -> void override { writes.push_back(write); }
-    auto voterWord(const Word&, const Str& key, const Outcome& outcome) -> void override {
+    auto voterWord(const Word&, const std::string& key, const Outcome& outcome) -> void override {
         applied += !key.empty() && outcome.status == 200;
     }
     auto voterRead(std::int64_t, bool) -> void override {}
-    auto run(Us duration) -> void {
-        for (auto end = now + duration; now < end; now += 50 * MS) {
+    auto run(Microseconds duration) -> void {
+        for (auto end = now + duration; now < end; now += 50 * MILLISECOND) {
             voter.tick(now);
             finishWrites();
         }
@@ -138,10 +138,10 @@
         auto state = Word();
         state.found({}, {{"a", "d"}});
         voter.found(state, 1, now);
-        run(3 * SEC);
+        run(3 * SECOND);
     }
     auto propose(int number, std::size_t bytes) -> bool {
-        auto text = Str(bytes, char('a' + number % 20));
+        auto text = std::string(bytes, char('a' + number % 20));
         auto order = fmt::format(
             R"({{"key":"k{}","op":"config","base":{},"config":{{"mappings":[],"origin":{{"number":{},"text":"{}"}}}}}})",
             number, voter.head().configGen(), number, text);
@@ -169,7 +169,7 @@
         CHECK_EQ(std::int64_t(0), lone.counters.get("disk_failed_total"));
     }
     auto again = LoneVoter(directory.path);
-    again.run(3 * SEC);
+    again.run(3 * SECOND);
     CHECK(again.voter.ready());
     CHECK_EQ(std::int64_t(200), again.voter.word().configGen());
 }
@@ -197,7 +197,7 @@
                 CHECK(sameState(*state, writer.state));
                 writer.store = store.get();
             }
-            CHECK(writer.snapshot(writer.last() - 1, Str(LARGE_ENTRY_BYTES * 2, 'd')));
+            CHECK(writer.snapshot(writer.last() - 1, std::string(LARGE_ENTRY_BYTES * 2, 'd')));
             CHECK(writer.append(LARGE_ENTRY_BYTES));
             CHECK_EQ(std::size_t(2), writer.state.log.size());
             CHECK(fileBytes(directory.path + "/data.mdb") <= StoreLimits().fileBytes);
@@ -232,11 +232,11 @@
     auto store = Store();
     CHECK(bool(store.open(directory.path)));
     auto writer = Writer{&store, {}};
-    CHECK(writer.snapshot(1, Str(1'200'000, 's')));
+    CHECK(writer.snapshot(1, std::string(1'200'000, 's')));
     for (auto i = 0; i < 300; i++) {
         CHECK(writer.append(i % 50 == 0 ? 1'200'000 : 2'000));
         if (writer.state.log.size() >= 20)
-            CHECK(writer.snapshot(writer.last(), Str(1'200'000, char('a' + i % 20))));
+            CHECK(writer.snapshot(writer.last(), std::string(1'200'000, char('a' + i % 20))));
         CHECK(fileBytes(directory.path + "/data.mdb") <= StoreLimits().fileBytes);
     }
     while (writer.append(LARGE_ENTRY_BYTES)) continue;
@@ -296,4 +296,4 @@
     CHECK(sameState(*again.open(directory.path), writer.state));
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/tests/storage_power_test.cpp
+++ b/tests/storage_power_test.cpp
@@ -4,7 +4,7 @@
 #include "storage_fixture.hpp"
 #include "test.hpp"
 
-namespace dt {
+namespace duneturn {
 
 namespace {
 
@@ -63,7 +63,7 @@
         next.snap = true;
         next.meta.snapIdx = underWay.snapIdx + std::int64_t(underWay.log.size());
         next.meta.snapTerm = 1;
-        next.doc = Str(bytes, 's');
+        next.doc = std::string(bytes, 's');
         return write(next);
     }
     /// A first start, some entries, a snapshot.
@@ -146,7 +146,8 @@
     auto path = directory.path + "/data.mdb";
     auto bytes = *fileRead(path);
     // The damage is to each copy of the entry.
-    for (auto at = bytes.find(Str(300, 'b')); at != Str::npos; at = bytes.find(Str(300, 'b'), at + 300))
+    for (auto at = bytes.find(std::string(300, 'b')); at != std::string::npos;
+         at = bytes.find(std::string(300, 'b'), at + 300))
         bytes[at + 10] ^= 1;
     auto points = std::vector<DiskImage>();
     auto trial = PowerTrial();
@@ -173,4 +174,4 @@
     }
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -15,14 +15,14 @@
 #include "storage/store.hpp"
 #include "test.hpp"
 
-namespace dt {
+namespace duneturn {
 
 using apache::thrift::protocol::TCompactProtocol;
 using apache::thrift::transport::TMemoryBuffer;
 
 namespace {
 struct TempDir {
-    Str p;
+    std::string p;
     TempDir() {
         char t[] = "/tmp/duneturn-test-XXXXXX";
         p = mkdtemp(t);
@@ -38,14 +38,14 @@
 }  // namespace
 
 template <class T>
-static auto pack(const T& t) -> Str {
+static auto pack(const T& t) -> std::string {
     auto b = std::make_shared<TMemoryBuffer>();
     auto p = TCompactProtocol(b);
     t.write(&p);
     return b->getBufferAsString();
 }
 template <class T>
-static auto unpack(View s, T& t) -> bool {
+static auto unpack(std::string_view s, T& t) -> bool {
     try {
         auto b = std::make_shared<TMemoryBuffer>(
             reinterpret_cast<std::uint8_t*>(const_cast<char*>(s.data())), std::uint32_t(s.size()));
@@ -86,7 +86,7 @@
                 e.idx = at++;
                 e.term = w.meta.term;
                 e.kind = 1;
-                e.body = Str(r.below(3000), char('a' + r.below(20)));
+                e.body = std::string(r.below(3000), char('a' + r.below(20)));
                 w.add.push_back(e);
             }
             if (at - 1 > m.snapIdx && r.chance(.15)) {
@@ -114,7 +114,7 @@
     auto f = TempDir();
     auto before = DiskState(), after = DiskState();
     auto snap = [&] { return *fileRead(f.p + "/data.mdb"); };
-    auto a = Str(), b = Str();
+    auto a = std::string(), b = std::string();
     {
         auto s = Store();
         CHECK(bool(s.open(f.p)));
@@ -125,7 +125,7 @@
             w.add.resize(1);
             w.add[0].idx = i;
             w.add[0].term = i;
-            w.add[0].body = Str(std::size_t(i * 97), char('a' + i % 20));
+            w.add[0].body = std::string(std::size_t(i * 97), char('a' + i % 20));
             if (i == 40) a = snap();
             CHECK(bool(s.write(w)));
             if (i < 40) diskApply(before, w);
@@ -143,7 +143,7 @@
     for (auto i = 2 * P; i < a.size(); i += P)
         if (a.compare(i, P, b, i, P) != 0) pages.push_back(i);
     CHECK(pages.size() >= 2);
-    auto opened = [&](const Str& t) {
+    auto opened = [&](const std::string& t) {
         auto g = TempDir();
         std::ofstream(g.p + "/data.mdb", std::ios::binary) << t;
         auto s = Store();
@@ -189,7 +189,7 @@
         w.add.resize(1);
         w.add[0].idx = i;
         w.add[0].term = i;
-        w.add[0].body = Str(20000, 'x');
+        w.add[0].body = std::string(20000, 'x');
         auto ok = bool(s->write(w));
         if (ok) diskApply(m, w);
         return ok;
@@ -228,7 +228,7 @@
                 auto e = wire::Entry();
                 e.idx = i;
                 e.term = 3;
-                e.body = Str(700, 'x');
+                e.body = std::string(700, 'x');
                 w.add.push_back(e);
             }
             CHECK(bool(s.write(w)));
@@ -237,8 +237,8 @@
         // A few bytes of the records are turned.
         auto t = *fileRead(f.p + "/data.mdb");
         for (auto k = 0; k < 4; k++) {
-            auto at = t.find(Str(300, 'x'), r.below(t.size()));
-            if (at != Str::npos) t[at + r.below(300)] ^= 1;
+            auto at = t.find(std::string(300, 'x'), r.below(t.size()));
+            if (at != std::string::npos) t[at + r.below(300)] ^= 1;
         }
         std::ofstream(f.p + "/data.mdb", std::ios::binary) << t;
         auto s = Store();
@@ -252,9 +252,9 @@
 }
 
 // Puts one record with a sound checksum into a closed store, past Store.
-static auto putRecord(const Str& dir, const Str& k, const Str& v) -> void {
+static auto putRecord(const std::string& dir, const std::string& k, const std::string& v) -> void {
     auto h = hash64(v, hash64(k));
-    auto x = Str(reinterpret_cast<const char*>(&h), sizeof h) + v;
+    auto x = std::string(reinterpret_cast<const char*>(&h), sizeof h) + v;
     MDB_env* e = nullptr;
     MDB_txn* t = nullptr;
     auto d = MDB_dbi();
@@ -291,8 +291,8 @@
     for (auto i = 0; i < 3000; i++) {
         auto e = wire::Envelope();
         e.wire = WIRE;
-        e.node = Str(r.below(20), 'n');
-        e.disk = Str(r.below(20), char(r.below(256)));
+        e.node = std::string(r.below(20), 'n');
+        e.disk = std::string(r.below(20), char(r.below(256)));
         e.reign = std::int64_t(r.next());
         if (r.chance(.5)) {
             auto b = wire::Beat();
@@ -312,7 +312,7 @@
         if (r.chance(.5)) {
             auto a = wire::AppendAsk();
             a.entries.resize(r.below(5));
-            for (auto& x : a.entries) x.body = Str(r.below(300), char(r.below(256)));
+            for (auto& x : a.entries) x.body = std::string(r.below(300), char(r.below(256)));
             e.__set_appendAsk(a);
         }
         auto t = pack(e);
@@ -334,4 +334,4 @@
     CHECK(odd > 100);
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/tests/word_test.cpp
+++ b/tests/word_test.cpp
@@ -3,9 +3,10 @@
 #include "word.hpp"
 #include "test.hpp"
 
-namespace dt {
+namespace duneturn {
 
-static auto order(Word& w, const Str& op, const Str& key, const Str& body) -> Outcome {
+static auto order(Word& w, const std::string& op, const std::string& key, const std::string& body)
+    -> Outcome {
     auto p = orderPrepare(w, op, key, body, 1000);
     return p ? w.apply(*p) : p.error();
 }
@@ -22,7 +23,7 @@
     CHECK_EQ(std::int64_t(1), w.configGen());
     auto o = order(w, "config", "k2", body);
     CHECK_EQ(409, o.status);
-    CHECK(o.body.find("\"configGeneration\":1") != Str::npos);
+    CHECK(o.body.find("\"configGeneration\":1") != std::string::npos);
     CHECK_EQ(409, w.outcome("k2").status);
     CHECK_EQ(std::int64_t(2), w.gen);
 }
@@ -34,9 +35,9 @@
     CHECK_EQ(422, o.status);
     for (auto p : {"/config/colour", "/config/mappings/0/tries", "/config/mappings/0/MaxTries",
              "/config/mappings/0/path"})
-        CHECK(o.body.find(p) != Str::npos);
+        CHECK(o.body.find(p) != std::string::npos);
     CHECK_EQ(400, order(w, "config", "k", "{\"base\":").status);
-    CHECK_EQ(400, order(w, "config", "k", Str(100000, '[')).status);
+    CHECK_EQ(400, order(w, "config", "k", std::string(100000, '[')).status);
     CHECK_EQ(422, order(w, "config", "k", "[]").status);
     CHECK_EQ(404, order(w, "colour", "k", "{}").status);
     CHECK_EQ(422, order(w, "empty", "k", R"({"district":"z","zone":"z"})").status);
@@ -56,11 +57,11 @@
         {"[1,2]", R"({"a":"b","c":null})", R"({"a":"b"})"},
         {"{}", R"({"a":{"bb":{"ccc":null}}})", R"({"a":{"bb":{}}})"}};
     for (auto& [a, p, r] : t) {
-        auto x = Doc(), y = Doc();
+        auto x = rapidjson::Document(), y = rapidjson::Document();
         jsParse(a, x);
         jsParse(p, y);
         jsMerge(x, y, x.GetAllocator());
-        CHECK_EQ(Str(r), js(x));
+        CHECK_EQ(std::string(r), js(x));
     }
 }
 
@@ -68,10 +69,10 @@
     auto w = Word();
     CHECK_EQ(200, order(w, "config", "a", fmt::format("{{\"base\":0,\"config\":{}}}", ONE_MAPPING)).status);
     CHECK_EQ(200, order(w, "merge", "b", R"({"base":1,"patch":{"name":"x","budget":{"share":0.1}}})").status);
-    CHECK_EQ(Str("x"), jsStr(w.config(), "name"));
+    CHECK_EQ(std::string("x"), jsStr(w.config(), "name"));
     CHECK_EQ(409, order(w, "merge", "c", R"({"base":1,"patch":{"name":"y"}})").status);
     CHECK_EQ(422, order(w, "merge", "d", R"({"base":2,"patch":{"mappings":null}})").status);
-    CHECK_EQ(Str("x"), jsStr(w.config(), "name"));
+    CHECK_EQ(std::string("x"), jsStr(w.config(), "name"));
     CHECK_EQ(std::int64_t(2), w.configGen());
 }
 
@@ -103,7 +104,7 @@
         for (auto i = 0; i < 30; i++) {
             auto z = fmt::format("z{}", r.below(3));
             auto base = a.configGen() - std::int64_t(r.below(2));
-            auto ops = std::vector<std::pair<Str, Str>>{
+            auto ops = std::vector<std::pair<std::string, std::string>>{
                 {"config", fmt::format("{{\"base\":{},\"config\":{}}}", base, ONE_MAPPING)},
                 {"merge", fmt::format("{{\"base\":{},\"patch\":{{\"name\":\"{}\"}}}}", base, z)},
                 {"empty", "{\"district\":" + jsQuote(z) + "}"},
@@ -128,4 +129,4 @@
     }
 }
 
-}  // namespace dt
+}  // namespace duneturn
--- a/thrift/wire.thrift
+++ b/thrift/wire.thrift
@@ -2,7 +2,7 @@
 // Rule for mixed versions: fields are only ever added, never renumbered; WIRE in
 // shared.hpp is raised when an older process could misread a newer one, and a
 // process drops envelopes whose `wire` differs from its own by more than one.
-namespace cpp dt.wire
+namespace cpp duneturn.wire
 
 // The sign that `node` has heard the beat `beat` of another node's life `boot`.
 struct Echo { 1: string node, 2: i64 boot, 3: i64 beat }
