--- a/src/base/address.cpp
+++ b/src/base/address.cpp
@@ -1,5 +1,5 @@
 // Addresses, IP:PORT by number.
-#include "shared.hpp"
+#include "base/shared.hpp"
 
 #include <boost/asio/ip/address.hpp>
 
--- a/src/base/clock.cpp
+++ b/src/base/clock.cpp
@@ -1,5 +1,5 @@
 // The machine's clocks and times of the calendar.
-#include "shared.hpp"
+#include "base/shared.hpp"
 
 #include <time.h>
 
--- a/src/base/counters.cpp
+++ b/src/base/counters.cpp
@@ -1,5 +1,5 @@
 // Counters of a process, and their text for Prometheus.
-#include "shared.hpp"
+#include "base/shared.hpp"
 
 namespace duneturn {
 
--- a/src/base/file.cpp
+++ b/src/base/file.cpp
@@ -1,5 +1,5 @@
 // Files read whole.
-#include "shared.hpp"
+#include "base/shared.hpp"
 
 #include <fstream>
 #include <sstream>
--- a/src/base/hash.cpp
+++ b/src/base/hash.cpp
@@ -1,5 +1,5 @@
 // Hashes, rendezvous ranks and deterministic random numbers.
-#include "shared.hpp"
+#include "base/shared.hpp"
 
 #include <xxhash.h>
 
--- a/src/base/json.cpp
+++ b/src/base/json.cpp
@@ -1,5 +1,5 @@
 // Reading, writing and merging of JSON documents.
-#include "json.hpp"
+#include "base/json.hpp"
 
 #include <rapidjson/prettywriter.h>
 #include <rapidjson/stringbuffer.h>
--- a/src/base/json.hpp
+++ b/src/base/json.hpp
@@ -1,6 +1,6 @@
 #pragma once
 // Parts of the JSON helpers that only their own sources need; the others stand in shared.hpp.
-#include "shared.hpp"
+#include "base/shared.hpp"
 
 namespace duneturn {
 
--- a/src/base/json_schema.cpp
+++ b/src/base/json_schema.cpp
@@ -1,6 +1,6 @@
 // The check of a document by a JSON schema. RapidJSON stops at the first broken keyword; so that every
 // fault is named, the schema is walked beside the document and each value is checked by itself.
-#include "json.hpp"
+#include "base/json.hpp"
 
 namespace duneturn {
 
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -1,5 +1,5 @@
 // Lines for changes of state, to standard error.
-#include "shared.hpp"
+#include "base/shared.hpp"
 
 #include <cstdio>
 
--- a/src/base/settings.cpp
+++ b/src/base/settings.cpp
@@ -1,5 +1,5 @@
 // The settings file, with the flags laid over it.
-#include "json.hpp"
+#include "base/json.hpp"
 
 #include <algorithm>
 #include <sstream>
--- a/src/cli/compare.cpp
+++ b/src/cli/compare.cpp
@@ -1,8 +1,8 @@
-#include "compare.hpp"
+#include "cli/compare.hpp"
 
-#include "ctl.hpp"
-#include "http.hpp"
-#include "table.hpp"
+#include "cli/ctl.hpp"
+#include "net/http.hpp"
+#include "cli/table.hpp"
 
 namespace duneturn {
 
--- a/src/cli/compare.hpp
+++ b/src/cli/compare.hpp
@@ -2,7 +2,7 @@
 // The comparison of what two nodes believe.
 #include <array>
 
-#include "shared.hpp"
+#include "base/shared.hpp"
 
 namespace duneturn {
 
--- a/src/cli/ctl.cpp
+++ b/src/cli/ctl.cpp
@@ -1,4 +1,4 @@
-#include "ctl.hpp"
+#include "cli/ctl.hpp"
 
 #include <unistd.h>
 
@@ -6,8 +6,8 @@
 #include <array>
 #include <thread>
 
-#include "http.hpp"
-#include "table.hpp"
+#include "net/http.hpp"
+#include "cli/table.hpp"
 
 namespace duneturn {
 
--- a/src/cli/ctl.hpp
+++ b/src/cli/ctl.hpp
@@ -2,7 +2,7 @@
 // The operators' command line.
 #include <cstdint>
 
-#include "shared.hpp"
+#include "base/shared.hpp"
 
 namespace duneturn {
 
--- a/src/cli/table.cpp
+++ b/src/cli/table.cpp
@@ -1,4 +1,4 @@
-#include "table.hpp"
+#include "cli/table.hpp"
 
 #include <algorithm>
 #include <cstring>
--- a/src/cli/table.hpp
+++ b/src/cli/table.hpp
@@ -1,6 +1,6 @@
 #pragma once
 // JSON values as text for a terminal.
-#include "shared.hpp"
+#include "base/shared.hpp"
 
 namespace duneturn {
 
--- a/src/consensus/disk.hpp
+++ b/src/consensus/disk.hpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <vector>
 
-#include "shared.hpp"
+#include "base/shared.hpp"
 #include "wire_types.h"
 
 namespace duneturn {
--- a/src/consensus/voter.hpp
+++ b/src/consensus/voter.hpp
@@ -16,9 +16,9 @@
 #include <set>
 
 #include "consensus/disk.hpp"
-#include "shared.hpp"
+#include "base/shared.hpp"
 #include "wire_types.h"
-#include "word.hpp"
+#include "state/replicated_state.hpp"
 
 namespace duneturn {
 
--- a/src/control/order_service.hpp
+++ b/src/control/order_service.hpp
@@ -7,7 +7,7 @@
 #include <map>
 #include <vector>
 
-#include "core.hpp"
+#include "consensus/voter.hpp"
 #include "state/state_query.hpp"
 
 namespace duneturn {
--- a/src/control/request_age.hpp
+++ b/src/control/request_age.hpp
@@ -1,6 +1,6 @@
 #pragma once
 // How long after a request came its order may still be begun.
-#include "shared.hpp"
+#include "base/shared.hpp"
 
 namespace duneturn {
 
--- a/src/control/request_watch.hpp
+++ b/src/control/request_watch.hpp
@@ -6,7 +6,7 @@
 #include <functional>
 #include <memory>
 
-#include "http.hpp"
+#include "net/http.hpp"
 
 namespace duneturn {
 
--- a/src/core.hpp
+++ /dev/null
@@ -1,3 +0,0 @@
-#pragma once
-// Forwards to the consensus module.
-#include "consensus/voter.hpp"
--- a/src/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -1,4 +1,4 @@
-#include "daemon.hpp"
+#include "daemon/daemon.hpp"
 
 #include <fcntl.h>
 #include <malloc.h>
@@ -21,7 +21,7 @@
 #include <thrift/transport/TServerSocket.h>
 
 #include "Peer.h"
-#include "compress.hpp"
+#include "net/compress.hpp"
 #include "control/request_age.hpp"
 #include "control/request_watch.hpp"
 #include "net/peer_sender.hpp"
--- a/src/daemon.hpp
+++ b/src/daemon/daemon.hpp
@@ -1,6 +1,6 @@
 #pragma once
 // The shell of edge and core: sockets, disk and threads round the roles' logic.
-#include "shell.hpp"
+#include "daemon/shell.hpp"
 
 namespace duneturn {
 
--- a/src/shell.hpp
+++ b/src/daemon/shell.hpp
@@ -1,6 +1,6 @@
 #pragma once
 // What the shell offers to an adapter: a deployment's own wire, bound to the roles' logic.
-#include "http.hpp"
+#include "net/http.hpp"
 #include "state/state_query.hpp"
 
 namespace duneturn {
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -5,13 +5,13 @@
 
 #include "cli/compare.hpp"
 #include "cli/ctl.hpp"
-#include "daemon.hpp"
-#include "fakes.hpp"
+#include "daemon/daemon.hpp"
+#include "standins/standins.hpp"
 #include "modelcheck/search.hpp"
 #include "platform.hpp"
 #include "platform_simulator.hpp"
 #include "sim/scale.hpp"
-#include "simulate.hpp"
+#include "sim/simulate.hpp"
 
 DEFINE_string(settings, "", "settings file (JSON); flags are laid over it");
 DEFINE_string(node, "", "this node's name; ctl: a node's operator address");
--- a/src/node.cpp
+++ b/src/membership/node.cpp
@@ -1,4 +1,4 @@
-#include "node.hpp"
+#include "membership/node.hpp"
 
 #include <algorithm>
 
--- a/src/node.hpp
+++ b/src/membership/node.hpp
@@ -4,7 +4,7 @@
 #include <set>
 
 #include "control/order_client.hpp"
-#include "core.hpp"
+#include "consensus/voter.hpp"
 
 namespace duneturn {
 
--- a/src/compress.cpp
+++ b/src/net/compress.cpp
@@ -1,4 +1,4 @@
-#include "compress.hpp"
+#include "net/compress.hpp"
 
 #include <thrift/protocol/TCompactProtocol.h>
 #include <thrift/transport/TBufferTransports.h>
--- a/src/compress.hpp
+++ b/src/net/compress.hpp
@@ -3,7 +3,7 @@
 #include <mutex>
 #include <optional>
 
-#include "shared.hpp"
+#include "base/shared.hpp"
 #include "wire_types.h"
 
 namespace duneturn {
--- a/src/http.hpp
+++ b/src/net/http.hpp
@@ -4,7 +4,7 @@
 #include <boost/beast/core.hpp>
 #include <boost/beast/http.hpp>
 
-#include "edge.hpp"
+#include "routing/edge.hpp"
 
 namespace duneturn {
 
--- a/src/net/peer_sender.cpp
+++ b/src/net/peer_sender.cpp
@@ -1,9 +1,9 @@
-#include "peer_sender.hpp"
+#include "net/peer_sender.hpp"
 
 #include <thrift/protocol/TCompactProtocol.h>
 
-#include "http.hpp"
-#include "socket.hpp"
+#include "net/http.hpp"
+#include "net/socket.hpp"
 
 namespace duneturn {
 
--- a/src/net/peer_sender.hpp
+++ b/src/net/peer_sender.hpp
@@ -11,7 +11,7 @@
 #include <thrift/transport/TSocket.h>
 
 #include "Peer.h"
-#include "compress.hpp"
+#include "net/compress.hpp"
 
 namespace duneturn {
 
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -1,4 +1,4 @@
-#include "socket.hpp"
+#include "net/socket.hpp"
 
 #include <sys/socket.h>
 
--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -1,5 +1,5 @@
 // Requests as they come in: checked, placed at once, queued by urgency, or refused.
-#include "edge.hpp"
+#include "routing/edge.hpp"
 #include "routing/headers.hpp"
 #include "routing/request_phases.hpp"
 #include "routing/tuning.hpp"
--- a/src/routing/answer_reader.hpp
+++ b/src/routing/answer_reader.hpp
@@ -5,7 +5,7 @@
 #include <variant>
 #include <vector>
 
-#include "http.hpp"
+#include "net/http.hpp"
 #include "routing/attempt_state.hpp"
 
 namespace duneturn {
--- a/src/routing/answers.cpp
+++ b/src/routing/answers.cpp
@@ -1,5 +1,5 @@
 // What servers answer, and what of it is passed on to the client.
-#include "edge.hpp"
+#include "routing/edge.hpp"
 #include "routing/headers.hpp"
 #include "routing/request_phases.hpp"
 #include "routing/tuning.hpp"
--- a/src/routing/attempt_state.cpp
+++ b/src/routing/attempt_state.cpp
@@ -1,4 +1,4 @@
-#include "attempt_state.hpp"
+#include "routing/attempt_state.hpp"
 
 #include <algorithm>
 
--- a/src/routing/attempts.cpp
+++ b/src/routing/attempts.cpp
@@ -1,5 +1,5 @@
 // The sends of a request: chosen, checked just before the first byte, failed and tried again.
-#include "edge.hpp"
+#include "routing/edge.hpp"
 #include "routing/headers.hpp"
 #include "routing/request_phases.hpp"
 #include "routing/tuning.hpp"
--- a/src/routing/cold_ramp.cpp
+++ b/src/routing/cold_ramp.cpp
@@ -1,5 +1,5 @@
 // How much a server that has just started, or come back, may be sent.
-#include "edge.hpp"
+#include "routing/edge.hpp"
 #include "routing/headers.hpp"
 #include "routing/request_phases.hpp"
 #include "routing/tuning.hpp"
--- a/src/edge.cpp
+++ b/src/routing/edge.cpp
@@ -1,4 +1,4 @@
-#include "edge.hpp"
+#include "routing/edge.hpp"
 
 #include <algorithm>
 
--- a/src/edge.hpp
+++ b/src/routing/edge.hpp
@@ -7,7 +7,7 @@
 #include <memory>
 #include <unordered_map>
 
-#include "node.hpp"
+#include "membership/node.hpp"
 #include "routing/attempt_state.hpp"
 
 namespace duneturn {
--- a/src/routing/headers.hpp
+++ b/src/routing/headers.hpp
@@ -1,6 +1,6 @@
 #pragma once
 // Headers of HTTP messages and the numbers in them.
-#include "edge.hpp"
+#include "routing/edge.hpp"
 
 namespace duneturn {
 
--- a/src/routing/inspection.cpp
+++ b/src/routing/inspection.cpp
@@ -1,5 +1,5 @@
 // What operators are shown of requests.
-#include "edge.hpp"
+#include "routing/edge.hpp"
 #include "routing/headers.hpp"
 #include "routing/request_phases.hpp"
 #include "routing/tuning.hpp"
--- a/src/routing/kept_connections.hpp
+++ b/src/routing/kept_connections.hpp
@@ -4,7 +4,7 @@
 #include <map>
 #include <optional>
 
-#include "http.hpp"
+#include "net/http.hpp"
 
 namespace duneturn {
 
--- a/src/routing/placement.cpp
+++ b/src/routing/placement.cpp
@@ -1,5 +1,5 @@
 // Which server a request goes to.
-#include "edge.hpp"
+#include "routing/edge.hpp"
 #include "routing/headers.hpp"
 #include "routing/request_phases.hpp"
 #include "routing/tuning.hpp"
--- a/src/routing/retry_budget.cpp
+++ b/src/routing/retry_budget.cpp
@@ -1,5 +1,5 @@
 // What further sends are paid from.
-#include "edge.hpp"
+#include "routing/edge.hpp"
 #include "routing/headers.hpp"
 #include "routing/request_phases.hpp"
 #include "routing/tuning.hpp"
--- a/src/routing/rules.cpp
+++ b/src/routing/rules.cpp
@@ -1,5 +1,5 @@
 // Compiles a configuration into the rules that bind requests, and binds them.
-#include "edge.hpp"
+#include "routing/edge.hpp"
 #include "routing/headers.hpp"
 #include "routing/request_phases.hpp"
 #include "routing/tuning.hpp"
--- a/src/routing/server_load.cpp
+++ b/src/routing/server_load.cpp
@@ -1,5 +1,5 @@
 // What is known of the servers: their load, fitness and pace, as answers and failures tell it.
-#include "edge.hpp"
+#include "routing/edge.hpp"
 #include "routing/headers.hpp"
 #include "routing/request_phases.hpp"
 #include "routing/tuning.hpp"
--- a/src/routing/tuning.hpp
+++ b/src/routing/tuning.hpp
@@ -1,6 +1,6 @@
 #pragma once
 // Figures that several parts of the router share.
-#include "shared.hpp"
+#include "base/shared.hpp"
 
 namespace duneturn {
 
--- a/src/faults.cpp
+++ b/src/sim/faults.cpp
@@ -1,7 +1,7 @@
 // What goes wrong in a simulated day, and when.
 #include <algorithm>
 
-#include "world.hpp"
+#include "sim/world.hpp"
 
 namespace duneturn {
 
--- a/src/history.cpp
+++ b/src/sim/history.cpp
@@ -1,4 +1,4 @@
-#include "history.hpp"
+#include "sim/history.hpp"
 
 #include <algorithm>
 #include <functional>
--- a/src/history.hpp
+++ b/src/sim/history.hpp
@@ -1,7 +1,7 @@
 #pragma once
 // Whether a history of orders and readbacks could have come from one register that is
 // changed by one order after another, each at some moment between asking and reply.
-#include "shared.hpp"
+#include "base/shared.hpp"
 
 namespace duneturn {
 
--- a/src/oracles.cpp
+++ b/src/sim/oracles.cpp
@@ -2,7 +2,7 @@
 // told, by the true clock, and nothing that the fleet says of itself.
 #include <algorithm>
 
-#include "world.hpp"
+#include "sim/world.hpp"
 
 namespace duneturn {
 
--- a/src/sim/scale.hpp
+++ b/src/sim/scale.hpp
@@ -1,7 +1,7 @@
 #pragma once
 // Hollow nodes: the real Node and Voter of a whole fleet, without traffic, over virtual time,
 // network and disks; the control plane's cost a node and its convergence times, by the number of nodes.
-#include "node.hpp"
+#include "membership/node.hpp"
 
 namespace duneturn {
 
--- a/src/sim/scale_codec.cpp
+++ b/src/sim/scale_codec.cpp
@@ -1,4 +1,4 @@
-#include "scale_codec.hpp"
+#include "sim/scale_codec.hpp"
 
 namespace duneturn {
 
--- a/src/sim/scale_codec.hpp
+++ b/src/sim/scale_codec.hpp
@@ -6,7 +6,7 @@
 #include <thrift/transport/TBufferTransports.h>
 
 #include "Peer.h"
-#include "shared.hpp"
+#include "base/shared.hpp"
 
 namespace duneturn {
 
--- a/src/sim/scale_command.cpp
+++ b/src/sim/scale_command.cpp
@@ -5,8 +5,8 @@
 #include <fstream>
 #include <sstream>
 
-#include "scale.hpp"
-#include "scale_plot.hpp"
+#include "sim/scale.hpp"
+#include "sim/scale_plot.hpp"
 
 namespace duneturn {
 
--- a/src/sim/scale_fleet.cpp
+++ b/src/sim/scale_fleet.cpp
@@ -1,12 +1,12 @@
 // The fleet of the `scale` subcommand: its nodes, its virtual time and network, and its set-up.
-#include "scale_fleet.hpp"
+#include "sim/scale_fleet.hpp"
 
 #include <time.h>
 
 #include <algorithm>
 #include <cmath>
 
-#include "word.hpp"
+#include "state/replicated_state.hpp"
 
 namespace duneturn::scale {
 
--- a/src/sim/scale_fleet.hpp
+++ b/src/sim/scale_fleet.hpp
@@ -6,9 +6,9 @@
 #include <queue>
 #include <set>
 
-#include "node.hpp"
-#include "scale.hpp"
-#include "scale_codec.hpp"
+#include "membership/node.hpp"
+#include "sim/scale.hpp"
+#include "sim/scale_codec.hpp"
 
 namespace duneturn::scale {
 
--- a/src/sim/scale_measure.cpp
+++ b/src/sim/scale_measure.cpp
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-#include "scale_fleet.hpp"
+#include "sim/scale_fleet.hpp"
 
 namespace duneturn::scale {
 
--- a/src/sim/scale_plot.cpp
+++ b/src/sim/scale_plot.cpp
@@ -1,4 +1,4 @@
-#include "scale_plot.hpp"
+#include "sim/scale_plot.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/sim/scale_plot.hpp
+++ b/src/sim/scale_plot.hpp
@@ -1,6 +1,6 @@
 #pragma once
 // The plot of the `scale` subcommand: cost and convergence by the number of nodes.
-#include "shared.hpp"
+#include "base/shared.hpp"
 
 namespace duneturn {
 
--- a/src/simulate.cpp
+++ b/src/sim/simulate.cpp
@@ -1,4 +1,4 @@
-#include "world.hpp"
+#include "sim/world.hpp"
 
 #include <dirent.h>
 
--- a/src/simulate.hpp
+++ b/src/sim/simulate.hpp
@@ -1,7 +1,7 @@
 #pragma once
 // Runs the real logic of a whole fleet over virtual time, network, clocks and disks, all
 // from one seed, and judges it by what servers ran, senders got and operators were told.
-#include "edge.hpp"
+#include "routing/edge.hpp"
 
 namespace duneturn {
 
--- a/src/world.hpp
+++ b/src/sim/world.hpp
@@ -4,9 +4,9 @@
 #include <deque>
 #include <queue>
 
-#include "fakes.hpp"
-#include "history.hpp"
-#include "simulate.hpp"
+#include "standins/standins.hpp"
+#include "sim/history.hpp"
+#include "sim/simulate.hpp"
 
 namespace duneturn {
 
--- a/src/fakes/fake_sender.cpp
+++ b/src/standins/fake_client.cpp
@@ -6,7 +6,7 @@
 #include <cmath>
 #include <fstream>
 
-#include "fakes.hpp"
+#include "standins/standins.hpp"
 
 namespace duneturn {
 
--- a/src/fakes/fake_platform.cpp
+++ b/src/standins/fake_platform.cpp
@@ -2,7 +2,7 @@
 // replies. Is itself told by HTTP: POST /leave/NAME, /stay/NAME, /return/NAME (a new life), /status.
 #include <signal.h>
 
-#include "fakes.hpp"
+#include "standins/standins.hpp"
 
 namespace duneturn {
 
--- a/src/fake_server.cpp
+++ b/src/standins/fake_server.cpp
@@ -7,7 +7,7 @@
 #include <set>
 #include <thread>
 
-#include "fakes.hpp"
+#include "standins/standins.hpp"
 
 namespace duneturn {
 
--- a/src/fakes.hpp
+++ b/src/standins/standins.hpp
@@ -2,7 +2,7 @@
 // Stand-ins for what duneturn meets outside: model servers, senders, the platform.
 #include <list>
 
-#include "http.hpp"
+#include "net/http.hpp"
 
 namespace duneturn {
 
--- a/src/state/accepted_changes.hpp
+++ b/src/state/accepted_changes.hpp
@@ -3,7 +3,7 @@
 // again after a lost answer is recognised by it and acknowledged again, however many others came since.
 #include <optional>
 
-#include "shared.hpp"
+#include "base/shared.hpp"
 
 namespace duneturn {
 
--- a/src/state/config_change.hpp
+++ b/src/state/config_change.hpp
@@ -9,7 +9,7 @@
 //    "set":      {member: value...}, "unset": [member...]}     all other members
 //
 // A mapping that is put takes the place of the one of its name; new ones follow the rest.
-#include "shared.hpp"
+#include "base/shared.hpp"
 
 namespace duneturn {
 
--- a/src/state/evacuations.hpp
+++ b/src/state/evacuations.hpp
@@ -1,7 +1,7 @@
 #pragma once
 // Which zones are evacuated, as the replicated state keeps it, and the revision of each zone: a
 // fencing token. An order that names the revision it was based on is void once the zone has changed.
-#include "shared.hpp"
+#include "base/shared.hpp"
 
 namespace duneturn {
 
--- a/src/state/order_outcomes.hpp
+++ b/src/state/order_outcomes.hpp
@@ -2,7 +2,7 @@
 // Outcomes of orders by idempotency key, as the replicated state keeps them. Accepted configuration
 // changes stand in a compact memory of their own (accepted_changes.hpp); neither other orders nor
 // refusals can push them out.
-#include "shared.hpp"
+#include "base/shared.hpp"
 
 namespace duneturn {
 
--- a/src/word.cpp
+++ b/src/state/replicated_state.cpp
@@ -1,4 +1,4 @@
-#include "word.hpp"
+#include "state/replicated_state.hpp"
 
 #include <algorithm>
 #include <unordered_set>
--- a/src/word.hpp
+++ b/src/state/replicated_state.hpp
@@ -1,7 +1,7 @@
 #pragma once
 // The operator's word: the one document that a majority of disks keeps. An order
 // changes it by the same steps on every machine; nothing else is ever logged.
-#include "shared.hpp"
+#include "base/shared.hpp"
 #include "state/order_outcomes.hpp"
 
 namespace duneturn {
--- a/src/state/state_query.hpp
+++ b/src/state/state_query.hpp
@@ -1,9 +1,9 @@
 #pragma once
 // Questions to the replicated state, answered by the leader after a confirmed read. Each answer holds
 // what its caller needs and no more.
-#include "shared.hpp"
+#include "base/shared.hpp"
 #include "state/evacuations.hpp"
-#include "word.hpp"
+#include "state/replicated_state.hpp"
 
 namespace duneturn {
 
--- a/src/state/text_change.hpp
+++ b/src/state/text_change.hpp
@@ -3,7 +3,7 @@
 // parts that are new.
 #include <vector>
 
-#include "shared.hpp"
+#include "base/shared.hpp"
 
 namespace duneturn {
 
--- a/src/storage/file_layer.hpp
+++ b/src/storage/file_layer.hpp
@@ -1,7 +1,7 @@
 #pragma once
 // The operations on names and the syncs that a store's durability rests on, behind an
 // interface, so that tests can lose each of them as a loss of power does.
-#include "shared.hpp"
+#include "base/shared.hpp"
 
 namespace duneturn {
 
--- a/src/storage/record_codec.hpp
+++ b/src/storage/record_codec.hpp
@@ -6,7 +6,7 @@
 #include <thrift/protocol/TCompactProtocol.h>
 #include <thrift/transport/TBufferTransports.h>
 
-#include "core.hpp"
+#include "consensus/voter.hpp"
 
 namespace duneturn {
 
--- a/tests/shared_test.cpp
+++ b/tests/base/settings_test.cpp
@@ -1,4 +1,4 @@
-#include "shared.hpp"
+#include "base/shared.hpp"
 #include "test.hpp"
 
 namespace duneturn {
--- a/tests/consensus_membership_test.cpp
+++ b/tests/consensus/consensus_membership_test.cpp
@@ -1,5 +1,5 @@
 // Replacing a voter: joint configurations, learners, retiring, and what may be lost meanwhile.
-#include "consensus_fixture.hpp"
+#include "consensus/consensus_fixture.hpp"
 
 namespace duneturn {
 namespace {
--- a/tests/consensus_snapshot_test.cpp
+++ b/tests/consensus/consensus_snapshot_test.cpp
@@ -1,5 +1,5 @@
 // Snapshots in chunks, catching up on a slow link, and compaction.
-#include "consensus_fixture.hpp"
+#include "consensus/consensus_fixture.hpp"
 
 namespace duneturn {
 namespace {
--- a/tests/consensus_test.cpp
+++ b/tests/consensus/consensus_test.cpp
@@ -1,5 +1,5 @@
 // What a voter refuses, and what it says only once its disk holds it.
-#include "consensus_fixture.hpp"
+#include "consensus/consensus_fixture.hpp"
 
 namespace duneturn {
 namespace {
--- a/tests/core_test.cpp
+++ b/tests/consensus/voter_test.cpp
@@ -3,7 +3,7 @@
 #include <map>
 #include <memory>
 
-#include "core.hpp"
+#include "consensus/voter.hpp"
 #include "test.hpp"
 
 namespace duneturn {
--- a/tests/fleet_fixture.hpp
+++ b/tests/membership/fleet_fixture.hpp
@@ -8,7 +8,7 @@
 #include <thrift/protocol/TCompactProtocol.h>
 #include <thrift/transport/TBufferTransports.h>
 
-#include "node.hpp"
+#include "membership/node.hpp"
 #include "test.hpp"
 
 namespace duneturn {
--- a/tests/node_fixture.hpp
+++ b/tests/membership/node_fixture.hpp
@@ -5,7 +5,7 @@
 #include <memory>
 #include <set>
 
-#include "edge.hpp"
+#include "routing/edge.hpp"
 
 namespace duneturn {
 
--- a/tests/node_learnt_test.cpp
+++ b/tests/membership/node_learnt_test.cpp
@@ -1,5 +1,5 @@
 // A fleet whose membership is learnt, over virtual time.
-#include "fleet_fixture.hpp"
+#include "membership/fleet_fixture.hpp"
 
 namespace duneturn {
 
--- a/tests/node_test.cpp
+++ b/tests/membership/node_test.cpp
@@ -1,4 +1,4 @@
-#include "node_fixture.hpp"
+#include "membership/node_fixture.hpp"
 #include "test.hpp"
 
 namespace duneturn {
--- a/tests/compress_test.cpp
+++ b/tests/net/compress_test.cpp
@@ -1,4 +1,4 @@
-#include "compress.hpp"
+#include "net/compress.hpp"
 #include "test.hpp"
 
 namespace duneturn {
--- a/tests/http_test.cpp
+++ b/tests/net/event_split_test.cpp
@@ -1,4 +1,4 @@
-#include "http.hpp"
+#include "net/http.hpp"
 #include "test.hpp"
 
 namespace duneturn {
--- a/tests/incident_reply_test.cpp
+++ b/tests/net/incident_reply_test.cpp
@@ -1,6 +1,6 @@
 // The end of a server's connection. Incidents inc-33e3 and inc-884a: servers fell over, and a
 // connection that closed before a byte of its reply was taken for a whole reply of status 200.
-#include "http.hpp"
+#include "net/http.hpp"
 #include "test.hpp"
 
 namespace duneturn {
--- a/tests/shell_test.cpp
+++ b/tests/net/shell_test.cpp
@@ -1,5 +1,5 @@
 // The shell's pieces without sockets: keep-alive, the pool of kept connections, limits, the stop.
-#include "http.hpp"
+#include "net/http.hpp"
 #include "test.hpp"
 
 namespace duneturn {
--- a/tests/platform_adapter_test.cpp
+++ b/tests/platform/platform_adapter_test.cpp
@@ -5,7 +5,7 @@
 #include "platform.hpp"
 #include "state/accepted_changes.hpp"
 #include "test.hpp"
-#include "word.hpp"
+#include "state/replicated_state.hpp"
 
 namespace duneturn::platform {
 
--- a/tests/platform_orders_fixture.hpp
+++ b/tests/platform/platform_orders_fixture.hpp
@@ -4,7 +4,7 @@
 #include <optional>
 
 #include "control/request_age.hpp"
-#include "fleet_fixture.hpp"
+#include "membership/fleet_fixture.hpp"
 #include "platform.hpp"
 
 namespace duneturn {
--- a/tests/platform_orders_model.hpp
+++ b/tests/platform/platform_orders_model.hpp
@@ -1,7 +1,7 @@
 #pragma once
 // Operators, the troubles that they meet, and what is judged of it: only what operators sent and were
 // told, and the state of a zone as its leader holds it.
-#include "platform_orders_fixture.hpp"
+#include "platform/platform_orders_fixture.hpp"
 
 namespace duneturn {
 
--- a/tests/platform_orders_test.cpp
+++ b/tests/platform/platform_orders_test.cpp
@@ -1,6 +1,6 @@
 // Orders and readbacks of operators through cuts, freezes, restarts and lost answers, judged by oracles
 // that know only what operators sent and were told.
-#include "platform_orders_model.hpp"
+#include "platform/platform_orders_model.hpp"
 #include "state/accepted_changes.hpp"
 
 namespace duneturn {
--- a/tests/edge_fixture.hpp
+++ b/tests/routing/edge_fixture.hpp
@@ -1,7 +1,7 @@
 #pragma once
 // An edge behind another wire: senders name their requests, servers tell their load, streams
 // end with their message.
-#include "edge.hpp"
+#include "routing/edge.hpp"
 #include "test.hpp"
 
 namespace duneturn {
--- a/tests/edge_platform_test.cpp
+++ b/tests/routing/edge_platform_test.cpp
@@ -1,5 +1,5 @@
 // An edge behind another wire: placement, retries, streams, queues, budgets and cold servers.
-#include "edge_fixture.hpp"
+#include "routing/edge_fixture.hpp"
 
 namespace duneturn {
 namespace {
--- a/tests/edge_test.cpp
+++ b/tests/routing/edge_test.cpp
@@ -2,7 +2,7 @@
 #include <array>
 #include <set>
 
-#include "node_fixture.hpp"
+#include "membership/node_fixture.hpp"
 #include "test.hpp"
 
 namespace duneturn {
--- a/tests/incident_edge_test.cpp
+++ b/tests/routing/incident_edge_test.cpp
@@ -1,6 +1,6 @@
 // What the incidents inc-33e3 and inc-884a showed of an edge behind another wire: a district's
 // servers fall over together. One node that is a fleet of its own.
-#include "edge.hpp"
+#include "routing/edge.hpp"
 #include "test.hpp"
 
 namespace duneturn {
--- a/tests/server_model.cpp
+++ b/tests/routing/server_model.cpp
@@ -1,4 +1,4 @@
-#include "server_model.hpp"
+#include "routing/server_model.hpp"
 
 namespace duneturn {
 namespace {
--- a/tests/server_model.hpp
+++ b/tests/routing/server_model.hpp
@@ -5,7 +5,7 @@
 #include <map>
 #include <optional>
 
-#include "edge_fixture.hpp"
+#include "routing/edge_fixture.hpp"
 #include "routing/answer_reader.hpp"
 #include "routing/kept_connections.hpp"
 
--- a/tests/server_model_test.cpp
+++ b/tests/routing/server_model_test.cpp
@@ -1,6 +1,6 @@
 // Servers that cut, reset, stall, decline, answer twice and answer late, at every byte of their
 // answers, for requests that may be repeated, that may not, and that may be resumed.
-#include "server_model.hpp"
+#include "routing/server_model.hpp"
 
 namespace duneturn {
 namespace {
--- a/tests/simulate_test.cpp
+++ b/tests/sim/simulate_test.cpp
@@ -1,4 +1,4 @@
-#include "simulate.hpp"
+#include "sim/simulate.hpp"
 #include "test.hpp"
 
 namespace duneturn {
--- a/tests/order_state_test.cpp
+++ b/tests/state/order_state_test.cpp
@@ -3,7 +3,7 @@
 #include "state/evacuations.hpp"
 #include "state/state_query.hpp"
 #include "test.hpp"
-#include "word.hpp"
+#include "state/replicated_state.hpp"
 
 namespace duneturn {
 
--- a/tests/word_test.cpp
+++ b/tests/state/replicated_state_test.cpp
@@ -1,6 +1,6 @@
 #include <array>
 
-#include "word.hpp"
+#include "state/replicated_state.hpp"
 #include "test.hpp"
 
 namespace duneturn {
--- a/tests/power_loss_files.cpp
+++ b/tests/storage/power_loss_files.cpp
@@ -1,4 +1,4 @@
-#include "power_loss_files.hpp"
+#include "storage/power_loss_files.hpp"
 
 #include <cerrno>
 #include <filesystem>
--- a/tests/storage_fixture.hpp
+++ b/tests/storage/storage_fixture.hpp
@@ -3,7 +3,7 @@
 #include <cstdlib>
 #include <filesystem>
 
-#include "core.hpp"
+#include "consensus/voter.hpp"
 
 namespace duneturn {
 
--- a/tests/storage_full_test.cpp
+++ b/tests/storage/storage_full_test.cpp
@@ -4,7 +4,7 @@
 #include <lmdb.h>
 
 #include "storage/store.hpp"
-#include "storage_fixture.hpp"
+#include "storage/storage_fixture.hpp"
 #include "test.hpp"
 
 namespace duneturn {
--- a/tests/storage_power_test.cpp
+++ b/tests/storage/storage_power_test.cpp
@@ -1,7 +1,7 @@
 // A store whose machine loses power at any moment: what was promised is there afterwards.
-#include "power_loss_files.hpp"
+#include "storage/power_loss_files.hpp"
 #include "storage/store.hpp"
-#include "storage_fixture.hpp"
+#include "storage/storage_fixture.hpp"
 #include "test.hpp"
 
 namespace duneturn {
