--- a/src/base/address.cpp
+++ b/src/base/address.cpp
@@ -1,7 +1,12 @@
 // Addresses, IP:PORT by number.
-#include "base/shared.hpp"
+#include "base/address.hpp"
+
+#include <cstdint>
+#include <string>
+#include <string_view>
 
 #include <boost/asio/ip/address.hpp>
+#include <tl/expected.hpp>
 
 namespace duneturn {
 
--- a/src/base/counters.cpp
+++ b/src/base/counters.cpp
@@ -1,5 +1,11 @@
 // Counters of a process, and their text for Prometheus.
-#include "base/shared.hpp"
+#include "base/counters.hpp"
+
+#include <cstdint>
+#include <string>
+#include <string_view>
+
+#include <fmt/format.h>
 
 namespace duneturn {
 
--- a/src/base/file.cpp
+++ b/src/base/file.cpp
@@ -1,8 +1,12 @@
 // Files read whole.
-#include "base/shared.hpp"
+#include "base/file.hpp"
 
 #include <fstream>
 #include <sstream>
+#include <string>
+
+#include <fmt/format.h>
+#include <tl/expected.hpp>
 
 namespace duneturn {
 
--- a/src/base/json.cpp
+++ b/src/base/json.cpp
@@ -1,6 +1,11 @@
 // Reading, writing and merging of JSON documents.
 #include "base/json.hpp"
 
+#include <cstdint>
+#include <string>
+#include <string_view>
+#include <vector>
+
 #include <rapidjson/prettywriter.h>
 #include <rapidjson/stringbuffer.h>
 #include <rapidjson/writer.h>
--- a/src/base/json_schema.cpp
+++ b/src/base/json_schema.cpp
@@ -1,5 +1,11 @@
 // The check of a document by a JSON schema. RapidJSON stops at the first broken keyword; so that every
 // fault is named, the schema is walked beside the document and each value is checked by itself.
+#include <string>
+#include <string_view>
+#include <vector>
+
+#include <fmt/format.h>
+
 #include "base/json.hpp"
 
 namespace duneturn {
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -1,7 +1,13 @@
 // Lines for changes of state, to standard error.
-#include "base/shared.hpp"
+#include "base/log.hpp"
 
 #include <cstdio>
+#include <mutex>
+#include <string_view>
+
+#include <fmt/format.h>
+
+#include "base/time.hpp"
 
 namespace duneturn {
 
--- a/src/base/settings.cpp
+++ b/src/base/settings.cpp
@@ -1,10 +1,20 @@
 // The settings file, with the flags laid over it.
-#include "base/json.hpp"
+#include "base/settings.hpp"
 
 #include <algorithm>
+#include <cstdint>
+#include <map>
 #include <sstream>
+#include <string>
+#include <vector>
 
+#include <fmt/format.h>
 #include <rapidjson/error/en.h>
+#include <tl/expected.hpp>
+
+#include "base/address.hpp"
+#include "base/file.hpp"
+#include "base/json.hpp"
 
 namespace duneturn {
 
--- a/src/base/clock.cpp
+++ b/src/base/time.cpp
@@ -1,8 +1,11 @@
 // The machine's clocks and times of the calendar.
-#include "base/shared.hpp"
+#include "base/time.hpp"
 
+#include <string>
 #include <time.h>
 
+#include <fmt/format.h>
+
 namespace duneturn {
 
 static auto readClock(clockid_t clock) -> Microseconds {
--- a/src/cli/compare.cpp
+++ b/src/cli/compare.cpp
@@ -1,8 +1,17 @@
 #include "cli/compare.hpp"
 
+#include <map>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include <fmt/format.h>
+
+#include "base/json.hpp"
+#include "base/time.hpp"
 #include "cli/ctl.hpp"
-#include "net/http.hpp"
 #include "cli/table.hpp"
+#include "net/http.hpp"
 
 namespace duneturn {
 
--- a/src/cli/compare.hpp
+++ b/src/cli/compare.hpp
@@ -1,8 +1,10 @@
 #pragma once
 // The comparison of what two nodes believe.
 #include <array>
+#include <string>
+#include <vector>
 
-#include "base/shared.hpp"
+#include "base/json.hpp"
 
 namespace duneturn {
 
--- a/src/cli/ctl.cpp
+++ b/src/cli/ctl.cpp
@@ -1,13 +1,23 @@
 #include "cli/ctl.hpp"
 
-#include <unistd.h>
-
 #include <algorithm>
 #include <array>
+#include <cstdint>
+#include <map>
+#include <string>
 #include <thread>
+#include <unistd.h>
+#include <vector>
 
-#include "net/http.hpp"
+#include <fmt/format.h>
+#include <tl/expected.hpp>
+
+#include "base/address.hpp"
+#include "base/file.hpp"
+#include "base/json.hpp"
+#include "base/time.hpp"
 #include "cli/table.hpp"
+#include "net/http.hpp"
 
 namespace duneturn {
 
--- a/src/cli/ctl.hpp
+++ b/src/cli/ctl.hpp
@@ -1,8 +1,8 @@
 #pragma once
 // The operators' command line.
 #include <cstdint>
-
-#include "base/shared.hpp"
+#include <string>
+#include <vector>
 
 namespace duneturn {
 
--- a/src/cli/table.cpp
+++ b/src/cli/table.cpp
@@ -2,6 +2,13 @@
 
 #include <algorithm>
 #include <cstring>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include <fmt/format.h>
+
+#include "base/json.hpp"
 
 namespace duneturn {
 
--- a/src/cli/table.hpp
+++ b/src/cli/table.hpp
@@ -1,6 +1,9 @@
 #pragma once
 // JSON values as text for a terminal.
-#include "base/shared.hpp"
+#include <string>
+#include <vector>
+
+#include "base/json.hpp"
 
 namespace duneturn {
 
--- a/src/consensus/disk.hpp
+++ b/src/consensus/disk.hpp
@@ -2,9 +2,10 @@
 // What a voter keeps on its disk, and the writes that change it. The store performs the
 // writes; the simulator and the tests apply them to a value in memory.
 #include <algorithm>
+#include <cstdint>
+#include <string>
 #include <vector>
 
-#include "base/shared.hpp"
 #include "wire_types.h"
 
 namespace duneturn {
--- a/src/consensus/election.cpp
+++ b/src/consensus/election.cpp
@@ -1,4 +1,9 @@
 // Terms, pre-vote, votes and leadership transfer.
+#include <cstdint>
+#include <string>
+
+#include "base/log.hpp"
+#include "base/time.hpp"
 #include "consensus/role.hpp"
 #include "consensus/voter.hpp"
 
--- a/src/consensus/log.cpp
+++ b/src/consensus/log.cpp
@@ -1,4 +1,10 @@
 // The log in memory, the writes that bring it to disk, and what waits for them.
+#include <cstdint>
+#include <string>
+#include <utility>
+
+#include "base/log.hpp"
+#include "base/time.hpp"
 #include "consensus/role.hpp"
 #include "consensus/voter.hpp"
 
--- a/src/consensus/membership.cpp
+++ b/src/consensus/membership.cpp
@@ -1,6 +1,15 @@
 // Who votes: the voters that the log names, their replacement, founding and retiring.
 #include <algorithm>
+#include <cstdint>
+#include <functional>
+#include <memory>
+#include <string>
+#include <utility>
+#include <vector>
 
+#include "base/json.hpp"
+#include "base/log.hpp"
+#include "base/time.hpp"
 #include "consensus/role.hpp"
 #include "consensus/voter.hpp"
 
--- a/src/consensus/replication.cpp
+++ b/src/consensus/replication.cpp
@@ -1,6 +1,12 @@
 // Appending entries here and on the other voters, commit, reads, and applying.
 #include <algorithm>
+#include <cstdint>
+#include <functional>
+#include <string>
+#include <vector>
 
+#include "base/log.hpp"
+#include "base/time.hpp"
 #include "consensus/role.hpp"
 #include "consensus/voter.hpp"
 
--- a/src/consensus/role.hpp
+++ b/src/consensus/role.hpp
@@ -4,7 +4,7 @@
 #include <boost/msm/front/functor_row.hpp>
 #include <boost/msm/front/state_machine_def.hpp>
 
-#include "base/shared.hpp"
+#include "base/counters.hpp"
 
 namespace duneturn {
 
--- a/src/consensus/snapshot.cpp
+++ b/src/consensus/snapshot.cpp
@@ -1,4 +1,9 @@
 // Compaction of the log, and installing a snapshot.
+#include <cstdint>
+#include <memory>
+#include <string>
+
+#include "base/time.hpp"
 #include "consensus/role.hpp"
 #include "consensus/voter.hpp"
 
--- a/src/consensus/transfer.cpp
+++ b/src/consensus/transfer.cpp
@@ -3,6 +3,14 @@
 // The receiver answers each chunk with the offset that it expects next. What it has is told apart by
 // index, term and digest, so that it goes on where it was also under another leader, whose snapshot
 // of the same entry is the same document.
+#include <cstdint>
+#include <string>
+#include <utility>
+
+#include <fmt/format.h>
+
+#include "base/hash.hpp"
+#include "base/time.hpp"
 #include "consensus/role.hpp"
 #include "consensus/voter.hpp"
 
--- a/src/consensus/voter.cpp
+++ b/src/consensus/voter.cpp
@@ -1,6 +1,14 @@
 // A voter's start, its clock, and which handler a message goes to.
 #include "consensus/voter.hpp"
 
+#include <cstdint>
+#include <memory>
+#include <string>
+
+#include "base/counters.hpp"
+#include "base/log.hpp"
+#include "base/time.hpp"
+#include "base/version.hpp"
 #include "consensus/role.hpp"
 
 namespace duneturn {
--- a/src/consensus/voter.hpp
+++ b/src/consensus/voter.hpp
@@ -10,15 +10,22 @@
 //   membership.cpp   voters, replacement, founding and retiring
 //   snapshot.cpp     compaction, installing a snapshot
 //   transfer.cpp     sending a snapshot in chunks, and putting them together
+#include <cstdint>
 #include <deque>
 #include <functional>
+#include <map>
 #include <memory>
 #include <set>
+#include <string>
+#include <utility>
+#include <vector>
 
+#include "base/counters.hpp"
+#include "base/random.hpp"
+#include "base/time.hpp"
 #include "consensus/disk.hpp"
-#include "base/shared.hpp"
-#include "wire_types.h"
 #include "state/replicated_state.hpp"
+#include "wire_types.h"
 
 namespace duneturn {
 
--- a/src/control/order_client.cpp
+++ b/src/control/order_client.cpp
@@ -1,6 +1,13 @@
 #include "control/order_client.hpp"
 
 #include <algorithm>
+#include <cstdint>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "base/json.hpp"
+#include "base/time.hpp"
 
 namespace duneturn {
 
--- a/src/control/order_client.hpp
+++ b/src/control/order_client.hpp
@@ -1,8 +1,11 @@
 #pragma once
 // The side of the node that an operator speaks to: brings orders and reads to the leader, sends them
 // again when the leader changes or is silent, and matches the answers.
+#include <cstdint>
+#include <string>
 #include <vector>
 
+#include "base/time.hpp"
 #include "control/order_service.hpp"
 
 namespace duneturn {
--- a/src/control/order_service.cpp
+++ b/src/control/order_service.cpp
@@ -1,6 +1,13 @@
 #include "control/order_service.hpp"
 
 #include <algorithm>
+#include <cstdint>
+#include <string>
+#include <string_view>
+#include <utility>
+
+#include "base/json.hpp"
+#include "base/time.hpp"
 
 namespace duneturn {
 
--- a/src/control/order_service.hpp
+++ b/src/control/order_service.hpp
@@ -3,10 +3,15 @@
 // committed. A read, and a refusal that depends on the state, is answered out of committed state after
 // a majority has confirmed this leader, in a round that began after the question arrived (ReadIndex:
 // Ongaro, "Consensus: Bridging Theory and Practice", 6.4).
+#include <cstdint>
 #include <functional>
 #include <map>
+#include <string>
+#include <string_view>
 #include <vector>
 
+#include "base/counters.hpp"
+#include "base/time.hpp"
 #include "consensus/voter.hpp"
 #include "state/state_query.hpp"
 
--- a/src/control/request_age.hpp
+++ b/src/control/request_age.hpp
@@ -1,6 +1,8 @@
 #pragma once
 // How long after a request came its order may still be begun.
-#include "base/shared.hpp"
+#include <string_view>
+
+#include "base/time.hpp"
 
 namespace duneturn {
 
--- a/src/control/request_watch.hpp
+++ b/src/control/request_watch.hpp
@@ -1,11 +1,14 @@
 #pragma once
 // Watches the connection of a request that is being answered, so that no order is carried out for a
 // caller who has given up and may have sent other orders elsewhere since.
-#include <sys/socket.h>
-
+#include <cstdint>
 #include <functional>
 #include <memory>
+#include <utility>
+
+#include <sys/socket.h>
 
+#include "base/time.hpp"
 #include "net/http.hpp"
 
 namespace duneturn {
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -1,33 +1,52 @@
 #include "daemon/daemon.hpp"
 
+#include <condition_variable>
+#include <cstdint>
+#include <deque>
 #include <fcntl.h>
+#include <functional>
 #include <malloc.h>
+#include <map>
+#include <memory>
+#include <mutex>
+#include <optional>
 #include <pthread.h>
+#include <random>
+#include <set>
 #include <signal.h>
-#include <sys/socket.h>
-#include <unistd.h>
-
-#include <condition_variable>
 #include <sstream>
-#include <deque>
-#include <optional>
-#include <random>
+#include <string>
+#include <string_view>
 #include <thread>
+#include <unistd.h>
+#include <utility>
+#include <vector>
 
 #include <boost/asio/experimental/awaitable_operators.hpp>
+#include <fmt/format.h>
+#include <sys/socket.h>
 #include <thrift/protocol/TCompactProtocol.h>
 #include <thrift/server/TThreadedServer.h>
 #include <thrift/transport/TBufferTransports.h>
 #include <thrift/transport/TServerSocket.h>
+#include <tl/expected.hpp>
 
 #include "Peer.h"
-#include "net/compress.hpp"
+#include "base/address.hpp"
+#include "base/counters.hpp"
+#include "base/file.hpp"
+#include "base/hash.hpp"
+#include "base/json.hpp"
+#include "base/log.hpp"
+#include "base/settings.hpp"
+#include "base/time.hpp"
 #include "control/request_age.hpp"
 #include "control/request_watch.hpp"
+#include "net/compress.hpp"
 #include "net/peer_sender.hpp"
 #include "net/socket.hpp"
-#include "routing/answer_reader.hpp"
-#include "routing/kept_connections.hpp"
+#include "net/answer_reader.hpp"
+#include "net/kept_connections.hpp"
 #include "storage/store.hpp"
 
 namespace duneturn {
--- a/src/daemon/daemon.hpp
+++ b/src/daemon/daemon.hpp
@@ -1,5 +1,7 @@
 #pragma once
 // The shell of edge and core: sockets, disk and threads round the roles' logic.
+#include "base/settings.hpp"
+#include "base/time.hpp"
 #include "daemon/shell.hpp"
 
 namespace duneturn {
--- a/src/daemon/shell.hpp
+++ b/src/daemon/shell.hpp
@@ -1,5 +1,12 @@
 #pragma once
 // What the shell offers to an adapter: a deployment's own wire, bound to the roles' logic.
+#include <string>
+#include <vector>
+
+#include <tl/expected.hpp>
+
+#include "base/settings.hpp"
+#include "base/time.hpp"
 #include "net/http.hpp"
 #include "state/state_query.hpp"
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,17 +1,26 @@
 // duneturn: one program, the role is its first word.
+#include <map>
 #include <sstream>
+#include <string>
+#include <vector>
 
+#include <fmt/format.h>
 #include <gflags/gflags.h>
 
+#include "base/address.hpp"
+#include "base/json.hpp"
+#include "base/settings.hpp"
+#include "base/time.hpp"
+#include "base/version.hpp"
 #include "cli/compare.hpp"
 #include "cli/ctl.hpp"
 #include "daemon/daemon.hpp"
-#include "standins/standins.hpp"
 #include "modelcheck/search.hpp"
 #include "platform.hpp"
 #include "platform_simulator.hpp"
 #include "sim/scale.hpp"
 #include "sim/simulate.hpp"
+#include "standins/standins.hpp"
 
 DEFINE_string(settings, "", "settings file (JSON); flags are laid over it");
 DEFINE_string(node, "", "this node's name; ctl: a node's operator address");
--- a/src/membership/node.cpp
+++ b/src/membership/node.cpp
@@ -1,6 +1,25 @@
 #include "membership/node.hpp"
 
 #include <algorithm>
+#include <cstdint>
+#include <functional>
+#include <map>
+#include <memory>
+#include <set>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include <fmt/format.h>
+
+#include "base/address.hpp"
+#include "base/counters.hpp"
+#include "base/hash.hpp"
+#include "base/json.hpp"
+#include "base/log.hpp"
+#include "base/settings.hpp"
+#include "base/time.hpp"
+#include "base/version.hpp"
 
 namespace duneturn {
 
--- a/src/membership/node.hpp
+++ b/src/membership/node.hpp
@@ -1,10 +1,22 @@
 #pragma once
 // What every process knows: itself, the other nodes, the operator's word, the servers.
 // All of it but the word is soft: told again under leases, and never logged.
+#include <cstdint>
+#include <deque>
+#include <functional>
+#include <map>
+#include <memory>
 #include <set>
+#include <string>
+#include <vector>
 
-#include "control/order_client.hpp"
+#include "base/counters.hpp"
+#include "base/json.hpp"
+#include "base/random.hpp"
+#include "base/settings.hpp"
+#include "base/time.hpp"
 #include "consensus/voter.hpp"
+#include "control/order_client.hpp"
 
 namespace duneturn {
 
--- a/src/modelcheck/invariants.cpp
+++ b/src/modelcheck/invariants.cpp
@@ -1,7 +1,13 @@
 #include "modelcheck/invariants.hpp"
 
 #include <algorithm>
+#include <cstdint>
 #include <optional>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include <fmt/format.h>
 
 namespace duneturn::modelcheck {
 
--- a/src/modelcheck/invariants.hpp
+++ b/src/modelcheck/invariants.hpp
@@ -2,7 +2,11 @@
 // The invariants, judged from what replicas say and write. The monitor keeps what has to be
 // remembered of a run (votes, leaders, committed entries, acknowledged orders, open reads) as an
 // interned value, so that it is part of a state of the search.
+#include <cstdint>
 #include <map>
+#include <string>
+#include <utility>
+#include <vector>
 
 #include "modelcheck/replica_graph.hpp"
 
--- a/src/modelcheck/model.cpp
+++ b/src/modelcheck/model.cpp
@@ -1,8 +1,16 @@
 #include "modelcheck/model.hpp"
 
 #include <algorithm>
+#include <cstdint>
 #include <optional>
 #include <sstream>
+#include <string>
+#include <string_view>
+#include <utility>
+#include <vector>
+
+#include <fmt/format.h>
+#include <tl/expected.hpp>
 
 namespace duneturn::modelcheck {
 
--- a/src/modelcheck/model.hpp
+++ b/src/modelcheck/model.hpp
@@ -2,6 +2,10 @@
 // The cluster that the model checker explores: replicas, messages in flight and what is left of
 // the budget of each kind of event, with the transitions between such states.
 #include <array>
+#include <cstdint>
+#include <string>
+#include <string_view>
+#include <vector>
 
 #include <tl/expected.hpp>
 
--- a/src/modelcheck/replica.cpp
+++ b/src/modelcheck/replica.cpp
@@ -1,5 +1,16 @@
 #include "modelcheck/replica.hpp"
 
+#include <cstdint>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include <fmt/format.h>
+
+#include "base/hash.hpp"
+#include "base/json.hpp"
+#include "base/time.hpp"
+
 namespace duneturn::modelcheck {
 
 namespace {
--- a/src/modelcheck/replica.hpp
+++ b/src/modelcheck/replica.hpp
@@ -2,10 +2,14 @@
 // One voter with its simulated disk and its own clock, driven one input at a time. This is the
 // only part of the model checker that calls the Voter; everything else works on what a step
 // was seen to do from outside: messages, disk writes, applied states and read answers.
+#include <cstdint>
 #include <deque>
 #include <memory>
+#include <string>
 #include <vector>
 
+#include "base/counters.hpp"
+#include "base/time.hpp"
 #include "consensus/voter.hpp"
 
 namespace duneturn::modelcheck {
--- a/src/modelcheck/replica_graph.cpp
+++ b/src/modelcheck/replica_graph.cpp
@@ -1,7 +1,12 @@
 #include "modelcheck/replica_graph.hpp"
 
 #include <algorithm>
+#include <memory>
+#include <string>
+#include <utility>
+#include <vector>
 
+#include <fmt/format.h>
 #include <thrift/protocol/TBinaryProtocol.h>
 #include <thrift/transport/TBufferTransports.h>
 
--- a/src/modelcheck/replica_graph.hpp
+++ b/src/modelcheck/replica_graph.hpp
@@ -2,8 +2,14 @@
 // Remembers what each input does to each replica. A replica's state follows from its disk at
 // its start and the inputs since, so each (state, input) pair is executed on the real voter only
 // once; all interleavings of other replicas share the result.
+#include <cstdint>
+#include <deque>
 #include <map>
+#include <memory>
+#include <string>
 #include <unordered_map>
+#include <utility>
+#include <vector>
 
 #include "modelcheck/replica.hpp"
 
--- a/src/modelcheck/search.cpp
+++ b/src/modelcheck/search.cpp
@@ -1,9 +1,23 @@
 #include "modelcheck/search.hpp"
 
 #include <algorithm>
+#include <cstdint>
+#include <deque>
 #include <optional>
 #include <set>
 #include <sstream>
+#include <string>
+#include <string_view>
+#include <utility>
+#include <vector>
+
+#include <fmt/format.h>
+#include <tl/expected.hpp>
+
+#include "base/file.hpp"
+#include "base/hash.hpp"
+#include "base/log.hpp"
+#include "base/random.hpp"
 
 namespace duneturn::modelcheck {
 
--- a/src/modelcheck/search.hpp
+++ b/src/modelcheck/search.hpp
@@ -1,6 +1,12 @@
 #pragma once
 // Searches of the model's states: breadth first (a violation comes with a shortest trace),
 // random walks to greater depth, and the replay of a trace.
+#include <cstdint>
+#include <string>
+#include <vector>
+
+#include <tl/expected.hpp>
+
 #include "modelcheck/model.hpp"
 
 namespace duneturn::modelcheck {
--- a/src/routing/answer_reader.cpp
+++ b/src/net/answer_reader.cpp
@@ -1,7 +1,14 @@
-#include "routing/answer_reader.hpp"
+#include "net/answer_reader.hpp"
 
 #include <algorithm>
+#include <cstdint>
+#include <memory>
+#include <string>
+#include <string_view>
 #include <utility>
+#include <vector>
+
+#include "base/time.hpp"
 
 namespace duneturn {
 namespace {
--- a/src/routing/answer_reader.hpp
+++ b/src/net/answer_reader.hpp
@@ -1,10 +1,14 @@
 #pragma once
 // Reads one server's answer from the bytes of its connection. It does no I/O: the daemon feeds it
 // from a socket, tests feed it byte by byte.
+#include <cstdint>
 #include <memory>
+#include <string>
+#include <string_view>
 #include <variant>
 #include <vector>
 
+#include "base/time.hpp"
 #include "net/http.hpp"
 #include "routing/attempt_state.hpp"
 
--- a/src/net/compress.cpp
+++ b/src/net/compress.cpp
@@ -1,8 +1,18 @@
 #include "net/compress.hpp"
 
+#include <cstdint>
+#include <memory>
+#include <mutex>
+#include <optional>
+#include <string>
+#include <string_view>
+#include <utility>
+#include <zlib.h>
+
 #include <thrift/protocol/TCompactProtocol.h>
 #include <thrift/transport/TBufferTransports.h>
-#include <zlib.h>
+
+#include "base/hash.hpp"
 
 namespace duneturn {
 
--- a/src/net/compress.hpp
+++ b/src/net/compress.hpp
@@ -1,9 +1,11 @@
 #pragma once
 
+#include <cstdint>
 #include <mutex>
 #include <optional>
+#include <string>
+#include <utility>
 
-#include "base/shared.hpp"
 #include "wire_types.h"
 
 namespace duneturn {
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -1,8 +1,20 @@
 #include "net/http.hpp"
 
+#include <cstdint>
+#include <string>
+#include <string_view>
+#include <utility>
+#include <vector>
+
+#include <fmt/format.h>
 #include <netinet/in.h>
 #include <netinet/tcp.h>
 #include <sys/socket.h>
+#include <tl/expected.hpp>
+
+#include "base/address.hpp"
+#include "base/json.hpp"
+#include "base/time.hpp"
 
 namespace duneturn {
 
--- a/src/net/http.hpp
+++ b/src/net/http.hpp
@@ -1,9 +1,18 @@
 #pragma once
 // What the shells share of HTTP: Beast types, the split of event streams, one call.
+#include <cstdint>
+#include <map>
+#include <string>
+#include <string_view>
+#include <vector>
+
 #include <boost/asio.hpp>
 #include <boost/beast/core.hpp>
 #include <boost/beast/http.hpp>
+#include <tl/expected.hpp>
 
+#include "base/json.hpp"
+#include "base/time.hpp"
 #include "routing/edge.hpp"
 
 namespace duneturn {
--- a/src/routing/kept_connections.hpp
+++ b/src/net/kept_connections.hpp
@@ -1,9 +1,13 @@
 #pragma once
 // Idle connections to servers, each of which may carry one further request.
+#include <cstdint>
 #include <functional>
 #include <map>
 #include <optional>
+#include <string>
+#include <utility>
 
+#include "base/time.hpp"
 #include "net/http.hpp"
 
 namespace duneturn {
--- a/src/net/peer_sender.cpp
+++ b/src/net/peer_sender.cpp
@@ -1,7 +1,16 @@
 #include "net/peer_sender.hpp"
 
+#include <memory>
+#include <mutex>
+#include <optional>
+#include <string>
+#include <utility>
+
 #include <thrift/protocol/TCompactProtocol.h>
 
+#include "base/address.hpp"
+#include "base/counters.hpp"
+#include "base/time.hpp"
 #include "net/http.hpp"
 #include "net/socket.hpp"
 
--- a/src/net/peer_sender.hpp
+++ b/src/net/peer_sender.hpp
@@ -5,12 +5,16 @@
 #include <deque>
 #include <memory>
 #include <mutex>
+#include <string>
 #include <thread>
 
 #include <thrift/transport/TBufferTransports.h>
 #include <thrift/transport/TSocket.h>
 
 #include "Peer.h"
+#include "base/address.hpp"
+#include "base/counters.hpp"
+#include "base/time.hpp"
 #include "net/compress.hpp"
 
 namespace duneturn {
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -1,9 +1,9 @@
 #include "net/socket.hpp"
 
-#include <sys/socket.h>
-
 #include <cerrno>
 
+#include <sys/socket.h>
+
 namespace duneturn {
 
 auto quietSocket(int descriptor) -> bool {
--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -1,12 +1,22 @@
 // Requests as they come in: checked, placed at once, queued by urgency, or refused.
+#include <algorithm>
+#include <cmath>
+#include <cstdint>
+#include <map>
+#include <string>
+#include <string_view>
+#include <utility>
+#include <vector>
+
+#include <fmt/format.h>
+
+#include "base/hash.hpp"
+#include "base/time.hpp"
 #include "routing/edge.hpp"
 #include "routing/headers.hpp"
 #include "routing/request_phases.hpp"
 #include "routing/tuning.hpp"
 
-#include <algorithm>
-#include <cmath>
-
 namespace duneturn {
 namespace {
 
--- a/src/routing/answers.cpp
+++ b/src/routing/answers.cpp
@@ -1,12 +1,18 @@
 // What servers answer, and what of it is passed on to the client.
+#include <algorithm>
+#include <cmath>
+#include <cstdint>
+#include <string>
+#include <string_view>
+
+#include <fmt/format.h>
+
+#include "base/time.hpp"
 #include "routing/edge.hpp"
 #include "routing/headers.hpp"
 #include "routing/request_phases.hpp"
 #include "routing/tuning.hpp"
 
-#include <algorithm>
-#include <cmath>
-
 namespace duneturn {
 namespace {
 
--- a/src/routing/attempts.cpp
+++ b/src/routing/attempts.cpp
@@ -1,12 +1,19 @@
 // The sends of a request: chosen, checked just before the first byte, failed and tried again.
+#include <algorithm>
+#include <cmath>
+#include <cstdint>
+#include <string>
+#include <string_view>
+#include <utility>
+
+#include <fmt/format.h>
+
+#include "base/time.hpp"
 #include "routing/edge.hpp"
 #include "routing/headers.hpp"
 #include "routing/request_phases.hpp"
 #include "routing/tuning.hpp"
 
-#include <algorithm>
-#include <cmath>
-
 namespace duneturn {
 
 // What stands against a send, whatever the server, where an earlier one may have run (`ran`);
--- a/src/routing/cold_ramp.cpp
+++ b/src/routing/cold_ramp.cpp
@@ -1,12 +1,15 @@
 // How much a server that has just started, or come back, may be sent.
+#include <algorithm>
+#include <cmath>
+#include <string>
+
+#include "base/hash.hpp"
+#include "base/time.hpp"
 #include "routing/edge.hpp"
 #include "routing/headers.hpp"
 #include "routing/request_phases.hpp"
 #include "routing/tuning.hpp"
 
-#include <algorithm>
-#include <cmath>
-
 namespace duneturn {
 
 // A cold server's room grows over the ramp's time, and is dealt out over all edges: each
--- a/src/routing/edge.cpp
+++ b/src/routing/edge.cpp
@@ -1,7 +1,16 @@
 #include "routing/edge.hpp"
 
 #include <algorithm>
+#include <cstdint>
+#include <string>
+#include <string_view>
+#include <utility>
 
+#include <fmt/format.h>
+
+#include "base/counters.hpp"
+#include "base/hash.hpp"
+#include "base/time.hpp"
 #include "routing/request_phases.hpp"
 #include "routing/tuning.hpp"
 
--- a/src/routing/edge.hpp
+++ b/src/routing/edge.hpp
@@ -1,12 +1,24 @@
 #pragma once
 // What becomes of a sender's request: the rules compiled from the configuration, the
 // placement, the sends, and the migration of streams. Logic only; see EdgePort.
+#include <cstdint>
 #include <deque>
 #include <functional>
 #include <list>
+#include <map>
 #include <memory>
+#include <set>
+#include <string>
+#include <string_view>
 #include <unordered_map>
+#include <utility>
+#include <vector>
 
+#include "base/counters.hpp"
+#include "base/hash.hpp"
+#include "base/json.hpp"
+#include "base/random.hpp"
+#include "base/time.hpp"
 #include "membership/node.hpp"
 #include "routing/attempt_state.hpp"
 
--- a/src/routing/headers.cpp
+++ b/src/routing/headers.cpp
@@ -1,6 +1,10 @@
 #include "routing/headers.hpp"
 
 #include <algorithm>
+#include <cstdint>
+#include <string>
+#include <string_view>
+#include <vector>
 
 namespace duneturn {
 namespace {
--- a/src/routing/headers.hpp
+++ b/src/routing/headers.hpp
@@ -1,5 +1,10 @@
 #pragma once
 // Headers of HTTP messages and the numbers in them.
+#include <cstdint>
+#include <string>
+#include <string_view>
+#include <vector>
+
 #include "routing/edge.hpp"
 
 namespace duneturn {
--- a/src/routing/inspection.cpp
+++ b/src/routing/inspection.cpp
@@ -1,12 +1,18 @@
 // What operators are shown of requests.
+#include <algorithm>
+#include <cmath>
+#include <cstdint>
+#include <string>
+
+#include <fmt/format.h>
+
+#include "base/json.hpp"
+#include "base/time.hpp"
 #include "routing/edge.hpp"
 #include "routing/headers.hpp"
 #include "routing/request_phases.hpp"
 #include "routing/tuning.hpp"
 
-#include <algorithm>
-#include <cmath>
-
 namespace duneturn {
 namespace {
 
--- a/src/routing/placement.cpp
+++ b/src/routing/placement.cpp
@@ -1,12 +1,21 @@
 // Which server a request goes to.
+#include <algorithm>
+#include <cmath>
+#include <cstdint>
+#include <map>
+#include <string>
+#include <string_view>
+#include <vector>
+
+#include <fmt/format.h>
+
+#include "base/hash.hpp"
+#include "base/time.hpp"
 #include "routing/edge.hpp"
 #include "routing/headers.hpp"
 #include "routing/request_phases.hpp"
 #include "routing/tuning.hpp"
 
-#include <algorithm>
-#include <cmath>
-
 namespace duneturn {
 
 // Whether a step's rule lets this server in. What is weighed and not ruled is not asked here.
--- a/src/routing/request_phases.cpp
+++ b/src/routing/request_phases.cpp
@@ -1,9 +1,13 @@
 #include "routing/request_phases.hpp"
 
+#include <memory>
+
 #include <boost/msm/back/state_machine.hpp>
 #include <boost/msm/front/functor_row.hpp>
 #include <boost/msm/front/state_machine_def.hpp>
 
+#include "base/counters.hpp"
+
 namespace duneturn {
 
 namespace msm = boost::msm;
--- a/src/routing/request_phases.hpp
+++ b/src/routing/request_phases.hpp
@@ -1,5 +1,6 @@
 #pragma once
 // What may follow what in a request: queued, sending, delivering, migrating, finished.
+#include "base/counters.hpp"
 #include "routing/edge.hpp"
 
 namespace duneturn {
--- a/src/routing/retry_budget.cpp
+++ b/src/routing/retry_budget.cpp
@@ -1,12 +1,15 @@
 // What further sends are paid from.
+#include <algorithm>
+#include <cmath>
+#include <cstdint>
+#include <string>
+
+#include "base/time.hpp"
 #include "routing/edge.hpp"
 #include "routing/headers.hpp"
 #include "routing/request_phases.hpp"
 #include "routing/tuning.hpp"
 
-#include <algorithm>
-#include <cmath>
-
 namespace duneturn {
 
 // Counts a send. The first of an exchange earns credit; one that carries on a stream whose
--- a/src/routing/rules.cpp
+++ b/src/routing/rules.cpp
@@ -1,12 +1,19 @@
 // Compiles a configuration into the rules that bind requests, and binds them.
+#include <algorithm>
+#include <cmath>
+#include <cstdint>
+#include <string>
+#include <string_view>
+#include <utility>
+#include <vector>
+
+#include "base/hash.hpp"
+#include "base/json.hpp"
 #include "routing/edge.hpp"
 #include "routing/headers.hpp"
 #include "routing/request_phases.hpp"
 #include "routing/tuning.hpp"
 
-#include <algorithm>
-#include <cmath>
-
 namespace duneturn {
 
 auto compile(const rapidjson::Value& c, std::int64_t gen) -> Rules {
--- a/src/routing/server_load.cpp
+++ b/src/routing/server_load.cpp
@@ -1,12 +1,16 @@
 // What is known of the servers: their load, fitness and pace, as answers and failures tell it.
+#include <algorithm>
+#include <cmath>
+#include <cstdint>
+#include <string>
+#include <vector>
+
+#include "base/time.hpp"
 #include "routing/edge.hpp"
 #include "routing/headers.hpp"
 #include "routing/request_phases.hpp"
 #include "routing/tuning.hpp"
 
-#include <algorithm>
-#include <cmath>
-
 namespace duneturn {
 
 auto Kept::add(std::uint64_t part, std::int64_t tokens, std::int64_t most) -> void {
--- a/src/routing/tuning.hpp
+++ b/src/routing/tuning.hpp
@@ -1,6 +1,8 @@
 #pragma once
 // Figures that several parts of the router share.
-#include "base/shared.hpp"
+#include <cstdint>
+
+#include "base/time.hpp"
 
 namespace duneturn {
 
--- a/src/sim/faults.cpp
+++ b/src/sim/faults.cpp
@@ -1,6 +1,17 @@
 // What goes wrong in a simulated day, and when.
 #include <algorithm>
+#include <cstdint>
+#include <functional>
+#include <memory>
+#include <string>
+#include <utility>
+#include <vector>
 
+#include <fmt/format.h>
+
+#include "base/address.hpp"
+#include "base/json.hpp"
+#include "base/time.hpp"
 #include "sim/world.hpp"
 
 namespace duneturn {
--- a/src/sim/history.cpp
+++ b/src/sim/history.cpp
@@ -1,8 +1,17 @@
 #include "sim/history.hpp"
 
 #include <algorithm>
+#include <cstdint>
 #include <functional>
 #include <set>
+#include <string>
+#include <string_view>
+#include <vector>
+
+#include <fmt/format.h>
+
+#include "base/hash.hpp"
+#include "base/time.hpp"
 
 namespace duneturn {
 
--- a/src/sim/history.hpp
+++ b/src/sim/history.hpp
@@ -1,7 +1,11 @@
 #pragma once
 // Whether a history of orders and readbacks could have come from one register that is
 // changed by one order after another, each at some moment between asking and reply.
-#include "base/shared.hpp"
+#include <cstdint>
+#include <string>
+#include <vector>
+
+#include "base/time.hpp"
 
 namespace duneturn {
 
--- a/src/sim/oracles.cpp
+++ b/src/sim/oracles.cpp
@@ -1,7 +1,16 @@
 // The judges of a simulated day: they see what servers ran, senders got and operators were
 // told, by the true clock, and nothing that the fleet says of itself.
 #include <algorithm>
+#include <cstdint>
+#include <set>
+#include <string>
+#include <utility>
+#include <vector>
 
+#include <fmt/format.h>
+
+#include "base/json.hpp"
+#include "base/time.hpp"
 #include "sim/world.hpp"
 
 namespace duneturn {
--- a/src/sim/scale.hpp
+++ b/src/sim/scale.hpp
@@ -1,6 +1,13 @@
 #pragma once
 // Hollow nodes: the real Node and Voter of a whole fleet, without traffic, over virtual time,
 // network and disks; the control plane's cost a node and its convergence times, by the number of nodes.
+#include <cstdint>
+#include <map>
+#include <string>
+#include <vector>
+
+#include <tl/expected.hpp>
+
 #include "membership/node.hpp"
 
 namespace duneturn {
--- a/src/sim/scale_codec.cpp
+++ b/src/sim/scale_codec.cpp
@@ -1,5 +1,9 @@
 #include "sim/scale_codec.hpp"
 
+#include <cstdint>
+#include <memory>
+#include <string>
+
 namespace duneturn {
 
 namespace protocol = apache::thrift::protocol;
--- a/src/sim/scale_codec.hpp
+++ b/src/sim/scale_codec.hpp
@@ -1,12 +1,13 @@
 #pragma once
 // Envelopes to bytes and back, as the daemons frame them.
+#include <cstdint>
 #include <memory>
+#include <string>
 
 #include <thrift/protocol/TCompactProtocol.h>
 #include <thrift/transport/TBufferTransports.h>
 
 #include "Peer.h"
-#include "base/shared.hpp"
 
 namespace duneturn {
 
--- a/src/sim/scale_command.cpp
+++ b/src/sim/scale_command.cpp
@@ -1,10 +1,20 @@
 // The `scale` subcommand: its options, the check of what this machine can bear, its table and plot.
-#include <unistd.h>
-
+#include <cstdint>
 #include <cstdio>
 #include <fstream>
+#include <map>
 #include <sstream>
+#include <string>
+#include <unistd.h>
+#include <utility>
+#include <vector>
+
+#include <fmt/format.h>
+#include <tl/expected.hpp>
 
+#include "base/file.hpp"
+#include "base/json.hpp"
+#include "base/time.hpp"
 #include "sim/scale.hpp"
 #include "sim/scale_plot.hpp"
 
--- a/src/sim/scale_fleet.cpp
+++ b/src/sim/scale_fleet.cpp
@@ -1,11 +1,23 @@
 // The fleet of the `scale` subcommand: its nodes, its virtual time and network, and its set-up.
 #include "sim/scale_fleet.hpp"
 
-#include <time.h>
-
 #include <algorithm>
 #include <cmath>
+#include <cstdint>
+#include <functional>
+#include <memory>
+#include <set>
+#include <string>
+#include <time.h>
+#include <utility>
+#include <vector>
+
+#include <fmt/format.h>
 
+#include "base/counters.hpp"
+#include "base/hash.hpp"
+#include "base/json.hpp"
+#include "base/time.hpp"
 #include "state/replicated_state.hpp"
 
 namespace duneturn::scale {
--- a/src/sim/scale_fleet.hpp
+++ b/src/sim/scale_fleet.hpp
@@ -1,11 +1,20 @@
 #pragma once
 // The fleet behind the `scale` subcommand: nodes without traffic over virtual time, network and disks.
+#include <cstdint>
 #include <deque>
 #include <functional>
+#include <map>
 #include <memory>
 #include <queue>
 #include <set>
-
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "base/counters.hpp"
+#include "base/random.hpp"
+#include "base/settings.hpp"
+#include "base/time.hpp"
 #include "membership/node.hpp"
 #include "sim/scale.hpp"
 #include "sim/scale_codec.hpp"
--- a/src/sim/scale_measure.cpp
+++ b/src/sim/scale_measure.cpp
@@ -1,8 +1,18 @@
 // What the `scale` subcommand plays and measures: the steady state, changes, and losses.
+#include <algorithm>
+#include <cstdint>
+#include <functional>
 #include <malloc.h>
+#include <map>
+#include <memory>
+#include <string>
+#include <utility>
 
-#include <algorithm>
+#include <fmt/format.h>
 
+#include "base/json.hpp"
+#include "base/log.hpp"
+#include "base/time.hpp"
 #include "sim/scale_fleet.hpp"
 
 namespace duneturn::scale {
--- a/src/sim/scale_plot.cpp
+++ b/src/sim/scale_plot.cpp
@@ -3,6 +3,12 @@
 #include <algorithm>
 #include <cmath>
 #include <set>
+#include <string>
+#include <vector>
+
+#include <fmt/format.h>
+
+#include "base/json.hpp"
 
 namespace duneturn {
 
--- a/src/sim/scale_plot.hpp
+++ b/src/sim/scale_plot.hpp
@@ -1,6 +1,7 @@
 #pragma once
 // The plot of the `scale` subcommand: cost and convergence by the number of nodes.
-#include "base/shared.hpp"
+#include <string>
+#include <vector>
 
 namespace duneturn {
 
--- a/src/sim/simulate.cpp
+++ b/src/sim/simulate.cpp
@@ -1,11 +1,27 @@
-#include "sim/world.hpp"
-
-#include <dirent.h>
-
 #include <algorithm>
 #include <cmath>
+#include <cstdint>
 #include <deque>
+#include <dirent.h>
+#include <functional>
+#include <memory>
 #include <queue>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include <fmt/format.h>
+#include <tl/expected.hpp>
+
+#include "base/counters.hpp"
+#include "base/file.hpp"
+#include "base/hash.hpp"
+#include "base/json.hpp"
+#include "base/log.hpp"
+#include "base/random.hpp"
+#include "base/settings.hpp"
+#include "base/time.hpp"
+#include "sim/world.hpp"
 
 namespace duneturn {
 
--- a/src/sim/simulate.hpp
+++ b/src/sim/simulate.hpp
@@ -1,6 +1,14 @@
 #pragma once
 // Runs the real logic of a whole fleet over virtual time, network, clocks and disks, all
 // from one seed, and judges it by what servers ran, senders got and operators were told.
+#include <cstdint>
+#include <map>
+#include <string>
+#include <vector>
+
+#include <tl/expected.hpp>
+
+#include "base/time.hpp"
 #include "routing/edge.hpp"
 
 namespace duneturn {
--- a/src/sim/world.hpp
+++ b/src/sim/world.hpp
@@ -1,12 +1,27 @@
 #pragma once
 // The simulated world: what simulate.cpp (processes, servers, senders), faults.cpp and
 // oracles.cpp share. Nothing outside these three uses it.
+#include <cstdint>
 #include <deque>
+#include <functional>
+#include <map>
+#include <memory>
 #include <queue>
+#include <string>
+#include <utility>
+#include <vector>
 
-#include "standins/standins.hpp"
+#include <fmt/format.h>
+
+#include "base/counters.hpp"
+#include "base/hash.hpp"
+#include "base/json.hpp"
+#include "base/random.hpp"
+#include "base/settings.hpp"
+#include "base/time.hpp"
 #include "sim/history.hpp"
 #include "sim/simulate.hpp"
+#include "standins/standins.hpp"
 
 namespace duneturn {
 
--- a/src/standins/fake_client.cpp
+++ b/src/standins/fake_client.cpp
@@ -1,11 +1,22 @@
 // A stand-in for the senders of a day: asks where to go, sends there, and judges what comes back by
 // what a server of the named weights must have said. It trusts nothing that duneturn says.
-#include <signal.h>
-
 #include <algorithm>
 #include <cmath>
+#include <cstdint>
 #include <fstream>
+#include <map>
+#include <memory>
+#include <signal.h>
+#include <string>
+#include <string_view>
+#include <vector>
+
+#include <fmt/format.h>
 
+#include "base/file.hpp"
+#include "base/json.hpp"
+#include "base/random.hpp"
+#include "base/time.hpp"
 #include "standins/standins.hpp"
 
 namespace duneturn {
--- a/src/standins/fake_platform.cpp
+++ b/src/standins/fake_platform.cpp
@@ -1,7 +1,16 @@
 // A stand-in for the platform: tells the fleet of the servers every second, through a node that
 // replies. Is itself told by HTTP: POST /leave/NAME, /stay/NAME, /return/NAME (a new life), /status.
+#include <cstdint>
+#include <memory>
 #include <signal.h>
+#include <string>
+#include <utility>
 
+#include <fmt/format.h>
+
+#include "base/file.hpp"
+#include "base/json.hpp"
+#include "base/time.hpp"
 #include "standins/standins.hpp"
 
 namespace duneturn {
--- a/src/standins/fake_server.cpp
+++ b/src/standins/fake_server.cpp
@@ -1,12 +1,22 @@
-#include <signal.h>
-#include <unistd.h>
-
 #include <algorithm>
+#include <cstdint>
 #include <fstream>
 #include <list>
+#include <memory>
 #include <set>
+#include <signal.h>
+#include <string>
+#include <string_view>
 #include <thread>
+#include <unistd.h>
+#include <utility>
+#include <vector>
+
+#include <fmt/format.h>
 
+#include "base/hash.hpp"
+#include "base/json.hpp"
+#include "base/time.hpp"
 #include "standins/standins.hpp"
 
 namespace duneturn {
--- a/src/standins/standins.hpp
+++ b/src/standins/standins.hpp
@@ -1,7 +1,14 @@
 #pragma once
 // Stand-ins for what duneturn meets outside: model servers, senders, the platform.
+#include <cstdint>
 #include <list>
+#include <map>
+#include <string>
+#include <string_view>
+#include <vector>
 
+#include "base/json.hpp"
+#include "base/time.hpp"
 #include "net/http.hpp"
 
 namespace duneturn {
--- a/src/state/accepted_changes.cpp
+++ b/src/state/accepted_changes.cpp
@@ -1,6 +1,15 @@
 #include "state/accepted_changes.hpp"
 
 #include <algorithm>
+#include <cstdint>
+#include <optional>
+#include <string>
+#include <string_view>
+
+#include <fmt/format.h>
+
+#include "base/hash.hpp"
+#include "base/json.hpp"
 
 namespace duneturn {
 
--- a/src/state/accepted_changes.hpp
+++ b/src/state/accepted_changes.hpp
@@ -1,9 +1,11 @@
 #pragma once
 // Memory of the configuration changes that the replicated state has accepted. A change that is sent
 // again after a lost answer is recognised by it and acknowledged again, however many others came since.
+#include <cstdint>
 #include <optional>
+#include <string>
 
-#include "base/shared.hpp"
+#include "base/json.hpp"
 
 namespace duneturn {
 
--- a/src/state/config_change.cpp
+++ b/src/state/config_change.cpp
@@ -1,8 +1,13 @@
 #include "state/config_change.hpp"
 
+#include <string>
+#include <string_view>
 #include <unordered_map>
 #include <unordered_set>
 
+#include <tl/expected.hpp>
+
+#include "base/json.hpp"
 #include "state/text_change.hpp"
 
 namespace duneturn {
--- a/src/state/config_change.hpp
+++ b/src/state/config_change.hpp
@@ -9,7 +9,11 @@
 //    "set":      {member: value...}, "unset": [member...]}     all other members
 //
 // A mapping that is put takes the place of the one of its name; new ones follow the rest.
-#include "base/shared.hpp"
+#include <string>
+
+#include <tl/expected.hpp>
+
+#include "base/json.hpp"
 
 namespace duneturn {
 
--- a/src/state/evacuations.cpp
+++ b/src/state/evacuations.cpp
@@ -1,6 +1,10 @@
 #include "state/evacuations.hpp"
 
 #include <algorithm>
+#include <cstdint>
+#include <string>
+
+#include "base/json.hpp"
 
 namespace duneturn {
 
--- a/src/state/evacuations.hpp
+++ b/src/state/evacuations.hpp
@@ -1,7 +1,10 @@
 #pragma once
 // Which zones are evacuated, as the replicated state keeps it, and the revision of each zone: a
 // fencing token. An order that names the revision it was based on is void once the zone has changed.
-#include "base/shared.hpp"
+#include <cstdint>
+#include <string>
+
+#include "base/json.hpp"
 
 namespace duneturn {
 
--- a/src/state/order_outcomes.cpp
+++ b/src/state/order_outcomes.cpp
@@ -1,7 +1,13 @@
 #include "state/order_outcomes.hpp"
 
+#include <cstdint>
+#include <map>
+#include <string>
 #include <vector>
 
+#include <fmt/format.h>
+
+#include "base/json.hpp"
 #include "state/accepted_changes.hpp"
 
 namespace duneturn {
--- a/src/state/order_outcomes.hpp
+++ b/src/state/order_outcomes.hpp
@@ -2,7 +2,10 @@
 // Outcomes of orders by idempotency key, as the replicated state keeps them. Accepted configuration
 // changes stand in a compact memory of their own (accepted_changes.hpp); neither other orders nor
 // refusals can push them out.
-#include "base/shared.hpp"
+#include <cstdint>
+#include <string>
+
+#include "base/json.hpp"
 
 namespace duneturn {
 
--- a/src/state/replicated_state.cpp
+++ b/src/state/replicated_state.cpp
@@ -1,8 +1,18 @@
 #include "state/replicated_state.hpp"
 
 #include <algorithm>
+#include <cstdint>
+#include <string>
+#include <string_view>
 #include <unordered_set>
+#include <utility>
+#include <vector>
 
+#include <fmt/format.h>
+#include <tl/expected.hpp>
+
+#include "base/json.hpp"
+#include "base/time.hpp"
 #include "state/accepted_changes.hpp"
 #include "state/evacuations.hpp"
 
--- a/src/state/replicated_state.hpp
+++ b/src/state/replicated_state.hpp
@@ -1,7 +1,15 @@
 #pragma once
 // The operator's word: the one document that a majority of disks keeps. An order
 // changes it by the same steps on every machine; nothing else is ever logged.
-#include "base/shared.hpp"
+#include <cstdint>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include <tl/expected.hpp>
+
+#include "base/json.hpp"
+#include "base/time.hpp"
 #include "state/order_outcomes.hpp"
 
 namespace duneturn {
--- a/src/state/state_query.cpp
+++ b/src/state/state_query.cpp
@@ -1,5 +1,11 @@
 #include "state/state_query.hpp"
 
+#include <string>
+
+#include <fmt/format.h>
+#include <tl/expected.hpp>
+
+#include "base/json.hpp"
 #include "state/accepted_changes.hpp"
 
 namespace duneturn {
--- a/src/state/state_query.hpp
+++ b/src/state/state_query.hpp
@@ -1,7 +1,11 @@
 #pragma once
 // Questions to the replicated state, answered by the leader after a confirmed read. Each answer holds
 // what its caller needs and no more.
-#include "base/shared.hpp"
+#include <cstdint>
+#include <string>
+
+#include <tl/expected.hpp>
+
 #include "state/evacuations.hpp"
 #include "state/replicated_state.hpp"
 
--- a/src/state/text_change.cpp
+++ b/src/state/text_change.cpp
@@ -1,6 +1,14 @@
 #include "state/text_change.hpp"
 
+#include <cstdint>
+#include <string>
+#include <string_view>
 #include <unordered_map>
+#include <vector>
+
+#include <tl/expected.hpp>
+
+#include "base/json.hpp"
 
 namespace duneturn {
 
--- a/src/state/text_change.hpp
+++ b/src/state/text_change.hpp
@@ -1,9 +1,13 @@
 #pragma once
 // The difference between two versions of a long text, as parts copied from the older one and
 // parts that are new.
+#include <string>
+#include <string_view>
 #include <vector>
 
-#include "base/shared.hpp"
+#include <tl/expected.hpp>
+
+#include "base/json.hpp"
 
 namespace duneturn {
 
--- a/src/storage/environment.cpp
+++ b/src/storage/environment.cpp
@@ -1,9 +1,15 @@
 #include "storage/environment.hpp"
 
+#include <functional>
 #include <lmdb.h>
-#include <sys/stat.h>
+#include <memory>
+#include <string>
+#include <string_view>
 #include <unistd.h>
 
+#include <sys/stat.h>
+#include <tl/expected.hpp>
+
 namespace duneturn {
 
 namespace {
--- a/src/storage/environment.hpp
+++ b/src/storage/environment.hpp
@@ -2,6 +2,10 @@
 // One LMDB file: opened, read and changed by one thread at a time.
 #include <functional>
 #include <memory>
+#include <string>
+#include <string_view>
+
+#include <tl/expected.hpp>
 
 #include "storage/file_layer.hpp"
 
--- a/src/storage/file_layer.cpp
+++ b/src/storage/file_layer.cpp
@@ -3,9 +3,11 @@
 #include <cerrno>
 #include <cstdio>
 #include <fcntl.h>
-#include <sys/stat.h>
+#include <string>
 #include <unistd.h>
 
+#include <sys/stat.h>
+
 namespace duneturn {
 
 namespace {
--- a/src/storage/file_layer.hpp
+++ b/src/storage/file_layer.hpp
@@ -1,7 +1,7 @@
 #pragma once
 // The operations on names and the syncs that a store's durability rests on, behind an
 // interface, so that tests can lose each of them as a loss of power does.
-#include "base/shared.hpp"
+#include <string>
 
 namespace duneturn {
 
--- a/src/storage/record_codec.cpp
+++ b/src/storage/record_codec.cpp
@@ -1,6 +1,12 @@
 #include "storage/record_codec.hpp"
 
+#include <cstdint>
 #include <cstring>
+#include <optional>
+#include <string>
+#include <string_view>
+
+#include "base/hash.hpp"
 
 namespace duneturn {
 
--- a/src/storage/record_codec.hpp
+++ b/src/storage/record_codec.hpp
@@ -1,7 +1,10 @@
 #pragma once
 // The records of a voter's store: their keys, their bytes and their checksums.
+#include <cstdint>
 #include <memory>
 #include <optional>
+#include <string>
+#include <string_view>
 
 #include <thrift/protocol/TCompactProtocol.h>
 #include <thrift/transport/TBufferTransports.h>
--- a/src/storage/store.cpp
+++ b/src/storage/store.cpp
@@ -2,8 +2,19 @@
 
 #include <algorithm>
 #include <cerrno>
-
+#include <cstdint>
 #include <lmdb.h>
+#include <memory>
+#include <string>
+#include <string_view>
+#include <utility>
+#include <vector>
+
+#include <fmt/format.h>
+#include <tl/expected.hpp>
+
+#include "base/log.hpp"
+#include "base/time.hpp"
 
 namespace duneturn {
 
--- a/src/storage/store.hpp
+++ b/src/storage/store.hpp
@@ -1,7 +1,11 @@
 #pragma once
 // A voter's disk. Every write is one transaction, synced before it is reported done; every
 // record carries its checksum; a damaged store is set aside as if it had been wiped.
+#include <cstdint>
 #include <memory>
+#include <string>
+
+#include <tl/expected.hpp>
 
 #include "storage/environment.hpp"
 #include "storage/record_codec.hpp"
--- a/tests/base/settings_test.cpp
+++ b/tests/base/settings_test.cpp
@@ -1,4 +1,7 @@
-#include "base/shared.hpp"
+#include <string>
+
+#include "base/settings.hpp"
+#include "base/time.hpp"
 #include "test.hpp"
 
 namespace duneturn {
--- a/tests/consensus/consensus_fixture.hpp
+++ b/tests/consensus/consensus_fixture.hpp
@@ -2,11 +2,23 @@
 // Voters over links of a given speed, in virtual time: messages keep their order and are lost only
 // where a test says so; disks sync each write within a step.
 #include <algorithm>
+#include <cstdint>
 #include <deque>
+#include <functional>
 #include <map>
 #include <memory>
 #include <set>
+#include <string>
+#include <string_view>
+#include <utility>
+#include <vector>
 
+#include <fmt/format.h>
+
+#include "base/counters.hpp"
+#include "base/json.hpp"
+#include "base/random.hpp"
+#include "base/time.hpp"
 #include "consensus/voter.hpp"
 #include "test.hpp"
 
--- a/tests/consensus/consensus_membership_test.cpp
+++ b/tests/consensus/consensus_membership_test.cpp
@@ -1,4 +1,12 @@
 // Replacing a voter: joint configurations, learners, retiring, and what may be lost meanwhile.
+#include <set>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include <fmt/format.h>
+
+#include "base/time.hpp"
 #include "consensus/consensus_fixture.hpp"
 
 namespace duneturn {
--- a/tests/consensus/consensus_snapshot_test.cpp
+++ b/tests/consensus/consensus_snapshot_test.cpp
@@ -1,4 +1,13 @@
 // Snapshots in chunks, catching up on a slow link, and compaction.
+#include <cstdint>
+#include <functional>
+#include <string>
+#include <vector>
+
+#include <fmt/format.h>
+
+#include "base/time.hpp"
+#include "base/version.hpp"
 #include "consensus/consensus_fixture.hpp"
 
 namespace duneturn {
--- a/tests/consensus/consensus_test.cpp
+++ b/tests/consensus/consensus_test.cpp
@@ -1,4 +1,14 @@
 // What a voter refuses, and what it says only once its disk holds it.
+#include <cstdint>
+#include <memory>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include <fmt/format.h>
+
+#include "base/time.hpp"
+#include "base/version.hpp"
 #include "consensus/consensus_fixture.hpp"
 
 namespace duneturn {
--- a/tests/consensus/voter_test.cpp
+++ b/tests/consensus/voter_test.cpp
@@ -1,8 +1,18 @@
 #include <algorithm>
+#include <cstdint>
 #include <deque>
 #include <map>
 #include <memory>
+#include <string>
+#include <utility>
+#include <vector>
 
+#include <fmt/format.h>
+
+#include "base/counters.hpp"
+#include "base/log.hpp"
+#include "base/random.hpp"
+#include "base/time.hpp"
 #include "consensus/voter.hpp"
 #include "test.hpp"
 
--- a/tests/membership/fleet_fixture.hpp
+++ b/tests/membership/fleet_fixture.hpp
@@ -2,12 +2,26 @@
 // A fleet whose membership is learnt, over virtual time: twelve nodes in two regions, three of
 // them cores, told three seeds and nothing else.
 #include <algorithm>
+#include <cstdint>
 #include <deque>
+#include <functional>
+#include <map>
+#include <memory>
 #include <set>
+#include <string>
+#include <utility>
+#include <vector>
 
+#include <fmt/format.h>
 #include <thrift/protocol/TCompactProtocol.h>
 #include <thrift/transport/TBufferTransports.h>
 
+#include "base/counters.hpp"
+#include "base/json.hpp"
+#include "base/log.hpp"
+#include "base/random.hpp"
+#include "base/settings.hpp"
+#include "base/time.hpp"
 #include "membership/node.hpp"
 #include "test.hpp"
 
--- a/tests/membership/node_fixture.hpp
+++ b/tests/membership/node_fixture.hpp
@@ -1,10 +1,21 @@
 #pragma once
 #include <array>
+#include <cstdint>
 #include <deque>
 #include <map>
 #include <memory>
 #include <set>
+#include <string>
+#include <utility>
+#include <vector>
 
+#include <fmt/format.h>
+
+#include "base/counters.hpp"
+#include "base/json.hpp"
+#include "base/random.hpp"
+#include "base/settings.hpp"
+#include "base/time.hpp"
 #include "routing/edge.hpp"
 
 namespace duneturn {
--- a/tests/membership/node_learnt_test.cpp
+++ b/tests/membership/node_learnt_test.cpp
@@ -1,4 +1,16 @@
 // A fleet whose membership is learnt, over virtual time.
+#include <cstdint>
+#include <map>
+#include <string>
+#include <vector>
+
+#include <fmt/format.h>
+
+#include "base/counters.hpp"
+#include "base/json.hpp"
+#include "base/settings.hpp"
+#include "base/time.hpp"
+#include "base/version.hpp"
 #include "membership/fleet_fixture.hpp"
 
 namespace duneturn {
--- a/tests/membership/node_test.cpp
+++ b/tests/membership/node_test.cpp
@@ -1,3 +1,10 @@
+#include <cstdint>
+#include <string>
+
+#include <fmt/format.h>
+
+#include "base/time.hpp"
+#include "base/version.hpp"
 #include "membership/node_fixture.hpp"
 #include "test.hpp"
 
--- a/tests/modelcheck/model_check_test.cpp
+++ b/tests/modelcheck/model_check_test.cpp
@@ -1,5 +1,8 @@
 // The model checker: what it must find in deliberately broken voters, and what it must not find
 // in the real ones. All searches are bounded and deterministic.
+#include <string>
+
+#include "base/log.hpp"
 #include "modelcheck/search.hpp"
 #include "test.hpp"
 
--- a/tests/routing/answer_reader_test.cpp
+++ b/tests/net/answer_reader_test.cpp
@@ -1,6 +1,14 @@
 // The reader of servers' answers: framing, interim answers, ends of connections and leftovers.
-#include "routing/answer_reader.hpp"
-#include "routing/kept_connections.hpp"
+#include <memory>
+#include <optional>
+#include <string>
+#include <string_view>
+
+#include <fmt/format.h>
+
+#include "base/time.hpp"
+#include "net/answer_reader.hpp"
+#include "net/kept_connections.hpp"
 #include "test.hpp"
 
 namespace duneturn {
--- a/tests/net/compress_test.cpp
+++ b/tests/net/compress_test.cpp
@@ -1,3 +1,9 @@
+#include <cstdint>
+
+#include <fmt/format.h>
+
+#include "base/random.hpp"
+#include "base/version.hpp"
 #include "net/compress.hpp"
 #include "test.hpp"
 
--- a/tests/net/event_split_test.cpp
+++ b/tests/net/event_split_test.cpp
@@ -1,3 +1,10 @@
+#include <string>
+#include <string_view>
+#include <vector>
+
+#include <fmt/format.h>
+
+#include "base/random.hpp"
 #include "net/http.hpp"
 #include "test.hpp"
 
--- a/tests/net/incident_reply_test.cpp
+++ b/tests/net/incident_reply_test.cpp
@@ -1,5 +1,7 @@
 // The end of a server's connection. Incidents inc-33e3 and inc-884a: servers fell over, and a
 // connection that closed before a byte of its reply was taken for a whole reply of status 200.
+#include <string>
+
 #include "net/http.hpp"
 #include "test.hpp"
 
--- a/tests/net/shell_test.cpp
+++ b/tests/net/shell_test.cpp
@@ -1,4 +1,15 @@
 // The shell's pieces without sockets: keep-alive, the pool of kept connections, limits, the stop.
+#include <cstdint>
+#include <map>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include <fmt/format.h>
+
+#include "base/json.hpp"
+#include "base/random.hpp"
+#include "base/time.hpp"
 #include "net/http.hpp"
 #include "test.hpp"
 
--- a/tests/platform/operator_history_test.cpp
+++ b/tests/platform/operator_history_test.cpp
@@ -1,5 +1,10 @@
 // The judge of configuration orders: histories that one register explains, and ones that none does.
 #include <algorithm>
+#include <cstdint>
+#include <string>
+#include <vector>
+
+#include <fmt/format.h>
 
 #include "operator_history.hpp"
 #include "test.hpp"
--- a/tests/platform/platform_adapter_test.cpp
+++ b/tests/platform/platform_adapter_test.cpp
@@ -1,11 +1,24 @@
 // The platform's interfaces over a shell whose word is the product's own.
+#include <cstdint>
 #include <functional>
+#include <map>
 #include <optional>
+#include <set>
+#include <string>
+#include <utility>
+#include <vector>
 
+#include <fmt/format.h>
+#include <tl/expected.hpp>
+
+#include "base/json.hpp"
+#include "base/random.hpp"
+#include "base/settings.hpp"
+#include "base/time.hpp"
 #include "platform.hpp"
 #include "state/accepted_changes.hpp"
-#include "test.hpp"
 #include "state/replicated_state.hpp"
+#include "test.hpp"
 
 namespace duneturn::platform {
 
--- a/tests/platform/platform_config_test.cpp
+++ b/tests/platform/platform_config_test.cpp
@@ -2,10 +2,20 @@
 // is told.
 #include <algorithm>
 #include <cmath>
+#include <cstdint>
+#include <map>
+#include <string>
+#include <string_view>
+#include <utility>
+#include <vector>
 
+#include <fmt/format.h>
+
+#include "base/json.hpp"
+#include "base/random.hpp"
 #include "platform.hpp"
-#include "test.hpp"
 #include "state/replicated_state.hpp"
+#include "test.hpp"
 
 namespace duneturn::platform {
 
--- a/tests/platform/platform_orders_fixture.hpp
+++ b/tests/platform/platform_orders_fixture.hpp
@@ -1,8 +1,19 @@
 #pragma once
 // A fleet with the platform's interfaces at each node, over virtual time: operators call them as the
 // platform's page says, and each call runs the adapter's own code.
+#include <cstdint>
+#include <functional>
+#include <memory>
 #include <optional>
+#include <string>
+#include <vector>
 
+#include <fmt/format.h>
+#include <tl/expected.hpp>
+
+#include "base/json.hpp"
+#include "base/settings.hpp"
+#include "base/time.hpp"
 #include "control/request_age.hpp"
 #include "membership/fleet_fixture.hpp"
 #include "platform.hpp"
--- a/tests/platform/platform_orders_model.hpp
+++ b/tests/platform/platform_orders_model.hpp
@@ -1,6 +1,17 @@
 #pragma once
 // Operators, the troubles that they meet, and what is judged of it: only what operators sent and were
 // told, and the state of a zone as its leader holds it.
+#include <cstdint>
+#include <functional>
+#include <map>
+#include <string>
+#include <vector>
+
+#include <fmt/format.h>
+
+#include "base/json.hpp"
+#include "base/random.hpp"
+#include "base/time.hpp"
 #include "platform/platform_orders_fixture.hpp"
 
 namespace duneturn {
--- a/tests/platform/platform_orders_test.cpp
+++ b/tests/platform/platform_orders_test.cpp
@@ -1,5 +1,16 @@
 // Orders and readbacks of operators through cuts, freezes, restarts and lost answers, judged by oracles
 // that know only what operators sent and were told.
+#include <cstdint>
+#include <map>
+#include <memory>
+#include <set>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include <fmt/format.h>
+
+#include "base/time.hpp"
 #include "platform/platform_orders_model.hpp"
 #include "state/accepted_changes.hpp"
 
--- a/tests/platform/platform_settings_test.cpp
+++ b/tests/platform/platform_settings_test.cpp
@@ -1,7 +1,13 @@
 // The platform's settings file: each fault is named, what is unknown is ignored.
 #include <algorithm>
 #include <sstream>
+#include <string>
 
+#include "base/address.hpp"
+#include "base/file.hpp"
+#include "base/random.hpp"
+#include "base/settings.hpp"
+#include "base/time.hpp"
 #include "platform.hpp"
 #include "test.hpp"
 
--- a/tests/platform/platform_simulator_test.cpp
+++ b/tests/platform/platform_simulator_test.cpp
@@ -1,5 +1,10 @@
 // Simulated days of the fleet as deployed: fixed seeds that must pass, and deliberate faults that
 // an oracle must see.
+#include <cstdint>
+#include <string>
+#include <vector>
+
+#include "base/time.hpp"
 #include "platform_simulator.hpp"
 #include "test.hpp"
 
--- a/tests/routing/edge_fixture.hpp
+++ b/tests/routing/edge_fixture.hpp
@@ -1,6 +1,23 @@
 #pragma once
 // An edge behind another wire: senders name their requests, servers tell their load, streams
 // end with their message.
+#include <cstdint>
+#include <deque>
+#include <map>
+#include <memory>
+#include <set>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include <fmt/format.h>
+
+#include "base/counters.hpp"
+#include "base/json.hpp"
+#include "base/log.hpp"
+#include "base/settings.hpp"
+#include "base/time.hpp"
+#include "base/version.hpp"
 #include "routing/edge.hpp"
 #include "test.hpp"
 
--- a/tests/routing/edge_platform_test.cpp
+++ b/tests/routing/edge_platform_test.cpp
@@ -1,4 +1,17 @@
 // An edge behind another wire: placement, retries, streams, queues, budgets and cold servers.
+#include <cstdint>
+#include <deque>
+#include <map>
+#include <memory>
+#include <set>
+#include <string>
+#include <vector>
+
+#include <fmt/format.h>
+
+#include "base/json.hpp"
+#include "base/random.hpp"
+#include "base/time.hpp"
 #include "routing/edge_fixture.hpp"
 
 namespace duneturn {
--- a/tests/routing/edge_test.cpp
+++ b/tests/routing/edge_test.cpp
@@ -1,7 +1,16 @@
 #include <algorithm>
 #include <array>
+#include <cstdint>
 #include <set>
+#include <string>
+#include <utility>
+#include <vector>
 
+#include <fmt/format.h>
+
+#include "base/json.hpp"
+#include "base/random.hpp"
+#include "base/time.hpp"
 #include "membership/node_fixture.hpp"
 #include "test.hpp"
 
--- a/tests/routing/incident_edge_test.cpp
+++ b/tests/routing/incident_edge_test.cpp
@@ -1,5 +1,20 @@
 // What the incidents inc-33e3 and inc-884a showed of an edge behind another wire: a district's
 // servers fall over together. One node that is a fleet of its own.
+#include <cstdint>
+#include <deque>
+#include <map>
+#include <memory>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include <fmt/format.h>
+
+#include "base/counters.hpp"
+#include "base/json.hpp"
+#include "base/log.hpp"
+#include "base/settings.hpp"
+#include "base/time.hpp"
 #include "routing/edge.hpp"
 #include "test.hpp"
 
--- a/tests/routing/server_model.cpp
+++ b/tests/routing/server_model.cpp
@@ -1,5 +1,16 @@
 #include "routing/server_model.hpp"
 
+#include <cstdint>
+#include <memory>
+#include <optional>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include <fmt/format.h>
+
+#include "base/time.hpp"
+
 namespace duneturn {
 namespace {
 
--- a/tests/routing/server_model.hpp
+++ b/tests/routing/server_model.hpp
@@ -2,12 +2,18 @@
 // A model of servers that misbehave, joined to the real edge, the real reader of answers and the
 // real store of kept connections, without sockets. A script says what each server does next; a
 // judge that knows only the bytes on both sides says whether a request was treated properly.
+#include <cstdint>
 #include <map>
+#include <memory>
 #include <optional>
+#include <string>
+#include <utility>
+#include <vector>
 
+#include "base/time.hpp"
+#include "net/answer_reader.hpp"
 #include "routing/edge_fixture.hpp"
-#include "routing/answer_reader.hpp"
-#include "routing/kept_connections.hpp"
+#include "net/kept_connections.hpp"
 
 namespace duneturn {
 
--- a/tests/routing/server_model_test.cpp
+++ b/tests/routing/server_model_test.cpp
@@ -1,5 +1,15 @@
 // Servers that cut, reset, stall, decline, answer twice and answer late, at every byte of their
 // answers, for requests that may be repeated, that may not, and that may be resumed.
+#include <cstdint>
+#include <functional>
+#include <map>
+#include <memory>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include <fmt/format.h>
+
 #include "routing/server_model.hpp"
 
 namespace duneturn {
--- a/tests/sim/history_test.cpp
+++ b/tests/sim/history_test.cpp
@@ -1,3 +1,12 @@
+#include <cstdint>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include <fmt/format.h>
+
+#include "base/random.hpp"
+#include "base/time.hpp"
 #include "sim/history.hpp"
 #include "test.hpp"
 
--- a/tests/sim/scale_test.cpp
+++ b/tests/sim/scale_test.cpp
@@ -1,3 +1,7 @@
+#include <cstdint>
+#include <string>
+#include <utility>
+
 #include "sim/scale.hpp"
 #include "test.hpp"
 
--- a/tests/sim/simulate_test.cpp
+++ b/tests/sim/simulate_test.cpp
@@ -1,3 +1,9 @@
+#include <cstdint>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "base/time.hpp"
 #include "sim/simulate.hpp"
 #include "test.hpp"
 
--- a/tests/state/config_change_test.cpp
+++ b/tests/state/config_change_test.cpp
@@ -1,4 +1,11 @@
 // Differences between configurations: what is laid on the older one gives the newer one.
+#include <string>
+#include <vector>
+
+#include <fmt/format.h>
+
+#include "base/json.hpp"
+#include "base/random.hpp"
 #include "state/config_change.hpp"
 #include "state/text_change.hpp"
 #include "test.hpp"
--- a/tests/state/order_state_test.cpp
+++ b/tests/state/order_state_test.cpp
@@ -1,9 +1,15 @@
 // What the replicated state remembers of orders and zones.
+#include <cstdint>
+#include <string>
+
+#include <fmt/format.h>
+
+#include "base/json.hpp"
 #include "state/accepted_changes.hpp"
 #include "state/evacuations.hpp"
+#include "state/replicated_state.hpp"
 #include "state/state_query.hpp"
 #include "test.hpp"
-#include "state/replicated_state.hpp"
 
 namespace duneturn {
 
--- a/tests/state/replicated_state_test.cpp
+++ b/tests/state/replicated_state_test.cpp
@@ -1,5 +1,13 @@
 #include <array>
+#include <cstdint>
+#include <string>
+#include <utility>
+#include <vector>
 
+#include <fmt/format.h>
+
+#include "base/json.hpp"
+#include "base/random.hpp"
 #include "state/replicated_state.hpp"
 #include "test.hpp"
 
--- a/tests/storage/disk_test.cpp
+++ b/tests/storage/disk_test.cpp
@@ -1,12 +1,17 @@
 // The store on a disk in trouble: failed snapshots, a last page half written, a store begun anew.
+#include <cstdint>
 #include <dirent.h>
+#include <fstream>
+#include <memory>
 #include <signal.h>
 #include <stdlib.h>
-#include <sys/resource.h>
+#include <string>
 #include <unistd.h>
 
-#include <fstream>
+#include <sys/resource.h>
 
+#include "base/file.hpp"
+#include "base/log.hpp"
 #include "storage/store.hpp"
 #include "test.hpp"
 
--- a/tests/storage/power_loss_files.cpp
+++ b/tests/storage/power_loss_files.cpp
@@ -3,6 +3,11 @@
 #include <cerrno>
 #include <filesystem>
 #include <fstream>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "base/file.hpp"
 
 namespace duneturn {
 
--- a/tests/storage/power_loss_files.hpp
+++ b/tests/storage/power_loss_files.hpp
@@ -1,7 +1,11 @@
 #pragma once
 // A file layer that works on real files and knows what a loss of power may leave of them.
 #include <functional>
+#include <map>
 #include <set>
+#include <string>
+#include <utility>
+#include <vector>
 
 #include "storage/file_layer.hpp"
 
--- a/tests/storage/storage_fixture.hpp
+++ b/tests/storage/storage_fixture.hpp
@@ -1,7 +1,9 @@
 #pragma once
 // What the tests of the store share: folders that go with the test, entries, comparisons.
+#include <cstdint>
 #include <cstdlib>
 #include <filesystem>
+#include <string>
 
 #include "consensus/voter.hpp"
 
--- a/tests/storage/storage_full_test.cpp
+++ b/tests/storage/storage_full_test.cpp
@@ -1,10 +1,18 @@
 // A store that fills up, and stores that the program before this one wrote.
+#include <cstdint>
 #include <deque>
-
 #include <lmdb.h>
+#include <memory>
+#include <string>
+#include <utility>
 
-#include "storage/store.hpp"
+#include <fmt/format.h>
+
+#include "base/counters.hpp"
+#include "base/hash.hpp"
+#include "base/time.hpp"
 #include "storage/storage_fixture.hpp"
+#include "storage/store.hpp"
 #include "test.hpp"
 
 namespace duneturn {
--- a/tests/storage/storage_power_test.cpp
+++ b/tests/storage/storage_power_test.cpp
@@ -1,7 +1,12 @@
 // A store whose machine loses power at any moment: what was promised is there afterwards.
+#include <cstdint>
+#include <string>
+#include <vector>
+
+#include "base/file.hpp"
 #include "storage/power_loss_files.hpp"
-#include "storage/store.hpp"
 #include "storage/storage_fixture.hpp"
+#include "storage/store.hpp"
 #include "test.hpp"
 
 namespace duneturn {
--- a/tests/storage/store_test.cpp
+++ b/tests/storage/store_test.cpp
@@ -1,17 +1,25 @@
+#include <algorithm>
+#include <cstdint>
 #include <dirent.h>
+#include <fstream>
 #include <lmdb.h>
+#include <memory>
 #include <signal.h>
 #include <stdlib.h>
-#include <sys/resource.h>
+#include <string>
+#include <string_view>
 #include <unistd.h>
+#include <vector>
 
-#include <algorithm>
-#include <fstream>
-#include <memory>
-
+#include <fmt/format.h>
+#include <sys/resource.h>
 #include <thrift/protocol/TCompactProtocol.h>
 #include <thrift/transport/TBufferTransports.h>
 
+#include "base/file.hpp"
+#include "base/hash.hpp"
+#include "base/random.hpp"
+#include "base/version.hpp"
 #include "storage/store.hpp"
 #include "test.hpp"
 
--- a/thrift/wire.thrift
+++ b/thrift/wire.thrift
@@ -1,6 +1,6 @@
 // What duneturn's own processes say to each other, and what a voter keeps on disk.
 // Rule for mixed versions: fields are only ever added, never renumbered; WIRE in
-// shared.hpp is raised when an older process could misread a newer one, and a
+// base/version.hpp is raised when an older process could misread a newer one, and a
 // process drops envelopes whose `wire` differs from its own by more than one.
 namespace cpp duneturn.wire
 
