--- a/src/base/json.hpp
+++ b/src/base/json.hpp
@@ -5,7 +5,6 @@
 #include <string_view>
 #include <vector>
 
-#define RAPIDJSON_HAS_STDSTRING 1
 #include <rapidjson/document.h>
 #include <rapidjson/schema.h>
 
