--- a/src/base/settings.cpp
+++ b/src/base/settings.cpp
@@ -104,34 +104,34 @@
 auto settingsOf(const rapidjson::Value& document) -> Settings {
     auto settings = Settings();
     settings.node = jsStr(document, "node");
-    settings.district = jsStr(document, "district");
+    settings.zone = jsStr(document, "district");
     settings.region = jsStr(document, "region");
     settings.peer = jsStr(document, "peer");
-    settings.sender = jsStr(document, "sender");
-    settings.opr = jsStr(document, "operator");
+    settings.clientAddress = jsStr(document, "sender");
+    settings.operatorAddress = jsStr(document, "operator");
     settings.data = jsStr(document, "data");
     settings.seeds = jsList(document, "seeds");
     settings.roster = jsList(document, "roster");
-    settings.seats = jsList(document, "seats");
-    settings.learnt = jsStr(document, "membership") == "learnt";
+    settings.initialVoters = jsList(document, "seats");
+    settings.gossip = jsStr(document, "membership") == "learnt";
     settings.bootstrap = jsBool(document, "bootstrap");
     settings.serveOn = jsStr(document, "outOfTouch") == "serve";
     settings.probes = jsBool(document, "probes", true);
-    settings.beat = jsInt(document, "beatUs");
+    settings.heartbeat = jsInt(document, "beatUs");
     return settings;
 }
 
 /// What the settings say of the membership must fit together.
 auto checkMembership(const Settings& settings, std::vector<Fault>& faults) -> void {
     // Acknowledgements rest on the roster's leases there: none may go on without one.
-    if (!settings.learnt && settings.serveOn)
+    if (!settings.gossip && settings.serveOn)
         faults.push_back({"/outOfTouch", "wants \"membership\": \"learnt\""});
-    if (!settings.learnt && settings.bootstrap)
+    if (!settings.gossip && settings.bootstrap)
         faults.push_back({"/bootstrap", "wants \"membership\": \"learnt\""});
-    if (settings.learnt && !(settings.roster.empty() && settings.seats.empty()))
+    if (settings.gossip && !(settings.roster.empty() && settings.initialVoters.empty()))
         faults.push_back({"/membership", "a learnt membership takes no roster and no seats"});
     if (settings.roster.empty()) return;
-    for (auto& seat : settings.seats)
+    for (auto& seat : settings.initialVoters)
         if (std::find(settings.roster.begin(), settings.roster.end(), seat) == settings.roster.end())
             faults.push_back({"/seats", seat + " is not on the roster"});
 }
--- a/src/base/settings.hpp
+++ b/src/base/settings.hpp
@@ -12,14 +12,14 @@
 namespace duneturn {
 
 struct Settings {
-    std::string node, district, region, peer, sender, opr, data;
-    std::vector<std::string> seeds, roster, seats;
+    std::string node, zone, region, peer, clientAddress, operatorAddress, data;
+    std::vector<std::string> seeds, roster, initialVoters;
     std::string file;
-    bool learnt = false;     // membership is learnt from the seeds; there is no roster
-    bool bootstrap = false;  // learnt: the first start of the whole fleet, with empty disks
-    bool serveOn = false;    // learnt: out of touch, go on by the last known word
-    bool probes = true;      // ask servers for their load
-    Microseconds beat = 0;   // how often a node speaks of itself; 0: the membership's default
+    bool gossip = false;         // membership is learnt from the seeds; there is no roster
+    bool bootstrap = false;      // learnt: the first start of the whole fleet, with empty disks
+    bool serveOn = false;        // learnt: out of touch, go on by the last known word
+    bool probes = true;          // ask servers for their load
+    Microseconds heartbeat = 0;  // how often a node speaks of itself; 0: the membership's default
 };
 
 struct SettingsError {
--- a/src/cli/compare.cpp
+++ b/src/cli/compare.cpp
@@ -107,7 +107,7 @@
     auto differences = compareBeliefs(firstBeliefs, secondBeliefs);
     if (json) printJson(differences);
     else printText(firstBeliefs, secondBeliefs, differences);
-    return differences.empty() ? DONE : DENIED;
+    return differences.empty() ? DONE : REJECTED;
 }
 
 }  // namespace duneturn
--- a/src/cli/ctl.cpp
+++ b/src/cli/ctl.cpp
@@ -30,7 +30,7 @@
 auto exitCode(int status) -> int {
     if (status < 300) return DONE;
     if (status == 504) return UNKNOWN;
-    return status == 503 ? UNREACHED : DENIED;
+    return status == 503 ? UNREACHED : REJECTED;
 }
 
 /// A node as another names it.
@@ -90,7 +90,7 @@
     auto showBeliefs(const char* list, const std::vector<const char*>& columns) -> int;
     auto showDecision(const rapidjson::Value& decision) -> void;
     auto aliveNodes() -> std::vector<NodeAddress>;
-    auto nodeOfExchange(const std::string& exchange) -> std::string;
+    auto nodeOfRequest(const std::string& request) -> std::string;
     /// Where nothing was reached: the exit code of the last question.
     auto unreached() const -> int { return exit_ ? exit_ : int(UNREACHED); }
 
@@ -223,8 +223,8 @@
             jsStr(booked, "state"), jsStr(move, "op"), jsStr(move, "district"),
             fired ? "  fired " + wallText(fired) : "");
     }
-    for (auto& emptied : answer_["empties"].GetObject())
-        fmt::print("emptied {} since {}\n", emptied.name.GetString(), wallText(emptied.value.GetInt64()));
+    for (auto& evacuated : answer_["empties"].GetObject())
+        fmt::print("emptied {} since {}\n", evacuated.name.GetString(), wallText(evacuated.value.GetInt64()));
     return exit_;
 }
 
@@ -242,9 +242,9 @@
 }
 
 auto CtlCommand::rescue() -> int {
-    auto reign = std::atoll(words_[1].c_str()), generation = std::atoll(words_[2].c_str());
+    auto epoch = std::atoll(words_[1].c_str()), generation = std::atoll(words_[2].c_str());
     return showAnswer(
-        "POST", "/v1/rescue", fmt::format("{{\"reign\":{},\"generation\":{}}}", reign, generation));
+        "POST", "/v1/rescue", fmt::format("{{\"reign\":{},\"generation\":{}}}", epoch, generation));
 }
 
 auto CtlCommand::roster() -> int {
@@ -273,8 +273,8 @@
     for (auto& node : aliveNodes()) {
         if (!ask(node.address, "GET", "/v1/exchanges")) continue;
         reached = true;
-        for (auto& exchange : answer_["exchanges"].GetArray()) {
-            auto named = rapidjson::Value(exchange, memory);
+        for (auto& request : answer_["exchanges"].GetArray()) {
+            auto named = rapidjson::Value(request, memory);
             named.AddMember("node", rapidjson::Value(node.name, memory), memory);
             all.PushBack(named, memory);
         }
@@ -288,19 +288,19 @@
 }
 
 // NODE-BOOT-NUMBER names its node; a bare number is of the asked one.
-auto CtlCommand::nodeOfExchange(const std::string& exchange) -> std::string {
-    auto number = exchange.rfind('-');
+auto CtlCommand::nodeOfRequest(const std::string& request) -> std::string {
+    auto number = request.rfind('-');
     auto boot =
-        number == std::string::npos || number == 0 ? std::string::npos : exchange.rfind('-', number - 1);
+        number == std::string::npos || number == 0 ? std::string::npos : request.rfind('-', number - 1);
     auto address = options_.node;
     if (boot == std::string::npos) return address;
     for (auto& node : aliveNodes())
-        if (node.name == exchange.substr(0, boot)) address = node.address;
+        if (node.name == request.substr(0, boot)) address = node.address;
     return address;
 }
 
 auto CtlCommand::explain() -> int {
-    auto node = nodeOfExchange(words_[1]);
+    auto node = nodeOfRequest(words_[1]);
     if (exit_ || !ask(node, "GET", "/v1/exchanges/" + words_[1])) return exit_;
     if (options_.json) show(answer_);
     else {
--- a/src/cli/ctl.hpp
+++ b/src/cli/ctl.hpp
@@ -7,7 +7,7 @@
 namespace duneturn {
 
 /// Exit codes of the operators' commands.
-enum Exit { DONE = 0, DENIED = 1, USAGE = 2, UNREACHED = 3, UNKNOWN = 4 };
+enum Exit { DONE = 0, REJECTED = 1, USAGE = 2, UNREACHED = 3, UNKNOWN = 4 };
 
 struct CtlOptions {
     std::string node;  // any node's operator address
--- a/src/consensus/disk.hpp
+++ b/src/consensus/disk.hpp
@@ -13,7 +13,7 @@
 /// What a voter's disk holds.
 struct DiskState {
     std::string disk;  // the voter's identity; empty before the first write
-    std::int64_t reign = 0, term = 0, commit = 0, snapIdx = 0, snapTerm = 0;
+    std::int64_t epoch = 0, term = 0, commit = 0, snapIdx = 0, snapTerm = 0;
     std::string vote, snapDoc;
     std::vector<wire::Entry> log;  // from snapIdx + 1
 };
@@ -21,9 +21,9 @@
 /// One write, all of it or none, synced before it is reported done.
 struct DiskWrite {
     std::int64_t seq = 0;
-    std::int64_t epoch = 0;  // rises when the voter has learnt of a failed write
-    DiskState meta;          // disk, reign, term, vote, commit; log and snapDoc unused
-    std::int64_t cut = -1;   // entries from here on are dropped first
+    std::int64_t writeEpoch = 0;  // rises when the voter has learnt of a failed write
+    DiskState meta;               // disk, reign, term, vote, commit; log and snapDoc unused
+    std::int64_t cut = -1;        // entries from here on are dropped first
     std::vector<wire::Entry> add;
     bool snap = false;   // meta.snapIdx, snapTerm and doc replace all up to snapIdx
     bool reset = false;  // everything kept before goes
@@ -34,8 +34,8 @@
 /// failure: their entries would follow entries that are missing.
 struct DiskGate {
     std::int64_t failed = -1;
-    auto takes(const DiskWrite& w) const -> bool { return w.epoch > failed; }
-    auto fail(const DiskWrite& w) -> void { failed = std::max(failed, w.epoch); }
+    auto takes(const DiskWrite& w) const -> bool { return w.writeEpoch > failed; }
+    auto fail(const DiskWrite& w) -> void { failed = std::max(failed, w.writeEpoch); }
 };
 
 /// Applies a write to a state, as a store must.
--- a/src/consensus/election.cpp
+++ b/src/consensus/election.cpp
@@ -35,7 +35,7 @@
     votes_.clear();
     voteSeq_ = 0;
     restartElectionTimer(now);
-    auto ask = wire::VoteAsk();
+    auto ask = wire::RequestVote();
     ask.pre = preVote;
     ask.handed = transferred;
     ask.joint = true;
@@ -54,10 +54,10 @@
         counters_.add("elections_total");
     }
     auto message = envelope();
-    message.__set_voteAsk(ask);
+    message.__set_requestVote(ask);
     for (auto& disk : members()) {
         if (disk == disk_) continue;
-        if (preVote) port_.voterTell(disk, message);
+        if (preVote) port_.voterSend(disk, message);
         else sendAfter(seq, disk, message);
     }
     if (!preVote || !hasVotes()) return;
@@ -73,13 +73,13 @@
     transfers_.clear();
     heartbeatAt_ = 0;
     round_++;
-    logf("core: leader of reign {} term {}", reign_, term_);
+    logf("core: leader of reign {} term {}", epoch_, term_);
     counters_.add("leader_won_total");
     termStart_ = last() + 1;
     append(ENTRY_NOOP, "", now);
 }
 
-auto Voter::handOver(Microseconds now) -> bool {
+auto Voter::transferLeadership(Microseconds now) -> bool {
     if (!leads()) return false;
     auto best = std::string();
     for (auto& v : voters_) {  // while a change is under way, only one who stays
@@ -88,17 +88,17 @@
     }
     if (best.empty() || peers_[best].match < synced_) return false;
     auto message = envelope();
-    auto takeOver = wire::TakeOver();
-    takeOver.term = term_;
-    message.__set_takeOver(takeOver);
-    port_.voterTell(best, message);
+    auto timeoutNow = wire::TimeoutNow();
+    timeoutNow.term = term_;
+    message.__set_timeoutNow(timeoutNow);
+    port_.voterSend(best, message);
     transferDue_ = now + ELECTION_TIMEOUT;
     counters_.add("handed_over_total");
     logf("core: the duty is handed to disk {}", best);
     return true;
 }
 
-auto Voter::logIsCurrent(const wire::VoteAsk& ask) const -> bool {
+auto Voter::logIsCurrent(const wire::RequestVote& ask) const -> bool {
     auto lastTerm = termAt(last());
     return ask.lastTerm > lastTerm || (ask.lastTerm == lastTerm && ask.lastIdx >= last());
 }
@@ -110,27 +110,27 @@
 }
 
 // A program that doesn't know joint configurations would count one majority only.
-auto Voter::candidateMayCount(const wire::VoteAsk& ask) const -> bool { return !joint() || ask.joint; }
+auto Voter::candidateMayCount(const wire::RequestVote& ask) const -> bool { return !joint() || ask.joint; }
 
-auto Voter::onPreVoteAsk(const std::string& from, const wire::VoteAsk& ask, Microseconds now) -> void {
+auto Voter::onPreVoteAsk(const std::string& from, const wire::RequestVote& ask, Microseconds now) -> void {
     // Two that ask at the same time would split the vote: the lower identity gives way.
     auto precedes = role() == Role::Asking && now - preVoteAt_ < ELECTION_TIMEOUT / 2 && disk_ > from
         && ask.lastTerm == termAt(last()) && ask.lastIdx == last();
     auto leaderStands = !ask.handed && hearsLeader(now);
-    auto reply = wire::VoteReply();
+    auto reply = wire::RequestVoteReply();
     reply.pre = true;
     reply.granted = ask.term > term_ && logIsCurrent(ask) && candidateMayCount(ask) && !leaderStands
         && !precedes && !diskBad_;
     reply.term = reply.granted ? ask.term : term_;
     auto message = envelope();
-    message.__set_voteReply(reply);
-    port_.voterTell(from, message);
+    message.__set_requestVoteReply(reply);
+    port_.voterSend(from, message);
 }
 
-auto Voter::onVoteAsk(const std::string& from, const wire::VoteAsk& ask, Microseconds now) -> void {
+auto Voter::onVoteAsk(const std::string& from, const wire::RequestVote& ask, Microseconds now) -> void {
     if (!ask.handed && hearsLeader(now) && ask.term > term_) return;
     auto message = envelope();
-    auto reply = wire::VoteReply();
+    auto reply = wire::RequestVoteReply();
     adoptTerm(ask.term, now);
     auto unused = vote_.empty() || vote_ == from || broken.voteTwice;
     auto sound = logIsCurrent(ask) && candidateMayCount(ask) && !diskBad_;
@@ -140,11 +140,12 @@
         restartElectionTimer(now);
     }
     reply.term = term_;
-    message.__set_voteReply(reply);
+    message.__set_requestVoteReply(reply);
     sendAfter(writeIfUnsaved(now), from, message);
 }
 
-auto Voter::onVoteReply(const std::string& from, const wire::VoteReply& reply, Microseconds now) -> void {
+auto Voter::onVoteReply(const std::string& from, const wire::RequestVoteReply& reply, Microseconds now)
+    -> void {
     if (!reply.granted) {
         if (isVoter(from)) adoptTerm(reply.term, now);  // one that is no voter deposes nobody
         return;
@@ -160,7 +161,7 @@
     }
 }
 
-auto Voter::onTakeOver(const std::string& from, const wire::TakeOver& message, Microseconds now) -> void {
+auto Voter::onTakeOver(const std::string& from, const wire::TimeoutNow& message, Microseconds now) -> void {
     if (from != leader_) return refuse("transfer_refused_total", from);
     if (message.term != term_ || role() != Role::Follower || !isVoter(disk_) || diskBad_) return;
     if (role_->process(LeadershipReceived{}, counters_)) campaign(false, true, now);
--- a/src/consensus/log.cpp
+++ b/src/consensus/log.cpp
@@ -36,7 +36,7 @@
 
 auto Voter::write(DiskWrite w, Microseconds now) -> std::int64_t {
     w.seq = ++seq_;
-    w.epoch = writeEpoch_;
+    w.writeEpoch = writeEpoch_;
     if (cutNext_ >= 0 && (w.cut < 0 || w.cut > cutNext_)) w.cut = cutNext_;
     cutNext_ = -1;
     if (owedSnap_ && snapIdx_ > 0 && !w.snap) {
@@ -48,7 +48,7 @@
     writtenTerm_ = term_;
     writtenVote_ = vote_;
     w.meta.disk = disk_;
-    w.meta.reign = reign_;
+    w.meta.epoch = epoch_;
     w.meta.term = term_;
     w.meta.vote = vote_;
     w.meta.commit = commit_;
@@ -57,7 +57,7 @@
     pendingWrites_.push_back(
         {w.seq, last(), termAt(last()), commit_, writeEpoch_, term_, now, w.reset, w.snap});
     counters_.add("disk_writes_total");
-    port_.voterDisk(w);
+    port_.voterWrite(w);
     return seq_;
 }
 
@@ -77,7 +77,7 @@
 // What must not be said before the disk holds what it rests on.
 auto Voter::sendAfter(std::int64_t seq, const std::string& to, wire::Envelope e) -> void {
     if (broken.ackBeforeSync || pendingWrites_.empty() || seq < pendingWrites_.front().seq) {
-        port_.voterTell(to, e);
+        port_.voterSend(to, e);
         return;
     }
     deferred_.push_back({seq, to, std::move(e)});
@@ -95,7 +95,7 @@
 }
 
 auto Voter::writeFailed(const PendingWrite& w, Microseconds now) -> void {
-    if (w.epoch < writeEpoch_) return;  // one of those behind the failed one
+    if (w.writeEpoch < writeEpoch_) return;  // one of those behind the failed one
     writeEpoch_++;
     if (!diskBad_) logf("disk: a write failed; orders are denied until one succeeds");
     diskBad_ = true;
@@ -126,11 +126,11 @@
         auto message = std::move(deferred_.front());
         deferred_.pop_front();
         // A promise of an earlier term is stale by now; its receiver drops it, so it is spared.
-        if (message.envelope.reign == reign_) port_.voterTell(message.to, message.envelope);
+        if (message.envelope.epoch == epoch_) port_.voterSend(message.to, message.envelope);
     }
     if (installSeq_ && w.seq >= installSeq_) {
         installSeq_ = 0;
-        if (!blank()) port_.voterWord(word_, "", {});
+        if (!blank()) port_.voterApplied(replicatedState_, "", {});
     }
     if (!blank()) applyUpTo(std::min(w.commit, commit_), now);
     // A candidate's own vote counts once its own disk holds it.
@@ -142,9 +142,9 @@
 }
 
 auto Voter::rebuildHead() -> void {
-    head_ = word_;
+    latestState_ = replicatedState_;
     for (auto i = applied_ + 1; i <= last(); i++)
-        if (at(i).kind == ENTRY_ORDER) head_.apply(at(i).body);
+        if (at(i).kind == ENTRY_ORDER) latestState_.apply(at(i).body);
 }
 
 }  // namespace duneturn
--- a/src/consensus/membership.cpp
+++ b/src/consensus/membership.cpp
@@ -18,24 +18,24 @@
 // A round that has not ended by then shows that the learner is too slow.
 constexpr Microseconds CATCH_UP_ROUND_LIMIT = 10 * SECOND;
 
-static auto votersParse(const std::string& body) -> std::vector<Seat> {
-    auto voters = std::vector<Seat>();
+static auto votersParse(const std::string& body) -> std::vector<VoterIdentity> {
+    auto voters = std::vector<VoterIdentity>();
     auto d = rapidjson::Document();
     if (!jsParse(body, d) || !d.IsArray()) return voters;
     for (auto& v : d.GetArray()) voters.push_back({jsStr(v, "seat"), jsStr(v, "disk")});
     return voters;
 }
 
-static auto votersText(const std::vector<Seat>& voters) -> std::string {
+static auto votersText(const std::vector<VoterIdentity>& voters) -> std::string {
     auto list = std::string();
     for (auto& v : voters)
-        list += (list.empty() ? "" : ",") + bodyOf({{"seat", jsQuote(v.seat)}, {"disk", jsQuote(v.disk)}});
+        list += (list.empty() ? "" : ",") + bodyOf({{"seat", jsQuote(v.node)}, {"disk", jsQuote(v.disk)}});
     return "[" + list + "]";
 }
 
 // A joint configuration's entry: the voters before and after the change.
 struct JointVoters {
-    std::vector<Seat> before, after;
+    std::vector<VoterIdentity> before, after;
 };
 
 static auto jointText(const JointVoters& joint) -> std::string {
@@ -90,7 +90,7 @@
 
 // Of a joint configuration both majorities are needed, for votes, commit, reads and check-quorum.
 auto Voter::majority(const std::function<bool(const std::string&)>& has) const -> bool {
-    auto count = [&](const std::vector<Seat>& voters) {
+    auto count = [&](const std::vector<VoterIdentity>& voters) {
         return std::size_t(std::count_if(voters.begin(), voters.end(), [&](auto& v) { return has(v.disk); }));
     };
     if (broken.noQuorum) return count(voters_) > 0;
@@ -101,29 +101,29 @@
 auto Voter::applyEntry(const wire::Entry& e) -> void {
     if (e.kind == ENTRY_ORDER) {
         auto d = rapidjson::Document();
-        auto outcome = word_.apply(e.body);
+        auto outcome = replicatedState_.apply(e.body);
         auto key = jsParse(e.body, d) ? jsStr(d, "key") : std::string();
         counters_.add("orders_applied_total");
-        port_.voterWord(word_, key, outcome);
+        port_.voterApplied(replicatedState_, key, outcome);
     } else if (e.kind == ENTRY_JOINT) {
         appliedJoint_ = true;
     } else if (e.kind == ENTRY_VOTERS) {
         appliedJoint_ = false;
-        word_.setVoters(votersParse(e.body));
-        word_.gen++;
-        word_.d["generation"].SetInt64(word_.gen);
-        port_.voterWord(word_, "", {});
+        replicatedState_.setVoters(votersParse(e.body));
+        replicatedState_.version++;
+        replicatedState_.d["generation"].SetInt64(replicatedState_.version);
+        port_.voterApplied(replicatedState_, "", {});
     }
 }
 
-auto Voter::found(const Word& state, std::int64_t term, Microseconds now) -> void {
+auto Voter::bootstrap(const ReplicatedState& state, std::int64_t term, Microseconds now) -> void {
     // A disk of an earlier cluster leaves it with the same write.
     if (leads()) follow(now);
     if (!blank()) role_->process(Erased{}, counters_);
     if (!role_->process(Initialized{}, counters_)) return;
     deferred_.clear();
     leader_.clear();
-    reign_ = state.reign;
+    epoch_ = state.epoch;
     term_ = term;
     vote_.clear();
     snapIdx_ = commit_ = applied_ = 1;
@@ -131,7 +131,7 @@
     setLogBase(snapIdx_, snapTerm_);
     snapDoc_ = std::make_shared<const std::string>(state.text());
     transfers_.clear();
-    word_ = head_ = state;
+    replicatedState_ = latestState_ = state;
     snapVoters_ = state.voters();
     appliedJoint_ = false;
     synced_ = 1;
@@ -141,15 +141,15 @@
     installSeq_ = write(w, now);
     refreshVoters();
     electionDue_ = now + ELECTION_TIMEOUT;
-    logf("core: reign {} begins on disk {} at generation {}", reign_, disk_, state.gen);
+    logf("core: reign {} begins on disk {} at generation {}", epoch_, disk_, state.version);
     counters_.add("reigns_begun_total");
 }
 
-auto Voter::abandon(bool force, Microseconds now) -> bool {
+auto Voter::leaveCluster(bool force, Microseconds now) -> bool {
     if (leads() && force) follow(now);
     if (blank() || leads() || (!force && !vote_.empty())) return false;
     if (!role_->process(Erased{}, counters_)) return false;
-    reign_ = term_ = commit_ = applied_ = snapIdx_ = snapTerm_ = synced_ = 0;
+    epoch_ = term_ = commit_ = applied_ = snapIdx_ = snapTerm_ = synced_ = 0;
     setLogBase(0, 0);
     snapDoc_ = std::make_shared<const std::string>();
     transfers_.clear();
@@ -161,7 +161,7 @@
     configIdx_ = 0;
     appliedJoint_ = false;
     deferred_.clear();
-    word_ = head_ = Word();
+    replicatedState_ = latestState_ = ReplicatedState();
     auto w = DiskWrite();
     w.reset = true;
     write(w, now);
@@ -172,15 +172,16 @@
 // behind its end. A disk that this log counts as a voter and a later state does not was removed
 // since, and no leader has told it what came after: none can be counting on it. It takes a new
 // identity, so that what it once promised is never mixed up with what it promises next.
-auto Voter::retire(std::int64_t gen, const std::string& fresh, Microseconds now) -> bool {
-    if (blank() || leads() || !isVoter(disk_) || gen <= word_.gen + (last() - applied_)) return false;
-    logf("core: disk {} was replaced; it is blank again, as {}", disk_, fresh);
-    disk_ = fresh;
+auto Voter::retire(std::int64_t version, const std::string& newDiskId, Microseconds now) -> bool {
+    if (blank() || leads() || !isVoter(disk_) || version <= replicatedState_.version + (last() - applied_))
+        return false;
+    logf("core: disk {} was replaced; it is blank again, as {}", disk_, newDiskId);
+    disk_ = newDiskId;
     counters_.add("retired_total");
-    return abandon(true, now);
+    return leaveCluster(true, now);
 }
 
-auto Voter::heard(const std::string& disk) const -> Microseconds {
+auto Voter::lastContact(const std::string& disk) const -> Microseconds {
     auto i = peers_.find(disk);
     return i == peers_.end() ? 0 : i->second.heard;
 }
@@ -203,7 +204,7 @@
 auto Voter::removeReplaced(Microseconds now) -> bool {
     for (auto i = std::size_t(0); i < voters_.size(); i++)
         for (auto j = i + 1; j < voters_.size(); j++) {
-            if (voters_[i].seat != voters_[j].seat) continue;
+            if (voters_[i].node != voters_[j].node) continue;
             auto voters = voters_;
             voters.erase(voters.begin() + std::ptrdiff_t(i));
             return beginChange(voters, now);
@@ -216,7 +217,7 @@
     for (auto& [seat, disk] : spares_) {
         if (isVoter(disk)) continue;
         auto voters = voters_;
-        auto held = std::find_if(voters.begin(), voters.end(), [s = seat](auto& v) { return v.seat == s; });
+        auto held = std::find_if(voters.begin(), voters.end(), [s = seat](auto& v) { return v.node == s; });
         if (held == voters.end() && voters.size() >= MIN_VOTERS) continue;
         auto& peer = peers_[disk];
         if (now < peer.retryAt) continue;
@@ -253,7 +254,7 @@
 }
 
 // False if a member or newcomer that is heard runs a program without joint configurations.
-auto Voter::beginChange(std::vector<Seat> voters, Microseconds now) -> bool {
+auto Voter::beginChange(std::vector<VoterIdentity> voters, Microseconds now) -> bool {
     auto unfit = [&](const std::string& disk) {
         return disk != disk_ && peers_[disk].heard && !peers_[disk].knowsJoint;
     };
--- a/src/consensus/replication.cpp
+++ b/src/consensus/replication.cpp
@@ -20,7 +20,7 @@
     e.body = body;
     log_.push_back(e);
     if (kind == ENTRY_VOTERS || kind == ENTRY_JOINT) refreshVoters();
-    if (kind == ENTRY_ORDER) head_.apply(body);
+    if (kind == ENTRY_ORDER) latestState_.apply(body);
     auto w = DiskWrite();
     w.add.push_back(e);
     write(w, now);
@@ -75,7 +75,7 @@
 
 // One message: a batch of entries, or a heartbeat if there are none or enough are on their way.
 auto Voter::sendBatch(const std::string& disk, Peer& peer) -> void {
-    auto ask = wire::AppendAsk();
+    auto ask = wire::AppendEntries();
     ask.term = term_;
     ask.prevIdx = peer.next - 1;
     ask.prevTerm = termAt(peer.next - 1);
@@ -95,8 +95,8 @@
         peer.next = ask.entries.back().idx + 1;
     }
     auto message = envelope();
-    message.__set_appendAsk(ask);
-    port_.voterTell(disk, message);
+    message.__set_appendEntries(ask);
+    port_.voterSend(disk, message);
 }
 
 auto Voter::advanceCommit(Microseconds now) -> void {
@@ -114,7 +114,7 @@
 }
 
 // The highest index that a majority of these voters' disks holds.
-auto Voter::majorityMatch(const std::vector<Seat>& voters) const -> std::int64_t {
+auto Voter::majorityMatch(const std::vector<VoterIdentity>& voters) const -> std::int64_t {
     auto held = std::vector<std::int64_t>();
     for (auto& v : voters) {
         auto peer = peers_.find(v.disk);
@@ -146,9 +146,9 @@
         applyEntry(at(applied_));
     }
     if (!any) return;
-    if (applied_ == last()) head_ = word_;
+    if (applied_ == last()) latestState_ = replicatedState_;
     if (leads() && !isVoter(disk_) && applied_ == last()) {
-        handOver(now);
+        transferLeadership(now);
         follow(now);
     }
     if (compactionDue()) compact(now);
@@ -161,7 +161,7 @@
 }
 
 // Whether entries follow each other without a gap, in rising terms, and can be read here.
-auto Voter::wellFormed(const wire::AppendAsk& ask) const -> bool {
+auto Voter::wellFormed(const wire::AppendEntries& ask) const -> bool {
     if (ask.prevIdx < 0 || ask.commit < 0) return false;
     auto index = ask.prevIdx;
     auto term = ask.prevTerm;
@@ -173,7 +173,7 @@
     return true;
 }
 
-auto Voter::contradictsCommitted(const wire::AppendAsk& ask) const -> bool {
+auto Voter::contradictsCommitted(const wire::AppendEntries& ask) const -> bool {
     auto contradicts = [&](std::int64_t index, std::int64_t term) {
         return index >= snapIdx_ && index <= commit_ && termAt(index) != term;
     };
@@ -182,13 +182,13 @@
         ask.entries.begin(), ask.entries.end(), [&](auto& e) { return contradicts(e.idx, e.term); });
 }
 
-auto Voter::onAppendAsk(const std::string& from, const wire::AppendAsk& ask, Microseconds now) -> void {
-    auto reply = wire::AppendReply();
+auto Voter::onAppendAsk(const std::string& from, const wire::AppendEntries& ask, Microseconds now) -> void {
+    auto reply = wire::AppendEntriesReply();
     auto message = envelope();
     if (ask.term < term_) {
         reply.term = term_;
-        message.__set_appendReply(reply);
-        port_.voterTell(from, message);
+        message.__set_appendEntriesReply(reply);
+        port_.voterSend(from, message);
         return;
     }
     if (!wellFormed(ask)) return refuse("append_malformed_total", from);
@@ -207,7 +207,7 @@
     if (ask.prevIdx > last() || (ask.prevIdx >= snapIdx_ && termAt(ask.prevIdx) != ask.prevTerm)) {
         reply.prevIdx = ask.prevIdx;
         reply.hint = std::min(last(), ask.prevIdx - 1);
-        message.__set_appendReply(reply);
+        message.__set_appendEntriesReply(reply);
         sendAfter(writeIfUnsaved(now), from, message);
         return;
     }
@@ -222,13 +222,13 @@
     }
     reply.ok = true;
     reply.match = match;
-    message.__set_appendReply(reply);
+    message.__set_appendEntriesReply(reply);
     auto seq = rises || !w.add.empty() ? write(w, now) : writeIfUnsaved(now);
     sendAfter(seq, from, message);
 }
 
 // Adds what the log lacks; an entry of another term at the same index replaces all from there on.
-auto Voter::storeEntries(const wire::AppendAsk& ask) -> DiskWrite {
+auto Voter::storeEntries(const wire::AppendEntries& ask) -> DiskWrite {
     auto w = DiskWrite();
     for (auto& e : ask.entries) {
         if (e.idx <= snapIdx_ || (e.idx <= last() && termAt(e.idx) == e.term)) continue;
@@ -249,7 +249,8 @@
     return w;
 }
 
-auto Voter::onAppendReply(const std::string& from, const wire::AppendReply& reply, Microseconds now) -> void {
+auto Voter::onAppendReply(const std::string& from, const wire::AppendEntriesReply& reply, Microseconds now)
+    -> void {
     if (reply.ok) endTransfer(from, reply.match);
     if (reply.term > term_) {
         // One that is no voter deposes nobody.
@@ -274,8 +275,8 @@
     advanceCommit(now);
 }
 
-auto Voter::onRejected(const std::string& from, Peer& peer, const wire::AppendReply& reply, Microseconds now)
-    -> void {
+auto Voter::onRejected(
+    const std::string& from, Peer& peer, const wire::AppendEntriesReply& reply, Microseconds now) -> void {
     // What counts is the answer to the first unanswered batch: `next` has run ahead of it.
     auto first = peer.inFlight.empty() ? peer.next : peer.inFlight.front().first;
     auto stale = reply.prevIdx > 0 && reply.prevIdx != first - 1;
--- a/src/consensus/snapshot.cpp
+++ b/src/consensus/snapshot.cpp
@@ -28,8 +28,8 @@
 auto Voter::compact(Microseconds now) -> void {
     snapTerm_ = termAt(applied_);
     snapIdx_ = applied_;
-    snapDoc_ = std::make_shared<const std::string>(word_.text());
-    snapVoters_ = word_.voters();
+    snapDoc_ = std::make_shared<const std::string>(replicatedState_.text());
+    snapVoters_ = replicatedState_.voters();
     trimTail();
     auto w = DiskWrite();
     w.snap = true;
@@ -59,27 +59,27 @@
     return index > snapIdx_ && termAt(index) != term;
 }
 
-auto Voter::checkSnapshot(
-    const std::string& from, std::int64_t reign, const wire::SnapTell& snapshot, Word& state) -> bool {
+auto Voter::checkSnapshot(const std::string& from, std::int64_t epoch, const wire::InstallSnapshot& snapshot,
+    ReplicatedState& state) -> bool {
     auto sound = snapshot.idx > 0 && snapshot.idxTerm > 0 && snapshot.idxTerm <= snapshot.term
-        && state.load(snapshot.doc) && state.reign == reign && !state.voters().empty();
+        && state.load(snapshot.doc) && state.epoch == epoch && !state.voters().empty();
     if (!sound) refuse("snapshot_malformed_total", from);
     return sound;
 }
 
-auto Voter::onSnapshot(
-    const std::string& from, std::int64_t reign, const wire::SnapTell& snapshot, Microseconds now) -> void {
-    auto other = reign != reign_;
+auto Voter::onSnapshot(const std::string& from, std::int64_t epoch, const wire::InstallSnapshot& snapshot,
+    Microseconds now) -> void {
+    auto other = epoch != epoch_;
     if (!other && (snapshot.term < term_ || (leads() && snapshot.term == term_))) return;
     auto lacking = other || lacks(snapshot.idx, snapshot.idxTerm);
     if (!other && lacking && snapshot.idx <= commit_)
         return refuse("snapshot_contradicts_committed_total", from);
-    auto state = Word();
-    if (lacking && !checkSnapshot(from, reign, snapshot, state)) return;
-    if (other && !blank() && !abandon(false, now)) return;
+    auto state = ReplicatedState();
+    if (lacking && !checkSnapshot(from, epoch, snapshot, state)) return;
+    if (other && !blank() && !leaveCluster(false, now)) return;
     if (blank()) {
         if (diskBad_ || !role_->process(Initialized{}, counters_)) return;
-        reign_ = reign;
+        epoch_ = epoch;
         vote_.clear();
         term_ = 0;
     }
@@ -95,20 +95,22 @@
     restartElectionTimer(now);
 }
 
-auto Voter::answerInstalled(const std::string& to, const wire::SnapTell& snapshot, Microseconds now) -> void {
-    auto reply = wire::AppendReply();
+auto Voter::answerInstalled(const std::string& to, const wire::InstallSnapshot& snapshot, Microseconds now)
+    -> void {
+    auto reply = wire::AppendEntriesReply();
     reply.term = term_;
     reply.ok = true;
     reply.round = snapshot.round;
     reply.match = snapshot.idx;
     reply.knowsJoint = true;
     auto answer = envelope();
-    answer.__set_appendReply(reply);
+    answer.__set_appendEntriesReply(reply);
     sendAfter(writeIfUnsaved(now), to, answer);
 }
 
-auto Voter::installSnapshot(const wire::SnapTell& snapshot, const Word& state, Microseconds now) -> void {
-    word_ = head_ = state;
+auto Voter::installSnapshot(
+    const wire::InstallSnapshot& snapshot, const ReplicatedState& state, Microseconds now) -> void {
+    replicatedState_ = latestState_ = state;
     snapIdx_ = applied_ = commit_ = synced_ = snapshot.idx;
     snapTerm_ = snapshot.idxTerm;
     setLogBase(snapIdx_, snapTerm_);
--- a/src/consensus/transfer.cpp
+++ b/src/consensus/transfer.cpp
@@ -59,15 +59,15 @@
 }
 
 auto Voter::sendWholeSnapshot(const std::string& disk) -> void {
-    auto snapshot = wire::SnapTell();
+    auto snapshot = wire::InstallSnapshot();
     snapshot.term = term_;
     snapshot.idx = snapIdx_;
     snapshot.idxTerm = snapTerm_;
     snapshot.doc = *snapDoc_;
     snapshot.round = round_;
     auto message = envelope();
-    message.__set_snapTell(snapshot);
-    port_.voterTell(disk, message);
+    message.__set_installSnapshot(snapshot);
+    port_.voterSend(disk, message);
     counters_.add("snapshots_sent_whole_total");
 }
 
@@ -85,15 +85,15 @@
     transfer.sent += chunk.data.size();
     auto message = envelope();
     message.__set_snapshotChunk(chunk);
-    port_.voterTell(disk, message);
+    port_.voterSend(disk, message);
     counters_.add("snapshot_chunks_sent_total");
 }
 
 // The disks that a new cluster counts on are told of it until they hold it.
-auto Voter::tellBlankVoters(Microseconds now) -> void {
-    if (now - toldAt_ < UNTOLD_INTERVAL) return;
+auto Voter::initializeBlankVoters(Microseconds now) -> void {
+    if (now - toldAt_ < BLANK_VOTER_INTERVAL) return;
     toldAt_ = now;
-    for (auto& disk : untold_)
+    for (auto& disk : blankVoters_)
         if (isVoter(disk)) sendSnapshot(disk, now);
 }
 
@@ -109,7 +109,7 @@
     auto& chunk = message.snapshotChunk;
     auto& from = message.disk;
     if (!chunkSound(chunk)) return refuse("snapshot_chunk_malformed_total", from);
-    auto ours = message.reign == reign_;
+    auto ours = message.epoch == epoch_;
     if (ours && chunk.term < term_) {
         counters_.add("snapshot_chunk_old_term_total");
         return answerChunk(message, 0, true);
@@ -117,7 +117,7 @@
     if ((blank() && diskBad_) || (ours && leads() && chunk.term == term_)) return;
     if (!ours) return assemble(message, now);
     if (!lacks(chunk.idx, chunk.idxTerm)) {
-        auto held = wire::SnapTell();
+        auto held = wire::InstallSnapshot();
         held.idx = chunk.idx;
         held.round = chunk.round;
         hearSender(chunk.term, now);
@@ -131,10 +131,10 @@
 auto Voter::assemble(const wire::Envelope& message, Microseconds now) -> void {
     auto& chunk = message.snapshotChunk;
     auto& a = assembly_;
-    auto same = a.reign == message.reign && a.idx == chunk.idx && a.idxTerm == chunk.idxTerm
+    auto same = a.epoch == message.epoch && a.idx == chunk.idx && a.idxTerm == chunk.idxTerm
         && a.size == chunk.size && a.digest == chunk.digest;
     if (!same && chunk.offset == 0)
-        a = {message.reign, chunk.idx, chunk.idxTerm, chunk.size, chunk.digest, {}};
+        a = {message.epoch, chunk.idx, chunk.idxTerm, chunk.size, chunk.digest, {}};
     auto expected = same || chunk.offset == 0 ? std::int64_t(a.data.size()) : 0;
     if (chunk.offset > expected) {
         counters_.add("snapshot_chunk_out_of_order_total");
@@ -143,7 +143,7 @@
     if (chunk.offset < expected) return answerChunk(message, std::size_t(expected), false);
     a.data += chunk.data;
     if (std::int64_t(a.data.size()) < a.size) return answerChunk(message, a.data.size(), false);
-    auto snapshot = wire::SnapTell();
+    auto snapshot = wire::InstallSnapshot();
     snapshot.term = chunk.term;
     snapshot.idx = chunk.idx;
     snapshot.idxTerm = chunk.idxTerm;
@@ -155,23 +155,23 @@
         return answerChunk(message, 0, true);
     }
     answerChunk(message, snapshot.doc.size(), false);
-    onSnapshot(message.disk, message.reign, snapshot, now);
+    onSnapshot(message.disk, message.epoch, snapshot, now);
 }
 
 auto Voter::answerChunk(const wire::Envelope& message, std::size_t received, bool refused) -> void {
     auto& chunk = message.snapshotChunk;
     auto reply = wire::SnapshotChunkReply();
     // A blank disk has no term of its own yet.
-    reply.term = message.reign == reign_ ? term_ : chunk.term;
+    reply.term = message.epoch == epoch_ ? term_ : chunk.term;
     reply.idx = chunk.idx;
     reply.digest = chunk.digest;
     reply.received = std::int64_t(received);
     reply.refused = refused;
     reply.round = chunk.round;
     auto answer = envelope();
-    answer.reign = message.reign;
+    answer.epoch = message.epoch;
     answer.__set_snapshotChunkReply(reply);
-    port_.voterTell(message.disk, answer);
+    port_.voterSend(message.disk, answer);
 }
 
 auto Voter::onChunkReply(const std::string& from, const wire::SnapshotChunkReply& reply, Microseconds now)
--- a/src/consensus/voter.cpp
+++ b/src/consensus/voter.cpp
@@ -19,15 +19,15 @@
 
 auto Voter::role() const -> Role { return Role(role_->machine.current_state()[0]); }
 
-auto Voter::start(const DiskState& state, const std::string& fresh, Microseconds now) -> void {
-    disk_ = state.disk.empty() ? fresh : state.disk;
+auto Voter::start(const DiskState& state, const std::string& newDiskId, Microseconds now) -> void {
+    disk_ = state.disk.empty() ? newDiskId : state.disk;
     heardLeader_ = now;
     restartElectionTimer(now);
     if (state.disk.empty() || state.snapIdx == 0) {
         write({}, now);  // the identity is synced before anyone relies on it
         return;
     }
-    reign_ = state.reign;
+    epoch_ = state.epoch;
     term_ = state.term;
     vote_ = state.vote;
     commit_ = state.commit;
@@ -36,22 +36,22 @@
     snapDoc_ = std::make_shared<const std::string>(state.snapDoc);
     setLogBase(snapIdx_, snapTerm_);
     log_ = state.log;
-    word_.load(*snapDoc_);
-    snapVoters_ = word_.voters();
+    replicatedState_.load(*snapDoc_);
+    snapVoters_ = replicatedState_.voters();
     applied_ = snapIdx_;
     synced_ = last();
     commit_ = std::min(std::max(commit_, snapIdx_), last());
     role_->process(Initialized{}, counters_);
     refreshVoters();
     applyUpTo(commit_, now);
-    port_.voterWord(word_, "", {});
+    port_.voterApplied(replicatedState_, "", {});
 }
 
 auto Voter::envelope() const -> wire::Envelope {
     auto e = wire::Envelope();
     e.wire = WIRE;
     e.disk = disk_;
-    e.reign = reign_;
+    e.epoch = epoch_;
     return e;
 }
 
@@ -87,7 +87,7 @@
     auto quorumLost = now - quorumAt_ > QUORUM_TIMEOUT;
     if (diskBad_ || quorumLost) {
         counters_.add(diskBad_ ? "leader_gave_up_disk_total" : "leader_lost_quorum_total");
-        auto transferred = handOver(now);
+        auto transferred = transferLeadership(now);
         follow(now);
         if (!transferred || quorumLost) leader_.clear();
         return;
@@ -100,31 +100,32 @@
 }
 
 auto Voter::tickFollower(Microseconds now) -> void {
-    tellBlankVoters(now);
+    initializeBlankVoters(now);
     if (now < electionDue_) return;
     if (!isVoter(disk_) || diskBad_) electionDue_ = now + ELECTION_TIMEOUT;
     else if (role_->process(ElectionTimeout{}, counters_)) campaign(true, false, now);
 }
 
-auto Voter::hear(const wire::Envelope& message, Microseconds now) -> void {
+auto Voter::handle(const wire::Envelope& message, Microseconds now) -> void {
     if (message.disk == disk_) return;
-    auto hasSnapshot = message.__isset.snapTell || message.__isset.snapshotChunk;
+    auto hasSnapshot = message.__isset.installSnapshot || message.__isset.snapshotChunk;
     // A disk that its cluster no longer counts on may be told of a newer one.
-    auto newer = message.reign > reign_ && vote_.empty();
-    if (message.reign != reign_ && !(hasSnapshot && (blank() || newer))) {
+    auto newer = message.epoch > epoch_ && vote_.empty();
+    if (message.epoch != epoch_ && !(hasSnapshot && (blank() || newer))) {
         counters_.add("other_reign_dropped_total");
         return;
     }
-    if (message.__isset.snapTell) return onSnapshot(message.disk, message.reign, message.snapTell, now);
+    if (message.__isset.installSnapshot)
+        return onSnapshot(message.disk, message.epoch, message.installSnapshot, now);
     if (message.__isset.snapshotChunk) return onChunk(message, now);
     if (blank()) return;
     auto& from = message.disk;
-    if (message.__isset.voteAsk && message.voteAsk.pre) onPreVoteAsk(from, message.voteAsk, now);
-    else if (message.__isset.voteAsk) onVoteAsk(from, message.voteAsk, now);
-    else if (message.__isset.voteReply) onVoteReply(from, message.voteReply, now);
-    else if (message.__isset.takeOver) onTakeOver(from, message.takeOver, now);
-    else if (message.__isset.appendAsk) onAppendAsk(from, message.appendAsk, now);
-    else if (message.__isset.appendReply) onAppendReply(from, message.appendReply, now);
+    if (message.__isset.requestVote && message.requestVote.pre) onPreVoteAsk(from, message.requestVote, now);
+    else if (message.__isset.requestVote) onVoteAsk(from, message.requestVote, now);
+    else if (message.__isset.requestVoteReply) onVoteReply(from, message.requestVoteReply, now);
+    else if (message.__isset.timeoutNow) onTakeOver(from, message.timeoutNow, now);
+    else if (message.__isset.appendEntries) onAppendAsk(from, message.appendEntries, now);
+    else if (message.__isset.appendEntriesReply) onAppendReply(from, message.appendEntriesReply, now);
     else if (message.__isset.snapshotChunkReply) onChunkReply(from, message.snapshotChunkReply, now);
 }
 
--- a/src/consensus/voter.hpp
+++ b/src/consensus/voter.hpp
@@ -44,11 +44,12 @@
     1 * SECOND;  // a leader that hears no majority for this long steps down
 constexpr Microseconds WRITE_STALLED = 1 * SECOND;  // a write outstanding for this long makes a disk bad
 constexpr Microseconds DISK_PROBE_INTERVAL = 1 * SECOND;
-constexpr Microseconds UNTOLD_INTERVAL = 300 * MILLISECOND;  // between two tries to initialize a blank voter
-constexpr std::int64_t COMPACTION_ENTRIES = 256;             // applied entries before a snapshot is taken
-constexpr std::size_t COMPACTION_BYTES = 1 << 20;            // or their bytes, if the snapshot is not larger
-constexpr std::int64_t TAIL_ENTRIES = 256;                   // kept in memory behind a snapshot, for members
-constexpr std::size_t TAIL_BYTES = 1 << 20;                  // that are slightly behind
+constexpr Microseconds BLANK_VOTER_INTERVAL =
+    300 * MILLISECOND;                             // between two tries to initialize a blank voter
+constexpr std::int64_t COMPACTION_ENTRIES = 256;   // applied entries before a snapshot is taken
+constexpr std::size_t COMPACTION_BYTES = 1 << 20;  // or their bytes, if the snapshot is not larger
+constexpr std::int64_t TAIL_ENTRIES = 256;         // kept in memory behind a snapshot, for members
+constexpr std::size_t TAIL_BYTES = 1 << 20;        // that are slightly behind
 constexpr std::size_t BATCH_ENTRIES = 64;
 constexpr std::size_t BATCH_BYTES = 64 * 1024;    // one entry may be larger
 constexpr std::size_t MAX_BATCHES_IN_FLIGHT = 2;  // to one member
@@ -63,11 +64,11 @@
 
 struct VoterPort {
     virtual ~VoterPort() = default;
-    virtual auto voterTell(const std::string& disk, wire::Envelope& e) -> void = 0;
-    virtual auto voterDisk(const DiskWrite& w) -> void = 0;
+    virtual auto voterSend(const std::string& disk, wire::Envelope& e) -> void = 0;
+    virtual auto voterWrite(const DiskWrite& w) -> void = 0;
     /// The state machine advanced to `w`, which this disk holds; `key` and `o` are set when the
     /// entry was a command.
-    virtual auto voterWord(const Word& w, const std::string& key, const Outcome& o) -> void = 0;
+    virtual auto voterApplied(const ReplicatedState& w, const std::string& key, const Outcome& o) -> void = 0;
     virtual auto voterRead(std::int64_t id, bool ok) -> void = 0;
 };
 
@@ -84,30 +85,32 @@
     ~Voter();
 
     /// Starts from what the disk holds; an empty state makes a blank voter with the identity `fresh`.
-    auto start(const DiskState& state, const std::string& fresh, Microseconds now) -> void;
+    auto start(const DiskState& state, const std::string& newDiskId, Microseconds now) -> void;
     auto tick(Microseconds now) -> void;
-    auto hear(const wire::Envelope& message, Microseconds now) -> void;
+    auto handle(const wire::Envelope& message, Microseconds now) -> void;
     auto diskDone(std::int64_t seq, bool ok, Microseconds now) -> void;
     /// Begins a new cluster with this state on this disk alone, leaving any earlier one; the
     /// other voters are told of it.
-    auto found(const Word& state, std::int64_t term, Microseconds now) -> void;
+    auto bootstrap(const ReplicatedState& state, std::int64_t term, Microseconds now) -> void;
     /// Appends a command to the log; false unless this is the leader.
     auto propose(int kind, const std::string& body, Microseconds now) -> bool;
     /// Asks whether this is still the leader; answered through voterRead.
     auto read(std::int64_t id, Microseconds now) -> void;
     /// Spare disks that could take a seat (seat, disk).
-    auto offer(const std::vector<std::pair<std::string, std::string>>& spares) -> void { spares_ = spares; }
+    auto setSpareDisks(const std::vector<std::pair<std::string, std::string>>& spares) -> void {
+        spares_ = spares;
+    }
     /// Voters' disks that say they are blank.
-    auto untold(const std::vector<std::string>& disks) -> void { untold_ = disks; }
+    auto setBlankVoters(const std::vector<std::string>& disks) -> void { blankVoters_ = disks; }
     /// Transfers leadership to the voter that is furthest along; for a planned stop.
-    auto handOver(Microseconds now) -> bool;
+    auto transferLeadership(Microseconds now) -> bool;
     /// Leaves a cluster that never had a vote from this disk, or any if `force`.
-    auto abandon(bool force, Microseconds now) -> bool;
+    auto leaveCluster(bool force, Microseconds now) -> bool;
     /// A committed state of this cluster, of generation `gen`, names the voters without this disk.
     /// If that is behind all this log holds, the disk becomes a blank one, under the identity `fresh`.
-    auto retire(std::int64_t gen, const std::string& fresh, Microseconds now) -> bool;
+    auto retire(std::int64_t version, const std::string& newDiskId, Microseconds now) -> bool;
     /// When this leader last heard of a disk; 0 if never.
-    auto heard(const std::string& disk) const -> Microseconds;
+    auto lastContact(const std::string& disk) const -> Microseconds;
     auto leadSince() const -> Microseconds { return leadSince_; }
 
     auto role() const -> Role;
@@ -117,11 +120,11 @@
     auto ready() const -> bool { return leads() && applied_ >= termStart_; }
     auto disk() const -> const std::string& { return disk_; }
     auto term() const -> std::int64_t { return term_; }
-    auto reign() const -> std::int64_t { return reign_; }
+    auto epoch() const -> std::int64_t { return epoch_; }
     auto leader() const -> const std::string& { return leader_; }
-    auto word() const -> const Word& { return word_; }
+    auto replicatedState() const -> const ReplicatedState& { return replicatedState_; }
     /// The state with everything that is in the log, committed or not.
-    auto head() const -> const Word& { return head_; }
+    auto latestState() const -> const ReplicatedState& { return latestState_; }
     auto commit() const -> std::int64_t { return commit_; }
     /// The last index whose entry is in word().
     auto applied() const -> std::int64_t { return applied_; }
@@ -129,9 +132,9 @@
     auto quorumAt() const -> Microseconds { return quorumAt_; }
     auto diskBad() const -> bool { return diskBad_; }
     /// The newest set in the log, committed or not.
-    auto voters() const -> const std::vector<Seat>& { return voters_; }
+    auto voters() const -> const std::vector<VoterIdentity>& { return voters_; }
     /// While a change is under way, the voters before it; their majority is needed too.
-    auto outgoingVoters() const -> const std::vector<Seat>& { return outgoing_; }
+    auto outgoingVoters() const -> const std::vector<VoterIdentity>& { return outgoing_; }
     auto joint() const -> bool { return !outgoing_.empty(); }
     auto logSize() const -> std::size_t { return log_.size(); }
 
@@ -166,7 +169,7 @@
         int rounds = 0;
     };
     struct PendingWrite {
-        std::int64_t seq, last, lastTerm, commit, epoch, term;
+        std::int64_t seq, last, lastTerm, commit, writeEpoch, term;
         Microseconds at;
         bool reset, snap;
     };
@@ -187,7 +190,7 @@
     };
     /// The part of a snapshot that has come here.
     struct SnapshotAssembly {
-        std::int64_t reign = 0, idx = 0, idxTerm = 0, size = 0, digest = 0;
+        std::int64_t epoch = 0, idx = 0, idxTerm = 0, size = 0, digest = 0;
         std::string data;
     };
     struct PendingRead {
@@ -221,33 +224,34 @@
     auto campaign(bool preVote, bool transferred, Microseconds now) -> void;
     auto becomeLeader(Microseconds now) -> void;
     auto hasVotes() const -> bool;
-    auto logIsCurrent(const wire::VoteAsk& ask) const -> bool;
+    auto logIsCurrent(const wire::RequestVote& ask) const -> bool;
     auto hearsLeader(Microseconds now) const -> bool;
-    auto onPreVoteAsk(const std::string& from, const wire::VoteAsk& ask, Microseconds now) -> void;
-    auto onVoteAsk(const std::string& from, const wire::VoteAsk& ask, Microseconds now) -> void;
-    auto onVoteReply(const std::string& from, const wire::VoteReply& reply, Microseconds now) -> void;
-    auto onTakeOver(const std::string& from, const wire::TakeOver& message, Microseconds now) -> void;
-    auto candidateMayCount(const wire::VoteAsk& ask) const -> bool;
+    auto onPreVoteAsk(const std::string& from, const wire::RequestVote& ask, Microseconds now) -> void;
+    auto onVoteAsk(const std::string& from, const wire::RequestVote& ask, Microseconds now) -> void;
+    auto onVoteReply(const std::string& from, const wire::RequestVoteReply& reply, Microseconds now) -> void;
+    auto onTakeOver(const std::string& from, const wire::TimeoutNow& message, Microseconds now) -> void;
+    auto candidateMayCount(const wire::RequestVote& ask) const -> bool;
 
     // replication.cpp
     auto append(int kind, const std::string& body, Microseconds now) -> void;
     auto sendAppend(const std::string& disk, Microseconds now) -> void;
     auto sendBatch(const std::string& disk, Peer& peer) -> void;
     auto dropLostBatches(Peer& peer, Microseconds now) -> void;
-    auto onRejected(const std::string& from, Peer& peer, const wire::AppendReply& reply, Microseconds now)
-        -> void;
+    auto onRejected(
+        const std::string& from, Peer& peer, const wire::AppendEntriesReply& reply, Microseconds now) -> void;
     auto sendAppends(Microseconds now) -> void;
     auto advanceCommit(Microseconds now) -> void;
-    auto majorityMatch(const std::vector<Seat>& voters) const -> std::int64_t;
+    auto majorityMatch(const std::vector<VoterIdentity>& voters) const -> std::int64_t;
     auto answerReads() -> void;
     auto applyUpTo(std::int64_t index, Microseconds now) -> void;
     auto applyEntry(const wire::Entry& e) -> void;
-    auto onAppendAsk(const std::string& from, const wire::AppendAsk& ask, Microseconds now) -> void;
-    auto wellFormed(const wire::AppendAsk& ask) const -> bool;
-    auto contradictsCommitted(const wire::AppendAsk& ask) const -> bool;
+    auto onAppendAsk(const std::string& from, const wire::AppendEntries& ask, Microseconds now) -> void;
+    auto wellFormed(const wire::AppendEntries& ask) const -> bool;
+    auto contradictsCommitted(const wire::AppendEntries& ask) const -> bool;
     auto refuse(const char* counter, const std::string& from) -> void;
-    auto storeEntries(const wire::AppendAsk& ask) -> DiskWrite;
-    auto onAppendReply(const std::string& from, const wire::AppendReply& reply, Microseconds now) -> void;
+    auto storeEntries(const wire::AppendEntries& ask) -> DiskWrite;
+    auto onAppendReply(const std::string& from, const wire::AppendEntriesReply& reply, Microseconds now)
+        -> void;
 
     // membership.cpp
     auto refreshVoters() -> void;
@@ -258,7 +262,7 @@
     auto removeReplaced(Microseconds now) -> bool;
     auto addLearner(Microseconds now) -> void;
     auto caughtUp(Peer& peer, Microseconds now) -> bool;
-    auto beginChange(std::vector<Seat> voters, Microseconds now) -> bool;
+    auto beginChange(std::vector<VoterIdentity> voters, Microseconds now) -> bool;
 
     // snapshot.cpp
     auto compactionDue() const -> bool;
@@ -266,20 +270,22 @@
     auto trimTail() -> void;
     auto setLogBase(std::int64_t index, std::int64_t term) -> void;
     auto lacks(std::int64_t index, std::int64_t term) const -> bool;
-    auto onSnapshot(const std::string& from, std::int64_t reign, const wire::SnapTell& snapshot,
+    auto onSnapshot(const std::string& from, std::int64_t epoch, const wire::InstallSnapshot& snapshot,
         Microseconds now) -> void;
-    auto checkSnapshot(
-        const std::string& from, std::int64_t reign, const wire::SnapTell& snapshot, Word& state) -> bool;
+    auto checkSnapshot(const std::string& from, std::int64_t epoch, const wire::InstallSnapshot& snapshot,
+        ReplicatedState& state) -> bool;
     auto hearSender(std::int64_t term, Microseconds now) -> void;
-    auto answerInstalled(const std::string& to, const wire::SnapTell& snapshot, Microseconds now) -> void;
-    auto installSnapshot(const wire::SnapTell& snapshot, const Word& state, Microseconds now) -> void;
+    auto answerInstalled(const std::string& to, const wire::InstallSnapshot& snapshot, Microseconds now)
+        -> void;
+    auto installSnapshot(
+        const wire::InstallSnapshot& snapshot, const ReplicatedState& state, Microseconds now) -> void;
 
     // transfer.cpp
     auto sendSnapshot(const std::string& disk, Microseconds now) -> void;
     auto sendWholeSnapshot(const std::string& disk) -> void;
     auto sendChunk(const std::string& disk, SnapshotTransfer& transfer) -> void;
     auto retryTransfer(const std::string& disk, SnapshotTransfer& transfer, Microseconds now) -> void;
-    auto tellBlankVoters(Microseconds now) -> void;
+    auto initializeBlankVoters(Microseconds now) -> void;
     auto onChunk(const wire::Envelope& message, Microseconds now) -> void;
     auto chunkSound(const wire::SnapshotChunk& chunk) const -> bool;
     auto answerChunk(const wire::Envelope& message, std::size_t received, bool refused) -> void;
@@ -294,7 +300,7 @@
     std::unique_ptr<RoleMachine> role_;
     std::string disk_, vote_, leader_;
     std::shared_ptr<const std::string> snapDoc_ = std::make_shared<const std::string>();
-    std::int64_t reign_ = 0, term_ = 0, commit_ = 0, applied_ = 0, snapIdx_ = 0, snapTerm_ = 0;
+    std::int64_t epoch_ = 0, term_ = 0, commit_ = 0, applied_ = 0, snapIdx_ = 0, snapTerm_ = 0;
     std::int64_t synced_ = 0;        // the last entry that this disk holds
     std::int64_t termStart_ = 0;     // this leader's first entry
     std::int64_t installSeq_ = 0;    // the write of a snapshot that was not reported yet
@@ -313,10 +319,10 @@
     SnapshotAssembly assembly_;
     std::map<std::string, Peer> peers_;
     std::set<std::string> votes_;
-    std::vector<std::string> untold_;
+    std::vector<std::string> blankVoters_;
     std::vector<std::pair<std::string, std::string>> spares_;
-    std::vector<Seat> voters_, outgoing_, snapVoters_;
-    Word word_, head_;
+    std::vector<VoterIdentity> voters_, outgoing_, snapVoters_;
+    ReplicatedState replicatedState_, latestState_;
     Microseconds preVoteAt_ = 0, leadSince_ = 0, electionDue_ = 0, heardLeader_ = 0, quorumAt_ = 0,
                  heartbeatAt_ = 0, toldAt_ = 0, transferDue_ = 0, probeAt_ = 0;
     std::deque<PendingWrite> pendingWrites_;
--- a/src/control/order_client.cpp
+++ b/src/control/order_client.cpp
@@ -91,7 +91,7 @@
     pending.sent = true;
     pending.to = leader;
     pending.outstanding++;
-    auto ask = wire::OrderAsk();
+    auto ask = wire::OrderRequest();
     ask.id = pending.request;
     ask.body = pending.body;
     ask.readback = pending.read;
--- a/src/control/order_client.hpp
+++ b/src/control/order_client.hpp
@@ -28,7 +28,7 @@
     virtual auto findLeader(Microseconds now) -> std::string = 0;
     virtual auto lastLeader() -> std::string = 0;
     /// Brings a request to a node, which may be this one.
-    virtual auto sendOrder(const std::string& node, wire::OrderAsk& ask, Microseconds now) -> void = 0;
+    virtual auto sendOrder(const std::string& node, wire::OrderRequest& ask, Microseconds now) -> void = 0;
     virtual auto orderDone(std::int64_t id, const Outcome& outcome) -> void = 0;
 };
 
--- a/src/control/order_service.cpp
+++ b/src/control/order_service.cpp
@@ -50,10 +50,10 @@
     auto order = parse(text);
     if (order.op.empty()) return;
     // The same key again: that it was accepted stays so, whoever leads now.
-    if (auto known = voter.word().accepted(order.key); known.status) {
+    if (auto known = voter.replicatedState().accepted(order.key); known.status) {
         auto& pending = awaitOutcome(voter, from, order.key, now);
         pending.applied = true;
-        pending.generation = voter.word().gen;
+        pending.generation = voter.replicatedState().version;
         pending.outcome = known;
         return;
     }
@@ -62,7 +62,7 @@
         pending->due = now + ORDER_SERVICE_TIMEOUT;
         return;
     }
-    auto entry = orderPrepare(voter.head(), order.op, order.key, order.body, wall);
+    auto entry = orderPrepare(voter.latestState(), order.op, order.key, order.body, wall);
     if (entry) return propose(voter, from, order.key, *entry, now);
     if (entry.error().dependsOnState && !broken.refuseFromLog) return confirmRefusal(voter, from, order, now);
     refuse(from, entry.error());
@@ -129,7 +129,7 @@
 auto OrderService::judgeAnew(Voter& voter, const PendingRefusal& refusal, Microseconds wall, Microseconds now)
     -> void {
     auto& order = refusal.order;
-    auto& state = voter.word();
+    auto& state = voter.replicatedState();
     if (auto known = state.accepted(order.key); known.status) return port_.answer(refusal.from, known);
     auto entry = orderPrepare(state, order.op, order.key, order.body, wall);
     if (entry) return propose(voter, refusal.from, order.key, *entry, now);
@@ -173,8 +173,8 @@
         if (read.id != id) continue;
         if (confirmed) {
             read.confirmed = true;
-            read.generation = voter.word().gen;
-            read.outcome = {200, read.query.answer(voter.word())};
+            read.generation = voter.replicatedState().version;
+            read.outcome = {200, read.query.answer(voter.replicatedState())};
             return;
         }
         auto from = read.from;
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -61,7 +61,7 @@
 
 static auto clip(const std::string& s) -> std::string { return s.substr(0, 200); }
 constexpr Microseconds UNHEARD_SERVER = 2 * SECOND;  // sent bytes without an acknowledgement
-constexpr Microseconds UNHEARD_SENDER =
+constexpr Microseconds UNHEARD_CLIENT =
     10 * SECOND;  // longer: a sender that reads nothing for a while counts too
 constexpr Microseconds TICK = 20 * MILLISECOND;
 constexpr Microseconds CONNECT = 1 * SECOND;
@@ -114,13 +114,13 @@
     }
 
     // ---- NodePort
-    auto tell(const std::string& addr, const wire::Envelope& e) -> void override {
+    auto send(const std::string& addr, const wire::Envelope& e) -> void override {
         if (addr == op.st.peer) return;
         auto l = std::lock_guard(qmu_);
         auto i = outs_.find(addr);
         if (i == outs_.end()) {
             if (outs_.size() >= 512) return;
-            i = outs_.emplace(addr, std::make_unique<PeerSender>(addr, ct2_, ctm_, compressor_)).first;
+            i = outs_.emplace(addr, std::make_unique<PeerChannel>(addr, ct2_, ctm_, compressor_)).first;
         }
         i->second->setCompress(compressing_.count(addr) > 0);
         i->second->put(e);
@@ -232,9 +232,9 @@
     auto list(const std::string& body) -> awaitable<Outcome> override {
         co_return co_await await([&](std::int64_t id) { node->list(id, body, bootNow()); });
     }
-    auto where(const std::string& region, const std::string& district) -> std::string override {
+    auto where(const std::string& region, const std::string& zone) -> std::string override {
         auto l = std::lock_guard(mu_);
-        return node->where(region, district, bootNow());
+        return node->where(region, zone, bootNow());
     }
     auto ready() -> bool override {
         auto l = std::lock_guard(mu_);
@@ -244,9 +244,9 @@
         auto l = std::lock_guard(mu_);
         return node->duty(bootNow());
     }
-    auto word() -> std::string override {
+    auto replicatedState() -> std::string override {
         auto l = std::lock_guard(mu_);
-        return node->word().text();
+        return node->replicatedState().text();
     }
     auto fetch(const std::string& addr, const std::string& target, Microseconds limit)
         -> awaitable<tl::expected<Res, CallError>> override {
@@ -259,12 +259,12 @@
         auto z = e.__isset.compressed ? decompressed(e) : std::nullopt;
         auto l = std::lock_guard(mu_);
         if (e.__isset.compressed && !z) return ct_.add("peer_decompress_failed_total");
-        node->hear(z ? *z : e, bootNow());
+        node->handle(z ? *z : e, bootNow());
         auto k = node->rows().find(e.node);
         if (k == node->rows().end()) return;
         auto l2 = std::lock_guard(qmu_);
-        if (e.wire >= COMPRESSING) compressing_.insert(k->second.r.peer);
-        else compressing_.erase(k->second.r.peer);
+        if (e.wire >= COMPRESSING) compressing_.insert(k->second.record.peer);
+        else compressing_.erase(k->second.record.peer);
     }
 
     auto run() -> int;
@@ -277,12 +277,12 @@
     auto requestFor(std::int64_t x, int a, const std::string& addr, const Up& u)
         -> std::optional<ServerRequest>;
     auto readAnswer(std::int64_t x, int a, Up& u, const AnswerOptions& options) -> awaitable<void>;
-    auto waitForSender(std::int64_t x, int a, Up& u) -> awaitable<bool>;
+    auto waitForClient(std::int64_t x, int a, Up& u) -> awaitable<bool>;
     auto keep(Up& u, Microseconds life) -> void;
     auto probeRun(std::string server, std::string addr) -> awaitable<void>;
     auto listen(Listen& at) -> awaitable<void>;
     auto session(tcp::socket s, Listen& at) -> awaitable<void>;
-    auto exchange(beast::tcp_stream& s, beast::flat_buffer& b, const Req& q, Microseconds arrived)
+    auto request(beast::tcp_stream& s, beast::flat_buffer& b, const Req& q, Microseconds arrived)
         -> awaitable<bool>;
     auto operate(const Req& q, Shell& sh) -> awaitable<Res>;
     auto adapted(const std::string& at, const Req& q, Shell& sh) -> awaitable<Res>;
@@ -304,7 +304,7 @@
     Counters ct_, ct2_;
     std::unique_ptr<Node> node;
     std::unique_ptr<Edge> edge;
-    std::map<std::string, std::unique_ptr<PeerSender>> outs_;
+    std::map<std::string, std::unique_ptr<PeerChannel>> outs_;
     std::set<std::string> compressing_;  // peers that read compressed envelopes
     Compressor compressor_;
     std::deque<DiskWrite> dq_;
@@ -321,7 +321,7 @@
     Limits lim_;
     std::map<std::string, std::int64_t> conns_;  // the most that a pool's servers accept
     std::size_t nodes_ = 1;
-    std::int64_t limReign_ = -1, limGen_ = -1;
+    std::int64_t limitEpoch_ = -1, limitVersion_ = -1;
     Microseconds sweptAt_ = 0;
     std::vector<std::unique_ptr<Listen>> listens_;
     std::unique_ptr<asio::signal_set> hup_;
@@ -345,12 +345,12 @@
         return daemon.watchedRead(&watch, query);
     }
     auto list(const std::string& body) -> awaitable<Outcome> override { return daemon.list(body); }
-    auto where(const std::string& region, const std::string& district) -> std::string override {
-        return daemon.where(region, district);
+    auto where(const std::string& region, const std::string& zone) -> std::string override {
+        return daemon.where(region, zone);
     }
     auto ready() -> bool override { return daemon.ready(); }
     auto duty() -> bool override { return daemon.duty(); }
-    auto word() -> std::string override { return daemon.word(); }
+    auto replicatedState() -> std::string override { return daemon.replicatedState(); }
     auto fetch(const std::string& addr, const std::string& target, Microseconds limit)
         -> awaitable<tl::expected<Res, CallError>> override {
         return daemon.fetch(addr, target, limit);
@@ -440,7 +440,8 @@
     if (!reuse_ || u.dropped || stop_.at) return;
     auto most = std::size_t(4);
     if (auto i = node->servers().find(u.server); i != node->servers().end())
-        if (auto c = conns_.find(i->second.l.pool); c != conns_.end()) most = idleShare(c->second, nodes_);
+        if (auto c = conns_.find(i->second.listing.serviceName); c != conns_.end())
+            most = idleShare(c->second, nodes_);
     kept_.put(u.key, u.s, life, bootNow(), most);
 }
 
@@ -482,7 +483,7 @@
 }
 
 // A sender that reads slowly holds the server back, not the memory full. False once it has gone.
-auto Daemon::waitForSender(std::int64_t x, int a, Up& u) -> awaitable<bool> {
+auto Daemon::waitForClient(std::int64_t x, int a, Up& u) -> awaitable<bool> {
     while (true) {
         auto d = std::shared_ptr<Down>();
         {
@@ -517,7 +518,7 @@
             if (delivery != Delivery::Reading) co_return;
         }
         if (!reader.streamed()) continue;
-        auto there = co_await waitForSender(x, a, u);
+        auto there = co_await waitForClient(x, a, u);
         if (!there) co_return;
     }
 }
@@ -545,7 +546,7 @@
 auto Daemon::probeRun(std::string server, std::string addr) -> awaitable<void> {
     auto s = beast::tcp_stream(co_await asio::this_coro::executor);
     auto ok = false, refused = false;
-    auto d = wire::Load();
+    auto d = wire::ServerLoad();
     try {
         s.expires_after(std::chrono::milliseconds(900));
         co_await s.async_connect(endpoint(addr), use_awaitable);
@@ -593,7 +594,7 @@
     return t;
 }
 
-auto Daemon::exchange(beast::tcp_stream& s, beast::flat_buffer& b, const Req& q, Microseconds arrived)
+auto Daemon::request(beast::tcp_stream& s, beast::flat_buffer& b, const Req& q, Microseconds arrived)
     -> awaitable<bool> {
     auto ex = co_await asio::this_coro::executor;
     auto tm = std::make_shared<asio::steady_timer>(ex);
@@ -739,7 +740,7 @@
     auto b = beast::flat_buffer(64u << 20);
     auto ec = beast::error_code();
     std::size_t n = 0;
-    socketSet(s.socket().native_handle(), UNHEARD_SENDER);
+    socketSet(s.socket().native_handle(), UNHEARD_CLIENT);
     sessions_++;
     while (true) {
         auto lim = Limits();
@@ -826,7 +827,7 @@
         auto path = std::string(q.target());
         if (at.kind == Listen::Sender
             && (ad || !(path.starts_with("/v1/where") || path == "/healthz" || path == "/readyz"))) {
-            if (!co_await exchange(s, b, q, arrived)) break;
+            if (!co_await request(s, b, q, arrived)) break;
             continue;
         }
         auto r = Res();
@@ -877,10 +878,10 @@
             if (l->addr == a) return;
         listens_.push_back(std::make_unique<Listen>(k, a, tcp::acceptor(io)));
     };
-    add(Listen::Sender, op.st.sender);
+    add(Listen::Sender, op.st.clientAddress);
     if (ad)
         for (auto& a : ad->listens) add(Listen::Adapted, a);
-    if (op.operatorListens) add(Listen::Operator, op.st.opr);
+    if (op.operatorListens) add(Listen::Operator, op.st.operatorAddress);
     for (auto& l : listens_) try {
             auto ep = endpoint(l->addr);
             l->ac.open(ep.protocol());
@@ -1036,11 +1037,12 @@
         auto query = StateQuery::document();
         auto o = co_await sh.readState(query);
         if (o.status == 200 && path != "/v1/word") {
-            auto w = Word();
+            auto w = ReplicatedState();
             w.load(o.body);
-            auto g = fmt::to_string(w.gen);
+            auto g = fmt::to_string(w.version);
             if (path == "/v1/config")
-                o.body = bodyOf({{"generation", fmt::to_string(w.configGen())}, {"config", js(w.config())}});
+                o.body =
+                    bodyOf({{"generation", fmt::to_string(w.configVersion())}, {"config", js(w.config())}});
             else if (path == "/v1/plan")
                 o.body =
                     bodyOf({{"generation", g}, {"plan", js(w.d["plan"])}, {"empties", js(w.d["empties"])}});
@@ -1092,19 +1094,19 @@
 
 // What time brings; true once the process may end.
 auto Daemon::tick() -> bool {
-    auto quietOuts = std::vector<std::unique_ptr<PeerSender>>();  // their threads are joined without mu_
+    auto quietOuts = std::vector<std::unique_ptr<PeerChannel>>();  // their threads are joined without mu_
     auto l = std::unique_lock(mu_);
     auto now = bootNow();
     node->tick(now, wallNow());
     edge->tick(now);
-    if (auto& w = node->word(); w.gen != limGen_ || w.reign != limReign_) {
+    if (auto& w = node->replicatedState(); w.version != limitVersion_ || w.epoch != limitEpoch_) {
         lim_ = limitsOf(w.config());
         conns_.clear();
         if (w.config().IsObject() && w.config().HasMember("pools") && w.config()["pools"].IsObject())
             for (auto& p : w.config()["pools"].GetObject())
                 if (p.value.IsObject()) conns_[p.name.GetString()] = jsInt(p.value, "maxConns");
-        limGen_ = w.gen;
-        limReign_ = w.reign;
+        limitVersion_ = w.version;
+        limitEpoch_ = w.epoch;
     }
     if (now - sweptAt_ > 200 * MILLISECOND) {
         sweptAt_ = now;
@@ -1273,7 +1275,7 @@
     });
     if (op.core) duneturn = std::thread([this] { diskLoop(); });
     logf("{} {} starts: district {}, region {}, peer {}, sender {}, operator {}", op.core ? "core" : "edge",
-        op.st.node, op.st.district, op.st.region, op.st.peer, op.st.sender, op.st.opr);
+        op.st.node, op.st.zone, op.st.region, op.st.peer, op.st.clientAddress, op.st.operatorAddress);
     auto sig = asio::signal_set(io, SIGTERM, SIGINT);
     sig.async_wait([&](beast::error_code ec, int) {
         if (!ec) stopBegin();
--- a/src/daemon/shell.hpp
+++ b/src/daemon/shell.hpp
@@ -23,13 +23,13 @@
     /// The platform's whole listing (Node::list).
     virtual auto list(const std::string& body) -> asio::awaitable<Outcome> = 0;
     /// Where callers near this place should go, as JSON (Node::where).
-    virtual auto where(const std::string& region, const std::string& district) -> std::string = 0;
+    virtual auto where(const std::string& region, const std::string& zone) -> std::string = 0;
     /// Whether this node serves now; false from the beginning of a planned stop.
     virtual auto ready() -> bool = 0;
     /// Whether this node does the fleet's single duties now (Node::duty).
     virtual auto duty() -> bool = 0;
     /// The text of the word held here.
-    virtual auto word() -> std::string = 0;
+    virtual auto replicatedState() -> std::string = 0;
     /// A GET of another process.
     virtual auto fetch(const std::string& addr, const std::string& target, Microseconds limit)
         -> asio::awaitable<tl::expected<Res, CallError>> = 0;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -24,14 +24,14 @@
 
 DEFINE_string(settings, "", "settings file (JSON); flags are laid over it");
 DEFINE_string(node, "", "this node's name; ctl: a node's operator address");
-DEFINE_string(district, "", "the zone this machine stands in");
+DEFINE_string(zone, "", "the zone this machine stands in");
 DEFINE_string(region, "", "the region this machine stands in");
 DEFINE_string(peer, "", "IP:PORT towards the other processes");
 DEFINE_string(sender, "", "IP:PORT towards the senders");
 DEFINE_string(operator, "", "IP:PORT towards operators and the platform");
 DEFINE_string(seeds, "", "peer addresses of other processes, with commas");
 DEFINE_string(roster, "", "core: names of the fleet's nodes at its founding, with commas");
-DEFINE_string(seats, "", "core: names of the core nodes at its founding, with commas");
+DEFINE_string(initialVoters, "", "core: names of the core nodes at its founding, with commas");
 DEFINE_string(data, "", "core: the data folder");
 DEFINE_int64(drain_us, 10000000, "how long streams may go on after SIGTERM, in us");
 DEFINE_int32(workers, 3, "worker threads");
@@ -133,7 +133,7 @@
     auto s = settingsRead(FLAGS_settings, over);
     auto fs = s ? std::vector<Fault>() : s.error().faults;
     if (s && core && s->data.empty()) fs.push_back({"/data", "missing: a core wants a data folder"});
-    if (s && core && s->seats.empty())
+    if (s && core && s->initialVoters.empty())
         fs.push_back({"/seats", "missing: a core wants the names of the core nodes"});
     if (s && core && s->roster.empty())
         fs.push_back({"/roster", "missing: a core wants the names of the nodes"});
@@ -248,7 +248,7 @@
     if (role == "fake-platform")
         return fakePlatformRun({FLAGS_servers, FLAGS_listen, commas(FLAGS_nodes), SECOND});
     if (role == "fake-sender")
-        return fakeSenderRun(
+        return fakeClientRun(
             {FLAGS_day, FLAGS_report, commas(FLAGS_nodes), FLAGS_duration_us, FLAGS_scale, FLAGS_seed});
     if (role == "scale")
         return scaleMain({FLAGS_nodes, FLAGS_servers, FLAGS_membership, FLAGS_svg, FLAGS_earlier, FLAGS_seed,
--- a/src/membership/node.cpp
+++ b/src/membership/node.cpp
@@ -28,7 +28,7 @@
     return std::int64_t(hash64(fmt::to_string(boot), seed) >> 2);
 }
 static auto orderRetry(const Settings& s) -> OrderRetry {
-    if (!s.learnt) return {};
+    if (!s.gossip) return {};
     return {250 * MILLISECOND, 250 * MILLISECOND, true};
 }
 
@@ -41,17 +41,17 @@
       orderClient_(*this, orderRetry(s), firstOrderNumber(boot, seed)) {
     me_.node = s.node;
     me_.boot = boot;
-    me_.district = s.district;
+    me_.zone = s.zone;
     me_.region = s.region;
     me_.peer = s.peer;
-    me_.sender = s.sender;
-    me_.opr = s.opr;
+    me_.clientAddress = s.clientAddress;
+    me_.operatorAddress = s.operatorAddress;
     me_.blank = true;
     hints_ = st_.seeds;
-    beat_ = st_.beat ? st_.beat : st_.learnt ? LEARNT_BEAT : BEAT;
-    if (st_.learnt) {
-        alive_ = beat_ * 7 / 2 + 250 * MILLISECOND;
-        late_ = beat_ * 2 + 250 * MILLISECOND;
+    heartbeat_ = st_.heartbeat ? st_.heartbeat : st_.gossip ? GOSSIP_HEARTBEAT : HEARTBEAT;
+    if (st_.gossip) {
+        alive_ = heartbeat_ * 7 / 2 + 250 * MILLISECOND;
+        late_ = heartbeat_ * 2 + 250 * MILLISECOND;
     }
 }
 auto Node::hints(const std::vector<std::string>& v) -> void {
@@ -61,10 +61,10 @@
 }
 Node::~Node() = default;
 
-auto Node::startCore(const DiskState& s, const std::string& fresh, Microseconds now) -> void {
+auto Node::startCore(const DiskState& s, const std::string& newDiskId, Microseconds now) -> void {
     now_ = now;
     vt_ = std::make_unique<Voter>(*this, ct_, rng_.next());
-    vt_->start(s, fresh, now);
+    vt_->start(s, newDiskId, now);
     touchMe(now);
 }
 
@@ -75,10 +75,10 @@
     return e;
 }
 
-auto Node::row(const std::string& n) const -> const wire::Row* {
+auto Node::row(const std::string& n) const -> const wire::NodeRecord* {
     if (n == me_.node) return &me_;
     auto i = rows_.find(n);
-    return i == rows_.end() ? nullptr : &i->second.r;
+    return i == rows_.end() ? nullptr : &i->second.record;
 }
 auto Node::alive(const std::string& n, Microseconds now) const -> bool {
     if (n == me_.node) return true;
@@ -95,12 +95,12 @@
 auto Node::leaderNode(Microseconds now) const -> std::string {
     auto b = std::string();
     auto bt = std::pair<std::int64_t, std::int64_t>(-1, -1);
-    auto see = [&](const wire::Row& r) {
-        if (r.leader && std::pair(r.reign, r.term) > bt) bt = {r.reign, r.term}, b = r.node;
+    auto see = [&](const wire::NodeRecord& r) {
+        if (r.leader && std::pair(r.epoch, r.term) > bt) bt = {r.epoch, r.term}, b = r.node;
     };
     see(me_);
     for (auto& [n, k] : rows_)
-        if (now - k.at < alive_) see(k.r);
+        if (now - k.at < alive_) see(k.record);
     return b;
 }
 
@@ -125,13 +125,13 @@
             if (root.empty() || rank("root", n) > rank("root", root)) root = n;
     }
     auto by = std::map<std::string, std::vector<std::string>>();
-    for (auto& n : ns) by[row(n)->district].push_back(n);
+    for (auto& n : ns) by[row(n)->zone].push_back(n);
     for (auto& [d, v] : by) {
         auto key = d + "/" + root;
         std::sort(v.begin(), v.end(), [&](auto& a, auto& b) {
             if ((a == root) != (b == root)) return a == root;
             // One that still calls itself leader beside a newer one has not been heard since.
-            if (st_.learnt && row(a)->leader != row(b)->leader) return row(b)->leader;
+            if (st_.gossip && row(a)->leader != row(b)->leader) return row(b)->leader;
             return rank(key, a) > rank(key, b);
         });
         for (auto i = std::size_t(0); i < v.size(); i++) {
@@ -152,56 +152,56 @@
         me_.term = vt_->term();
         me_.leader = vt_->leads();
     }
-    me_.reign = word_.reign;
-    me_.gen = word_.gen;
+    me_.epoch = replicatedState_.epoch;
+    me_.stateVersion = replicatedState_.version;
     me_.marks.clear();
-    if (st_.learnt) {
-        me_.settled = word_.gen > 0;
+    if (st_.gossip) {
+        me_.settled = replicatedState_.version > 0;
         me_.ready = ready(now_);
         return;
     }
     for (auto& [n, s] : servers_)
-        if (s.l.state == LEAVING) {
-            auto m = wire::Mark();
+        if (s.listing.state == LEAVING) {
+            auto m = wire::DrainMark();
             m.server = n;
-            m.gen = s.l.gen;
+            m.revision = s.listing.revision;
             me_.marks.push_back(m);
         }
 }
 
-auto Node::beatText(Microseconds now) -> wire::Envelope {
+auto Node::heartbeatEnvelope(Microseconds now) -> wire::Envelope {
     auto e = env();
-    auto b = wire::Beat();
+    auto b = wire::Heartbeat();
     b.rows.push_back(me_);
     for (auto& [n, k] : rows_)
-        if (now - k.at < FORGET) b.rows.push_back(k.r);
+        if (now - k.at < FORGET) b.rows.push_back(k.record);
     for (auto& [n, s] : servers_) {
-        b.listings.push_back(s.l);
+        b.listings.push_back(s.listing);
         b.listings.back().age = now - s.told;
         b.listings.back().cold = std::max<Microseconds>(0, s.coldTill - now);
         if (s.seen && now - s.seen < SEEN) {
-            b.loads.push_back(s.d);
+            b.loads.push_back(s.load);
             b.loads.back().age = now - s.seen;
         }
     }
-    e.__set_beat(b);
+    e.__set_heartbeat(b);
     return e;
 }
 
-auto Node::sendBeat(Microseconds now, bool all) -> void {
-    me_.beat++;
-    sentAt_[me_.beat] = now;
+auto Node::sendHeartbeat(Microseconds now, bool all) -> void {
+    me_.heartbeat++;
+    sentAt_[me_.heartbeat] = now;
     while (sentAt_.size() > 64) sentAt_.erase(sentAt_.begin());
     touchMe(now);
     me_.wall = wall_;
-    me_.echo.clear();
+    me_.acks.clear();
     for (auto& [n, k] : rows_) {
         if (now - k.at >= FORGET) continue;
-        auto c = wire::Echo();
+        auto c = wire::HeartbeatAck();
         c.node = n;
-        c.boot = k.r.boot;
-        c.beat = k.r.beat;
-        me_.echo.push_back(c);
+        c.boot = k.record.boot;
+        c.heartbeat = k.record.heartbeat;
+        me_.acks.push_back(c);
     }
     auto to = std::set<std::string>();
     auto t = tree(now);
@@ -215,73 +215,75 @@
             ns.begin(), ns.end(), [&](auto& a, auto& b) { return rank(me_.node, a) > rank(me_.node, b); });
         for (auto i = std::size_t(0); i < ns.size() && i < 3; i++) to.insert(ns[i]);
         for (auto& [n, k] : rows_)
-            if (voterDisks_.count(k.r.disk)) to.insert(n);
+            if (voterDisks_.count(k.record.disk)) to.insert(n);
     }
-    auto e = beatText(now);
+    auto e = heartbeatEnvelope(now);
     for (auto& n : to)
-        if (auto r = row(n); r && n != me_.node) po_.tell(r->peer, e);
+        if (auto r = row(n); r && n != me_.node) po_.send(r->peer, e);
     if (all && !hints_.empty()) {
         // One seed a round joins what a cut has parted, whoever lives there now.
         auto& s = hints_[seed_++ % hints_.size()];
-        if (s != me_.peer) po_.tell(s, e);
+        if (s != me_.peer) po_.send(s, e);
     }
     ct_.add("beats_sent_total");
 }
 
-auto Node::wordTo(const std::string& addr) -> void {
+auto Node::sendReplicatedState(const std::string& addr) -> void {
     auto e = env();
-    auto w = wire::Word();
-    w.reign = word_.reign;
-    w.gen = word_.gen;
-    w.doc = word_.text();
-    e.__set_word(w);
-    po_.tell(addr, e);
+    auto w = wire::ReplicatedState();
+    w.epoch = replicatedState_.epoch;
+    w.version = replicatedState_.version;
+    w.doc = replicatedState_.text();
+    e.__set_replicatedState(w);
+    po_.send(addr, e);
 }
 
 // ---- freshness
 
-auto Node::holds(const wire::Row& r, std::int64_t gen) const -> bool {
-    return std::pair(r.reign, r.gen) >= std::pair(word_.reign, gen);
+auto Node::holds(const wire::NodeRecord& r, std::int64_t version) const -> bool {
+    return std::pair(r.epoch, r.stateVersion) >= std::pair(replicatedState_.epoch, version);
 }
 
 // A majority of voters, or of the roster, was heard within the lease and knew of no
 // newer word than is held here. Every acknowledged order is held by a majority of both.
 auto Node::counted(Microseconds now, bool settledVoters) const -> bool {
     auto v = std::size_t(0), n = std::size_t(0);
-    auto see = [&](const wire::Row& r) {
-        if (std::pair(r.reign, r.gen) > std::pair(word_.reign, word_.gen)) return;
+    auto see = [&](const wire::NodeRecord& r) {
+        if (std::pair(r.epoch, r.stateVersion) > std::pair(replicatedState_.epoch, replicatedState_.version))
+            return;
         if (!r.blank && voterDisks_.count(r.disk) && (r.settled || !settledVoters)) v++;
         if (r.settled && roster_.count(r.node)) n++;
     };
     see(me_);
     // Beats that are learnt carry no echoes: there the time is when the row's beat came.
     for (auto& [k, x] : rows_)
-        if (st_.learnt ? now - x.at < alive_ : x.t0 && now - x.t0 <= LEASE) see(x.r);
+        if (st_.gossip ? now - x.at < alive_ : x.t0 && now - x.t0 <= LEASE) see(x.record);
     return v * 2 > voterDisks_.size() || n * 2 > roster_.size();
 }
 
-auto Node::fresh(Microseconds now) const -> bool {
-    if (broken.noLease) return word_.gen > 0;
-    if (st_.learnt && st_.serveOn) return word_.configGen() > 0;
-    return word_.gen > 0 && me_.settled && counted(now, true);
+auto Node::withinLease(Microseconds now) const -> bool {
+    if (broken.noLease) return replicatedState_.version > 0;
+    if (st_.gossip && st_.serveOn) return replicatedState_.configVersion() > 0;
+    return replicatedState_.version > 0 && me_.settled && counted(now, true);
 }
 auto Node::ready(Microseconds now) const -> bool {
-    if (me_.stopping || !fresh(now) || word_.configGen() == 0) return false;
-    return std::any_of(servers_.begin(), servers_.end(), [](auto& s) { return s.second.l.state == UP; });
+    if (me_.stopping || !withinLease(now) || replicatedState_.configVersion() == 0) return false;
+    return std::any_of(
+        servers_.begin(), servers_.end(), [](auto& s) { return s.second.listing.state == UP; });
 }
 
-auto Node::proven(MajorityProof& p, const std::function<bool(const wire::Row&)>& f, Microseconds now) const
-    -> bool {
+auto Node::proven(
+    MajorityProof& p, const std::function<bool(const wire::NodeRecord&)>& f, Microseconds now) const -> bool {
     if (broken.ackEarly) return true;
-    auto both = [&](const std::function<bool(const wire::Row&, Microseconds)>& g) {
+    auto both = [&](const std::function<bool(const wire::NodeRecord&, Microseconds)>& g) {
         auto v = std::size_t(0), n = std::size_t(0);
-        auto see = [&](const wire::Row& r, Microseconds t0) {
+        auto see = [&](const wire::NodeRecord& r, Microseconds t0) {
             if (!f(r) || !g(r, t0)) return;
             v += !r.blank && voterDisks_.count(r.disk);
             n += roster_.count(r.node);
         };
         see(me_, now);
-        for (auto& [k, x] : rows_) see(x.r, x.t0);
+        for (auto& [k, x] : rows_) see(x.record, x.t0);
         return v * 2 > voterDisks_.size() && n * 2 > roster_.size();
     };
     if (!p.begun) {
@@ -289,10 +291,10 @@
         p.begun = now;
         p.boots[me_.node] = me_.boot;
         for (auto& [k, x] : rows_)
-            if (f(x.r)) p.boots[k] = x.r.boot;
+            if (f(x.record)) p.boots[k] = x.record.boot;
         return false;
     }
-    auto ok = both([&](const wire::Row& r, Microseconds t0) {
+    auto ok = both([&](const wire::NodeRecord& r, Microseconds t0) {
         auto i = p.boots.find(r.node);
         return i != p.boots.end() && i->second == r.boot && t0 >= p.begun;
     });
@@ -303,34 +305,36 @@
 
 // ---- hearing
 
-auto Node::hear(const wire::Envelope& e, Microseconds now) -> void {
+auto Node::handle(const wire::Envelope& e, Microseconds now) -> void {
     clock(now);
     if (e.wire < WIRE - 1 || e.wire > WIRE + 1) {
         ct_.add("wire_version_dropped_total");
         return;
     }
-    if (e.__isset.beat && st_.learnt) learntHear(e, now);
-    else if (e.__isset.beat) {
+    if (e.__isset.heartbeat && st_.gossip) gossipHandle(e, now);
+    else if (e.__isset.heartbeat) {
         auto t = tree(now);
-        merge(e.beat, e.node, now);
+        merge(e.heartbeat, e.node, now);
         auto i = t.up.find(me_.node);
         // News from above goes on down at once, not at the next beat.
-        if (i != t.up.end() && i->second == e.node && !t.kids(me_.node).empty()) sendBeat(now, false);
+        if (i != t.up.end() && i->second == e.node && !t.kids(me_.node).empty()) sendHeartbeat(now, false);
     }
-    if (e.__isset.word) takeWord(e.word, now);
-    if (e.__isset.wordAsk && std::pair(e.wordAsk.reign, e.wordAsk.gen) < std::pair(word_.reign, word_.gen))
-        if (auto r = row(e.node)) wordTo(r->peer);
-    if (e.__isset.orderAsk) serveOrder(e.orderAsk, now);
+    if (e.__isset.replicatedState) handleReplicatedState(e.replicatedState, now);
+    if (e.__isset.replicatedStateRequest
+        && std::pair(e.replicatedStateRequest.epoch, e.replicatedStateRequest.version)
+            < std::pair(replicatedState_.epoch, replicatedState_.version))
+        if (auto r = row(e.node)) sendReplicatedState(r->peer);
+    if (e.__isset.orderRequest) serveOrder(e.orderRequest, now);
     if (e.__isset.orderReply) orderClient_.answered(e.orderReply, me_.boot, now);
-    if (e.__isset.grant && e.grant.boot == me_.boot) {
+    if (e.__isset.creditGrant && e.creditGrant.boot == me_.boot) {
         auto& g = grants_[e.node];
-        if (e.grant.seq > g) {
-            g = e.grant.seq;
-            if (onGrant) onGrant(e.grant.credit);
+        if (e.creditGrant.seq > g) {
+            g = e.creditGrant.seq;
+            if (onGrant) onGrant(e.creditGrant.credit);
         }
     }
     if (vt_ && !e.disk.empty()) {
-        vt_->hear(e, now);
+        vt_->handle(e, now);
         orderService_.tick(*vt_, wall_, now);
     }
 }
@@ -346,19 +350,19 @@
 
 auto Node::frozenSince(Microseconds arrived, Microseconds now) const -> bool {
     if (now_ && now - now_ > FROZEN) return true;  // and it has not been noticed yet
-    return wokeAt_ && wokeAt_ + THAW > arrived;
+    return wokeAt_ && wokeAt_ + RESUME_GRACE > arrived;
 }
 
-auto Node::merge(const wire::Beat& b, const std::string& from, Microseconds now) -> void {
+auto Node::merge(const wire::Heartbeat& b, const std::string& from, Microseconds now) -> void {
     auto ask = std::string();
-    auto best0 = std::pair(newest().reign, newest().gen);
+    auto best0 = std::pair(newest().epoch, newest().version);
     auto best = best0;
     for (auto& r : b.rows) {
         if (r.node.empty() || r.node.size() > 256 || r.peer.size() > 64) continue;
         if (r.node == me_.node) {
             // An earlier life of this one, by a clock that has since been set back, or another of
             // the same name: the newest life has the highest number, or it would not be heard.
-            if (std::pair(r.boot, r.beat) > std::pair(me_.boot, me_.beat)) {
+            if (std::pair(r.boot, r.heartbeat) > std::pair(me_.boot, me_.heartbeat)) {
                 if (r.peer != me_.peer) ct_.add("own_name_elsewhere_total");
                 ct_.add("boot_raised_total");
                 if (!broken.oldBoot) me_.boot = r.boot + 1;
@@ -372,24 +376,24 @@
             logf("node {} known at {}", r.node, r.peer);
         }
         auto& k = i->second;
-        if (std::pair(r.boot, r.beat) <= std::pair(k.r.boot, k.r.beat)) continue;
-        if (k.r.boot != r.boot) k.t0 = 0;
+        if (std::pair(r.boot, r.heartbeat) <= std::pair(k.record.boot, k.record.heartbeat)) continue;
+        if (k.record.boot != r.boot) k.t0 = 0;
         if (!k.at || now - k.at >= alive_) ct_.add("node_heard_again_total");
-        k.r = r;
+        k.record = r;
         k.at = now;
-        for (auto& c : r.echo)
+        for (auto& c : r.acks)
             if (c.node == me_.node && c.boot == me_.boot)
-                if (auto s = sentAt_.find(c.beat); s != sentAt_.end()) k.t0 = std::max(k.t0, s->second);
+                if (auto s = sentAt_.find(c.heartbeat); s != sentAt_.end()) k.t0 = std::max(k.t0, s->second);
         for (auto& m : r.marks) {
             auto& s = servers_[m.server];
-            if (m.gen < s.l.gen) continue;
-            if (m.gen > s.l.gen || s.l.state != LEAVING) s.told = now;
-            s.l.server = m.server;
-            s.l.gen = m.gen;
-            s.l.state = LEAVING;
+            if (m.revision < s.listing.revision) continue;
+            if (m.revision > s.listing.revision || s.listing.state != LEAVING) s.told = now;
+            s.listing.server = m.server;
+            s.listing.revision = m.revision;
+            s.listing.state = LEAVING;
         }
-        if (std::pair(r.reign, r.gen) > best) {
-            best = {r.reign, r.gen};
+        if (std::pair(r.epoch, r.stateVersion) > best) {
+            best = {r.epoch, r.stateVersion};
             ask = r.peer;
         }
     }
@@ -403,13 +407,15 @@
         }
         auto& s = i->second;
         // Of the same generation, leaving wins: the mark may have come ahead of the listing.
-        if (l.gen < s.l.gen || (l.gen == s.l.gen && s.l.state > l.state)) continue;
-        if (l.gen == s.l.gen && s.l.state == l.state && !s.l.address.empty()) {
+        if (l.revision < s.listing.revision
+            || (l.revision == s.listing.revision && s.listing.state > l.state))
+            continue;
+        if (l.revision == s.listing.revision && s.listing.state == l.state && !s.listing.address.empty()) {
             s.told = std::max(s.told, now - l.age);
             continue;
         }
-        if (l.inc != s.l.inc || s.l.state == GONE) s.first = now, s.seen = 0;
-        s.l = l;
+        if (l.inc != s.listing.inc || s.listing.state == GONE) s.first = now, s.seen = 0;
+        s.listing = l;
         s.told = now - l.age;
         s.coldTill = l.cold > 0 ? now + l.cold : 0;
         listTold_ = std::max(listTold_, s.told);
@@ -423,7 +429,7 @@
         auto i = servers_.find(d.server);
         if (i == servers_.end() || d.age < 0) continue;
         if (auto t = now - d.age; t > i->second.seen) {
-            i->second.d = d;
+            i->second.load = d;
             i->second.seen = t;
         }
     }
@@ -431,73 +437,77 @@
     if (!ask.empty() && now >= pullAt_) {
         pullAt_ = now + 50 * MILLISECOND;
         auto e = env();
-        auto w = wire::WordAsk();
-        w.reign = best0.first;
-        w.gen = best0.second;
-        e.__set_wordAsk(w);
-        po_.tell(ask, e);
+        auto w = wire::ReplicatedStateRequest();
+        w.epoch = best0.first;
+        w.version = best0.second;
+        e.__set_replicatedStateRequest(w);
+        po_.send(ask, e);
         ct_.add("word_pulled_total");
     }
 }
 
-auto Node::takeWord(const wire::Word& w, Microseconds now) -> void {
+auto Node::handleReplicatedState(const wire::ReplicatedState& w, Microseconds now) -> void {
     // A voter takes its word from its own disk only: what it says it holds must last.
     if (vt_ && !vt_->blank()) {
-        if (std::pair(w.reign, w.gen) > std::pair(heard_.reign, heard_.gen))
-            if (auto n = Word(); n.load(w.doc) && n.reign == w.reign && n.gen == w.gen) heard_ = n;
-        if (st_.learnt && w.reign == vt_->reign()) {
+        if (std::pair(w.epoch, w.version) > std::pair(heard_.epoch, heard_.version))
+            if (auto n = ReplicatedState(); n.load(w.doc) && n.epoch == w.epoch && n.version == w.version)
+                heard_ = n;
+        if (st_.gossip && w.epoch == vt_->epoch()) {
             // Acknowledgement rests on the disks alone, so a newer word may be acted on at once.
-            auto n = Word();
-            if (w.gen <= word_.gen || !n.load(w.doc) || n.reign != w.reign || n.gen != w.gen) return;
+            auto n = ReplicatedState();
+            if (w.version <= replicatedState_.version || !n.load(w.doc) || n.epoch != w.epoch
+                || n.version != w.version)
+                return;
             auto vs = n.voters();
             if (std::none_of(vs.begin(), vs.end(), [&](auto& v) { return v.disk == vt_->disk(); }))
-                vt_->retire(n.gen, fmt::format("{:016x}", hash64(me_.node, rng_.next())), now);
-            voterWord(n, "", {});
+                vt_->retire(n.version, fmt::format("{:016x}", hash64(me_.node, rng_.next())), now);
+            voterApplied(n, "", {});
             return;
         }
-        if (w.reign <= vt_->reign()) return;
+        if (w.epoch <= vt_->epoch()) return;
         // Two may rebuild at once: a disk that voted in one such reign stays with it.
         // A later rebuild has seen a majority of these seats lost.
-        vt_->abandon(w.reign / REIGN > vt_->reign() / REIGN, now);
+        vt_->leaveCluster(w.epoch / EPOCH_STRIDE > vt_->epoch() / EPOCH_STRIDE, now);
         return;
     }
-    if (!broken.oldWord && std::pair(w.reign, w.gen) <= std::pair(word_.reign, word_.gen)) {
+    if (!broken.acceptOldState
+        && std::pair(w.epoch, w.version) <= std::pair(replicatedState_.epoch, replicatedState_.version)) {
         ct_.add("word_old_dropped_total");
         return;
     }
-    auto n = Word();
-    if (!n.load(w.doc) || n.reign != w.reign || n.gen != w.gen) {
+    auto n = ReplicatedState();
+    if (!n.load(w.doc) || n.epoch != w.epoch || n.version != w.version) {
         ct_.add("word_malformed_total");
         return;
     }
-    voterWord(n, "", {});
+    voterApplied(n, "", {});
 }
 
-auto Node::voterWord(const Word& w, const std::string& key, const Outcome& o) -> void {
-    auto rose = std::pair(w.reign, w.gen) > std::pair(word_.reign, word_.gen);
-    if (rose || broken.oldWord) {
-        auto cg = word_.configGen();
-        word_ = w;
+auto Node::voterApplied(const ReplicatedState& w, const std::string& key, const Outcome& o) -> void {
+    auto rose = std::pair(w.epoch, w.version) > std::pair(replicatedState_.epoch, replicatedState_.version);
+    if (rose || broken.acceptOldState) {
+        auto cg = replicatedState_.configVersion();
+        replicatedState_ = w;
         voterDisks_.clear();
         roster_.clear();
         for (auto& v : w.voters()) voterDisks_.insert(v.disk);
         for (auto& r : w.roster()) roster_.insert(r);
-        ct_.set("word_generation", w.gen);
-        ct_.set("word_reign", w.reign);
-        ct_.set("config_generation", w.configGen());
-        if (cg != w.configGen()) logf("configuration generation {} in force here", w.configGen());
+        ct_.set("word_generation", w.version);
+        ct_.set("word_reign", w.epoch);
+        ct_.set("config_generation", w.configVersion());
+        if (cg != w.configVersion()) logf("configuration generation {} in force here", w.configVersion());
         touchMe(now_);
-        if (onWord) onWord();
+        if (onStateChange) onStateChange();
         // Down the tree at once.
         auto t = tree(now_);
         for (auto& k : t.kids(me_.node))
             // A leader's voters take it from the log.
             if (auto r = row(k);
-                r && !(st_.learnt && vt_ && vt_->leads() && !r->blank && voterDisks_.count(r->disk)))
-                wordTo(r->peer);
-        nextBeat_ = std::min(nextBeat_, now_ + 20 * MILLISECOND);
+                r && !(st_.gossip && vt_ && vt_->leads() && !r->blank && voterDisks_.count(r->disk)))
+                sendReplicatedState(r->peer);
+        nextHeartbeat_ = std::min(nextHeartbeat_, now_ + 20 * MILLISECOND);
     }
-    orderService_.applied(key, w.gen, o);
+    orderService_.applied(key, w.version, o);
 }
 
 // ---- orders
@@ -515,7 +525,7 @@
     orderClient_.cancel(id);
 }
 
-auto Node::serveOrder(const wire::OrderAsk& ask, Microseconds now) -> void {
+auto Node::serveOrder(const wire::OrderRequest& ask, Microseconds now) -> void {
     auto from = Requester{ask.back, ask.boot, ask.id};
     if (!vt_) answer(from, order_answer::notLeader());
     else if (ask.readback) orderService_.read(*vt_, from, StateQuery::parse(ask.body), now);
@@ -530,28 +540,28 @@
     reply.body = outcome.body;
     reply.__set_boot(to.boot);
     e.__set_orderReply(reply);
-    if (to.address == me_.peer) hear(e, now_);
-    else po_.tell(to.address, e);
+    if (to.address == me_.peer) handle(e, now_);
+    else po_.send(to.address, e);
 }
 
 auto Node::acknowledged(MajorityProof& proof, std::int64_t generation, Microseconds now) -> bool {
     // With learnt membership a majority of the voters' disks is enough, and those hold it.
-    if (st_.learnt) return true;
-    auto held = [&](const wire::Row& row) { return holds(row, generation); };
+    if (st_.gossip) return true;
+    auto held = [&](const wire::NodeRecord& row) { return holds(row, generation); };
     return proven(proof, held, now);
 }
 
 auto Node::findLeader(Microseconds now) -> std::string { return leaderNode(now); }
 auto Node::lastLeader() -> std::string { return led_; }
 
-auto Node::sendOrder(const std::string& node, wire::OrderAsk& ask, Microseconds now) -> void {
+auto Node::sendOrder(const std::string& node, wire::OrderRequest& ask, Microseconds now) -> void {
     ask.back = me_.peer;
     if (node == me_.node) return serveOrder(ask, now);
     auto known = row(node);
     if (!known) return;
     auto e = env();
-    e.__set_orderAsk(ask);
-    po_.tell(known->peer, e);
+    e.__set_orderRequest(ask);
+    po_.send(known->peer, e);
 }
 
 auto Node::orderDone(std::int64_t id, const Outcome& outcome) -> void { po_.done(id, outcome); }
@@ -568,7 +578,7 @@
 }
 auto Node::listTop() const -> std::int64_t {
     auto g = std::int64_t(0);
-    for (auto& [n, s] : servers_) g = std::max(g, s.l.gen);
+    for (auto& [n, s] : servers_) g = std::max(g, s.listing.revision);
     return g;
 }
 auto Node::lateBody() const -> Outcome {
@@ -599,7 +609,7 @@
         }
     }
     if (!f.empty()) return po_.done(id, {422, errorBody(f)});
-    if (st_.learnt) return learntList(id, d, now);
+    if (st_.gossip) return gossipList(id, d, now);
     auto g = listNo(jsInt(d, "revision"));
     if (g < 0) return po_.done(id, lateBody());
     auto has = std::set<std::string>();
@@ -609,43 +619,44 @@
         has.insert(n);
         auto& s = servers_[n];
         auto inc = jsInt(v, "incarnation");
-        auto was = s.l.state;
-        if (s.l.server.empty() || s.l.inc != inc || s.l.state == GONE) s.first = now, s.seen = 0;
-        s.l.server = n;
-        s.l.address = jsStr(v, "address");
-        s.l.region = jsStr(v, "region");
-        s.l.district = jsStr(v, "district");
-        s.l.pool = jsStr(v, "pool");
-        s.l.weights = jsStr(v, "weights");
-        s.l.slots = std::int32_t(jsInt(v, "slots", 8));
-        s.l.state = jsStr(v, "state", "up") == "up" ? UP : LEAVING;
-        s.l.inc = inc;
-        s.l.gen = g;
+        auto was = s.listing.state;
+        if (s.listing.server.empty() || s.listing.inc != inc || s.listing.state == GONE)
+            s.first = now, s.seen = 0;
+        s.listing.server = n;
+        s.listing.address = jsStr(v, "address");
+        s.listing.region = jsStr(v, "region");
+        s.listing.zone = jsStr(v, "district");
+        s.listing.serviceName = jsStr(v, "pool");
+        s.listing.weights = jsStr(v, "weights");
+        s.listing.slots = std::int32_t(jsInt(v, "slots", 8));
+        s.listing.state = jsStr(v, "state", "up") == "up" ? UP : LEAVING;
+        s.listing.inc = inc;
+        s.listing.revision = g;
         s.told = now;
         s.coldTill = v.HasMember("coldUs") ? now + jsInt(v, "coldUs") : 0;
-        if (s.l.state == LEAVING && was != LEAVING) {
-            auto m = wire::Mark();
+        if (s.listing.state == LEAVING && was != LEAVING) {
+            auto m = wire::DrainMark();
             m.server = n;
-            m.gen = g;
+            m.revision = g;
             w.ms.push_back(m);
         }
     }
     for (auto& [n, s] : servers_)
         if (!has.count(n)) {
-            if (s.l.state == UP) {
-                auto m = wire::Mark();
+            if (s.listing.state == UP) {
+                auto m = wire::DrainMark();
                 m.server = n;
-                m.gen = g;
+                m.revision = g;
                 w.ms.push_back(m);
-                s.l.state = LEAVING;
-                s.l.gen = g;
+                s.listing.state = LEAVING;
+                s.listing.revision = g;
                 s.told = now;
             }
         }
     listTold_ = now;
     ct_.add("listings_taken_total");
     touchMe(now);
-    nextBeat_ = now;
+    nextHeartbeat_ = now;
     if (w.ms.empty()) return po_.done(id, {200, "{\"listed\":" + fmt::to_string(has.size()) + "}"});
     waits_.push_back(w);
 }
@@ -653,25 +664,25 @@
 auto Node::mark(std::int64_t id, const std::string& n, std::int64_t rev, Microseconds now) -> void {
     auto i = servers_.find(n);
     if (i == servers_.end()) return po_.done(id, {404, errorBody({{"/server", "not listed: " + n}})});
-    auto g = st_.learnt ? raiseList(now) : listNo(rev);
+    auto g = st_.gossip ? raiseList(now) : listNo(rev);
     if (g < 0) return po_.done(id, lateBody());
-    if (i->second.l.state == UP) {
-        i->second.l.state = LEAVING;
+    if (i->second.listing.state == UP) {
+        i->second.listing.state = LEAVING;
         logf("server {} is leaving", n);
     }
-    i->second.l.gen = g;
+    i->second.listing.revision = g;
     i->second.told = now;
-    auto m = wire::Mark();
+    auto m = wire::DrainMark();
     m.server = n;
-    m.gen = i->second.l.gen;
+    m.revision = i->second.listing.revision;
     touchMe(now);
-    nextBeat_ = now;
+    nextHeartbeat_ = now;
     ct_.add("marks_taken_total");
-    if (st_.learnt) return po_.done(id, {200, "{\"held\":true}"});
+    if (st_.gossip) return po_.done(id, {200, "{\"held\":true}"});
     waits_.push_back({id, {m}, now + 3 * SECOND, {}});
 }
 
-auto Node::loadSeen(const std::string& n, bool ok, bool refused, const wire::Load& d, Microseconds now)
+auto Node::loadSeen(const std::string& n, bool ok, bool refused, const wire::ServerLoad& d, Microseconds now)
     -> void {
     auto i = servers_.find(n);
     if (i == servers_.end()) return;
@@ -679,12 +690,12 @@
     s.misses = ok ? 0 : s.misses + 1;
     if (!ok && !refused && s.misses < 2) return;
     auto dark = !ok;
-    if (s.seen && s.d.dark != dark) logf("server {} is {}", n, dark ? "dark" : "back");
-    if (ok && s.seen && s.d.boot != d.boot) s.first = now;
-    if (ok) s.d = d;
-    s.d.server = n;
-    s.d.dark = dark;
-    s.d.watcher = me_.node;
+    if (s.seen && s.load.dark != dark) logf("server {} is {}", n, dark ? "dark" : "back");
+    if (ok && s.seen && s.load.boot != d.boot) s.first = now;
+    if (ok) s.load = d;
+    s.load.server = n;
+    s.load.dark = dark;
+    s.load.watcher = me_.node;
     s.seen = now;
 }
 
@@ -697,19 +708,19 @@
     if (vt_) vt_->tick(now);
     if (me_.stopping && vt_ && vt_->leads() && now - transferAt_ >= TRANSFER_RETRY) {
         transferAt_ = now;
-        vt_->handOver(now);
+        vt_->transferLeadership(now);
     }
     touchMe(now);
-    if (now >= nextBeat_) {
-        nextBeat_ = now + beat_;
+    if (now >= nextHeartbeat_) {
+        nextHeartbeat_ = now + heartbeat_;
         // One that has just started and found nobody yet asks again soon.
-        if (st_.learnt && now - started_ < 3 * SECOND && aliveNodes(now).size() < 2)
-            nextBeat_ = now + beat_ / 5;
-        if (st_.learnt) learntSend(now);
-        else sendBeat(now, true);
+        if (st_.gossip && now - started_ < 3 * SECOND && aliveNodes(now).size() < 2)
+            nextHeartbeat_ = now + heartbeat_ / 5;
+        if (st_.gossip) gossipSend(now);
+        else sendHeartbeat(now, true);
     }
     // Looking through all that is known is kept off most ticks where there may be hundreds of nodes.
-    auto look = !st_.learnt || now >= lookAt_;
+    auto look = !st_.gossip || now >= lookAt_;
     if (look) lookAt_ = now + 50 * MILLISECOND;
     for (auto i = rows_.begin(); look && i != rows_.end();)
         // Told on for FORGET, kept for longer: what has been dropped is not learnt anew from one
@@ -720,30 +731,30 @@
         } else ++i;
     for (auto i = servers_.begin(); look && i != servers_.end();) {
         auto& s = i->second;
-        auto lim = s.l.state != UP ? MARKED : st_.learnt ? INT64_MAX : LISTED;
+        auto lim = s.listing.state != UP ? MARKED : st_.gossip ? INT64_MAX : LISTED;
         if (now - s.told >= lim) {
             logf("server {} lapsed from the listing", i->first);
             ct_.add("listings_lapsed_total");
             // Who holds an older listing does not know that it left: it is told the whole.
-            while (!lists_.empty() && lists_.front() < s.l.gen) lists_.pop_front();
+            while (!lists_.empty() && lists_.front() < s.listing.revision) lists_.pop_front();
             i = servers_.erase(i);
         } else ++i;
     }
-    if (st_.learnt) learntTick(now, look);
-    else if (!me_.settled && word_.gen > 0 && counted(now, false)
+    if (st_.gossip) gossipTick(now, look);
+    else if (!me_.settled && replicatedState_.version > 0 && counted(now, false)
         && (counted(now, true) || listTold_ > started_)) {
         me_.settled = true;
-        logf("settled: generation {} of reign {}", word_.gen, word_.reign);
+        logf("settled: generation {} of reign {}", replicatedState_.version, replicatedState_.epoch);
     }
     if (vt_ && now - bookAt_ > 2 * SECOND) {
         bookAt_ = now;
         auto v = std::vector<std::string>();
-        for (auto& [n, k] : rows_) v.push_back(k.r.peer);
+        for (auto& [n, k] : rows_) v.push_back(k.record.peer);
         if (!v.empty() && v != booked_) po_.book(booked_ = v);
     }
     me_.ready = ready(now);
-    if (auto f = fresh(now); f != wasFresh_) {
-        wasFresh_ = f;
+    if (auto f = withinLease(now); f != wasWithinLease_) {
+        wasWithinLease_ = f;
         logLine(f ? "fresh: a majority was heard within the lease"
                   : "stale: no majority heard within the lease, new exchanges are denied");
         ct_.add(f ? "fresh_gained_total" : "fresh_lost_total");
@@ -752,20 +763,20 @@
         nextProbe_ = now + 500 * MILLISECOND;
         auto ns = aliveNodes(now);
         for (auto& [n, s] : servers_) {
-            if (s.l.state == GONE || s.l.address.empty()) continue;
+            if (s.listing.state == GONE || s.listing.address.empty()) continue;
             auto k = 0;
             for (auto& x : ns) k += rank(n, x) > rank(n, me_.node);
-            if (k < 2) po_.probe(n, s.l.address);
+            if (k < 2) po_.probe(n, s.listing.address);
         }
     }
     for (auto i = std::size_t(0); i < waits_.size();) {
         auto& w = waits_[i];
         auto ok = proven(
             w.p,
-            [&](const wire::Row& r) {
+            [&](const wire::NodeRecord& r) {
                 return std::all_of(w.ms.begin(), w.ms.end(), [&](auto& m) {
                     return std::any_of(r.marks.begin(), r.marks.end(),
-                        [&](auto& x) { return x.server == m.server && x.gen >= m.gen; });
+                        [&](auto& x) { return x.server == m.server && x.revision >= m.revision; });
                 });
             },
             now);
@@ -782,21 +793,22 @@
     }
     orderClient_.tick(me_.boot, now);
     if (vt_) {
-        if (st_.learnt) learntSeats(now);
+        if (st_.gossip) gossipVoters(now);
         else if (vt_->leads()) {
             auto of = std::vector<std::pair<std::string, std::string>>();
             for (auto& [n, k] : rows_)
-                if (now - k.at < alive_ && !k.r.disk.empty() && !voterDisks_.count(k.r.disk))
-                    of.emplace_back(n, k.r.disk);
-            vt_->offer(of);
+                if (now - k.at < alive_ && !k.record.disk.empty() && !voterDisks_.count(k.record.disk))
+                    of.emplace_back(n, k.record.disk);
+            vt_->setSpareDisks(of);
         }
         auto un = std::vector<std::string>();
         for (auto& [n, k] : rows_)
-            if (now - k.at < alive_ && k.r.blank && voterDisks_.count(k.r.disk)) un.push_back(k.r.disk);
-        vt_->untold(un);
+            if (now - k.at < alive_ && k.record.blank && voterDisks_.count(k.record.disk))
+                un.push_back(k.record.disk);
+        vt_->setBlankVoters(un);
         fire(now, wall);
-        if (st_.learnt) learntFound(now);
-        else beginReign(now);
+        if (st_.gossip) gossipFound(now);
+        else beginEpoch(now);
         orderService_.tick(*vt_, wall_, now);
         ct_.set("core_leader", vt_->leads());
         ct_.set("core_term", vt_->term());
@@ -806,7 +818,7 @@
     if (!look) return;
     ct_.set("nodes_alive", std::int64_t(aliveNodes(now).size()));
     ct_.set("servers_listed", std::int64_t(servers_.size()));
-    ct_.set("fresh", wasFresh_);
+    ct_.set("fresh", wasWithinLease_);
     ct_.set("ready", me_.ready);
 }
 
@@ -816,14 +828,15 @@
     if (!vt_->ready() || now - firedAt_ < 500 * MILLISECOND) return;
     auto ws = std::vector<Microseconds>{wall};
     for (auto& [n, k] : rows_)
-        if (now - k.at < alive_) ws.push_back(k.r.wall + (now - (st_.learnt ? k.told : k.at)));
+        if (now - k.at < alive_) ws.push_back(k.record.wall + (now - (st_.gossip ? k.told : k.at)));
     std::nth_element(ws.begin(), ws.begin() + std::ptrdiff_t(ws.size() / 2), ws.end());
     auto m = ws[ws.size() / 2];
-    for (auto& p : vt_->head().d["plan"].GetArray())
+    for (auto& p : vt_->latestState().d["plan"].GetArray())
         if (jsStr(p, "state") == "booked" && jsInt(p, "at") <= m) {
             firedAt_ = now;
             auto id = jsStr(p, "id");
-            auto o = orderPrepare(vt_->head(), "fire", "fire-" + id, bodyOf({{"move", jsQuote(id)}}), m);
+            auto o =
+                orderPrepare(vt_->latestState(), "fire", "fire-" + id, bodyOf({{"move", jsQuote(id)}}), m);
             if (o && vt_->propose(1, *o, now)) {
                 logf("plan: move {} fires", id);
                 ct_.add("moves_fired_total");
@@ -835,23 +848,24 @@
 // A blank core begins a reign when nothing is left to join: at first, when all seats are
 // blank and nobody holds a word; later, when a majority of disks is lost, from the
 // newest word that a majority of the roster holds.
-auto Node::beginReign(Microseconds now) -> void {
+auto Node::beginEpoch(Microseconds now) -> void {
     if (!leaderNode(now).empty()) {
         aloneSince_ = 0;
         return;
     }
-    auto& seats = st_.seats;
-    auto top = word_.gen > 0 ? word_.voters() : std::vector<Seat>();
-    auto any = word_.gen > 0;
-    for (auto& [n, k] : rows_) any = any || k.r.gen > 0;
+    auto& initialVoters = st_.initialVoters;
+    auto top = replicatedState_.version > 0 ? replicatedState_.voters() : std::vector<VoterIdentity>();
+    auto any = replicatedState_.version > 0;
+    for (auto& [n, k] : rows_) any = any || k.record.stateVersion > 0;
     auto go = [&](Microseconds wait) {
         if (!aloneSince_) aloneSince_ = now;
         return now - aloneSince_ >= wait;
     };
     if (!any) {
-        if (!vt_->blank() || seats.empty() || st_.roster.empty() || seats[0] != me_.node) return;
-        auto vs = std::vector<Seat>();
-        for (auto& s : seats) {
+        if (!vt_->blank() || initialVoters.empty() || st_.roster.empty() || initialVoters[0] != me_.node)
+            return;
+        auto vs = std::vector<VoterIdentity>();
+        for (auto& s : initialVoters) {
             auto r = row(s);
             if (!r || !alive(s, now) || r->disk.empty() || !r->blank) {
                 aloneSince_ = 0;
@@ -866,39 +880,39 @@
             return;
         }
         if (!go(SECOND)) return;
-        auto w = Word();
-        w.found(st_.roster, vs);
-        vt_->found(w, 1, now);
+        auto w = ReplicatedState();
+        w.bootstrap(st_.roster, vs);
+        vt_->bootstrap(w, 1, now);
         return;
     }
-    if (word_.gen == 0) {
+    if (replicatedState_.version == 0) {
         aloneSince_ = 0;
         return;
     }
     // Rebuild. A seat counts as lost only when its machine is there with another disk. Where
     // a disk of the old reign survives it is the one that rebuilds, and so leaves that
     // reign in the same step: no majority of it, nor of a change under way, can act again.
-    auto best = std::pair(newest().reign, newest().gen);
+    auto best = std::pair(newest().epoch, newest().version);
     auto lostSeat = std::string(), keptSeat = std::string();
     auto lost = std::size_t(0);
     for (auto& v : top) {
-        auto r = row(v.seat);
-        if (!r || !alive(v.seat, now) || r->disk.empty()) continue;
+        auto r = row(v.node);
+        if (!r || !alive(v.node, now) || r->disk.empty()) continue;
         if (r->disk != v.disk) {
             lost++;
-            if (lostSeat.empty()) lostSeat = v.seat;
-        } else if (!r->blank && keptSeat.empty()) keptSeat = v.seat;
+            if (lostSeat.empty()) lostSeat = v.node;
+        } else if (!r->blank && keptSeat.empty()) keptSeat = v.node;
     }
     auto n = std::size_t(0);
     auto newer = false;
-    auto see = [&](const wire::Row& r) {
+    auto see = [&](const wire::NodeRecord& r) {
         if (!roster_.count(r.node)) return;
-        if (std::pair(r.reign, r.gen) > best) newer = true;
+        if (std::pair(r.epoch, r.stateVersion) > best) newer = true;
         n += r.settled;
     };
     see(me_);
     for (auto& [k, x] : rows_)
-        if (x.t0 && now - x.t0 <= LEASE) see(x.r);
+        if (x.t0 && now - x.t0 <= LEASE) see(x.record);
     auto dead = lost * 2 > top.size() || (lost * 2 == top.size() && !keptSeat.empty());
     auto by = keptSeat.empty() ? lostSeat : keptSeat;
     if (!dead || by != me_.node || newer || n * 2 <= roster_.size()) {
@@ -908,83 +922,89 @@
     if (!go(2 * SECOND)) return;
     ct_.add("rebuilt_total");
     logf("core: a majority of disks is lost; rebuilt from the roster at generation {}", best.second + 1);
-    reignFrom(now);
+    beginEpochFromNewest(now);
 }
 
-auto Node::newest() const -> const Word& {
-    return std::pair(heard_.reign, heard_.gen) > std::pair(word_.reign, word_.gen) ? heard_ : word_;
+auto Node::newest() const -> const ReplicatedState& {
+    return std::pair(heard_.epoch, heard_.version)
+            > std::pair(replicatedState_.epoch, replicatedState_.version)
+        ? heard_
+        : replicatedState_;
 }
 
 // A new reign on this disk and on those that sit in the seats now, from the newest word known.
-auto Node::reignFrom(Microseconds now) -> void {
+auto Node::beginEpochFromNewest(Microseconds now) -> void {
     auto w = newest();
-    auto vs = std::vector<Seat>();
+    auto vs = std::vector<VoterIdentity>();
     auto term = me_.term;
     for (auto& v : w.voters())
-        if (auto r = row(v.seat); r && alive(v.seat, now) && !r->disk.empty()
-            && std::none_of(vs.begin(), vs.end(), [&](auto& x) { return x.seat == v.seat; }))
-            vs.push_back({v.seat, r->disk});
+        if (auto r = row(v.node); r && alive(v.node, now) && !r->disk.empty()
+            && std::none_of(vs.begin(), vs.end(), [&](auto& x) { return x.node == v.node; }))
+            vs.push_back({v.node, r->disk});
     if (std::none_of(vs.begin(), vs.end(), [&](auto& x) { return x.disk == me_.disk; }))
         vs.push_back({me_.node, me_.disk});
     for (auto& [k, x] : rows_)
-        if (st_.learnt ? now - x.at < alive_ : x.t0 && now - x.t0 <= LEASE) term = std::max(term, x.r.term);
-    w.reign = (w.reign / REIGN + 1) * REIGN + std::int64_t(hash64(me_.disk) % REIGN);
-    w.gen++;
+        if (st_.gossip ? now - x.at < alive_ : x.t0 && now - x.t0 <= LEASE)
+            term = std::max(term, x.record.term);
+    w.epoch = (w.epoch / EPOCH_STRIDE + 1) * EPOCH_STRIDE + std::int64_t(hash64(me_.disk) % EPOCH_STRIDE);
+    w.version++;
     w.setVoters(vs);
-    w.d["reign"].SetInt64(w.reign);
-    w.d["generation"].SetInt64(w.gen);
-    vt_->found(w, term + 1, now);
+    w.d["reign"].SetInt64(w.epoch);
+    w.d["generation"].SetInt64(w.version);
+    vt_->bootstrap(w, term + 1, now);
 }
 
 // The last resort, by an operator who names what this survivor holds: a new reign from that,
 // whatever was acknowledged behind it. Never while a majority could still come together.
-auto Node::rescue(std::int64_t reign, std::int64_t gen, Microseconds now) -> Outcome {
+auto Node::rescue(std::int64_t epoch, std::int64_t version, Microseconds now) -> Outcome {
     auto no = [&](const std::string& why) {
         ct_.add("rescues_denied_total");
         return Outcome{409,
-            bodyOf({{"error", jsQuote(why)}, {"reign", fmt::to_string(newest().reign)},
-                {"generation", fmt::to_string(newest().gen)}})};
+            bodyOf({{"error", jsQuote(why)}, {"reign", fmt::to_string(newest().epoch)},
+                {"generation", fmt::to_string(newest().version)}})};
     };
     if (!vt_) return no("no disk here; give this to a core, which takes the newest word it hears of");
-    if (newest().gen == 0) return no("nothing is held here");
-    if (std::pair(reign, gen) != std::pair(newest().reign, newest().gen))
+    if (newest().version == 0) return no("nothing is held here");
+    if (std::pair(epoch, version) != std::pair(newest().epoch, newest().version))
         return no("this is not what is held here");
-    if (!leaderNode(now).empty() || (st_.learnt ? counted(now, false) : fresh(now)))
+    if (!leaderNode(now).empty() || (st_.gossip ? counted(now, false) : withinLease(now)))
         return no("a majority stands: there is a leader");
     auto disks = std::size_t(0), nodes = std::size_t(0);
     auto newer = std::string();
-    auto see = [&](const wire::Row& r) {
+    auto see = [&](const wire::NodeRecord& r) {
         disks += !r.blank && voterDisks_.count(r.disk);
         nodes += r.settled && roster_.count(r.node);
-        if (std::pair(r.reign, r.gen) > std::pair(reign, gen)) newer = r.node;
+        if (std::pair(r.epoch, r.stateVersion) > std::pair(epoch, version)) newer = r.node;
     };
     see(me_);
     for (auto& [k, x] : rows_)
-        if (now - x.at < alive_) see(x.r);
+        if (now - x.at < alive_) see(x.record);
     if (disks * 2 > voterDisks_.size()) return no("a majority of the disks stands; they elect a leader");
     if (nodes * 2 > roster_.size()) return no("a majority of the nodes stands; they rebuild by themselves");
     if (!newer.empty()) return no(newer + " holds a newer word; it comes here by itself");
     ct_.add("rescued_total");
-    logf("core: an operator founds a new reign from generation {} of reign {}", gen, reign);
-    reignFrom(now);
+    logf("core: an operator founds a new reign from generation {} of reign {}", version, epoch);
+    beginEpochFromNewest(now);
     return {200,
-        bodyOf({{"reign", fmt::to_string(vt_->word().reign)}, {"generation", fmt::to_string(vt_->word().gen)},
+        bodyOf({{"reign", fmt::to_string(vt_->replicatedState().epoch)},
+            {"generation", fmt::to_string(vt_->replicatedState().version)},
             {"mayBeLost",
-                jsQuote(fmt::format("orders acknowledged after generation {} of reign {}", gen, reign))}})};
+                jsQuote(
+                    fmt::format("orders acknowledged after generation {} of reign {}", version, epoch))}})};
 }
 
 auto Node::leave(Microseconds now) -> void {
     me_.stopping = true;
     transferAt_ = now;
-    if (vt_) vt_->handOver(now);
-    if (st_.learnt) learntSend(now);
-    else sendBeat(now, true);
+    if (vt_) vt_->transferLeadership(now);
+    if (st_.gossip) gossipSend(now);
+    else sendHeartbeat(now, true);
 }
 
 auto Node::seatHandedOver(Microseconds now) const -> bool {
-    if (!st_.learnt || !vt_ || vt_->blank() || !voterDisks_.count(me_.disk)) return true;
+    if (!st_.gossip || !vt_ || vt_->blank() || !voterDisks_.count(me_.disk)) return true;
     return std::none_of(rows_.begin(), rows_.end(), [&](auto& known) {
-        auto& r = known.second.r;
+        auto& r = known.second.record;
         auto voter = voterDisks_.count(r.disk) > 0;
         return now - known.second.at < alive_ && !r.disk.empty() && !r.stopping && !voter;
     });
@@ -997,24 +1017,24 @@
     orderService_.tick(*vt_, wall_, now);
 }
 
-auto Node::voterTell(const std::string& disk, wire::Envelope& e) -> void {
+auto Node::voterSend(const std::string& disk, wire::Envelope& e) -> void {
     e.node = me_.node;
     for (auto& [n, k] : rows_)
-        if (k.r.disk == disk) return po_.tell(k.r.peer, e);
+        if (k.record.disk == disk) return po_.send(k.record.peer, e);
 }
-auto Node::voterDisk(const DiskWrite& w) -> void { po_.disk(w); }
+auto Node::voterWrite(const DiskWrite& w) -> void { po_.disk(w); }
 
-auto Node::grant(const std::string& n, std::int64_t c, Microseconds) -> void {
+auto Node::creditGrant(const std::string& n, std::int64_t c, Microseconds) -> void {
     auto r = row(n);
     if (!r) return;
     auto e = env();
-    auto g = wire::Grant();
+    auto g = wire::CreditGrant();
     g.node = me_.node;
     g.boot = r->boot;
     g.seq = ++grantSeq_ + me_.boot;
     g.credit = c;
-    e.__set_grant(g);
-    po_.tell(r->peer, e);
+    e.__set_creditGrant(g);
+    po_.send(r->peer, e);
 }
 auto Node::setCredit(std::int64_t c, std::int64_t want) -> void {
     me_.credit = c;
@@ -1027,72 +1047,74 @@
 
 auto Node::beliefs(Microseconds now) const -> std::string {
     auto ns = std::string(), ss = std::string();
-    auto put = [&](const wire::Row& r, Microseconds age, Microseconds t0) {
+    auto put = [&](const wire::NodeRecord& r, Microseconds age, Microseconds t0) {
         ns += (ns.empty() ? "" : ",")
             + bodyOf({{"node", jsQuote(r.node)}, {"boot", fmt::to_string(r.boot)},
-                {"district", jsQuote(r.district)}, {"region", jsQuote(r.region)}, {"peer", jsQuote(r.peer)},
-                {"sender", jsQuote(r.sender)}, {"operator", jsQuote(r.opr)},
+                {"district", jsQuote(r.zone)}, {"region", jsQuote(r.region)}, {"peer", jsQuote(r.peer)},
+                {"sender", jsQuote(r.clientAddress)}, {"operator", jsQuote(r.operatorAddress)},
                 {"alive", age < alive_ ? "true" : "false"}, {"ageUs", fmt::to_string(age)},
-                {"provenUs", t0 ? fmt::to_string(now - t0) : "null"}, {"reign", fmt::to_string(r.reign)},
-                {"generation", fmt::to_string(r.gen)}, {"settled", r.settled ? "true" : "false"},
+                {"provenUs", t0 ? fmt::to_string(now - t0) : "null"}, {"reign", fmt::to_string(r.epoch)},
+                {"generation", fmt::to_string(r.stateVersion)}, {"settled", r.settled ? "true" : "false"},
                 {"ready", r.ready ? "true" : "false"}, {"disk", jsQuote(r.disk)},
                 {"blank", r.blank ? "true" : "false"}, {"leader", r.leader ? "true" : "false"},
                 {"credit", fmt::to_string(r.credit)}});
     };
     put(me_, 0, now);
-    for (auto& [n, k] : rows_) put(k.r, now - k.at, k.t0);
+    for (auto& [n, k] : rows_) put(k.record, now - k.at, k.t0);
     for (auto& [n, s] : servers_) {
         auto l = s.seen && now - s.seen < SEEN
-            ? bodyOf({{"prefill", fmt::to_string(s.d.prefill)}, {"decode", fmt::to_string(s.d.decode)},
-                {"slots", fmt::to_string(s.d.slots)}, {"dark", s.d.dark ? "true" : "false"},
-                {"watcher", jsQuote(s.d.watcher)}, {"ageUs", fmt::to_string(now - s.seen)}})
+            ? bodyOf({{"prefill", fmt::to_string(s.load.prefill)}, {"decode", fmt::to_string(s.load.decode)},
+                {"slots", fmt::to_string(s.load.slots)}, {"dark", s.load.dark ? "true" : "false"},
+                {"watcher", jsQuote(s.load.watcher)}, {"ageUs", fmt::to_string(now - s.seen)}})
             : std::string("null");
         ss += (ss.empty() ? "" : ",")
-            + bodyOf({{"server", jsQuote(n)}, {"address", jsQuote(s.l.address)},
-                {"region", jsQuote(s.l.region)}, {"district", jsQuote(s.l.district)},
-                {"pool", jsQuote(s.l.pool)}, {"weights", jsQuote(s.l.weights)},
-                {"state", jsQuote(stateName(s.l.state))}, {"generation", fmt::to_string(s.l.gen)},
-                {"toldUs", fmt::to_string(now - s.told)}, {"occupancy", l}});
+            + bodyOf({{"server", jsQuote(n)}, {"address", jsQuote(s.listing.address)},
+                {"region", jsQuote(s.listing.region)}, {"district", jsQuote(s.listing.zone)},
+                {"pool", jsQuote(s.listing.serviceName)}, {"weights", jsQuote(s.listing.weights)},
+                {"state", jsQuote(stateName(s.listing.state))},
+                {"generation", fmt::to_string(s.listing.revision)}, {"toldUs", fmt::to_string(now - s.told)},
+                {"occupancy", l}});
     }
     auto t = tree(now);
     auto tr = std::string();
     for (auto& [k, u] : t.up) tr += fmt::format("{}{}:{}", tr.empty() ? "" : ",", jsQuote(k), jsQuote(u));
-    return bodyOf({{"node", jsQuote(me_.node)}, {"reign", fmt::to_string(word_.reign)},
-        {"generation", fmt::to_string(word_.gen)}, {"configGeneration", fmt::to_string(word_.configGen())},
-        {"wordHash", jsQuote(fmt::format("{:016x}", hash64(word_.text())))},
-        {"fresh", fresh(now) ? "true" : "false"}, {"leader", jsQuote(leaderNode(now))},
-        {"empties", js(word_.d["empties"])}, {"nodes", "[" + ns + "]"}, {"servers", "[" + ss + "]"},
-        {"relays", "{" + tr + "}"}});
+    return bodyOf({{"node", jsQuote(me_.node)}, {"reign", fmt::to_string(replicatedState_.epoch)},
+        {"generation", fmt::to_string(replicatedState_.version)},
+        {"configGeneration", fmt::to_string(replicatedState_.configVersion())},
+        {"wordHash", jsQuote(fmt::format("{:016x}", hash64(replicatedState_.text())))},
+        {"fresh", withinLease(now) ? "true" : "false"}, {"leader", jsQuote(leaderNode(now))},
+        {"empties", js(replicatedState_.d["empties"])}, {"nodes", "[" + ns + "]"},
+        {"servers", "[" + ss + "]"}, {"relays", "{" + tr + "}"}});
 }
 
 auto Node::status(Microseconds now) -> std::string {
-    return bodyOf({{"node", jsQuote(me_.node)}, {"version", jsQuote(VERSION)},
-        {"district", jsQuote(me_.district)}, {"region", jsQuote(me_.region)},
-        {"ready", ready(now) ? "true" : "false"}, {"fresh", fresh(now) ? "true" : "false"},
-        {"settled", me_.settled ? "true" : "false"}, {"leader", jsQuote(leaderNode(now))},
-        {"reign", fmt::to_string(word_.reign)}, {"generation", fmt::to_string(word_.gen)},
-        {"configGeneration", fmt::to_string(word_.configGen())},
-        {"nodesAlive", fmt::to_string(aliveNodes(now).size())}, {"roster", fmt::to_string(roster_.size())},
-        {"servers", fmt::to_string(servers_.size())},
-        {"role",
-            jsQuote(!vt_           ? "edge"
-                    : vt_->leads() ? "core, leader"
-                    : vt_->blank() ? "core, blank"
-                                   : "core, follower")}});
+    return bodyOf(
+        {{"node", jsQuote(me_.node)}, {"version", jsQuote(VERSION)}, {"district", jsQuote(me_.zone)},
+            {"region", jsQuote(me_.region)}, {"ready", ready(now) ? "true" : "false"},
+            {"fresh", withinLease(now) ? "true" : "false"}, {"settled", me_.settled ? "true" : "false"},
+            {"leader", jsQuote(leaderNode(now))}, {"reign", fmt::to_string(replicatedState_.epoch)},
+            {"generation", fmt::to_string(replicatedState_.version)},
+            {"configGeneration", fmt::to_string(replicatedState_.configVersion())},
+            {"nodesAlive", fmt::to_string(aliveNodes(now).size())},
+            {"roster", fmt::to_string(roster_.size())}, {"servers", fmt::to_string(servers_.size())},
+            {"role",
+                jsQuote(!vt_           ? "edge"
+                        : vt_->leads() ? "core, leader"
+                        : vt_->blank() ? "core, blank"
+                                       : "core, follower")}});
 }
 
 auto Node::planText(Microseconds) const -> std::string {
-    return bodyOf({{"generation", fmt::to_string(word_.gen)}, {"plan", js(word_.d["plan"])},
-        {"empties", js(word_.d["empties"])}});
+    return bodyOf({{"generation", fmt::to_string(replicatedState_.version)},
+        {"plan", js(replicatedState_.d["plan"])}, {"empties", js(replicatedState_.d["empties"])}});
 }
 
-auto Node::where(const std::string& region, const std::string& district, Microseconds now) const
-    -> std::string {
+auto Node::where(const std::string& region, const std::string& zone, Microseconds now) const -> std::string {
     auto rg = region.empty() ? me_.region : region;
-    auto v = std::vector<std::pair<int, const wire::Row*>>();
-    auto see = [&](const wire::Row& r) {
-        if (!r.ready || r.stopping || word_.emptied(r.district)) return;
-        v.push_back({r.district == district ? 0 : r.region == rg ? 1 : 2, &r});
+    auto v = std::vector<std::pair<int, const wire::NodeRecord*>>();
+    auto see = [&](const wire::NodeRecord& r) {
+        if (!r.ready || r.stopping || replicatedState_.evacuated(r.zone)) return;
+        v.push_back({r.zone == zone ? 0 : r.region == rg ? 1 : 2, &r});
     };
     see(me_);
     // A sender sent to a node that is gone loses a try, so one that is late is not named while
@@ -1100,16 +1122,16 @@
     for (auto lim : {late_, alive_})
         if (lim == late_ || v.empty())
             for (auto& [n, k] : rows_)
-                if (now - k.at < lim) see(k.r);
-    auto key = rg + "/" + district + fmt::to_string(now / SECOND);  // callers are spread
+                if (now - k.at < lim) see(k.record);
+    auto key = rg + "/" + zone + fmt::to_string(now / SECOND);  // callers are spread
     std::sort(v.begin(), v.end(), [&](auto& a, auto& b) {
         return a.first != b.first ? a.first < b.first : rank(key, a.second->node) > rank(key, b.second->node);
     });
     auto o = std::string();
     for (auto& [d, r] : v)
         o += (o.empty() ? "" : ",")
-            + bodyOf({{"node", jsQuote(r->node)}, {"address", jsQuote(r->sender)},
-                {"region", jsQuote(r->region)}, {"district", jsQuote(r->district)}});
+            + bodyOf({{"node", jsQuote(r->node)}, {"address", jsQuote(r->clientAddress)},
+                {"region", jsQuote(r->region)}, {"district", jsQuote(r->zone)}});
     return "{\"nodes\":[" + o + "]}";
 }
 
@@ -1125,7 +1147,7 @@
     auto put = [&](const std::string& a) {
         if (std::find(v.begin(), v.end(), a) == v.end()) v.push_back(a);
     };
-    for (auto& [n, k] : rows_) put(k.r.peer);
+    for (auto& [n, k] : rows_) put(k.record.peer);
     v.erase(std::remove(v.begin(), v.end(), me_.peer), v.end());
     return v;
 }
@@ -1134,9 +1156,9 @@
 auto Node::ownVersion(Microseconds now) -> void {
     touchMe(now);
     me_.wall = wall_;
-    auto what = [](const wire::Row& r) {
-        return std::tie(r.peer, r.sender, r.opr, r.reign, r.gen, r.settled, r.disk, r.blank, r.term, r.leader,
-            r.ready, r.stopping, r.boot);
+    auto what = [](const wire::NodeRecord& r) {
+        return std::tie(r.peer, r.clientAddress, r.operatorAddress, r.epoch, r.stateVersion, r.settled,
+            r.disk, r.blank, r.term, r.leader, r.ready, r.stopping, r.boot);
     };
     auto off = wall_ - now;
     auto far = [](std::int64_t a, std::int64_t b) { return std::abs(a - b) * 4 > std::abs(b) + 4; };
@@ -1152,17 +1174,17 @@
     saidOff_ = off;
 }
 
-auto Node::rowOf(const std::string& n, Microseconds now) const -> wire::Row {
+auto Node::rowOf(const std::string& n, Microseconds now) const -> wire::NodeRecord {
     if (n == me_.node) return me_;
     auto& k = rows_.at(n);
-    auto r = k.r;
+    auto r = k.record;
     r.wall += now - k.told;
     r.age = now - k.at;
     return r;
 }
 
 // Tells `n` what it lacks; `whole`: all that is alive here, `own`: of this node alone.
-auto Node::learntBeat(const std::string& n, bool whole, bool own, Microseconds now) -> bool {
+auto Node::gossipHeartbeat(const std::string& n, bool whole, bool own, Microseconds now) -> bool {
     auto to = row(n);
     if (!to || n == me_.node) return false;
     auto& t = told_[n];
@@ -1172,40 +1194,40 @@
         t.rows.clear();
     }
     if (whole) t.rows.clear();
-    auto b = wire::Beat();
-    auto put = [&](const wire::Row& r) {
+    auto b = wire::Heartbeat();
+    auto put = [&](const wire::NodeRecord& r) {
         auto& o = t.rows[r.node];
         if (o.boot != r.boot || o.version != r.version) b.rows.push_back(rowOf(r.node, now));
-        else if (o.beat != r.beat) {
-            auto p = wire::Pulse();
+        else if (o.heartbeat != r.heartbeat) {
+            auto p = wire::HeartbeatPulse();
             p.node = r.node;
             p.boot = r.boot;
-            p.beat = r.beat;
+            p.heartbeat = r.heartbeat;
             p.version = r.version;
             b.pulses.push_back(p);
         } else return;
-        o = {r.boot, r.version, r.beat};
+        o = {r.boot, r.version, r.heartbeat};
     };
     put(me_);
     if (!own) {
         for (auto& [x, k] : rows_)
-            if (x != n && now - k.at < alive_ && (whole || k.from != n)) put(k.r);
+            if (x != n && now - k.at < alive_ && (whole || k.from != n)) put(k.record);
         for (auto i = t.rows.begin(); i != t.rows.end();)
             if (i->first != me_.node && !rows_.count(i->first)) i = t.rows.erase(i);
             else ++i;
         b.listNo = listNo_;
         auto lacks = listNo_ > 0 && t.listNo < listNo_ && (t.listNo >= 0 || whole || n != parent_);
-        if (lacks && (whole || t.saidNo != listNo_ || now - t.saidAt >= 3 * beat_)) {
+        if (lacks && (whole || t.saidNo != listNo_ || now - t.saidAt >= 3 * heartbeat_)) {
             auto has = [&](std::int64_t x) {
                 return std::find(lists_.begin(), lists_.end(), x) != lists_.end();
             };
             auto base = t.listNo;
-            if (!whole && t.saidNo > base && now - t.saidAt < 3 * beat_) base = t.saidNo;
+            if (!whole && t.saidNo > base && now - t.saidAt < 3 * heartbeat_) base = t.saidNo;
             if (base <= 0 || !has(base)) base = 0;
             b.listBase = base;
             for (auto& [x, s] : servers_)
-                if (s.l.gen > base) {
-                    b.listings.push_back(s.l);
+                if (s.listing.revision > base) {
+                    b.listings.push_back(s.listing);
                     b.listings.back().age = now - s.told;
                     b.listings.back().cold = std::max<Microseconds>(0, s.coldTill - now);
                 }
@@ -1214,7 +1236,7 @@
         }
         for (auto& [x, s] : servers_)
             if (s.seen && now - s.seen < SEEN && s.heard > t.loads && (whole || s.from != n)) {
-                b.loads.push_back(s.d);
+                b.loads.push_back(s.load);
                 b.loads.back().age = now - s.seen;
             }
         t.loads = now;
@@ -1226,32 +1248,32 @@
     if (b.rows.empty() && b.pulses.empty() && b.rowAsk.empty() && b.loads.empty() && b.listBase < 0)
         return false;
     auto e = env();
-    e.__set_beat(b);
-    po_.tell(to->peer, e);
+    e.__set_heartbeat(b);
+    po_.send(to->peer, e);
     return true;
 }
 
-auto Node::learntAsk(const std::string& addr, Microseconds) -> void {
+auto Node::gossipAsk(const std::string& addr, Microseconds) -> void {
     auto e = env();
-    auto b = wire::Beat();
+    auto b = wire::Heartbeat();
     b.rows.push_back(me_);
     b.fullAsk = true;
     b.listNo = listNo_;
-    e.__set_beat(b);
-    po_.tell(addr, e);
+    e.__set_heartbeat(b);
+    po_.send(addr, e);
     ct_.add("asked_total");
 }
 
 auto Node::treeNow(Microseconds now) -> const Tree& {
-    if (!treeAt_ || now - treeAt_ >= beat_ / 4) {
+    if (!treeAt_ || now - treeAt_ >= heartbeat_ / 4) {
         tree_ = tree(now);
         treeAt_ = now;
     }
     return tree_;
 }
 
-auto Node::learntSend(Microseconds now) -> void {
-    me_.beat++;
+auto Node::gossipSend(Microseconds now) -> void {
+    me_.heartbeat++;
     ownVersion(now);
     auto& t = treeNow(now);
     auto up = t.up.find(me_.node);
@@ -1263,23 +1285,24 @@
     auto to = std::set<std::string>();
     for (auto& n : t.kids(me_.node)) to.insert(n);
     if (!p.empty()) to.insert(p);
-    for (auto& n : to) learntBeat(n, false, false, now);
+    for (auto& n : to) gossipHeartbeat(n, false, false, now);
     // Cores keep hearing of each other whatever the tree is: voters find each other's address so.
     if (vt_)
         for (auto& [n, k] : rows_)
-            if (!to.count(n) && !k.r.disk.empty() && (now - k.at < alive_ || voterDisks_.count(k.r.disk)))
-                learntBeat(n, false, true, now);
+            if (!to.count(n) && !k.record.disk.empty()
+                && (now - k.at < alive_ || voterDisks_.count(k.record.disk)))
+                gossipHeartbeat(n, false, true, now);
     // Whoever is out of touch asks the leader, seeds and hints in turn for all they know.
     auto led = leaderNode(now);
-    auto silent = !p.empty() && now - std::max(rows_.at(p).direct, parentSince_) > beat_ * 5 / 2;
+    auto silent = !p.empty() && now - std::max(rows_.at(p).direct, parentSince_) > heartbeat_ * 5 / 2;
     if (led.empty() || silent) {
         auto v = places();
         auto n = aliveNodes(now).size() < 2 ? 3 : 1;
-        if (silent && !led.empty() && led != p && led != me_.node) learntAsk(row(led)->peer, now);
-        for (auto i = 0; i < n && std::size_t(i) < v.size(); i++) learntAsk(v[seed_++ % v.size()], now);
+        if (silent && !led.empty() && led != p && led != me_.node) gossipAsk(row(led)->peer, now);
+        for (auto i = 0; i < n && std::size_t(i) < v.size(); i++) gossipAsk(v[seed_++ % v.size()], now);
     }
     for (auto i = told_.begin(); i != told_.end();)
-        if (now - i->second.at > 10 * beat_) i = told_.erase(i);
+        if (now - i->second.at > 10 * heartbeat_) i = told_.erase(i);
         else ++i;
     for (auto i = wants_.begin(); i != wants_.end();)
         if (!rows_.count(i->first)) i = wants_.erase(i);
@@ -1287,11 +1310,11 @@
     ct_.add("beats_sent_total");
 }
 
-auto Node::learntHear(const wire::Envelope& e, Microseconds now) -> void {
-    auto& b = e.beat;
+auto Node::gossipHandle(const wire::Envelope& e, Microseconds now) -> void {
+    auto& b = e.heartbeat;
     auto led = led_;
-    learntRows(b, e.node, now);
-    auto list = learntListing(b, e.node, now);
+    gossipRecords(b, e.node, now);
+    auto list = gossipListing(b, e.node, now);
     auto k = rows_.find(e.node);
     if (k == rows_.end()) return;
     k->second.direct = now;
@@ -1301,29 +1324,30 @@
         auto& t = told_[e.node];
         if (!t.askedAt || now - t.askedAt >= 100 * MILLISECOND) {
             t.askedAt = now;
-            learntBeat(e.node, true, false, now);
-            if (auto& r = k->second.r; std::pair(r.reign, r.gen) < std::pair(word_.reign, word_.gen))
-                wordTo(r.peer);
+            gossipHeartbeat(e.node, true, false, now);
+            if (auto& r = k->second.record; std::pair(r.epoch, r.stateVersion)
+                < std::pair(replicatedState_.epoch, replicatedState_.version))
+                sendReplicatedState(r.peer);
         }
     } else if (!b.rowAsk.empty() && i != told_.end()) {
         for (auto& n : b.rowAsk) i->second.rows.erase(n);
-        learntBeat(e.node, false, false, now);
+        gossipHeartbeat(e.node, false, false, now);
     }
-    if (news) nextBeat_ = now;
+    if (news) nextHeartbeat_ = now;
 }
 
-auto Node::learntRows(const wire::Beat& b, const std::string& from, Microseconds now) -> void {
-    auto seen = [&](Known& k, std::int64_t beat) {
+auto Node::gossipRecords(const wire::Heartbeat& b, const std::string& from, Microseconds now) -> void {
+    auto seen = [&](Known& k, std::int64_t heartbeat) {
         if (now - k.at >= alive_) {
             ct_.add("node_heard_again_total");
             treeAt_ = 0;
         }
-        k.r.beat = beat;
+        k.record.heartbeat = heartbeat;
         k.at = now;
         k.from = from;
     };
-    auto self = [&](std::int64_t boot, std::int64_t beat, const std::string& peer) {
-        if (std::pair(boot, beat) <= std::pair(me_.boot, me_.beat)) return;
+    auto self = [&](std::int64_t boot, std::int64_t heartbeat, const std::string& peer) {
+        if (std::pair(boot, heartbeat) <= std::pair(me_.boot, me_.heartbeat)) return;
         // An earlier life by a clock that has since been set back, or another of the same name.
         if (!peer.empty() && peer != me_.peer) ct_.add("own_name_elsewhere_total");
         ct_.add("boot_raised_total");
@@ -1332,7 +1356,7 @@
     for (auto& r : b.rows) {
         if (r.node.empty() || r.node.size() > 256 || r.peer.size() > 64) continue;
         if (r.node == me_.node) {
-            self(r.boot, r.beat, r.peer);
+            self(r.boot, r.heartbeat, r.peer);
             continue;
         }
         auto i = rows_.find(r.node);
@@ -1343,37 +1367,42 @@
             logf("node {} known at {}", r.node, r.peer);
         }
         auto& k = i->second;
-        if (std::pair(r.boot, r.beat) < std::pair(k.r.boot, k.r.beat)) continue;
-        if (std::tie(r.boot, r.beat, r.version) == std::tie(k.r.boot, k.r.beat, k.r.version)) continue;
-        if (k.r.boot != r.boot) {
+        if (std::pair(r.boot, r.heartbeat) < std::pair(k.record.boot, k.record.heartbeat)) continue;
+        if (std::tie(r.boot, r.heartbeat, r.version)
+            == std::tie(k.record.boot, k.record.heartbeat, k.record.version))
+            continue;
+        if (k.record.boot != r.boot) {
             k.first = now;
             if (!first) told_.erase(r.node);
         }
         auto at = k.at;
-        auto newer = std::pair(r.boot, r.beat) > std::pair(k.r.boot, k.r.beat);
-        auto led = k.r.leader || r.leader;
-        k.r = r;
+        auto newer = std::pair(r.boot, r.heartbeat) > std::pair(k.record.boot, k.record.heartbeat);
+        auto led = k.record.leader || r.leader;
+        k.record = r;
         k.told = now;
-        if (newer) seen(k, r.beat);
+        if (newer) seen(k, r.heartbeat);
         // Of one that was unknown it counts how long ago it was heard.
         if (first) k.at = now - std::max<Microseconds>(0, r.age);
         else if (!newer) k.at = at;
         if (led) led_ = leaderNode(now);
         if (first || led) treeAt_ = 0;
         // A gap in the news that the tree does not close by itself is closed by pulling.
-        if (!pullDue_ && std::pair(r.reign, r.gen) > std::pair(word_.reign, word_.gen))
+        if (!pullDue_
+            && std::pair(r.epoch, r.stateVersion)
+                > std::pair(replicatedState_.epoch, replicatedState_.version))
             pullDue_ = now + 100 * MILLISECOND;
     }
     for (auto& p : b.pulses) {
         if (p.node == me_.node) {
-            self(p.boot, p.beat, "");
+            self(p.boot, p.heartbeat, "");
             continue;
         }
         auto i = rows_.find(p.node);
-        if (i != rows_.end() && std::pair(p.boot, p.beat) <= std::pair(i->second.r.boot, i->second.r.beat))
+        if (i != rows_.end()
+            && std::pair(p.boot, p.heartbeat) <= std::pair(i->second.record.boot, i->second.record.heartbeat))
             continue;
-        if (i != rows_.end() && i->second.r.boot == p.boot && i->second.r.version == p.version)
-            seen(i->second, p.beat);
+        if (i != rows_.end() && i->second.record.boot == p.boot && i->second.record.version == p.version)
+            seen(i->second, p.heartbeat);
         else if (auto& w = wants_[from]; w.size() < 4096) w.insert(p.node);
     }
 }
@@ -1394,7 +1423,7 @@
     return listNo_;
 }
 
-auto Node::learntList(std::int64_t id, const rapidjson::Document& d, Microseconds now) -> void {
+auto Node::gossipList(std::int64_t id, const rapidjson::Document& d, Microseconds now) -> void {
     // One that was superseded meanwhile may hold a listing older than what the others have.
     if (!duty(now) || (vt_ && vt_->leads() && vt_->term() < (listNo_ >> 34)))
         return po_.done(id, {409, bodyOf({{"error", jsQuote("another node does this duty now")}})});
@@ -1405,41 +1434,42 @@
         auto n = jsStr(v, "name");
         has.insert(n);
         auto& s = servers_[n];
-        auto l = s.l;
+        auto l = s.listing;
         l.server = n;
         l.address = jsStr(v, "address");
         l.region = jsStr(v, "region");
-        l.district = jsStr(v, "district");
-        l.pool = jsStr(v, "pool");
+        l.zone = jsStr(v, "district");
+        l.serviceName = jsStr(v, "pool");
         l.weights = jsStr(v, "weights");
         l.slots = std::int32_t(jsInt(v, "slots", 8));
         l.state = jsStr(v, "state", "up") == "up" ? UP : LEAVING;
         l.inc = jsInt(v, "incarnation");
         auto cold = jsInt(v, "coldUs") > 0 ? now + jsInt(v, "coldUs") : 0;
         auto was = s.coldTill > now ? s.coldTill : 0;
-        auto same = l == s.l && std::abs(cold - was) < SECOND;
+        auto same = l == s.listing && std::abs(cold - was) < SECOND;
         s.told = now;
-        if (same && !s.l.server.empty()) continue;
-        if (s.l.server.empty() || s.l.inc != l.inc || s.l.state == GONE) s.first = now, s.seen = 0;
-        s.l = l;
-        s.l.gen = no();
+        if (same && !s.listing.server.empty()) continue;
+        if (s.listing.server.empty() || s.listing.inc != l.inc || s.listing.state == GONE)
+            s.first = now, s.seen = 0;
+        s.listing = l;
+        s.listing.revision = no();
         s.coldTill = cold;
     }
     for (auto& [n, s] : servers_)
-        if (!has.count(n) && s.l.state == UP) {
-            s.l.state = LEAVING;
-            s.l.gen = no();
+        if (!has.count(n) && s.listing.state == UP) {
+            s.listing.state = LEAVING;
+            s.listing.revision = no();
             s.told = now;
         }
     if (!listNo_) no();  // an empty listing is one too
     listTold_ = now;
     ct_.add("listings_taken_total");
-    if (g) nextBeat_ = now;
+    if (g) nextHeartbeat_ = now;
     po_.done(id, {200, "{\"listed\":" + fmt::to_string(has.size()) + "}"});
 }
 
 // True if there is something new in it.
-auto Node::learntListing(const wire::Beat& b, const std::string& from, Microseconds now) -> bool {
+auto Node::gossipListing(const wire::Heartbeat& b, const std::string& from, Microseconds now) -> bool {
     if (b.listNo)
         if (auto i = told_.find(from); i != told_.end()) i->second.listNo = b.listNo;
     for (auto& d : b.loads) {
@@ -1448,7 +1478,7 @@
         auto i = servers_.find(d.server);
         if (i == servers_.end() || d.age < 0) continue;
         if (auto t = now - d.age; t > i->second.seen) {
-            i->second.d = d;
+            i->second.load = d;
             i->second.seen = t;
             i->second.heard = now;
             i->second.from = from;
@@ -1461,8 +1491,9 @@
         has.insert(l.server);
         if (!servers_.count(l.server) && servers_.size() >= 4096) continue;
         auto& s = servers_[l.server];
-        if (s.l.server.empty() || l.inc != s.l.inc || s.l.state == GONE) s.first = now, s.seen = 0;
-        s.l = l;
+        if (s.listing.server.empty() || l.inc != s.listing.inc || s.listing.state == GONE)
+            s.first = now, s.seen = 0;
+        s.listing = l;
         s.told = now - std::max<Microseconds>(0, l.age);
         s.coldTill = l.cold > 0 ? now + l.cold : 0;
     }
@@ -1491,53 +1522,56 @@
     return tree(now).up.count(me_.node) == 0;
 }
 
-auto Node::learntTick(Microseconds now, bool look) -> void {
+auto Node::gossipTick(Microseconds now, bool look) -> void {
     if (look) led_ = leaderNode(now);
     if (!led_.empty() || !leaderAt_) leaderAt_ = now;
     led1_ = led1_ || !led_.empty();
-    me_.settled = word_.gen > 0;
+    me_.settled = replicatedState_.version > 0;
     // What the others must know at once: that this one leads, or does no more.
-    if (vt_ && vt_->leads() != said_.leader) nextBeat_ = now;
+    if (vt_ && vt_->leads() != said_.leader) nextHeartbeat_ = now;
     if (!pullDue_ || now < pullDue_) return;
-    auto from = static_cast<const wire::Row*>(nullptr);
+    auto from = static_cast<const wire::NodeRecord*>(nullptr);
     auto near = -1;
     for (auto& [n, k] : rows_) {
-        auto& r = k.r;
-        if (now - k.at >= alive_ || std::pair(r.reign, r.gen) <= std::pair(word_.reign, word_.gen)) continue;
-        auto d = r.district == me_.district ? 3 : r.region == me_.region ? 2 : 1;
+        auto& r = k.record;
+        if (now - k.at >= alive_
+            || std::pair(r.epoch, r.stateVersion)
+                <= std::pair(replicatedState_.epoch, replicatedState_.version))
+            continue;
+        auto d = r.zone == me_.zone ? 3 : r.region == me_.region ? 2 : 1;
         if (d > near || (d == near && rng_.chance(.5))) near = d, from = &r;
     }
     pullDue_ = from ? now + 300 * MILLISECOND : 0;
     if (!from) return;
     auto e = env();
-    auto w = wire::WordAsk();
-    w.reign = word_.reign;
-    w.gen = word_.gen;
-    e.__set_wordAsk(w);
-    po_.tell(from->peer, e);
+    auto w = wire::ReplicatedStateRequest();
+    w.epoch = replicatedState_.epoch;
+    w.version = replicatedState_.version;
+    e.__set_replicatedStateRequest(w);
+    po_.send(from->peer, e);
     ct_.add("word_pulled_total");
 }
 
 // The fleet's first start: all processes are told the same seeds in the same order, and all of those
 // are up. The first of them that has a disk founds, so there is one founder only.
-auto Node::learntFound(Microseconds now) -> void {
-    if (!st_.bootstrap || !vt_->blank() || word_.gen > 0) return;
+auto Node::gossipFound(Microseconds now) -> void {
+    if (!st_.bootstrap || !vt_->blank() || replicatedState_.version > 0) return;
     auto founder = std::string();
     for (auto& a : st_.seeds) {
         auto r = a == me_.peer ? &me_ : nullptr;
         for (auto& [n, k] : rows_)
-            if (k.r.peer == a && now - k.at < alive_) r = &k.r;
+            if (k.record.peer == a && now - k.at < alive_) r = &k.record;
         if (!r) return;
         if (founder.empty() && !r->disk.empty()) founder = r->node;
     }
     if (founder != me_.node) return;
-    auto by = std::map<std::string, std::vector<Seat>>();  // district -> its blank cores
+    auto by = std::map<std::string, std::vector<VoterIdentity>>();  // district -> its blank cores
     auto n = std::size_t(1);
-    by[me_.district].push_back({me_.node, me_.disk});
+    by[me_.zone].push_back({me_.node, me_.disk});
     for (auto& [x, k] : rows_) {
-        if (k.r.gen > 0) return;
-        if (now - k.at >= alive_ || k.r.disk.empty() || !k.r.blank) continue;
-        by[k.r.district].push_back({x, k.r.disk});
+        if (k.record.stateVersion > 0) return;
+        if (now - k.at >= alive_ || k.record.disk.empty() || !k.record.blank) continue;
+        by[k.record.zone].push_back({x, k.record.disk});
         n++;
     }
     if (n != cores_) {
@@ -1546,65 +1580,66 @@
     }
     if (now - coresAt_ < 800 * MILLISECOND) return;
     // In turn from each district, beginning with its own.
-    auto vs = std::vector<Seat>();
+    auto vs = std::vector<VoterIdentity>();
     auto most = std::min<std::size_t>(5, n % 2 ? n : n - 1);
     for (auto i = std::size_t(0); vs.size() < most; i++) {
-        auto take = [&](const std::vector<Seat>& v) {
+        auto take = [&](const std::vector<VoterIdentity>& v) {
             if (i < v.size() && vs.size() < most) vs.push_back(v[i]);
         };
-        take(by[me_.district]);
+        take(by[me_.zone]);
         for (auto& [d, v] : by)
-            if (d != me_.district) take(v);
+            if (d != me_.zone) take(v);
     }
-    auto w = Word();
-    w.found({}, vs);
-    vt_->found(w, 1, now);
+    auto w = ReplicatedState();
+    w.bootstrap({}, vs);
+    vt_->bootstrap(w, 1, now);
 }
 
 // A seat whose disk has not been heard for long, or whose node is stopping, is offered a disk
 // that sits in none.
-auto Node::learntSeats(Microseconds now) -> void {
+auto Node::gossipVoters(Microseconds now) -> void {
     auto of = std::vector<std::pair<std::string, std::string>>();
     if (vt_->leads()) {
         auto vs = vt_->voters();
         auto spare = std::vector<const Known*>();
         for (auto& [n, k] : rows_)
-            if (now - k.at < alive_ && now - k.first >= 500 * MILLISECOND && !k.r.disk.empty()
-                && !k.r.stopping && (k.r.blank || k.r.term <= vt_->term())
-                && std::none_of(vs.begin(), vs.end(), [&](auto& v) { return v.disk == k.r.disk; }))
+            if (now - k.at < alive_ && now - k.first >= 500 * MILLISECOND && !k.record.disk.empty()
+                && !k.record.stopping && (k.record.blank || k.record.term <= vt_->term())
+                && std::none_of(vs.begin(), vs.end(), [&](auto& v) { return v.disk == k.record.disk; }))
                 spare.push_back(&k);
         auto where = std::map<std::string, int>();  // districts of the voters that live
         auto lost = std::vector<std::string>(), leaving = std::vector<std::string>();
         for (auto& v : vs) {
-            auto at = std::max(vt_->heard(v.disk), vt_->leadSince());
+            auto at = std::max(vt_->lastContact(v.disk), vt_->leadSince());
             auto r = v.disk == me_.disk ? &me_ : nullptr;
             for (auto& [n, k] : rows_)
-                if (k.r.disk == v.disk) {
+                if (k.record.disk == v.disk) {
                     at = std::max(at, k.at);
-                    r = &k.r;
+                    r = &k.record;
                 }
             // Its machine is there with another disk: the old one does not come back.
-            auto own = row(v.seat);
-            auto swapped = own && alive(v.seat, now) && !r && !own->disk.empty();
-            if (v.disk != me_.disk && (swapped || now - at >= SEAT_LOST)) lost.push_back(v.seat);
-            else if (v.disk != me_.disk && r && r->stopping) leaving.push_back(v.seat);
-            else if (r) where[r->district]++;
+            auto own = row(v.node);
+            auto swapped = own && alive(v.node, now) && !r && !own->disk.empty();
+            if (v.disk != me_.disk && (swapped || now - at >= SEAT_LOST)) lost.push_back(v.node);
+            else if (v.disk != me_.disk && r && r->stopping) leaving.push_back(v.node);
+            else if (r) where[r->zone]++;
         }
         lost.insert(lost.end(), leaving.begin(), leaving.end());
         for (auto& s : lost) {
             auto best = static_cast<const Known*>(nullptr);
             auto key = [&](const Known* k) {
-                return std::tuple(k->r.node == s, -where[k->r.district], k->r.blank, k->first * -1);
+                return std::tuple(
+                    k->record.node == s, -where[k->record.zone], k->record.blank, k->first * -1);
             };
             for (auto k : spare)
                 if (!best || key(k) > key(best)) best = k;
             if (!best) break;
             spare.erase(std::find(spare.begin(), spare.end(), best));
-            where[best->r.district]++;
-            of.emplace_back(s, best->r.disk);
+            where[best->record.zone]++;
+            of.emplace_back(s, best->record.disk);
         }
     }
-    vt_->offer(of);
+    vt_->setSpareDisks(of);
 }
 
 }  // namespace duneturn
--- a/src/membership/node.hpp
+++ b/src/membership/node.hpp
@@ -20,21 +20,21 @@
 
 namespace duneturn {
 
-constexpr Microseconds BEAT = 200 * MILLISECOND;    // how often a node speaks of itself
+constexpr Microseconds HEARTBEAT = 200 * MILLISECOND;  // how often a node speaks of itself
 constexpr Microseconds LEASE = 2 * SECOND;          // how old the proof may be that the newest word is held
 constexpr Microseconds ALIVE = 1500 * MILLISECOND;  // silence after which a node is thought gone
 constexpr Microseconds LATE = 800 * MILLISECOND;    // silence after which senders are not sent to a node
 constexpr Microseconds FORGET = 30 * SECOND;        // silence after which a node's row is dropped
 constexpr Microseconds LISTED = 15 * SECOND;        // a listing not told again for this long lapses
 constexpr Microseconds MARKED = 60 * SECOND;        // a leaving mark not told again for this long lapses
-constexpr std::int64_t REIGN = 1024;         // a reign's number is its count times this, plus who began it
+constexpr std::int64_t EPOCH_STRIDE = 1024;  // a reign's number is its count times this, plus who began it
 constexpr Microseconds FROZEN = 1 * SECOND;  // a process that sees so long a gap in its time was frozen
-constexpr Microseconds THAW =
+constexpr Microseconds RESUME_GRACE =
     300 * MILLISECOND;  // after a freeze, requests that came in it are read within this
 constexpr Microseconds STALE =
     1 * SECOND;  // a load older than this tells nothing of whether it is the same life
 constexpr Microseconds SEEN = 3 * SECOND;  // a load report older than this is not believed
-constexpr Microseconds LEARNT_BEAT =
+constexpr Microseconds GOSSIP_HEARTBEAT =
     500 * MILLISECOND;  // how often a node speaks of itself where membership is learnt
 constexpr Microseconds TRANSFER_RETRY = 2 * SECOND;  // a stopping leader's next try to transfer leadership
 constexpr Microseconds SEAT_LOST =
@@ -44,7 +44,7 @@
 
 struct NodePort {
     virtual ~NodePort() = default;
-    virtual auto tell(const std::string& addr, const wire::Envelope& e) -> void = 0;
+    virtual auto send(const std::string& addr, const wire::Envelope& e) -> void = 0;
     virtual auto disk(const DiskWrite& w) -> void = 0;
     /// The outcome of an operator's or the platform's request of this node.
     virtual auto done(std::int64_t id, const Outcome& o) -> void = 0;
@@ -55,7 +55,7 @@
 };
 
 struct Known {
-    wire::Row r;
+    wire::NodeRecord record;
     Microseconds at = 0;  // when its newest beat came
     Microseconds t0 = 0;  // when that beat of ours was sent which it had heard by then
     // Learnt membership: when this life was first heard of, when the row itself came, when the node
@@ -65,10 +65,10 @@
 };
 
 struct Server {
-    wire::Listing l;
+    wire::ServerListing listing;
     Microseconds told = 0;   // when the platform last told of it, as far as known here
     Microseconds first = 0;  // when this life of it was first heard of
-    wire::Load d;
+    wire::ServerLoad load;
     Microseconds seen = 0;  // when the load was read; 0 if never
     int misses = 0;
     Microseconds coldTill = 0;  // as the platform told, on this node's clock; 0 if it did not
@@ -81,18 +81,18 @@
     ~Node() override;
 
     /// Makes this a core: what its disk holds, and the identity to take if that is nothing.
-    auto startCore(const DiskState& s, const std::string& fresh, Microseconds now) -> void;
+    auto startCore(const DiskState& s, const std::string& newDiskId, Microseconds now) -> void;
     /// Addresses kept by an earlier life; tried beside the seeds.
     auto hints(const std::vector<std::string>& addrs) -> void;
     auto tick(Microseconds now, Microseconds wall) -> void;
-    auto hear(const wire::Envelope& e, Microseconds now) -> void;
+    auto handle(const wire::Envelope& e, Microseconds now) -> void;
     auto diskDone(std::int64_t seq, bool ok, Microseconds now) -> void;
     /// What a probe brought; `refused`: the server said itself that nobody is there.
-    auto loadSeen(const std::string& server, bool ok, bool refused, const wire::Load& d, Microseconds now)
-        -> void;
+    auto loadSeen(const std::string& server, bool ok, bool refused, const wire::ServerLoad& d,
+        Microseconds now) -> void;
 
     /// May this node act on the word and the marks it holds? Asked at the moment of acting.
-    auto fresh(Microseconds now) const -> bool;
+    auto withinLease(Microseconds now) const -> bool;
     auto ready(Microseconds now) const -> bool;
     /// Whether this process was stopped for long at or after `arrived`, or so shortly before it that what
     /// arrived by then may have lain unread meanwhile.
@@ -115,50 +115,50 @@
     /// The caller of an order or a read is gone.
     auto cancelOrder(std::int64_t id) -> void;
     /// The last resort when disks and nodes have lost their majorities: see node.cpp.
-    auto rescue(std::int64_t reign, std::int64_t gen, Microseconds now) -> Outcome;
+    auto rescue(std::int64_t epoch, std::int64_t version, Microseconds now) -> Outcome;
     /// The newest word held here or heard of.
-    auto newest() const -> const Word&;
+    auto newest() const -> const ReplicatedState&;
     /// The platform's whole listing, and one server marked as leaving. The platform numbers
     /// what it says (`revision`), so that what is held up on its way undoes nothing newer.
     auto list(std::int64_t id, const std::string& body, Microseconds now) -> void;
     auto mark(std::int64_t id, const std::string& server, std::int64_t revision, Microseconds now) -> void;
 
-    auto word() const -> const Word& { return word_; }
+    auto replicatedState() const -> const ReplicatedState& { return replicatedState_; }
     auto rows() const -> const std::map<std::string, Known>& { return rows_; }
     auto servers() const -> const std::map<std::string, Server>& { return servers_; }
-    auto me() const -> const wire::Row& { return me_; }
+    auto me() const -> const wire::NodeRecord& { return me_; }
     auto settings() const -> const Settings& { return st_; }
     auto voter() -> Voter* { return vt_.get(); }
     auto alive(const std::string& node, Microseconds now) const -> bool;
     auto aliveNodes(Microseconds now) const -> std::vector<std::string>;
     auto leaderNode(Microseconds now) const -> std::string;
-    auto grant(const std::string& node, std::int64_t credit, Microseconds now) -> void;
+    auto creditGrant(const std::string& node, std::int64_t credit, Microseconds now) -> void;
     auto setCredit(std::int64_t c, std::int64_t want) -> void;
     /// A grant that another node gave to this one, taken once.
     std::function<void(std::int64_t)> onGrant;
-    std::function<void()> onWord;
+    std::function<void()> onStateChange;
 
     /// What this node believes, as JSON.
     auto beliefs(Microseconds now) const -> std::string;
     /// Where callers near this place should go, nearest first, as JSON.
-    auto where(const std::string& region, const std::string& district, Microseconds now) const -> std::string;
+    auto where(const std::string& region, const std::string& zone, Microseconds now) const -> std::string;
     auto status(Microseconds now) -> std::string;
     auto planText(Microseconds now) const -> std::string;
 
     struct Broken {
-        bool noLease = false, ackEarly = false, oldWord = false, lateUp = false, oldBoot = false;
+        bool noLease = false, ackEarly = false, acceptOldState = false, lateUp = false, oldBoot = false;
     };
     Broken broken;
 
-    auto voterTell(const std::string& disk, wire::Envelope& e) -> void override;
-    auto voterDisk(const DiskWrite& w) -> void override;
-    auto voterWord(const Word& w, const std::string& key, const Outcome& o) -> void override;
+    auto voterSend(const std::string& disk, wire::Envelope& e) -> void override;
+    auto voterWrite(const DiskWrite& w) -> void override;
+    auto voterApplied(const ReplicatedState& w, const std::string& key, const Outcome& o) -> void override;
     auto voterRead(std::int64_t id, bool ok) -> void override;
     auto answer(const Requester& to, const Outcome& outcome) -> void override;
     auto acknowledged(MajorityProof& proof, std::int64_t generation, Microseconds now) -> bool override;
     auto findLeader(Microseconds now) -> std::string override;
     auto lastLeader() -> std::string override;
-    auto sendOrder(const std::string& node, wire::OrderAsk& ask, Microseconds now) -> void override;
+    auto sendOrder(const std::string& node, wire::OrderRequest& ask, Microseconds now) -> void override;
     auto orderDone(std::int64_t id, const Outcome& outcome) -> void override;
     auto orderService() -> OrderService& { return orderService_; }
 
@@ -169,68 +169,68 @@
     };
     struct Wait {  // a mark on its way to a majority
         std::int64_t id;
-        std::vector<wire::Mark> ms;
+        std::vector<wire::DrainMark> ms;
         Microseconds due;
         MajorityProof p;
     };
 
     auto env() const -> wire::Envelope;
-    auto beatText(Microseconds now) -> wire::Envelope;
-    auto sendBeat(Microseconds now, bool all) -> void;
+    auto heartbeatEnvelope(Microseconds now) -> wire::Envelope;
+    auto sendHeartbeat(Microseconds now, bool all) -> void;
     auto tree(Microseconds now) const -> Tree;
     auto clock(Microseconds now) -> void;
-    auto merge(const wire::Beat& b, const std::string& from, Microseconds now) -> void;
-    auto takeWord(const wire::Word& w, Microseconds now) -> void;
-    auto wordTo(const std::string& addr) -> void;
+    auto merge(const wire::Heartbeat& b, const std::string& from, Microseconds now) -> void;
+    auto handleReplicatedState(const wire::ReplicatedState& w, Microseconds now) -> void;
+    auto sendReplicatedState(const std::string& addr) -> void;
     auto counted(Microseconds now, bool settledVoters) const -> bool;
-    auto proven(MajorityProof& p, const std::function<bool(const wire::Row&)>& f, Microseconds now) const
-        -> bool;
-    auto holds(const wire::Row& r, std::int64_t gen) const -> bool;
-    auto serveOrder(const wire::OrderAsk& ask, Microseconds now) -> void;
+    auto proven(MajorityProof& p, const std::function<bool(const wire::NodeRecord&)>& f,
+        Microseconds now) const -> bool;
+    auto holds(const wire::NodeRecord& r, std::int64_t version) const -> bool;
+    auto serveOrder(const wire::OrderRequest& ask, Microseconds now) -> void;
     auto listNo(std::int64_t revision) const -> std::int64_t;
     auto listTop() const -> std::int64_t;
     auto lateBody() const -> Outcome;
-    auto beginReign(Microseconds now) -> void;
-    auto reignFrom(Microseconds now) -> void;
+    auto beginEpoch(Microseconds now) -> void;
+    auto beginEpochFromNewest(Microseconds now) -> void;
     auto fire(Microseconds now, Microseconds wall) -> void;
-    auto row(const std::string& n) const -> const wire::Row*;
+    auto row(const std::string& n) const -> const wire::NodeRecord*;
     auto touchMe(Microseconds now) -> void;
 
     // Learnt membership (the end of node.cpp).
     struct Told {  // what a neighbour was told and what it said it holds
         struct Of {
-            std::int64_t boot = 0, version = 0, beat = 0;
+            std::int64_t boot = 0, version = 0, heartbeat = 0;
         };
         std::map<std::string, Of> rows;
         std::int64_t listNo = -1, saidNo = -1;
         Microseconds loads = 0, saidAt = 0, wholeAt = 0, at = 0, askedAt = 0;
     };
     auto ownVersion(Microseconds now) -> void;
-    auto learntBeat(const std::string& n, bool whole, bool own, Microseconds now) -> bool;
-    auto learntSend(Microseconds now) -> void;
-    auto learntAsk(const std::string& addr, Microseconds now) -> void;
-    auto learntHear(const wire::Envelope& e, Microseconds now) -> void;
-    auto learntRows(const wire::Beat& b, const std::string& from, Microseconds now) -> void;
-    auto learntListing(const wire::Beat& b, const std::string& from, Microseconds now) -> bool;
-    auto learntList(std::int64_t id, const rapidjson::Document& d, Microseconds now) -> void;
-    auto learntTick(Microseconds now, bool look) -> void;
+    auto gossipHeartbeat(const std::string& n, bool whole, bool own, Microseconds now) -> bool;
+    auto gossipSend(Microseconds now) -> void;
+    auto gossipAsk(const std::string& addr, Microseconds now) -> void;
+    auto gossipHandle(const wire::Envelope& e, Microseconds now) -> void;
+    auto gossipRecords(const wire::Heartbeat& b, const std::string& from, Microseconds now) -> void;
+    auto gossipListing(const wire::Heartbeat& b, const std::string& from, Microseconds now) -> bool;
+    auto gossipList(std::int64_t id, const rapidjson::Document& d, Microseconds now) -> void;
+    auto gossipTick(Microseconds now, bool look) -> void;
     auto treeNow(Microseconds now) -> const Tree&;
-    auto learntFound(Microseconds now) -> void;
-    auto learntSeats(Microseconds now) -> void;
+    auto gossipFound(Microseconds now) -> void;
+    auto gossipVoters(Microseconds now) -> void;
     auto raiseList(Microseconds now) -> std::int64_t;
     auto places() const -> std::vector<std::string>;
-    auto rowOf(const std::string& n, Microseconds now) const -> wire::Row;
+    auto rowOf(const std::string& n, Microseconds now) const -> wire::NodeRecord;
 
     Settings st_;
     NodePort& po_;
     Counters& ct_;
     Rng rng_;
-    wire::Row me_;
+    wire::NodeRecord me_;
     std::map<std::string, Known> rows_;
     std::map<std::string, Server> servers_;
     std::map<std::int64_t, Microseconds> sentAt_;
-    Word word_;
-    Word heard_;  // a voter's: a newer word than its disk holds, kept for a rebuild only
+    ReplicatedState replicatedState_;
+    ReplicatedState heard_;  // a voter's: a newer word than its disk holds, kept for a rebuild only
     std::set<std::string> voterDisks_;
     std::set<std::string> roster_;
     std::unique_ptr<Voter> vt_;
@@ -239,16 +239,16 @@
     std::vector<Wait> waits_;
     std::map<std::string, std::int64_t> grants_;
     std::int64_t grantSeq_ = 0;
-    Microseconds nextBeat_ = 0, nextProbe_ = 0, pullAt_ = 0, aloneSince_ = 0, now_ = 0, started_ = 0,
+    Microseconds nextHeartbeat_ = 0, nextProbe_ = 0, pullAt_ = 0, aloneSince_ = 0, now_ = 0, started_ = 0,
                  wall_ = 0, firedAt_ = 0, listTold_ = 0, wokeAt_ = 0, transferAt_ = 0;
     std::vector<std::string> hints_, booked_;
     Microseconds bookAt_ = 0;
     std::size_t seed_ = 0;
-    bool wasFresh_ = false;
-    Microseconds beat_ = BEAT, alive_ = ALIVE, late_ = LATE;
+    bool wasWithinLease_ = false;
+    Microseconds heartbeat_ = HEARTBEAT, alive_ = ALIVE, late_ = LATE;
     std::map<std::string, Told> told_;
     std::map<std::string, std::set<std::string>> wants_;
-    wire::Row said_;
+    wire::NodeRecord said_;
     std::int64_t listNo_ = 0;
     std::deque<std::int64_t> lists_;  // the numbers of listings held here, of one unbroken series
     std::string parent_, led_;
--- a/src/modelcheck/invariants.cpp
+++ b/src/modelcheck/invariants.cpp
@@ -71,9 +71,11 @@
 auto Check::votes() -> void {
     for (auto& sent : node().sent) {
         auto& message = step.graph.message(sent.message);
-        if (message.__isset.voteReply && message.voteReply.granted && !message.voteReply.pre)
-            vote(message.voteReply.term, sent.toDisk);
-        if (message.__isset.voteAsk && !message.voteAsk.pre) vote(message.voteAsk.term, message.disk);
+        if (message.__isset.requestVoteReply && message.requestVoteReply.granted
+            && !message.requestVoteReply.pre)
+            vote(message.requestVoteReply.term, sent.toDisk);
+        if (message.__isset.requestVote && !message.requestVote.pre)
+            vote(message.requestVote.term, message.disk);
     }
 }
 
--- a/src/modelcheck/model.cpp
+++ b/src/modelcheck/model.cpp
@@ -149,7 +149,7 @@
 auto Model::initial() -> ClusterState {
     auto state = ClusterState();
     state.left = limit_;
-    auto voters = std::vector<Seat>();
+    auto voters = std::vector<VoterIdentity>();
     for (auto i = std::size_t(0); i < VOTERS; i++) voters.push_back({seatName(i), diskName(i)});
     for (auto i = std::size_t(0); i < VOTERS; i++)
         state.replicas[i] = graph_.boot(foundedDisk(voters, diskName(i)), "");
@@ -341,23 +341,24 @@
 
 auto Model::messageText(MessageId id) const -> std::string {
     auto& m = graph_.message(id);
-    if (m.__isset.voteAsk)
-        return fmt::format("{}(term {}, last {}/{})", m.voteAsk.pre ? "PreVote" : "RequestVote",
-            m.voteAsk.term, m.voteAsk.lastIdx, m.voteAsk.lastTerm);
-    if (m.__isset.voteReply)
-        return fmt::format("{}Reply(term {}, {})", m.voteReply.pre ? "PreVote" : "RequestVote",
-            m.voteReply.term, m.voteReply.granted ? "granted" : "denied");
-    if (m.__isset.appendAsk)
+    if (m.__isset.requestVote)
+        return fmt::format("{}(term {}, last {}/{})", m.requestVote.pre ? "PreVote" : "RequestVote",
+            m.requestVote.term, m.requestVote.lastIdx, m.requestVote.lastTerm);
+    if (m.__isset.requestVoteReply)
+        return fmt::format("{}Reply(term {}, {})", m.requestVoteReply.pre ? "PreVote" : "RequestVote",
+            m.requestVoteReply.term, m.requestVoteReply.granted ? "granted" : "denied");
+    if (m.__isset.appendEntries)
         return fmt::format("AppendEntries(term {}, after {}/{}, {} entries, commit {}, round {})",
-            m.appendAsk.term, m.appendAsk.prevIdx, m.appendAsk.prevTerm, m.appendAsk.entries.size(),
-            m.appendAsk.commit, m.appendAsk.round);
-    if (m.__isset.appendReply)
-        return fmt::format("AppendEntriesReply(term {}, {}, match {}, round {})", m.appendReply.term,
-            m.appendReply.ok ? "ok" : "refused", m.appendReply.match, m.appendReply.round);
-    if (m.__isset.snapTell)
-        return fmt::format(
-            "InstallSnapshot(term {}, last {}/{})", m.snapTell.term, m.snapTell.idx, m.snapTell.idxTerm);
-    if (m.__isset.takeOver) return fmt::format("TimeoutNow(term {})", m.takeOver.term);
+            m.appendEntries.term, m.appendEntries.prevIdx, m.appendEntries.prevTerm,
+            m.appendEntries.entries.size(), m.appendEntries.commit, m.appendEntries.round);
+    if (m.__isset.appendEntriesReply)
+        return fmt::format("AppendEntriesReply(term {}, {}, match {}, round {})", m.appendEntriesReply.term,
+            m.appendEntriesReply.ok ? "ok" : "refused", m.appendEntriesReply.match,
+            m.appendEntriesReply.round);
+    if (m.__isset.installSnapshot)
+        return fmt::format("InstallSnapshot(term {}, last {}/{})", m.installSnapshot.term,
+            m.installSnapshot.idx, m.installSnapshot.idxTerm);
+    if (m.__isset.timeoutNow) return fmt::format("TimeoutNow(term {})", m.timeoutNow.term);
     return "message";
 }
 
--- a/src/modelcheck/replica.cpp
+++ b/src/modelcheck/replica.cpp
@@ -56,9 +56,9 @@
     return found;
 }
 
-auto disksOf(const std::vector<Seat>& seats) -> std::vector<std::string> {
+auto disksOf(const std::vector<VoterIdentity>& initialVoters) -> std::vector<std::string> {
     auto disks = std::vector<std::string>();
-    for (auto& seat : seats) disks.push_back(seat.disk);
+    for (auto& seat : initialVoters) disks.push_back(seat.disk);
     return disks;
 }
 
@@ -102,13 +102,13 @@
     case InputKind::Propose: propose(input.number); break;
     case InputKind::Read: voter_.read(input.number, now_); break;
     case InputKind::Offer:
-        voter_.offer({{input.seat, input.disk}});
+        voter_.setSpareDisks({{input.seat, input.disk}});
         now_ += HEARTBEAT_STEP;
         voter_.tick(now_);
         break;
-    case InputKind::HandOver: voter_.handOver(now_); break;
+    case InputKind::HandOver: voter_.transferLeadership(now_); break;
     case InputKind::Retire: voter_.retire(input.number, input.disk, now_); break;
-    case InputKind::Deliver: voter_.hear(*input.message, now_); break;
+    case InputKind::Deliver: voter_.handle(*input.message, now_); break;
     case InputKind::WriteSynced: finishWrite(true); break;
     case InputKind::WriteFailed: finishWrite(false); break;
     }
@@ -136,28 +136,28 @@
 }
 
 auto Replica::propose(std::uint32_t number) -> void {
-    auto body = orderPrepare(
-        voter_.head(), "empty", orderKey(number), fmt::format("{{\"district\":\"zone-{}\"}}", number), 0);
+    auto body = orderPrepare(voter_.latestState(), "empty", orderKey(number),
+        fmt::format("{{\"district\":\"zone-{}\"}}", number), 0);
     if (body) voter_.propose(ORDER_ENTRY, *body, now_);
 }
 
-auto Replica::voterTell(const std::string& disk, wire::Envelope& envelope) -> void {
+auto Replica::voterSend(const std::string& disk, wire::Envelope& envelope) -> void {
     output_.sent.push_back({disk, envelope});
 }
 
-auto Replica::voterDisk(const DiskWrite& write) -> void {
+auto Replica::voterWrite(const DiskWrite& write) -> void {
     if (write.cut >= 0) output_.cuts.push_back(write.cut);
     pending_.push_back(write);
 }
 
-auto Replica::voterWord(const Word& word, const std::string&, const Outcome&) -> void {
-    output_.applied.push_back({word.gen, hash64(word.text())});
+auto Replica::voterApplied(const ReplicatedState& state, const std::string&, const Outcome&) -> void {
+    output_.applied.push_back({state.version, hash64(state.text())});
 }
 
 auto Replica::voterRead(std::int64_t id, bool ok) -> void {
     auto visible = std::uint32_t(0);
     for (auto number = 0u; number < MAX_ORDERS; number++)
-        if (voter_.word().outcome(orderKey(number)).status == 200) visible |= 1u << number;
+        if (voter_.replicatedState().outcome(orderKey(number)).status == 200) visible |= 1u << number;
     output_.answers.push_back({std::uint32_t(id), ok, visible});
 }
 
@@ -176,28 +176,29 @@
     seen.ready = voter_.ready();
     seen.term = voter_.term();
     seen.commit = voter_.commit();
-    seen.generation = voter_.word().gen;
+    seen.generation = voter_.replicatedState().version;
     for (auto number = 0u; number < MAX_ORDERS; number++)
-        if (voter_.word().outcome(orderKey(number)).status == 200) seen.ordersApplied |= 1u << number;
+        if (voter_.replicatedState().outcome(orderKey(number)).status == 200)
+            seen.ordersApplied |= 1u << number;
     seen.ordersDurable = ordersIn(durable_);
     seen.durable = viewOf(durable_);
     seen.written = viewOf(diskAfterCrash(pending_.size()));
-    seen.appliedVoters = disksOf(voter_.word().voters());
+    seen.appliedVoters = disksOf(voter_.replicatedState().voters());
     seen.newestVoters = disksOf(voter_.voters());
     seen.pendingWrites = pending_.size();
     return seen;
 }
 
-auto foundedDisk(const std::vector<Seat>& voters, const std::string& disk) -> DiskState {
-    auto word = Word();
-    word.found({"node"}, voters);
+auto foundedDisk(const std::vector<VoterIdentity>& voters, const std::string& disk) -> DiskState {
+    auto founded = ReplicatedState();
+    founded.bootstrap({"node"}, voters);
     auto state = DiskState();
     state.disk = disk;
-    state.reign = word.reign;
+    state.epoch = founded.epoch;
     state.term = 1;
     state.commit = state.snapIdx = 1;
     state.snapTerm = 1;
-    state.snapDoc = word.text();
+    state.snapDoc = founded.text();
     return state;
 }
 
--- a/src/modelcheck/replica.hpp
+++ b/src/modelcheck/replica.hpp
@@ -112,9 +112,10 @@
     auto diskAfterCrash(std::size_t kept) const -> DiskState;
 
   private:
-    auto voterTell(const std::string& disk, wire::Envelope& envelope) -> void override;
-    auto voterDisk(const DiskWrite& write) -> void override;
-    auto voterWord(const Word& word, const std::string& key, const Outcome& outcome) -> void override;
+    auto voterSend(const std::string& disk, wire::Envelope& envelope) -> void override;
+    auto voterWrite(const DiskWrite& write) -> void override;
+    auto voterApplied(const ReplicatedState& state, const std::string& key, const Outcome& outcome)
+        -> void override;
     auto voterRead(std::int64_t id, bool ok) -> void override;
     auto electionTimeout() -> void;
     auto finishWrite(bool ok) -> void;
@@ -130,6 +131,6 @@
 };
 
 /// The disk of a voter of a new cluster with the voters given, as (seat, disk).
-auto foundedDisk(const std::vector<Seat>& voters, const std::string& disk) -> DiskState;
+auto foundedDisk(const std::vector<VoterIdentity>& voters, const std::string& disk) -> DiskState;
 
 }  // namespace duneturn::modelcheck
--- a/src/modelcheck/replica_graph.cpp
+++ b/src/modelcheck/replica_graph.cpp
@@ -23,7 +23,7 @@
 }
 
 auto serialized(const DiskState& state) -> std::string {
-    auto text = fmt::format("{} {} {} {} {} {} {} {}\n", state.disk, state.reign, state.term, state.commit,
+    auto text = fmt::format("{} {} {} {} {} {} {} {}\n", state.disk, state.epoch, state.term, state.commit,
         state.snapIdx, state.snapTerm, state.vote, state.snapDoc);
     for (auto& entry : state.log) text += serialized(entry);
     return text;
--- a/src/net/compress.cpp
+++ b/src/net/compress.cpp
@@ -27,9 +27,10 @@
 }
 
 auto Compressor::operator()(const wire::Envelope& e) -> std::optional<wire::Envelope> {
-    auto n = e.word.doc.size() + e.orderAsk.body.size() + e.orderReply.body.size() + e.snapTell.doc.size();
-    if (e.__isset.appendAsk)
-        for (auto& x : e.appendAsk.entries) n += x.body.size();
+    auto n = e.replicatedState.doc.size() + e.orderRequest.body.size() + e.orderReply.body.size()
+        + e.installSnapshot.doc.size();
+    if (e.__isset.appendEntries)
+        for (auto& x : e.appendEntries.entries) n += x.body.size();
     if (n < COMPRESS_FROM || n > LONGEST / 2 || e.__isset.compressed) return {};
     auto m = std::make_shared<Memory>(longest());
     auto p = Compact(m);
@@ -51,7 +52,7 @@
     o.wire = e.wire;
     o.node = e.node;
     o.disk = e.disk;
-    o.reign = e.reign;
+    o.epoch = e.epoch;
     o.__set_compressed(last_);
     return o;
 }
--- a/src/net/peer_sender.cpp
+++ b/src/net/peer_sender.cpp
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-PeerSender::Connection::Connection(const Addr& addr)
+PeerChannel::Connection::Connection(const Addr& addr)
     : socket(std::make_shared<transport::TSocket>(
         addr.ip, addr.port, std::make_shared<apache::thrift::TConfiguration>())),
       transport(std::make_shared<transport::TFramedTransport>(socket)),
@@ -42,17 +42,17 @@
 }
 
 // After a pause: what is written to a connection that the peer has closed is lost.
-auto PeerSender::Connection::usable(Microseconds now) -> bool {
+auto PeerChannel::Connection::usable(Microseconds now) -> bool {
     if (!transport->isOpen()) return false;
     return now - lastSent <= PAUSE || quietSocket(socket->getSocketFD());
 }
 
-auto PeerSender::Connection::open() -> void {
+auto PeerChannel::Connection::open() -> void {
     transport->open();
     socketSet(socket->getSocketFD(), UNHEARD_PEER);
 }
 
-auto PeerSender::Connection::close() -> void {
+auto PeerChannel::Connection::close() -> void {
     try {
         transport->close();
     } catch (const std::exception&) {
@@ -61,7 +61,7 @@
     }
 }
 
-PeerSender::PeerSender(
+PeerChannel::PeerChannel(
     std::string addr, Counters& counters, std::mutex& countersMutex, Compressor& compressor)
     : addr_(std::move(addr)),
       counters_(counters),
@@ -69,7 +69,7 @@
       compressor_(compressor),
       thread_([this] { run(); }) {}
 
-PeerSender::~PeerSender() {
+PeerChannel::~PeerChannel() {
     {
         auto lock = std::lock_guard(mutex_);
         stop_ = true;
@@ -78,7 +78,7 @@
     thread_.join();
 }
 
-auto PeerSender::put(const wire::Envelope& envelope) -> void {
+auto PeerChannel::put(const wire::Envelope& envelope) -> void {
     {
         auto lock = std::lock_guard(mutex_);
         if (queue_.size() >= QUEUE_LIMIT) queue_.pop_front();
@@ -88,12 +88,12 @@
     changed_.notify_one();
 }
 
-auto PeerSender::idle(Microseconds now) -> bool {
+auto PeerChannel::idle(Microseconds now) -> bool {
     auto lock = std::lock_guard(mutex_);
     return queue_.empty() && now - lastPut_ > IDLE_LIMIT;
 }
 
-auto PeerSender::next(Queued& queued) -> bool {
+auto PeerChannel::next(Queued& queued) -> bool {
     auto lock = std::unique_lock(mutex_);
     changed_.wait(lock, [&] { return stop_ || !queue_.empty(); });
     if (stop_) return false;
@@ -102,7 +102,7 @@
     return true;
 }
 
-auto PeerSender::send(Connection& connection, const wire::Envelope& envelope) -> void {
+auto PeerChannel::send(Connection& connection, const wire::Envelope& envelope) -> void {
     if (!connection.usable(bootNow())) {
         connection.close();
         connection.open();
@@ -112,7 +112,7 @@
     connection.lastSent = bootNow();
 }
 
-auto PeerSender::run() -> void {
+auto PeerChannel::run() -> void {
     auto addr = addrParse(addr_);
     if (!addr) return;
     auto connection = Connection(*addr);
--- a/src/net/peer_sender.hpp
+++ b/src/net/peer_sender.hpp
@@ -21,14 +21,14 @@
 
 /// Sends envelopes to one peer, in order. What cannot be sent soon is dropped: state is told again, and
 /// an old message would only take the place of newer ones. Safe for use from several threads.
-class PeerSender {
+class PeerChannel {
   public:
     /// Starts the thread. `counters` are guarded by `countersMutex`.
-    PeerSender(std::string addr, Counters& counters, std::mutex& countersMutex, Compressor& compressor);
+    PeerChannel(std::string addr, Counters& counters, std::mutex& countersMutex, Compressor& compressor);
     /// Ends the thread, at the latest when a write under way has timed out.
-    ~PeerSender();
-    PeerSender(const PeerSender&) = delete;
-    auto operator=(const PeerSender&) -> PeerSender& = delete;
+    ~PeerChannel();
+    PeerChannel(const PeerChannel&) = delete;
+    auto operator=(const PeerChannel&) -> PeerChannel& = delete;
 
     /// Queues an envelope; a full queue drops its oldest.
     auto put(const wire::Envelope& envelope) -> void;
--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -21,7 +21,7 @@
 namespace {
 
 // "ID:TOKENS,…": the parts of a prompt in order, of which the last is the request's own.
-auto partsOf(const std::string& t, Exchange& x) -> void {
+auto partsOf(const std::string& t, Request& x) -> void {
     auto ps = decltype(x.parts)();
     for (auto i = std::size_t(0); i < t.size() && ps.size() < 256;) {
         auto j = std::min(t.find(',', i), t.size());
@@ -58,30 +58,32 @@
     x.path = path;
     x.host = header(h, "Host");
     x.exid = fmt::format("{}-{:x}-{}", n_.me().node, n_.me().boot, id);
-    if (!di_.senderNames) x.region = header(h, "X-Region");
+    if (!di_.clientNamesRequests) x.region = header(h, "X-Region");
     if (x.region.empty()) x.region = n_.me().region;
     x.m.name = "none";
     x.m.deadline = 10 * SECOND;
     x.due = now + x.m.deadline;
-    if (di_.senderNames) {
-        auto n = header(h, di_.exchange);
+    if (di_.clientNamesRequests) {
+        auto n = header(h, di_.request);
         if (n.empty() || n.size() > 256)
-            return fail(x, 400, "the header " + di_.exchange + " is missing or too long", now), id;
+            return fail(x, 400, "the header " + di_.request + " is missing or too long", now), id;
         x.exid = n;
     }
-    if (refuseNew_ || (draining_ && !di_.senderNames)) return fail(x, 503, "this node is stopping", now), id;
+    if (refuseNew_ || (draining_ && !di_.clientNamesRequests))
+        return fail(x, 503, "this node is stopping", now), id;
     if (broken.noServe) return fail(x, 503, "broken", now), id;
-    if (!n_.fresh(now)) return fail(x, 503, "this node has not heard a majority within its lease", now), id;
-    if (emptiedAt_ > 0 && now - emptiedAt_ > 4 * SECOND && !di_.senderNames)
+    if (!n_.withinLease(now))
+        return fail(x, 503, "this node has not heard a majority within its lease", now), id;
+    if (evacuatedAt_ > 0 && now - evacuatedAt_ > 4 * SECOND && !di_.clientNamesRequests)
         return fail(x, 503, "this district is emptied", now), id;
     auto i = ru_.match(method, x.host, path);
     if (i < 0)
-        return fail(x, ru_.gen ? 404 : 503, ru_.gen ? "no mapping for this path" : "no configuration yet",
-                   now),
+        return fail(x, ru_.configVersion ? 404 : 503,
+                   ru_.configVersion ? "no mapping for this path" : "no configuration yet", now),
                id;
     x.h = h;
     x.body = body;
-    x.epoch = epoch_;
+    x.rulesRevision = rulesRevision_;
     x.seq = std::int64_t(body.size() / 4);
     x.askedModel = header(h, di_.model);
     x.m = adapt(x, ru_.ms[std::size_t(i)]);
@@ -95,7 +97,7 @@
     }
     if (auto t = header(h, di_.parts); !t.empty()) partsOf(t, x);
     else if (x.m.affinity) x.key = beginning(std::string_view(body).substr(0, x.m.affinity));
-    if (auto l = header(h, di_.lastEvent); !l.empty() && di_.senderNames) {
+    if (auto l = header(h, di_.lastEvent); !l.empty() && di_.clientNamesRequests) {
         // A further try of the sender's, and as such a first send; on what cannot be resumed it is
         // passed on like any other header.
         if (x.m.again() && x.m.stream) {
@@ -120,9 +122,9 @@
             x.region, x.due - now, x.left(), x.m.maxTries - x.tries,
             x.resumed ? fmt::format(", resumed after event {} of weights {}", x.last, x.weights) : ""));
     ct_.add("accepted_total");
-    if (di_.senderNames) claim(x);
+    if (di_.clientNamesRequests) claim(x);
     // Nobody goes ahead of those who wait for the same servers with no less urgency.
-    if (queued_[x.m.pool] == 0 && start(x, now)) return id;
+    if (queued_[x.m.service] == 0 && start(x, now)) return id;
     if (x.phase() == Phase::Finished) return id;
     if (!queue(x, now)) fail(x, 503, "the servers are full and so is the queue", now);
     return id;
@@ -130,7 +132,7 @@
 
 // A sender whose own node was lost picks its stream up here. That is a migration which the
 // sender asks for: allowed where ours are, counted as ours are, of the same weights only.
-auto Edge::resume(Exchange& x, const std::string& l, const std::string& w) -> std::string {
+auto Edge::resume(Request& x, const std::string& l, const std::string& w) -> std::string {
     auto n = parseNumber(l);
     x.resumed = true;
     x.tries = x.moved = 1;
@@ -148,39 +150,39 @@
 }
 
 // A place in the pool's queue. A full queue gives up its least urgent for one more urgent.
-auto Edge::queue(Exchange& x, Microseconds now) -> bool {
+auto Edge::queue(Request& x, Microseconds now) -> bool {
     if (x.m.queueUs == 0) return false;
-    if (auto pr = described(x.m.pool); pr && seen_[x.m.pool].held > 0) {
+    if (auto pr = described(x.m.service); pr && seen_[x.m.service].held > 0) {
         // Of the places that fall free, each node gets its part.
         auto all = 0;
         for (auto& [n, s] : n_.servers())
-            if (s.l.pool == x.m.pool && s.l.state == UP) all += slots(n, s, *pr);
+            if (s.listing.serviceName == x.m.service && s.listing.state == UP) all += slots(n, s, *pr);
         auto before = 0;
-        for (auto& [id, y] : xs_) before += y.queuedIn == x.m.pool && y.m.urgency >= x.m.urgency;
-        auto wait = seen_[x.m.pool].held * before * double(nodes()) / std::max(1, all);
+        for (auto& [id, y] : xs_) before += y.queuedIn == x.m.service && y.m.urgency >= x.m.urgency;
+        auto wait = seen_[x.m.service].held * before * double(nodes()) / std::max(1, all);
         if (all && wait > double(std::min(x.due - now, x.m.queueUs))) return false;
     }
-    if (queued_[x.m.pool] >= x.m.queue) {
-        auto w = (Exchange*)nullptr;
+    if (queued_[x.m.service] >= x.m.queue) {
+        auto w = (Request*)nullptr;
         for (auto& [id, y] : xs_)
-            if (y.queuedIn == x.m.pool && y.m.urgency < x.m.urgency
+            if (y.queuedIn == x.m.service && y.m.urgency < x.m.urgency
                 && (!w || y.m.urgency < w->m.urgency || (y.m.urgency == w->m.urgency && y.due >= w->due)))
                 w = &y;
         if (!w) return false;
         ct_.add("displaced_total");
         fail(*w, 503, "more urgent work took its place in the queue", now);
     }
-    queued_[x.m.pool]++;
-    x.queuedIn = x.m.pool;
+    queued_[x.m.service]++;
+    x.queuedIn = x.m.service;
     x.queuedTill = std::min(x.due, x.headSent ? now + std::max(x.m.queueUs, SECOND) : now + x.m.queueUs);
-    note(x, fmt::format("+{} us queued behind {}", now - x.born, queued_[x.m.pool] - 1));
+    note(x, fmt::format("+{} us queued behind {}", now - x.born, queued_[x.m.service] - 1));
     ct_.add("queued_total");
     return true;
 }
 
-auto Edge::unqueue(Exchange& x) -> void {
+auto Edge::unqueue(Request& x) -> void {
     if (x.queuedIn.empty()) return;
-    queued_[broken.queueLeak ? x.m.pool + "?" : x.queuedIn]--;
+    queued_[broken.queueLeak ? x.m.service + "?" : x.queuedIn]--;
     x.queuedIn.clear();
     x.queuedTill = 0;
 }
@@ -215,7 +217,7 @@
 }
 
 auto Edge::pump(Microseconds now) -> void {
-    auto q = std::vector<Exchange*>();
+    auto q = std::vector<Request*>();
     for (auto& [id, x] : xs_)
         if (x.phase() == Phase::Queued && x.queuedTill) q.push_back(&x);
     if (q.empty()) return;
