--- a/src/routing/answers.cpp
+++ b/src/routing/answers.cpp
@@ -28,28 +28,28 @@
 }  // namespace
 
 // Whether the answer is another request's, or does not prove that it is this one's.
-auto Edge::wrongExchange(const Exchange& x, const Headers& h, int status) const -> bool {
+auto Edge::wrongRequest(const Request& x, const Headers& h, int status) const -> bool {
     if (broken.anyIdentity) return false;
-    auto name = header(h, di_.exchange);
+    auto name = header(h, di_.request);
     if (!name.empty()) return name != x.exid;
     // Of a success without a name nobody knows whose it is; of a failure neither, where a late
     // answer to an earlier request may come on the same connection.
     auto success = status >= 200 && status < 300;
-    return di_.senderNames && (success || x.reusedLink);
+    return di_.clientNamesRequests && (success || x.reusedLink);
 }
 
 // The head of the answer was read, or what implies it.
-auto Edge::headRead(Exchange& x, int status, const Headers& h) -> void {
+auto Edge::headRead(Request& x, int status, const Headers& h) -> void {
     if (x.attempt.state() != AttemptState::Writing && x.attempt.state() != AttemptState::Written) return;
-    apply(x, denial(status, h) ? AttemptEvent::NotExecutedHead : AttemptEvent::FinalHead);
+    apply(x, rejection(status, h) ? AttemptEvent::NotExecutedHead : AttemptEvent::FinalHead);
 }
 
 // Did the server say that it did not run it?
-auto Edge::denial(int status, const Headers& h) const -> bool {
-    return !header(h, di_.notExecuted).empty() || (di_.senderNames && status == 421);
+auto Edge::rejection(int status, const Headers& h) const -> bool {
+    return !header(h, di_.notExecuted).empty() || (di_.clientNamesRequests && status == 421);
 }
 
-auto Edge::forSender(const Headers& h) const -> Headers { return endToEnd(h); }
+auto Edge::forClient(const Headers& h) const -> Headers { return endToEnd(h); }
 
 auto Edge::upHead(std::int64_t id, int a, int status, const Headers& h, Microseconds now) -> bool {
     auto x = get(id, a);
@@ -59,9 +59,10 @@
     auto t = double(now - x->sentAt);
     f.first = f.first > 0 ? f.first * 0.8 + t * 0.2 : t;
     // Slow beside its like: judged against the pool's median.
-    if (t > 200 * MILLISECOND && !denial(status, h))
-        if (auto m = median(x->m.pool, &Fitness::first); m > 0 && f.first > 5 * m) hurt(x->server, 0.9, now);
-    if ((status == 200 || di_.senderNames) && wrongExchange(*x, h, status)) {
+    if (t > 200 * MILLISECOND && !rejection(status, h))
+        if (auto m = median(x->m.service, &Fitness::first); m > 0 && f.first > 5 * m)
+            hurt(x->server, 0.9, now);
+    if ((status == 200 || di_.clientNamesRequests) && wrongRequest(*x, h, status)) {
         hurt(x->server, 0.2, now);
         ct_.add("wrong_exchange_total");
         again(*x, AttemptEvent::WrongIdentity, "the server sent another exchange's reply", now);
@@ -69,7 +70,7 @@
     }
     headRead(*x, status, h);
     readDone(*x);
-    if (!(di_.senderNames && status == 421)) readLoad(x->server, h, now);
+    if (!(di_.clientNamesRequests && status == 421)) readLoad(x->server, h, now);
     x->headOf = a;
     // What a server says of its weights itself is newer than the listing.
     if (auto w = header(h, di_.weights); status == 200 && !w.empty()) {
@@ -80,7 +81,7 @@
             return false;
         }
     }
-    if (!x->headSent && di_.passHeaders) x->status = status, x->head = forSender(h);
+    if (!x->headSent && di_.passHeaders) x->status = status, x->head = forClient(h);
     return true;
 }
 
@@ -90,13 +91,13 @@
 
 // A server that crawls is as good as lost to a stream that may move: once a stream, and only
 // where another server would take it now, for a stream is better slow than cut.
-auto Edge::slow(Exchange& x, Microseconds gap, Microseconds now) -> void {
+auto Edge::slow(Request& x, Microseconds gap, Microseconds now) -> void {
     auto& f = fit_[x.server];
     f.pace = f.pace > 0 ? f.pace * 0.9 + double(gap) * 0.1 : double(gap);
     x.pace = x.paced++ ? x.pace * 0.8 + double(gap) * 0.2 : double(gap);
     if (x.paced < 8 || x.pace < double(100 * MILLISECOND) || x.moved > 0 || !x.m.resumable || x.left() <= 0)
         return;
-    auto m = median(x.m.pool, &Fitness::pace);
+    auto m = median(x.m.service, &Fitness::pace);
     if (m <= 0 || x.pace < 5 * m) return;
     hurt(x.server, 0.5, now);
     if (!pays(x, now) || !bind(x) || now >= x.due || !bar(x, true, true).empty()) return;
@@ -111,13 +112,13 @@
 
 // Once, before the first bytes of a stream: the head that the sender gets, of whatever server
 // gave the first event.
-auto Edge::headOut(Exchange& x) -> void {
+auto Edge::headOut(Request& x) -> void {
     if (x.headSent) return;
     x.headSent = true;
     if (!x.resumed) x.weights = x.sentWeights;
     if (di_.passHeaders) return po_.head(x.id, x.status, x.head);
     po_.head(
-        x.id, 200, {{"Content-Type", "text/event-stream"}, {di_.exchange, x.exid}, {di_.weights, x.weights}});
+        x.id, 200, {{"Content-Type", "text/event-stream"}, {di_.request, x.exid}, {di_.weights, x.weights}});
 }
 
 auto Edge::upEvent(std::int64_t id, int a, const Event& e, Microseconds now) -> void {
@@ -131,12 +132,12 @@
     auto out = [&](bool late) {
         hurt(x->server, 0.3, now);
         ct_.add(late ? "events_out_of_line_total" : "events_unsound_total");
-        if (di_.senderNames && !x->headSent)
+        if (di_.clientNamesRequests && !x->headSent)
             return again(*x, AttemptEvent::MalformedAnswer, "its first event is unsound", now);
         fail(*x, 502, fmt::format("the event after {} came as {}", x->last, e.id.empty() ? "garbage" : e.id),
             now);
     };
-    if (di_.senderNames) {
+    if (di_.clientNamesRequests) {
         // Here ids rise, by how much nobody says.
         if (e.id.empty() && !comment(e.raw)) {
             if (x->last >= 0 || (e.data.empty() && e.type.empty())) return out(false);
@@ -160,8 +161,8 @@
     headOut(*x);
     turn(*x, ct_, PhaseEvent::Bytes);
     apply(*x, AttemptEvent::EventReceived);
-    auto pr = described(x->m.pool);
-    x->seq += di_.senderNames && e.id.empty() ? 0 : pr && pr->stride > 0 ? pr->stride : 1;
+    auto pr = described(x->m.service);
+    x->seq += di_.clientNamesRequests && e.id.empty() ? 0 : pr && pr->stride > 0 ? pr->stride : 1;
     if (x->seq > x->m.maxSequence) {
         if (!x->fixed)
             note(*x, fmt::format("+{} us past the maximum sequence length: migrations 0", now - x->born));
@@ -201,26 +202,26 @@
     std::int64_t id, int a, int status, const Headers& h, const std::string& body, Microseconds now) -> void {
     auto x = get(id, a);
     if (!x) return;
-    if (wrongExchange(*x, h, status)) {
+    if (wrongRequest(*x, h, status)) {
         hurt(x->server, 0.2, now);
         ct_.add("wrong_exchange_total");
         return again(*x, AttemptEvent::WrongIdentity, "the server sent another exchange's reply", now);
     }
     headRead(*x, status, h);
     readDone(*x);
-    if (x->headOf != a && !(di_.senderNames && status == 421)) readLoad(x->server, h, now);
+    if (x->headOf != a && !(di_.clientNamesRequests && status == 421)) readLoad(x->server, h, now);
     auto& f = fit_[x->server];
     // What is wrong with the exchange itself no other server would take either.
-    auto wrong =
-        di_.senderNames && status >= 400 && status < 500 && status != 408 && status != 421 && status != 429;
-    if (denial(status, h) && !(wrong && !x->headSent)) {
+    auto wrong = di_.clientNamesRequests && status >= 400 && status < 500 && status != 408 && status != 421
+        && status != 429;
+    if (rejection(status, h) && !(wrong && !x->headSent)) {
         ct_.add("server_denied_total");
-        if (status == 421 && di_.senderNames) {
+        if (status == 421 && di_.clientNamesRequests) {
             // Its address is another server's by now; it may be listed for a while yet.
             if (auto s = n_.servers().find(x->server); s != n_.servers().end())
-                f.wrongGen = std::max(f.wrongGen, s->second.l.gen);
+                f.wrongRevision = std::max(f.wrongRevision, s->second.listing.revision);
             strike(x->server, now);
-        } else if (di_.senderNames) f.fullTill = now + 150 * MILLISECOND;
+        } else if (di_.clientNamesRequests) f.fullTill = now + 150 * MILLISECOND;
         else hurt(x->server, 0.8, now);
         return again(
             *x, AttemptEvent::AnswerUnsuitable, fmt::format("denied by the server with {}", status), now);
@@ -232,16 +233,17 @@
         return again(*x, AttemptEvent::AnswerUnsuitable, "not a stream", now);
     if (status >= 500) hurt(x->server, 0.7, now);
     else f.fit = std::min(1.0, fitOf(x->server, now) + 0.1), f.at = now;
-    if (di_.senderNames && status >= 500 && x->rights().repeatable
+    if (di_.clientNamesRequests && status >= 500 && x->rights().repeatable
         && movable(*x, AttemptEvent::AnswerUnsuitable, now))
         return again(
             *x, AttemptEvent::AnswerUnsuitable, fmt::format("the server failed with {}", status), now);
     // These promise that nothing ran, which this server did not say.
-    if (di_.senderNames && (status == 503 || status == 429 || status == 408) && !x->rights().repeatable)
+    if (di_.clientNamesRequests && (status == 503 || status == 429 || status == 408)
+        && !x->rights().repeatable)
         return again(*x, AttemptEvent::AnswerUnsuitable,
             fmt::format("the server replied {} but may have run it", status), now);
-    auto o = Headers{{di_.exchange, x->exid}};
-    if (di_.passHeaders) o = forSender(h);
+    auto o = Headers{{di_.request, x->exid}};
+    if (di_.passHeaders) o = forClient(h);
     else
         for (auto k : {"Content-Type", "Retry-After", "Cache-Control", "ETag"})
             if (auto v = header(h, k); !v.empty()) o.emplace_back(k, v);
@@ -250,7 +252,7 @@
     po_.reply(x->id, status, o, body);
     tally(*x, status < 400 ? (x->tries > 1 ? "whole_moved" : "whole") : "server_error");
     finish(*x, fmt::format("reply {}", status), now);
-    if (di_.senderNames) pump(now);
+    if (di_.clientNamesRequests) pump(now);
 }
 
 auto Edge::upFailed(std::int64_t id, int a, AttemptEvent event, const std::string& why, Microseconds now)
--- a/src/routing/attempts.cpp
+++ b/src/routing/attempts.cpp
@@ -18,7 +18,7 @@
 
 // What stands against a send, whatever the server, where an earlier one may have run (`ran`);
 // with `more`, against one beyond those already granted.
-auto Edge::bar(const Exchange& x, bool ran, bool more) const -> std::string {
+auto Edge::bar(const Request& x, bool ran, bool more) const -> std::string {
     if (ran && !broken.resendAny) {
         auto step = stepAfterFailure(Execution::MayHaveRun, x.headSent);
         if (!mayAttemptAgain(step, x.rights()))
@@ -29,18 +29,18 @@
     }
     auto moved = x.moved + more;
     // A stream of no model has the limit that is the default: none.
-    auto limited = !x.m.model.empty() || (di_.senderNames && x.m.stream);
+    auto limited = !x.m.model.empty() || (di_.clientNamesRequests && x.m.stream);
     if (limited && moved > 0 && (moved > x.m.limit || (more && x.fixed))) return "no migration is left";
     if (x.tries >= x.m.maxTries) return "MaxTries is reached";
     return "";
 }
 
-auto Edge::start(Exchange& x, Microseconds now) -> bool {
+auto Edge::start(Request& x, Microseconds now) -> bool {
     if (!bind(x)) {
         fail(x, 503, "its mapping is no longer configured", now);
         return false;
     }
-    if (!n_.fresh(now)) {
+    if (!n_.withinLease(now)) {
         fail(x, 503, "this node has not heard a majority within its lease", now);
         return false;
     }
@@ -54,24 +54,24 @@
     auto& f = fit_[s];
     f.inflight++;
     x.counted = true;
-    if (auto pr = described(x.m.pool)) {
+    if (auto pr = described(x.m.service)) {
         coldLets(s, n_.servers().at(s), *pr, now, true);
         if (pr->engine) {
             x.unread = unread(f, x, false);
             f.unread += double(x.unread);
             f.tokens += double(x.own());
-            auto& k = seen_[x.m.pool].tokens;
+            auto& k = seen_[x.m.service].tokens;
             k = k > 0 ? k * 0.98 + double(x.own()) * 0.02 : double(x.own());
             for (auto& [p, t] : x.parts) f.kept.add(p, t, pr->kvTokens ? pr->kvTokens : 1 << 18);
         }
     }
     turn(x, ct_, PhaseEvent::Send);
     apply(x, AttemptEvent::ServerChosen);
-    po_.send(x.id, x.a, s, n_.servers().at(s).l.address);
+    po_.send(x.id, x.a, s, n_.servers().at(s).listing.address);
     return true;
 }
 
-auto Edge::release(Exchange& x) -> void {
+auto Edge::release(Request& x) -> void {
     readDone(x);
     if (x.counted) {
         auto& f = fit_[x.server];
@@ -82,8 +82,8 @@
 }
 
 // Why the server that was picked may not be sent to after all.
-auto Edge::unsent(const Exchange& x, Microseconds now) const -> std::string {
-    if (!n_.fresh(now)) return "no majority was heard within the lease";
+auto Edge::unsent(const Request& x, Microseconds now) const -> std::string {
+    if (!n_.withinLease(now)) return "no majority was heard within the lease";
     if (now >= x.due) return "its time is over";
     auto i = n_.servers().find(x.server);
     if (i == n_.servers().end()) return "it is no longer known";
@@ -101,7 +101,7 @@
     auto over = bind(*x) ? bar(*x, ranBefore, false) : std::string("its mapping is no longer configured");
     auto why = over.empty() ? unsent(*x, now) : over;
     if (why.empty() && reused && !reusable(*x)) why = "it may not go on a used connection any more";
-    if (auto pr = described(x->m.pool); why.empty() && pr && now - x->sentAt > 250 * MILLISECOND
+    if (auto pr = described(x->m.service); why.empty() && pr && now - x->sentAt > 250 * MILLISECOND
         && !coldLets(x->server, n_.servers().at(x->server), *pr, now, true))
         why = "it is cold, and this send was held up";
     if (why.empty()) {
@@ -112,7 +112,7 @@
         x->reusedLink = reused;
         x->lastByte = now;
         if (auto& f = fit_[x->server]; f.asked <= f.heard) f.asked = now;
-        x->sentWeights = n_.servers().at(x->server).l.weights;
+        x->sentWeights = n_.servers().at(x->server).listing.weights;
         note(*x, fmt::format("+{} us send {} to {}", now - x->born, x->tries, x->server));
         return true;
     }
@@ -134,7 +134,7 @@
 }
 
 // The headers of a send.
-auto Edge::outgoing(const Exchange& x, Microseconds now) const -> Headers {
+auto Edge::outgoing(const Request& x, Microseconds now) const -> Headers {
     auto o = endToEnd(x.h);
     auto drop = [&](std::string_view k) {
         if (!k.empty()) std::erase_if(o, [&](auto& e) { return sameName(e.first, k); });
@@ -144,10 +144,10 @@
         drop(k);
         o.emplace_back(k, std::move(v));
     };
-    if (!di_.senderNames) {
+    if (!di_.clientNamesRequests) {
         auto s = n_.servers().find(x.server);
-        set("Host", s == n_.servers().end() ? "" : s->second.l.address);
-        set(di_.exchange, x.exid);
+        set("Host", s == n_.servers().end() ? "" : s->second.listing.address);
+        set(di_.request, x.exid);
         drop(di_.lastEvent);
         drop(di_.weights);
     }
@@ -160,13 +160,13 @@
 
 // An attempt's event, by the table of attempt_state.hpp; gives what is known of it then. What the
 // table does not allow is never done in silence.
-auto Edge::apply(Exchange& x, AttemptEvent event) -> Execution {
+auto Edge::apply(Request& x, AttemptEvent event) -> Execution {
     if (x.attempt.apply(event).step == NextStep::Illegal) ct_.add("illegal_transitions_total");
     return x.attempt.current();
 }
 
 // Could it go on at another server if this happened now?
-auto Edge::movable(Exchange& x, AttemptEvent event, Microseconds now) -> bool {
+auto Edge::movable(Request& x, AttemptEvent event, Microseconds now) -> bool {
     auto execution = attemptRule(x.attempt.state(), event).execution;
     if (broken.silenceIsNoArrival && event == AttemptEvent::Silence) execution = Execution::NotArrived;
     auto ran = std::max(execution, x.attempt.earlier()) >= Execution::MayHaveRun;
@@ -183,7 +183,7 @@
 }
 
 // A send has failed by `event`, which the table of attempt_state.hpp judges.
-auto Edge::again(Exchange& x, AttemptEvent event, const std::string& why, Microseconds now) -> void {
+auto Edge::again(Request& x, AttemptEvent event, const std::string& why, Microseconds now) -> void {
     auto execution = apply(x, event);
     if (broken.silenceIsNoArrival && event == AttemptEvent::Silence) {
         x.attempt = AttemptTracker();
@@ -198,7 +198,7 @@
     x.a++;
     turn(x, ct_, PhaseEvent::Loss);
     x.tried.push_back(x.server);
-    if (!ran) x.denied.push_back(x.server);
+    if (!ran) x.rejected.push_back(x.server);
     note(x, fmt::format("+{} us lost {}: {}{}", now - x.born, x.server, why, ran ? "" : " (nothing ran)"));
     // What the newest configuration allows is what counts, not what it allowed at first.
     if (!bind(x)) return fail(x, 502, why + "; its mapping is no longer configured", now);
@@ -216,7 +216,7 @@
         if (!hopes(x) || !queue(x, now)) return fail(x, 503, why + "; no other server has room", now);
         turn(x, ct_, PhaseEvent::Wait);
     }
-    if (arrived) purse(x.m.pool, now) -= cost(x);
+    if (arrived) budgetOf(x.m.service, now) -= cost(x);
     if (!x.m.model.empty() && arrived) x.moved++;
     ct_.add(ran ? "migrations_ongoing_total" : "migrations_new_total");
     if (arrived) ct_.add("extra_sends_total");
@@ -231,7 +231,7 @@
     strike(x->server, now);
     fit_[x->server].lostAt = now;
     fit_[x->server].kept.clear();
-    if (di_.senderNames) {
+    if (di_.clientNamesRequests) {
         // Nothing arrived: neither a try nor an extra send, but not without end.
         if (++x->refusals > 3) x->tries = std::max(x->tries, x->m.maxTries);
         return again(*x, AttemptEvent::ConnectionRefused, "connection refused", now);
--- a/src/routing/cold_ramp.cpp
+++ b/src/routing/cold_ramp.cpp
@@ -21,13 +21,13 @@
     // After a loss it may be another life that replies: cold, until its load says otherwise.
     if (auto& f = fit_[name]; f.lostAt > s.seen && f.lostAt > s.first) up = 0;
     // So it does where it was last seen not to reply, or nobody has read its load of late.
-    else if (s.seen && (s.d.dark || now - s.seen > STALE)) up = 0;
+    else if (s.seen && (s.load.dark || now - s.seen > STALE)) up = 0;
     else if (s.seen) {
-        if (!s.d.cold && s.d.up >= ru_.rampOver) return ALL;
-        up = s.d.up + (now - s.seen);
+        if (!s.load.cold && s.load.up >= ru_.rampOver) return ALL;
+        up = s.load.up + (now - s.seen);
     }
     if (up >= ru_.rampOver) return ALL;
-    auto slots = double(std::max(1, s.l.slots));
+    auto slots = double(std::max(1, s.listing.slots));
     auto cap = int(ru_.rampFirst + (slots - ru_.rampFirst) * double(up) / double(ru_.rampOver));
     auto ns = n_.aliveNodes(now);
     auto k = 0;
@@ -35,7 +35,7 @@
     return cap / int(ns.size()) + (k < cap % int(ns.size()));
 }
 
-auto Edge::cold(const std::string& name, const Server& s, const PoolRule& pr, Microseconds now) -> bool {
+auto Edge::cold(const std::string& name, const Server& s, const ServiceRule& pr, Microseconds now) -> bool {
     constexpr auto MORE = 250 * MILLISECOND;  // what is told is a little old
     auto& f = fit_[name];
     if (s.coldTill > s.told && now < s.coldTill + MORE) return true;
@@ -43,15 +43,15 @@
     // New in our time, and nobody says how it is.
     if (!s.coldTill && listedAt_ && s.first > listedAt_ + SECOND && now < s.first + pr.coldUs) return true;
     // Servers of a district that is given back may have turned cold just before.
-    auto g = givenBack_.find(s.l.district);
-    return g != givenBack_.end() && (g->second < 0 || s.told < g->second + SECOND);
+    auto g = restoredZones_.find(s.listing.zone);
+    return g != restoredZones_.end() && (g->second < 0 || s.told < g->second + SECOND);
 }
 
 // A cold server bears a rate of exchanges, over all nodes. It is dealt out as buckets of one
 // exchange to the nodes that rendezvous hashing puts first, to no more of them than may find
 // their buckets full in the same second.
-auto Edge::coldLets(const std::string& name, const Server& s, const PoolRule& pr, Microseconds now, bool take)
-    -> bool {
+auto Edge::coldLets(
+    const std::string& name, const Server& s, const ServiceRule& pr, Microseconds now, bool take) -> bool {
     if (pr.coldRate <= 0 || broken.noRamp || !cold(name, s, pr, now)) return true;
     if (!settled(now)) return false;
     auto most = 0.8 * ((ru_.coldOverrun - 0.9) * pr.coldRate + ru_.coldSlack);
--- a/src/routing/edge.cpp
+++ b/src/routing/edge.cpp
@@ -18,7 +18,7 @@
 
 Edge::Edge(Node& n, EdgePort& p, Counters& c, std::uint64_t seed, const Dialect& d)
     : n_(n), po_(p), ct_(c), rng_{seed}, di_(d) {
-    n_.onWord = [this] { rebuild(); };
+    n_.onStateChange = [this] { rebuild(); };
     n_.onGrant = [this](std::int64_t g) {
         credit_ = std::min(credit_ + g, ru_.cap * ONE);
         ct_.add("grants_taken_total");
@@ -27,55 +27,55 @@
 }
 
 auto Edge::rebuild() -> void {
-    auto& w = n_.word();
+    auto& w = n_.replicatedState();
     // A rebuild may give a number anew that an order had which was never acknowledged.
-    if (w.configGen() != ru_.gen || w.reign != ru_.reign || ru_.ms.empty()) {
-        ru_ = compile(w.config(), w.configGen());
-        ru_.reign = w.reign;
-        epoch_++;
+    if (w.configVersion() != ru_.configVersion || w.epoch != ru_.epoch || ru_.ms.empty()) {
+        ru_ = compile(w.config(), w.configVersion());
+        ru_.epoch = w.epoch;
+        rulesRevision_++;
     }
     roster_ = w.roster().size();
-    auto was = std::move(emptied_);
-    emptied_.clear();
+    auto was = std::move(evacuatedZones_);
+    evacuatedZones_.clear();
     if (w.d["empties"].IsObject())
-        for (auto& m : w.d["empties"].GetObject()) emptied_.insert(m.name.GetString());
+        for (auto& m : w.d["empties"].GetObject()) evacuatedZones_.insert(m.name.GetString());
     for (auto& d : was)
-        if (!emptied_.count(d)) givenBack_[d] = -1;
-    auto z = w.emptied(n_.settings().district);
-    if (z && !emptiedAt_) emptiedAt_ = -1;
-    if (!z) emptiedAt_ = 0;
+        if (!evacuatedZones_.count(d)) restoredZones_[d] = -1;
+    auto z = w.evacuated(n_.settings().zone);
+    if (z && !evacuatedAt_) evacuatedAt_ = -1;
+    if (!z) evacuatedAt_ = 0;
 }
 
-auto Edge::get(std::int64_t x, int a) -> Exchange* {
+auto Edge::get(std::int64_t x, int a) -> Request* {
     auto i = xs_.find(x);
     return i == xs_.end() || i->second.a != a || i->second.phase() == Phase::Finished ? nullptr : &i->second;
 }
 
-auto Edge::find(std::int64_t x) const -> const Exchange* {
+auto Edge::find(std::int64_t x) const -> const Request* {
     auto i = xs_.find(x);
     return i == xs_.end() ? nullptr : &i->second;
 }
 
-auto Edge::note(Exchange& x, std::string s) -> void {
+auto Edge::note(Request& x, std::string s) -> void {
     if (x.trace.size() < 200) x.trace.push_back(std::move(s));
 }
 
-auto Edge::tally(const Exchange& x, std::string_view what) -> void {
+auto Edge::tally(const Request& x, std::string_view what) -> void {
     ct_.add(fmt::format("exchanges_total{{mapping=\"{}\",outcome=\"{}\"}}", x.m.name, what));
 }
 
 // How long a silence is borne by what may move. Where the configuration does not say, it is moved
 // while it may still come in time, unless the whole pool is that slow.
-auto Edge::patience(const Exchange& x) const -> Microseconds {
+auto Edge::patience(const Request& x) const -> Microseconds {
     if (x.m.idleSaid) return x.m.idle;
     if (x.phase() == Phase::Delivering) {
         if (!x.m.gap) return x.m.idle;
         return Microseconds(std::max(
-            {0.6 * double(x.m.gap), 8 * median(x.m.pool, &Fitness::pace), double(150 * MILLISECOND)}));
+            {0.6 * double(x.m.gap), 8 * median(x.m.service, &Fitness::pace), double(150 * MILLISECOND)}));
     }
     if (!x.m.aim) return x.m.idle;
-    auto usual =
-        std::max({0.7 * double(x.m.aim), 4 * median(x.m.pool, &Fitness::first), double(200 * MILLISECOND)});
+    auto usual = std::max(
+        {0.7 * double(x.m.aim), 4 * median(x.m.service, &Fitness::first), double(200 * MILLISECOND)});
     return Microseconds(usual + 2 * double(x.unread) / READ);
 }
 
@@ -83,12 +83,13 @@
     if (!born_) born_ = now;
     if (!listedAt_ && !n_.servers().empty()) listedAt_ = now;
     if (auto k = n_.rows().size() + 1; k >= peak_ || now - peakAt_ > 120 * SECOND) peak_ = k, peakAt_ = now;
-    if (emptiedAt_ < 0) emptiedAt_ = now;
-    for (auto i = givenBack_.begin(); i != givenBack_.end();) {
+    if (evacuatedAt_ < 0) evacuatedAt_ = now;
+    for (auto i = restoredZones_.begin(); i != restoredZones_.end();) {
         if (i->second < 0) i->second = now;
-        i = now - i->second > 5 * SECOND || emptied_.count(i->first) ? givenBack_.erase(i) : std::next(i);
+        i = now - i->second > 5 * SECOND || evacuatedZones_.count(i->first) ? restoredZones_.erase(i)
+                                                                            : std::next(i);
     }
-    if (di_.senderNames && now - prunedAt_ > 10 * SECOND) {
+    if (di_.clientNamesRequests && now - prunedAt_ > 10 * SECOND) {
         prunedAt_ = now;
         std::erase_if(fit_, [&](auto& f) { return f.second.inflight == 0 && !n_.servers().count(f.first); });
     }
@@ -96,12 +97,12 @@
         if (x.phase() == Phase::Finished) continue;
         if (now >= x.due) {
             ct_.add("deadline_total");
-            if (di_.senderNames && x.counted && silent(fit_[x.server], now)) strike(x.server, now);
+            if (di_.clientNamesRequests && x.counted && silent(fit_[x.server], now)) strike(x.server, now);
             apply(x, AttemptEvent::DeadlinePassed);
             fail(x, 504, "its time is over", now);
             continue;
         }
-        if (di_.senderNames) {
+        if (di_.clientNamesRequests) {
             // Silence ends nothing here; it moves what may move, and only where it can.
             if (x.phase() != Phase::Sending && x.phase() != Phase::Delivering) continue;
             if (now - x.lastByte < 150 * MILLISECOND || now < x.lookAt) continue;
@@ -135,15 +136,16 @@
     if (now - grantAt_ > 200 * MILLISECOND && credit_ > 8 * ONE) {
         grantAt_ = now;
         for (auto& [n, k] : n_.rows()) {
-            if (now - k.at >= ALIVE || !k.r.want || k.r.credit >= 2 * ONE || credit_ <= 8 * ONE) continue;
+            if (now - k.at >= ALIVE || !k.record.want || k.record.credit >= 2 * ONE || credit_ <= 8 * ONE)
+                continue;
             auto mine = true;
             for (auto& [o, q] : n_.rows())
-                if (o != n && now - q.at < ALIVE && q.r.credit > 8 * ONE
+                if (o != n && now - q.at < ALIVE && q.record.credit > 8 * ONE
                     && rank(n, o) > rank(n, n_.me().node))
                     mine = false;
             if (!mine) continue;
             credit_ -= 2 * ONE;
-            n_.grant(n, 2 * ONE, now);
+            n_.creditGrant(n, 2 * ONE, now);
             ct_.add("grants_given_total");
         }
     }
--- a/src/routing/edge.hpp
+++ b/src/routing/edge.hpp
@@ -28,7 +28,7 @@
 
 /// One step of a mapping's program. Steps narrow the servers that an exchange may go
 /// to, in order; the last picks. Each leaves a line that says what it did.
-enum class Op { Pool, Listed, Emptied, Home, Weights, Untried, Fit, Ramp, Room, Near, Pick };
+enum class Op { Service, Listed, Evacuated, Home, Weights, Untried, Fit, Ramp, Room, Near, Pick };
 struct Step {
     Op op;
     double w = 0;
@@ -37,19 +37,19 @@
 /// The names that a deployment's wire gives to what travels in headers; what is empty is not
 /// spoken. Urgency travels as 0 to 9, of which 0 goes first.
 struct Dialect {
-    std::string exchange = "X-Exchange-Id", notExecuted = "X-Not-Executed", weights = "X-Weights",
+    std::string request = "X-Exchange-Id", notExecuted = "X-Not-Executed", weights = "X-Weights",
                 lastEvent = "Last-Event-Id", target, deadlineMs, urgency, load, serverId, coldMs, parts,
                 tokens, model;
     /// The sender names the exchange, and servers repeat that name. With it come the customs of
     /// such a wire: a further try is another exchange, ids of events rise but not by one, and 503
     /// is a promise that nothing ran.
-    bool senderNames = false;
+    bool clientNamesRequests = false;
     bool passHeaders = false;  // a server's headers go to the sender unchanged, and nothing is added
     bool doneEvent = true;     // a stream is whole with its last event, not with its HTTP message
 };
 
 /// What the configuration says of a pool's servers. 0: nothing.
-struct PoolRule {
+struct ServiceRule {
     int maxConns = 0, slots = 0, stride = 0;
     Microseconds coldUs = 0;
     double coldRate = 0;  // exchanges a second that a cold one bears
@@ -61,9 +61,9 @@
     std::int64_t maxSequence = 4096;
 };
 
-struct Mapping {
-    std::string name, host, method, path, pool, model;
-    std::vector<std::pair<std::string, std::int64_t>> pools;  // by share, instead of the one pool
+struct Route {
+    std::string name, host, method, path, service, model;
+    std::vector<std::pair<std::string, std::int64_t>> services;  // by share, instead of the one pool
     std::vector<std::string> homes, spill;
     double spillAt = 0.9;
     bool prefix = false, stream = false, resumable = false, repeatable = false;
@@ -79,9 +79,9 @@
 };
 
 struct Rules {
-    std::int64_t gen = 0, reign = 0;
-    std::vector<Mapping> ms;
-    std::map<std::string, PoolRule> pools;
+    std::int64_t configVersion = 0, epoch = 0;
+    std::vector<Route> ms;
+    std::map<std::string, ServiceRule> services;
     std::map<std::string, ModelRule> models;
     double slack = -1;  // spare sends of each pool over all nodes; below 0: the cap counts instead
     double coldOverrun = 1.5, coldSlack = 5;
@@ -105,7 +105,7 @@
     Table<Host> hosts;  // by name in lower case; "" for mappings of any host
 };
 /// The rules of a configuration that configCheck found sound.
-auto compile(const rapidjson::Value& config, std::int64_t gen) -> Rules;
+auto compile(const rapidjson::Value& config, std::int64_t configVersion) -> Rules;
 
 struct Event {
     std::string id, type, data, raw;
@@ -151,7 +151,7 @@
     Microseconds avoidTill = 0;         // it did not connect, or broke
     int strikes = 0;                    // how often since it last replied
     Microseconds asked = 0, heard = 0;  // the first send since it was last heard
-    std::int64_t wrongGen = -1;         // the listing under which another server replied at its address
+    std::int64_t wrongRevision = -1;    // the listing under which another server replied at its address
     Microseconds coldTill = 0, coldAt = 0;
     double coldLeft = 1;  // the bucket of what a cold one may still be sent
     double tokens = 0;    // that ours hold of its memory, beside what they share
@@ -161,11 +161,11 @@
 
 /// Where an exchange stands; ExchangeMachine (edge.cpp) says what may follow what.
 enum class Phase { Queued, Sending, Delivering, Migrating, Finished };
-struct ExchangeMachine;
+struct RequestMachine;
 
-struct Exchange {
+struct Request {
     std::int64_t id = 0;
-    Mapping m;
+    Route m;
     std::string method, path, body, exid, region;
     Headers h;
     std::string host, askedModel;
@@ -181,10 +181,10 @@
     std::uint64_t key = 0;  // of the shared prompt's beginning
     Microseconds born = 0, due = 0, queuedTill = 0, lastByte = 0, sentAt = 0, lookAt = 0;
     int tries = 0, moved = 0, a = 0, replans = 0, refusals = 0;
-    std::int64_t epoch = 0;  // of the rules that bind it
-    bool fixed = false;      // it can no longer move, whatever the limit
-    bool resumed = false;    // the sender lost its node and picks its stream up here
-    bool first = true;       // no send has been counted yet
+    std::int64_t rulesRevision = 0;  // of the rules that bind it
+    bool fixed = false;              // it can no longer move, whatever the limit
+    bool resumed = false;            // the sender lost its node and picks its stream up here
+    bool first = true;               // no send has been counted yet
     bool headSent = false, counted = false;
     AttemptTracker attempt;           // the present send, and what is known of those before it
     bool sentOnce = false;            // sent while the configuration said that it may not be repeated
@@ -196,13 +196,13 @@
     std::int64_t seq = 0;             // prompt and events so far, in tokens as estimated here
     std::vector<std::string> events;  // delivered, kept while the exchange may still move
     std::string server, weights, sentWeights, queuedIn;
-    std::vector<std::string> tried, denied;
+    std::vector<std::string> tried, rejected;
     std::vector<std::string> trace;
-    std::unique_ptr<ExchangeMachine> pm;
-    Exchange();
-    Exchange(Exchange&&) noexcept;
-    auto operator=(Exchange&&) noexcept -> Exchange&;
-    ~Exchange();
+    std::unique_ptr<RequestMachine> pm;
+    Request();
+    Request(Request&&) noexcept;
+    auto operator=(Request&&) noexcept -> Request&;
+    ~Request();
     auto phase() const -> Phase;
     /// What the configuration allows it. One that was sent as not repeatable stays so.
     auto rights() const -> RetryRights { return {m.again() && !sentOnce, m.resumable}; }
@@ -237,9 +237,9 @@
     /// The whole request has been written.
     auto written(std::int64_t x, int a) -> void;
     /// The headers of a send, complete but for what concerns length and connection.
-    auto outgoing(const Exchange& x, Microseconds now) const -> Headers;
+    auto outgoing(const Request& x, Microseconds now) const -> Headers;
     /// May its send go on a connection that was used before, where a loss says nothing?
-    auto reusable(const Exchange& x) const -> bool { return x.rights().repeatable; }
+    auto reusable(const Request& x) const -> bool { return x.rights().repeatable; }
     /// The connection failed before the first byte of the request was written.
     auto refused(std::int64_t x, int a, Microseconds now) -> void;
     /// The reply's beginning; false if this reply is not for the exchange.
@@ -256,7 +256,7 @@
     auto upFailed(std::int64_t x, int a, AttemptEvent event, const std::string& why, Microseconds now)
         -> void;
 
-    auto find(std::int64_t x) const -> const Exchange*;
+    auto find(std::int64_t x) const -> const Request*;
     auto rules() const -> const Rules& { return ru_; }
     auto credit() const -> std::int64_t { return credit_; }
     auto dialect() const -> const Dialect& { return di_; }
@@ -264,7 +264,7 @@
     auto queuedNow() const -> std::size_t;
     auto inflightNow() const -> int;
     /// The servers an exchange like `x` may go to now; the picked one first. Empty if none.
-    auto place(Exchange& x, Microseconds now, bool dry) -> std::string;
+    auto place(Request& x, Microseconds now, bool dry) -> std::string;
 
     auto liveText(Microseconds now) const -> std::string;
     auto explainText(const std::string& name, Microseconds now) const -> std::string;
@@ -290,7 +290,7 @@
         std::int64_t loads = 0;
         double others = 0;  // and how many of other nodes' a server holds
     };
-    struct Purse {
+    struct ServiceBudget {
         std::int64_t milli = 0;
         bool open = false;
     };
@@ -300,63 +300,64 @@
         double occ;  // of its slots, all that is known to be there
     };
     auto rebuild() -> void;
-    auto adapt(Exchange& x, const Mapping& m) const -> Mapping;
-    auto described(const std::string& pool) const -> const PoolRule*;
+    auto adapt(Request& x, const Route& m) const -> Route;
+    auto described(const std::string& service) const -> const ServiceRule*;
     auto nodes() const -> std::size_t;
     auto settled(Microseconds now) const -> bool { return born_ && now - born_ >= 3 * SECOND; }
     auto readLoad(const std::string& server, const Headers& h, Microseconds now) -> void;
     auto load(const std::string& name, const Server& s, Microseconds now) -> double;
-    auto slots(const std::string& name, const Server& s, const PoolRule& pr) -> int;
-    auto cold(const std::string& name, const Server& s, const PoolRule& pr, Microseconds now) -> bool;
-    auto coldLets(const std::string& name, const Server& s, const PoolRule& pr, Microseconds now, bool take)
-        -> bool;
-    auto unread(const Fitness& f, const Exchange& x, bool home) const -> std::int64_t;
-    auto fits(const Cand& c, const Exchange& x, const PoolRule& pr, Microseconds now) -> bool;
-    auto claim(const Exchange& x) -> void;
-    auto unclaimed(const std::vector<Cand>& cs, const Exchange& x) -> std::string;
-    auto predict(const Cand& c, const Exchange& x, const PoolRule& pr, bool home, Microseconds now) -> double;
-    auto pick(const std::vector<Cand>& cs, const Exchange& x, const PoolRule& pr, Microseconds now,
+    auto slots(const std::string& name, const Server& s, const ServiceRule& pr) -> int;
+    auto cold(const std::string& name, const Server& s, const ServiceRule& pr, Microseconds now) -> bool;
+    auto coldLets(
+        const std::string& name, const Server& s, const ServiceRule& pr, Microseconds now, bool take) -> bool;
+    auto unread(const Fitness& f, const Request& x, bool home) const -> std::int64_t;
+    auto fits(const Cand& c, const Request& x, const ServiceRule& pr, Microseconds now) -> bool;
+    auto claim(const Request& x) -> void;
+    auto unclaimed(const std::vector<Cand>& cs, const Request& x) -> std::string;
+    auto predict(const Cand& c, const Request& x, const ServiceRule& pr, bool home, Microseconds now)
+        -> double;
+    auto pick(const std::vector<Cand>& cs, const Request& x, const ServiceRule& pr, Microseconds now,
         std::string& how) -> std::size_t;
     auto strike(const std::string& server, Microseconds now) -> void;
     auto silent(const Fitness& f, Microseconds now) const -> bool;
-    auto readDone(Exchange& x) -> void;
-    auto purse(const std::string& pool, Microseconds now) -> std::int64_t&;
-    auto pays(const Exchange& x, Microseconds now) -> bool;
-    auto hopes(const Exchange& x) const -> bool;
-    auto patience(const Exchange& x) const -> Microseconds;
-    auto movable(Exchange& x, AttemptEvent event, Microseconds now) -> bool;
-    auto denial(int status, const Headers& h) const -> bool;
-    auto forSender(const Headers& h) const -> Headers;
-    auto headOut(Exchange& x) -> void;
+    auto readDone(Request& x) -> void;
+    auto budgetOf(const std::string& service, Microseconds now) -> std::int64_t&;
+    auto pays(const Request& x, Microseconds now) -> bool;
+    auto hopes(const Request& x) const -> bool;
+    auto patience(const Request& x) const -> Microseconds;
+    auto movable(Request& x, AttemptEvent event, Microseconds now) -> bool;
+    auto rejection(int status, const Headers& h) const -> bool;
+    auto forClient(const Headers& h) const -> Headers;
+    auto headOut(Request& x) -> void;
     auto beginning(std::string_view body) -> std::uint64_t;
     auto occupancy(const std::string& server, const Server& s) -> double;
     auto rampShare(const std::string& name, const Server& s, Microseconds now) -> int;
     auto fitOf(const std::string& s, Microseconds now) -> double;
     auto hurt(const std::string& s, double k, Microseconds now) -> void;
-    auto bind(Exchange& x) -> bool;
-    auto bar(const Exchange& x, bool ran, bool more) const -> std::string;
-    auto keeps(const Step& st, const Exchange& x, const Server& s) const -> bool;
-    auto resume(Exchange& x, const std::string& last, const std::string& weights) -> std::string;
-    auto count(Exchange& x, Microseconds now) -> void;
-    auto queue(Exchange& x, Microseconds now) -> bool;
-    auto unqueue(Exchange& x) -> void;
-    auto start(Exchange& x, Microseconds now) -> bool;
-    auto release(Exchange& x) -> void;
-    auto slow(Exchange& x, Microseconds gap, Microseconds now) -> void;
-    auto median(const std::string& pool, double Fitness::*what) const -> double;
-    auto unsent(const Exchange& x, Microseconds now) const -> std::string;
-    auto again(Exchange& x, AttemptEvent event, const std::string& why, Microseconds now) -> void;
-    auto apply(Exchange& x, AttemptEvent event) -> Execution;
-    auto headRead(Exchange& x, int status, const Headers& h) -> void;
-    auto wrongExchange(const Exchange& x, const Headers& h, int status) const -> bool;
+    auto bind(Request& x) -> bool;
+    auto bar(const Request& x, bool ran, bool more) const -> std::string;
+    auto keeps(const Step& st, const Request& x, const Server& s) const -> bool;
+    auto resume(Request& x, const std::string& last, const std::string& weights) -> std::string;
+    auto count(Request& x, Microseconds now) -> void;
+    auto queue(Request& x, Microseconds now) -> bool;
+    auto unqueue(Request& x) -> void;
+    auto start(Request& x, Microseconds now) -> bool;
+    auto release(Request& x) -> void;
+    auto slow(Request& x, Microseconds gap, Microseconds now) -> void;
+    auto median(const std::string& service, double Fitness::*what) const -> double;
+    auto unsent(const Request& x, Microseconds now) const -> std::string;
+    auto again(Request& x, AttemptEvent event, const std::string& why, Microseconds now) -> void;
+    auto apply(Request& x, AttemptEvent event) -> Execution;
+    auto headRead(Request& x, int status, const Headers& h) -> void;
+    auto wrongRequest(const Request& x, const Headers& h, int status) const -> bool;
     auto isExtraSend(Execution execution) const -> bool;
-    auto fail(Exchange& x, int status, const std::string& why, Microseconds now) -> void;
-    auto finish(Exchange& x, const std::string& how, Microseconds now) -> void;
-    auto cost(const Exchange& x) const -> std::int64_t;
-    auto note(Exchange& x, std::string s) -> void;
+    auto fail(Request& x, int status, const std::string& why, Microseconds now) -> void;
+    auto finish(Request& x, const std::string& how, Microseconds now) -> void;
+    auto cost(const Request& x) const -> std::int64_t;
+    auto note(Request& x, std::string s) -> void;
     auto pump(Microseconds now) -> void;
-    auto get(std::int64_t x, int a) -> Exchange*;
-    auto tally(const Exchange& x, std::string_view what) -> void;
+    auto get(std::int64_t x, int a) -> Request*;
+    auto tally(const Request& x, std::string_view what) -> void;
     auto dead(std::int64_t x) -> void;
 
     Node& n_;
@@ -365,21 +366,21 @@
     Rng rng_;
     Dialect di_;
     Rules ru_;
-    std::int64_t next_ = 0, credit_ = 0, decision_ = 0, epoch_ = 0;
-    std::map<std::int64_t, Exchange> xs_;
+    std::int64_t next_ = 0, credit_ = 0, decision_ = 0, rulesRevision_ = 0;
+    std::map<std::int64_t, Request> xs_;
     std::vector<std::int64_t> gone_;
     std::map<std::string, Fitness> fit_;
     std::set<std::uint64_t> begun_;  // prompts' beginnings that came lately
     std::deque<std::uint64_t> begunOrder_;
     std::vector<Past> past_;
     std::map<std::string, std::size_t> queued_;
-    std::map<std::string, Purse> purses_;            // by pool, where the configuration names a slack
-    std::map<std::string, Seen> seen_;               // by pool
-    std::map<std::string, Microseconds> givenBack_;  // districts given back lately
-    std::set<std::string> emptied_;
+    std::map<std::string, ServiceBudget> budgets_;       // by pool, where the configuration names a slack
+    std::map<std::string, Seen> seen_;                   // by pool
+    std::map<std::string, Microseconds> restoredZones_;  // districts given back lately
+    std::set<std::string> evacuatedZones_;
     std::size_t roster_ = 0, peak_ = 0;
     bool draining_ = false, wanting_ = false, refuseNew_ = false;
-    Microseconds wantAt_ = 0, grantAt_ = 0, emptiedAt_ = 0, born_ = 0, listedAt_ = 0, prunedAt_ = 0,
+    Microseconds wantAt_ = 0, grantAt_ = 0, evacuatedAt_ = 0, born_ = 0, listedAt_ = 0, prunedAt_ = 0,
                  peakAt_ = 0;
 };
 
--- a/src/routing/endings.cpp
+++ b/src/routing/endings.cpp
@@ -16,7 +16,7 @@
 namespace duneturn {
 
 // The final reply, at once. X-Not-Executed is said only where it is certain.
-auto Edge::fail(Exchange& x, int status, const std::string& why, Microseconds now) -> void {
+auto Edge::fail(Request& x, int status, const std::string& why, Microseconds now) -> void {
     release(x);
     if (x.phase() == Phase::Sending || x.phase() == Phase::Delivering) {
         po_.drop(x.id, x.a);
@@ -24,7 +24,7 @@
     }
     // 503 and its like promise that nothing ran and nothing will; all else promises nothing.
     auto mayHaveRun = x.attempt.mayHaveRun();
-    if (di_.senderNames && status >= 500) status = !mayHaveRun ? 503 : status == 503 ? 502 : status;
+    if (di_.clientNamesRequests && status >= 500) status = !mayHaveRun ? 503 : status == 503 ? 502 : status;
     if (x.headSent && di_.passHeaders) po_.end(x.id, broken.cutLooksWhole);
     else if (x.headSent) {
         po_.part(x.id,
@@ -36,7 +36,7 @@
         auto h = Headers{{"Content-Type", "application/json"}};
         if (status >= 500)  // else coming back changes nothing
             h.emplace_back("Retry-After",
-                di_.senderNames
+                di_.clientNamesRequests
                     ? fmt::format("{:.2f}", refuseNew_ ? 0.2 : 0.2 + 0.002 * double(rng_.below(100)))
                     : "1");
         if (!mayHaveRun) h.emplace_back(di_.notExecuted, "true");
@@ -48,9 +48,9 @@
     finish(x, "failed: " + why, now);
 }
 
-auto Edge::finish(Exchange& x, const std::string& how, Microseconds now) -> void {
+auto Edge::finish(Request& x, const std::string& how, Microseconds now) -> void {
     if (x.counted && x.attempt.written()) {
-        auto& k = seen_[x.m.pool].held;
+        auto& k = seen_[x.m.service].held;
         auto t = double(now - x.sentAt);
         k = k > 0 ? k * 0.95 + t * 0.05 : t;
     }
--- a/src/routing/inspection.cpp
+++ b/src/routing/inspection.cpp
@@ -26,7 +26,7 @@
     }
 }
 
-auto liveOne(const Exchange& x, Microseconds now, bool steps) -> std::string {
+auto liveOne(const Request& x, Microseconds now, bool steps) -> std::string {
     auto t = std::string();
     if (steps)
         for (auto& l : x.trace) t += (t.empty() ? "" : ",") + jsQuote(l);
--- a/src/routing/placement.cpp
+++ b/src/routing/placement.cpp
@@ -19,32 +19,32 @@
 namespace duneturn {
 
 // Whether a step's rule lets this server in. What is weighed and not ruled is not asked here.
-auto Edge::keeps(const Step& st, const Exchange& x, const Server& s) const -> bool {
+auto Edge::keeps(const Step& st, const Request& x, const Server& s) const -> bool {
     switch (st.op) {
-    case Op::Pool: return s.l.pool == x.m.pool;
+    case Op::Service: return s.listing.serviceName == x.m.service;
     case Op::Listed: {
-        auto f = fit_.find(s.l.server);
-        if (f != fit_.end() && f->second.wrongGen >= s.l.gen) return false;
-        return !s.l.address.empty() && (s.l.state == UP || broken.ignoreLeaving);
+        auto f = fit_.find(s.listing.server);
+        if (f != fit_.end() && f->second.wrongRevision >= s.listing.revision) return false;
+        return !s.listing.address.empty() && (s.listing.state == UP || broken.ignoreLeaving);
     }
-    case Op::Emptied: return !n_.word().emptied(s.l.district);
+    case Op::Evacuated: return !n_.replicatedState().evacuated(s.listing.zone);
     case Op::Home:
         return broken.ignoreHome || std::any_of(x.m.homes.begin(), x.m.homes.end(), [&](auto& h) {
-            return s.l.region == (h == "@near" ? x.region : h);
+            return s.listing.region == (h == "@near" ? x.region : h);
         });
     case Op::Weights:
-        if (di_.senderNames && s.l.weights.empty()) return true;  // the list does not tell
-        return broken.anyWeights || x.weights.empty() || x.last < 0 || s.l.weights == x.weights;
+        if (di_.clientNamesRequests && s.listing.weights.empty()) return true;  // the list does not tell
+        return broken.anyWeights || x.weights.empty() || x.last < 0 || s.listing.weights == x.weights;
     case Op::Near:
-        if (!x.m.homes.empty() || (di_.senderNames && x.m.spill.empty())) return true;
-        return s.l.region == x.region
-            || std::find(x.m.spill.begin(), x.m.spill.end(), s.l.region) != x.m.spill.end();
+        if (!x.m.homes.empty() || (di_.clientNamesRequests && x.m.spill.empty())) return true;
+        return s.listing.region == x.region
+            || std::find(x.m.spill.begin(), x.m.spill.end(), s.listing.region) != x.m.spill.end();
     default: return true;
     }
 }
 
 // The prompt's tokens that a server would have to read: all but the leading parts that it keeps.
-auto Edge::unread(const Fitness& f, const Exchange& x, bool home) const -> std::int64_t {
+auto Edge::unread(const Fitness& f, const Request& x, bool home) const -> std::int64_t {
     auto n = std::int64_t(0), all = std::int64_t(0);
     auto lead = true;
     for (auto i = std::size_t(0); i < x.parts.size(); i++) {
@@ -58,19 +58,19 @@
 
 // Whether a server's memory has room for it beside what runs there: ours as we know them, the
 // others as the pool's exchanges are on average. What is shared is there once, and gives way.
-auto Edge::fits(const Cand& c, const Exchange& x, const PoolRule& pr, Microseconds now) -> bool {
+auto Edge::fits(const Cand& c, const Request& x, const ServiceRule& pr, Microseconds now) -> bool {
     auto& f = fit_[*c.n];
     auto others = std::max(0.0, load(*c.n, *c.s, now) - f.inflight);
     auto room = 0.9 * double(pr.kvTokens) - double(x.sharedTokens);
-    return f.inflight + others < 1 || f.tokens + others * seen_[x.m.pool].tokens + double(x.own()) <= room;
+    return f.inflight + others < 1 || f.tokens + others * seen_[x.m.service].tokens + double(x.own()) <= room;
 }
 
 // When the reply would begin, in microseconds from now.
-auto Edge::predict(const Cand& c, const Exchange& x, const PoolRule& pr, bool home, Microseconds now)
+auto Edge::predict(const Cand& c, const Request& x, const ServiceRule& pr, bool home, Microseconds now)
     -> double {
     auto& f = fit_[*c.n];
     auto sl = double(slots(*c.n, *c.s, pr));
-    auto held = seen_[x.m.pool].held > 0 ? seen_[x.m.pool].held : double(100 * MILLISECOND);
+    auto held = seen_[x.m.service].held > 0 ? seen_[x.m.service].held : double(100 * MILLISECOND);
     auto t = c.occ * double(20 * MILLISECOND);
     if (c.occ >= 1) t += (c.occ * sl - sl + 1) * held / sl;
     if (pr.engine) {
@@ -78,13 +78,13 @@
         auto others = now - f.loadAt < 300 * MILLISECOND ? double(f.waiting) * 1000.0 : 0.0;
         t += (std::max(f.unread, others) + double(unread(f, x, home))) / READ;
     }
-    if (c.s->l.region != x.region) t += double(FAR);
+    if (c.s->listing.region != x.region) t += double(FAR);
     return t / std::max(0.05, fitOf(*c.n, now));
 }
 
 // What is bound to one region claims that region's servers.
-auto Edge::claim(const Exchange& x) -> void {
-    auto& k = seen_[x.m.pool];
+auto Edge::claim(const Request& x) -> void {
+    auto& k = seen_[x.m.service];
     k.all = k.all * 0.995 + 1;
     for (auto& [r, n] : k.bound) n *= 0.995;
     if (x.m.homes.size() == 1) k.bound[x.m.homes[0]] += 1;
@@ -93,11 +93,11 @@
 // Reading a long prompt holds up all that runs beside it. Where many exchanges can only go to the
 // near region and clearly fewer to another, long prompts that may go anywhere are read there. Every
 // node sees much the same kinds, so that all choose the same region. Empty: the near one will do.
-auto Edge::unclaimed(const std::vector<Cand>& cs, const Exchange& x) -> std::string {
+auto Edge::unclaimed(const std::vector<Cand>& cs, const Request& x) -> std::string {
     if (x.sharedTokens < LONG || x.m.homes.size() == 1) return "";
     auto n = std::map<std::string, int>();
-    for (auto& c : cs) n[c.s->l.region]++;
-    auto& k = seen_[x.m.pool];
+    for (auto& c : cs) n[c.s->listing.region]++;
+    auto& k = seen_[x.m.service];
     auto claims = [&](const std::string& r) {
         auto i = k.bound.find(r);
         return i == k.bound.end() ? 0.0 : i->second / n[r];
@@ -112,7 +112,7 @@
 // The server for an exchange, of those that may take it. A long shared beginning goes where it
 // was read before: rendezvous hashing names the same two servers at every node. All else goes to
 // the best of some drawn at random, since many nodes that know the same would all run to one.
-auto Edge::pick(const std::vector<Cand>& cs, const Exchange& x, const PoolRule& pr, Microseconds now,
+auto Edge::pick(const std::vector<Cand>& cs, const Request& x, const ServiceRule& pr, Microseconds now,
     std::string& how) -> std::size_t {
     auto cost = [&](std::size_t i, bool home) { return predict(cs[i], x, pr, home, now); };
     // The more nodes choose, the fewer servers each compares, lest all run to the same one.
@@ -147,9 +147,9 @@
     return least;
 }
 
-auto Edge::place(Exchange& x, Microseconds now, bool dry) -> std::string {
+auto Edge::place(Request& x, Microseconds now, bool dry) -> std::string {
     auto cs = std::vector<Cand>();
-    auto pr = described(x.m.pool);
+    auto pr = described(x.m.service);
     auto all = std::size_t(0);
     for (auto& [n, s] : n_.servers()) cs.push_back({&n, &s, 0});
     auto say = std::string();
@@ -167,21 +167,21 @@
         if (cs.empty()) break;
         auto rule = [&](auto& c) { return keeps(st, x, *c.s); };
         switch (st.op) {
-        case Op::Pool:
-            keep("pool " + x.m.pool, rule);
+        case Op::Service:
+            keep("pool " + x.m.service, rule);
             all = cs.size();
             break;
         case Op::Listed: keep("listed", rule); break;
-        case Op::Emptied: keep("not emptied", rule); break;
+        case Op::Evacuated: keep("not emptied", rule); break;
         case Op::Home: keep("home " + x.m.homes[0], rule); break;
         case Op::Weights:
             if (!x.weights.empty() && x.last >= 0) keep("weights " + x.weights, rule);
             break;
         case Op::Untried:
             // One that said no, or where nobody was, is not asked again by the same exchange.
-            if (di_.senderNames && !x.denied.empty())
+            if (di_.clientNamesRequests && !x.rejected.empty())
                 keep("not denied", [&](auto& c) {
-                    return std::find(x.denied.begin(), x.denied.end(), *c.n) == x.denied.end();
+                    return std::find(x.rejected.begin(), x.rejected.end(), *c.n) == x.rejected.end();
                 });
             if (!x.tried.empty())
                 soft("untried", [&](auto& c) {
@@ -196,7 +196,7 @@
                 if (pr && f.strikes > 0
                     && (f.inflight > 0 || now < f.avoidTill + (x.m.again() ? 0 : 2 * SECOND)))
                     return false;
-                return !(c.s->seen && now - c.s->seen < SEEN && c.s->d.dark) && fitOf(*c.n, now) >= st.w;
+                return !(c.s->seen && now - c.s->seen < SEEN && c.s->load.dark) && fitOf(*c.n, now) >= st.w;
             });
             break;
         case Op::Ramp:
@@ -222,12 +222,12 @@
                 soft("not full", [&](auto& c) { return now >= fit_[*c.n].fullTill; });
                 break;
             }
-            for (auto& c : cs) c.occ = occupancy(*c.n, *c.s) / std::max(1, c.s->l.slots);
+            for (auto& c : cs) c.occ = occupancy(*c.n, *c.s) / std::max(1, c.s->listing.slots);
             keep("room", [&](auto& c) { return c.occ < st.w; });
             break;
         case Op::Near: {
-            auto near = [&](auto& c) { return c.s->l.region == x.region; };
-            if (pr && di_.senderNames) {
+            auto near = [&](auto& c) { return c.s->listing.region == x.region; };
+            if (pr && di_.clientNamesRequests) {
                 keep(fmt::format("regions for {}", x.region), rule);
                 auto best = [&](bool n, auto f) {
                     auto b = 1e18;
@@ -239,7 +239,7 @@
                 auto first = [&](auto& c) { return predict(c, x, *pr, false, now); };
                 if (cs.empty() || best(false, occ) > 1e17 || best(true, occ) > 1e17) break;
                 if (auto r = unclaimed(cs, x); !r.empty() && r != x.region) {
-                    auto there = [&](auto& c) { return c.s->l.region == r && c.occ < 0.6; };
+                    auto there = [&](auto& c) { return c.s->listing.region == r && c.occ < 0.6; };
                     if (std::any_of(cs.begin(), cs.end(), there)) {
                         keep("unclaimed " + r, there);
                         break;
@@ -292,8 +292,8 @@
             }
             to = *cs[b].n;
             say += fmt::format(", picked {} ({}, region {}, occupancy {:.2f}, fitness {:.2f})", to, how,
-                cs[b].s->l.region, cs[b].occ, fitOf(to, now));
-            if (!dry && cs[b].s->l.region != x.region)
+                cs[b].s->listing.region, cs[b].occ, fitOf(to, now));
+            if (!dry && cs[b].s->listing.region != x.region)
                 ct_.add(fmt::format("spilled_total{{mapping=\"{}\"}}", x.m.name));
             break;
         }
@@ -305,10 +305,10 @@
 }
 
 // Is there a server that may take it once it has room?
-auto Edge::hopes(const Exchange& x) const -> bool {
-    if (!di_.senderNames) return false;
+auto Edge::hopes(const Request& x) const -> bool {
+    if (!di_.clientNamesRequests) return false;
     return std::any_of(n_.servers().begin(), n_.servers().end(), [&](auto& e) {
-        return std::find(x.denied.begin(), x.denied.end(), e.first) == x.denied.end()
+        return std::find(x.rejected.begin(), x.rejected.end(), e.first) == x.rejected.end()
             && std::all_of(
                 x.m.prog.begin(), x.m.prog.end(), [&](auto& st) { return keeps(st, x, e.second); });
     });
--- a/src/routing/request_phases.cpp
+++ b/src/routing/request_phases.cpp
@@ -19,7 +19,7 @@
 struct EvWait {};
 struct EvEnd {};
 
-struct ExchangeDef : msm::front::state_machine_def<ExchangeDef> {
+struct RequestDef : msm::front::state_machine_def<RequestDef> {
     struct Queued : msm::front::state<> {};
     struct Sending : msm::front::state<> {};
     struct Delivering : msm::front::state<> {};
@@ -40,9 +40,9 @@
     bool wrong = false;
 };
 
-struct ExchangeMachine {
-    msm::back::state_machine<ExchangeDef> m;
-    ExchangeMachine() { m.start(); }
+struct RequestMachine {
+    msm::back::state_machine<RequestDef> m;
+    RequestMachine() { m.start(); }
     template <class E>
     auto go(E e) -> bool {
         m.wrong = false;
@@ -51,13 +51,13 @@
     }
 };
 
-Exchange::Exchange() : pm(std::make_unique<ExchangeMachine>()) {}
-Exchange::Exchange(Exchange&&) noexcept = default;
-auto Exchange::operator=(Exchange&&) noexcept -> Exchange& = default;
-Exchange::~Exchange() = default;
-auto Exchange::phase() const -> Phase { return Phase(pm->m.current_state()[0]); }
+Request::Request() : pm(std::make_unique<RequestMachine>()) {}
+Request::Request(Request&&) noexcept = default;
+auto Request::operator=(Request&&) noexcept -> Request& = default;
+Request::~Request() = default;
+auto Request::phase() const -> Phase { return Phase(pm->m.current_state()[0]); }
 
-auto turn(Exchange& request, Counters& counters, PhaseEvent event) -> void {
+auto turn(Request& request, Counters& counters, PhaseEvent event) -> void {
     auto& machine = *request.pm;
     auto legal = false;
     switch (event) {
--- a/src/routing/request_phases.hpp
+++ b/src/routing/request_phases.hpp
@@ -8,6 +8,6 @@
 /// What moves a request from one phase to another.
 enum class PhaseEvent { Send, Bytes, Loss, Wait, End };
 /// Applies an event. What the table of phases does not allow is counted, never done in silence.
-auto turn(Exchange& request, Counters& counters, PhaseEvent event) -> void;
+auto turn(Request& request, Counters& counters, PhaseEvent event) -> void;
 
 }  // namespace duneturn
--- a/src/routing/retry_budget.cpp
+++ b/src/routing/retry_budget.cpp
@@ -14,11 +14,11 @@
 
 // Counts a send. The first of an exchange earns credit; one that carries on a stream whose
 // sender lost its node was begun elsewhere, so it is an extra one.
-auto Edge::count(Exchange& x, Microseconds now) -> void {
+auto Edge::count(Request& x, Microseconds now) -> void {
     ct_.add("sends_total");
     if (!x.first) return;
     x.first = false;
-    auto& c = purse(x.m.pool, now);
+    auto& c = budgetOf(x.m.service, now);
     if (x.resumed) {
         c -= cost(x);
         ct_.add("resumptions_total");
@@ -28,15 +28,15 @@
         ct_.add("first_sends_total");
         c += std::int64_t(ru_.share * ONE);
         if (ru_.slack < 0) c = std::min(c, ru_.cap * ONE);
-        purse(x.m.pool, now);
+        budgetOf(x.m.service, now);
     }
 }
 
 // What extra sends are paid from: one purse for all, or where a slack is named one for each
 // pool, since what one pool's exchanges earned must not fall on another pool's servers.
-auto Edge::purse(const std::string& pool, Microseconds now) -> std::int64_t& {
+auto Edge::budgetOf(const std::string& service, Microseconds now) -> std::int64_t& {
     if (ru_.slack < 0) return credit_;
-    auto& p = purses_[pool];
+    auto& p = budgets_[service];
     auto cap = std::int64_t(ru_.slack * double(ONE) / double(nodes()));
     if (!p.open && settled(now)) {  // how many nodes there are is known by now
         p.open = true;
@@ -46,18 +46,18 @@
     return p.milli;
 }
 
-auto Edge::pays(const Exchange& x, Microseconds now) -> bool { return purse(x.m.pool, now) >= cost(x); }
+auto Edge::pays(const Request& x, Microseconds now) -> bool { return budgetOf(x.m.service, now) >= cost(x); }
 
 // Reading a long prompt again costs more than reading a short one; where arrivals are what is
 // counted, each is one.
-auto Edge::cost(const Exchange& x) const -> std::int64_t {
+auto Edge::cost(const Request& x) const -> std::int64_t {
     if (broken.noBudget) return 0;
-    return di_.senderNames ? ONE : ONE + ONE * x.seq / 4096;
+    return di_.clientNamesRequests ? ONE : ONE + ONE * x.seq / 4096;
 }
 
 // Where arrivals are what is counted, what did not arrive is no extra send.
 auto Edge::isExtraSend(Execution execution) const -> bool {
-    return execution != Execution::NotArrived || !di_.senderNames;
+    return execution != Execution::NotArrived || !di_.clientNamesRequests;
 }
 
 }  // namespace duneturn
--- a/src/routing/rules.cpp
+++ b/src/routing/rules.cpp
@@ -16,9 +16,9 @@
 
 namespace duneturn {
 
-auto compile(const rapidjson::Value& c, std::int64_t gen) -> Rules {
+auto compile(const rapidjson::Value& c, std::int64_t configVersion) -> Rules {
     auto r = Rules();
-    r.gen = gen;
+    r.configVersion = configVersion;
     auto sub = [](const rapidjson::Value& v, const char* k) -> const rapidjson::Value& {
         static const auto none = rapidjson::Value(rapidjson::kObjectType);
         return v.IsObject() && v.HasMember(k) ? v[k] : none;
@@ -31,7 +31,7 @@
     r.coldOverrun = jsNum(sub(c, "cold"), "overrun", r.coldOverrun);
     r.coldSlack = jsNum(sub(c, "cold"), "slack", r.coldSlack);
     for (auto& m : sub(c, "pools").GetObject()) {
-        auto& p = r.pools[m.name.GetString()];
+        auto& p = r.services[m.name.GetString()];
         p.maxConns = int(jsInt(m.value, "maxConns"));
         p.slots = int(jsInt(m.value, "slots"));
         p.stride = int(jsInt(m.value, "stride"));
@@ -48,16 +48,17 @@
     if (!c.HasMember("mappings")) return r;
     r.ms.reserve(c["mappings"].Size());
     for (auto& v : c["mappings"].GetArray()) {
-        auto m = Mapping();
+        auto m = Route();
         m.name = jsStr(v, "name");
         m.host = toLower(jsStr(v, "host"));
         m.method = jsStr(v, "method", "POST");
         m.path = jsStr(v, "path");
         if (m.path.ends_with("*")) m.prefix = true, m.path.pop_back();
-        m.pool = jsStr(v, "pool");
+        m.service = jsStr(v, "pool");
         if (v.HasMember("pools"))
-            for (auto& p : v["pools"].GetArray()) m.pools.emplace_back(jsStr(p, "pool"), jsInt(p, "share"));
-        if (!m.pools.empty()) m.pool = m.pools[0].first;
+            for (auto& p : v["pools"].GetArray())
+                m.services.emplace_back(jsStr(p, "pool"), jsInt(p, "share"));
+        if (!m.services.empty()) m.service = m.services[0].first;
         m.model = jsStr(v, "model");
         m.homes = jsList(v, "homes");
         if (auto h = jsStr(v, "home"); !h.empty()) m.homes.push_back(h);
@@ -79,7 +80,7 @@
         m.affinity = std::size_t(jsInt(v, "affinity"));
         if (auto i = r.models.find(m.model); i != r.models.end())
             m.limit = i->second.limit, m.maxSequence = i->second.maxSequence;
-        m.prog = {{Op::Pool}, {Op::Listed}, {Op::Emptied}};
+        m.prog = {{Op::Service}, {Op::Listed}, {Op::Evacuated}};
         if (!m.homes.empty()) m.prog.push_back({Op::Home});
         m.prog.push_back({Op::Weights});
         m.prog.push_back({Op::Untried});
@@ -135,15 +136,15 @@
 }
 
 // What is an exchange's own in its mapping: the pool that its name draws, and its model.
-auto Edge::adapt(Exchange& x, const Mapping& m) const -> Mapping {
+auto Edge::adapt(Request& x, const Route& m) const -> Route {
     auto o = m;
-    if (!o.pools.empty()) {
+    if (!o.services.empty()) {
         auto sum = std::int64_t(0);
-        for (auto& [p, k] : o.pools) sum += k;
+        for (auto& [p, k] : o.services) sum += k;
         auto at = std::int64_t(hash64(x.exid, 11) % std::uint64_t(std::max<std::int64_t>(1, sum)));
-        for (auto& [p, k] : o.pools) {
+        for (auto& [p, k] : o.services) {
             if (at < k) {
-                o.pool = p;
+                o.service = p;
                 break;
             }
             at -= k;
@@ -160,15 +161,15 @@
 
 // The newest configuration binds an exchange under way in all but its deadline: what it says
 // of this method and path is what counts. False if that is another mapping now.
-auto Edge::bind(Exchange& x) -> bool {
-    if (x.epoch == epoch_ || broken.oldRules) return true;
+auto Edge::bind(Request& x) -> bool {
+    if (x.rulesRevision == rulesRevision_ || broken.oldRules) return true;
     auto i = ru_.match(x.method, x.host, x.path);
     if (i < 0) return false;
     auto m = adapt(x, ru_.ms[std::size_t(i)]);
-    auto begun = x.attempt.mayHaveRun() || x.tries > 0 || !di_.senderNames;
+    auto begun = x.attempt.mayHaveRun() || x.tries > 0 || !di_.clientNamesRequests;
     if (begun && (m.name != x.m.name || m.model != x.m.model || m.stream != x.m.stream)) return false;
     x.m = m;
-    x.epoch = epoch_;
+    x.rulesRevision = rulesRevision_;
     x.fixed = x.fixed || x.seq > x.m.maxSequence;
     return true;
 }
--- a/src/routing/server_load.cpp
+++ b/src/routing/server_load.cpp
@@ -42,14 +42,14 @@
     }
     auto own = double(f.inflight);
     if (!s.seen) return own;
-    return std::max(own, double(s.d.prefill + s.d.decode + f.inflight - f.atSeen));
+    return std::max(own, double(s.load.prefill + s.load.decode + f.inflight - f.atSeen));
 }
 
 // The median of what is known of a pool's servers; 0 of fewer than three.
-auto Edge::median(const std::string& pool, double Fitness::*what) const -> double {
+auto Edge::median(const std::string& service, double Fitness::*what) const -> double {
     auto v = std::vector<double>();
     for (auto& [n, s] : n_.servers())
-        if (auto i = fit_.find(n); i != fit_.end() && s.l.pool == pool && i->second.*what > 0)
+        if (auto i = fit_.find(n); i != fit_.end() && s.listing.serviceName == service && i->second.*what > 0)
             v.push_back(i->second.*what);
     if (v.size() < 3) return 0;
     std::nth_element(v.begin(), v.begin() + std::ptrdiff_t(v.size() / 2), v.end());
@@ -67,10 +67,10 @@
     f.at = now;
 }
 
-auto Edge::described(const std::string& pool) const -> const PoolRule* {
-    static const auto plain = PoolRule();
-    if (auto i = ru_.pools.find(pool); i != ru_.pools.end()) return &i->second;
-    return di_.senderNames ? &plain : nullptr;
+auto Edge::described(const std::string& service) const -> const ServiceRule* {
+    static const auto plain = ServiceRule();
+    if (auto i = ru_.services.find(service); i != ru_.services.end()) return &i->second;
+    return di_.clientNamesRequests ? &plain : nullptr;
 }
 
 // How many nodes share what the fleet may do: all that were heard of lately, so that a part of
@@ -92,7 +92,7 @@
             auto s = n_.servers().find(name);
             auto k = double(std::max(0, f.running + f.waiting - f.atLoad));
             if (s != n_.servers().end()) {
-                auto& p = seen_[s->second.l.pool];
+                auto& p = seen_[s->second.listing.serviceName];
                 p.others += (p.loads++ ? 0.05 : 1) * (k - p.others);
             }
         }
@@ -102,9 +102,9 @@
             f.coldTill = n ? now + std::min<std::int64_t>(n, 3600000) * MILLISECOND : 0;
 }
 
-auto Edge::slots(const std::string& name, const Server& s, const PoolRule& pr) -> int {
+auto Edge::slots(const std::string& name, const Server& s, const ServiceRule& pr) -> int {
     auto& f = fit_[name];
-    return std::max(1, f.slots ? f.slots : s.l.slots ? int(s.l.slots) : pr.slots);
+    return std::max(1, f.slots ? f.slots : s.listing.slots ? int(s.listing.slots) : pr.slots);
 }
 
 // How many exchanges a server holds: ours, and what it last said of others'. As those come to
@@ -113,7 +113,7 @@
     auto& f = fit_[name];
     auto own = double(f.inflight);
     if (s.seen > f.loadAt) return occupancy(name, s);
-    auto& p = seen_[s.l.pool];
+    auto& p = seen_[s.listing.serviceName];
     if (!f.loadAt) return own + p.others;
     auto others = double(std::max(0, f.running + f.waiting - f.atLoad));
     auto age = double(now - f.loadAt);
@@ -136,7 +136,7 @@
         && double(now - f.asked) > std::max(double(400 * MILLISECOND), 5 * f.first);
 }
 
-auto Edge::readDone(Exchange& x) -> void {
+auto Edge::readDone(Request& x) -> void {
     if (!x.unread) return;
     auto& f = fit_[x.server];
     f.unread = std::max(0.0, f.unread - double(x.unread));
--- a/src/sim/faults.cpp
+++ b/src/sim/faults.cpp
@@ -86,7 +86,7 @@
 auto World::newestConfig() const -> std::int64_t {
     auto g = std::int64_t(0);
     for (auto& d : ords)
-        if (d.op == "config" && d.status == 200) g = std::max(g, d.gen);
+        if (d.op == "config" && d.status == 200) g = std::max(g, d.version);
     return g;
 }
 auto World::putConfig(int probe, std::int64_t base, std::function<void(int)> f, const std::string& twist)
@@ -94,10 +94,10 @@
     order("config", fmt::format("{{\"base\":{},\"config\":{}}}", base, probeConfig(probe, twist)),
         fmt::format("probe-{}", probe), base, std::move(f));
 }
-auto World::giveBack(const std::string& z) -> void {
+auto World::restoreZone(const std::string& z) -> void {
     order("give-back", bodyOf({{"district", jsQuote(z)}}), z, 0, [this, z](int st) {
-        if (st == 200) emptiesOpen = 0;
-        else in(SECOND, [this, z] { giveBack(z); });
+        if (st == 200) openEvacuations = 0;
+        else in(SECOND, [this, z] { restoreZone(z); });
     });
 }
 
@@ -156,9 +156,9 @@
             if (!ended) cutBoth(pa, pb, -1);
         });
     } else if (f == "cut-district") {
-        auto z = m.st.district;
-        auto pa = [z](Machine& x) { return x.st.district == z; };
-        auto pb = [z](Machine& x) { return x.st.district != z; };
+        auto z = m.st.zone;
+        auto pa = [z](Machine& x) { return x.st.zone == z; };
+        auto pb = [z](Machine& x) { return x.st.zone != z; };
         cutBoth(pa, pb, 1);
         in(span, [=, this] {
             if (!ended) cutBoth(pa, pb, -1);
@@ -202,10 +202,10 @@
         for (auto i : cores)
             blank += !ms[std::size_t(i)]->up || ms[std::size_t(i)]->node->voter()->blank()
                 || (leader() >= 0
-                    && !std::any_of(ms[std::size_t(leader())]->node->word().voters().size()
-                            ? ms[std::size_t(leader())]->node->word().d["voters"].Begin()
+                    && !std::any_of(ms[std::size_t(leader())]->node->replicatedState().voters().size()
+                            ? ms[std::size_t(leader())]->node->replicatedState().d["voters"].Begin()
                             : nullptr,
-                        ms[std::size_t(leader())]->node->word().d["voters"].End(), [&](auto& v) {
+                        ms[std::size_t(leader())]->node->replicatedState().d["voters"].End(), [&](auto& v) {
                             return jsStr(v, "disk") == ms[std::size_t(i)]->node->voter()->disk();
                         }));
         if (blank || leader() < 0) return;
@@ -290,11 +290,11 @@
         };
         (*mk)(5);
     } else if (f == "empty") {
-        if (emptiesOpen) return;
-        emptiesOpen = 1;
-        auto z = m.st.district;
+        if (openEvacuations) return;
+        openEvacuations = 1;
+        auto z = m.st.zone;
         order("empty", bodyOf({{"district", jsQuote(z)}}), z, 0, {});
-        in(8 * SECOND + span, [this, z] { giveBack(z); });
+        in(8 * SECOND + span, [this, z] { restoreZone(z); });
     } else if (f == "config" || f == "race") {
         auto two = f == "race" ? 2 : 1 + int(frng.below(3));
         auto base = newestConfig();
@@ -316,14 +316,14 @@
                 [this, p, b] { putConfig(p, b, {}); });
         }
     } else if (f == "plan") {
-        if (emptiesOpen) return;
-        emptiesOpen = 1;
-        auto z = m.st.district;
+        if (openEvacuations) return;
+        openEvacuations = 1;
+        auto z = m.st.zone;
         order("book",
             bodyOf({{"at", jsQuote(wallText(t + 1800000000LL * SECOND + 4 * SECOND))},
                 {"move", bodyOf({{"op", "\"empty\""}, {"district", jsQuote(z)}})}}),
             z, 0, {});
-        in(12 * SECOND, [this, z] { giveBack(z); });
+        in(12 * SECOND, [this, z] { restoreZone(z); });
     } else if (f == "rules") {
         // Less is allowed for a while, under exchanges that run; then as much as before.
         static const auto TWISTS =
@@ -345,7 +345,7 @@
         in(SECOND, [this, sv] {
             auto& s = ss[std::size_t(sv)];
             if (!returnCold(s)) return;
-            if (s.pool == "model") s.weights = s.weights == "w1" ? "w2" : "w1";
+            if (s.service == "model") s.weights = s.weights == "w1" ? "w2" : "w1";
             say(s.name + " is back with weights " + s.weights);
         });
     } else if (f == "late-listing") {
@@ -367,11 +367,11 @@
         swing = frng.chance(.5) ? 3 : -3;
         in(span, [this] { swing = 0; });
     } else if (f == "district-loss") {
-        auto z = m.st.district;
+        auto z = m.st.zone;
         for (auto& x : ms)
-            if (x->st.district == z) x->kill(true), restart(x->i, span);
+            if (x->st.zone == z) x->kill(true), restart(x->i, span);
         for (auto i = std::size_t(0); i < ss.size() - std::size_t(probes); i++)
-            if (ss[i].district == z && ss[i].up) {
+            if (ss[i].zone == z && ss[i].up) {
                 serverDown(int(i), frng.chance(.5));
                 in(span, [this, i] { returnCold(ss[i]); });
             }
@@ -416,7 +416,7 @@
     auto l = leader();
     if (l < 0) return;
     auto& k = *ms[std::size_t(l)];
-    auto held = std::pair(k.node->word().reign, k.node->word().gen);
+    auto held = std::pair(k.node->replicatedState().epoch, k.node->replicatedState().version);
     if (k.node->rescue(held.first, held.second, k.now()).status != 409)
         broke("a rescue is denied while a majority stands", k.st.node);
     for (auto& x : ms) x->kill(true);
@@ -428,11 +428,11 @@
         auto& k = *ms[std::size_t(l)];
         if (ended || !k.up) return;
         for (auto& x : ms)
-            if (x->node->fresh(x->now())) broke("without any majority nobody serves", x->st.node);
+            if (x->node->withinLease(x->now())) broke("without any majority nobody serves", x->st.node);
         auto& w = k.node->newest();
-        if (k.node->rescue(w.reign, w.gen + 1, k.now()).status != 409)
+        if (k.node->rescue(w.epoch, w.version + 1, k.now()).status != 409)
             broke("a rescue names what is held", k.st.node);
-        auto o = k.node->rescue(w.reign, w.gen, k.now());
+        auto o = k.node->rescue(w.epoch, w.version, k.now());
         say(fmt::format("rescue at {}: {} {}", k.st.node, o.status, o.body));
         if (o.status != 200) broke("a rescue founds a reign when no majority stands", o.body);
         lostAt = t;
--- a/src/sim/history.cpp
+++ b/src/sim/history.cpp
@@ -29,7 +29,7 @@
     auto far = std::size_t(0);
     auto stuck = std::string();
     struct Reg {
-        std::int64_t gen = 0;
+        std::int64_t version = 0;
         std::string what;
         std::vector<int> applied;
     };
@@ -37,7 +37,7 @@
     std::function<bool(const Reg&, std::size_t, std::size_t)> go = [&](const Reg& r, std::size_t n,
                                                                        std::size_t from) -> bool {
         if (n == sure) return true;
-        auto h = hash64(r.what, std::uint64_t(r.gen));
+        auto h = hash64(r.what, std::uint64_t(r.version));
         for (auto i = std::size_t(0); i < ops.size(); i++)
             if (placed[i]) h = hash64(std::string_view(reinterpret_cast<const char*>(&i), sizeof i), h);
         if (!known.insert(h).second) return false;
@@ -46,7 +46,9 @@
         for (auto i = from; i < ops.size(); i++) {
             if (placed[i]) continue;
             // What was told of a generation that has passed can be placed no more.
-            if (ops[i].read ? ops[i].gen < r.gen : ops[i].status == 200 && ops[i].gen <= r.gen) return false;
+            if (ops[i].read ? ops[i].version < r.version
+                            : ops[i].status == 200 && ops[i].version <= r.version)
+                return false;
             till = std::min(till, end(ops[i]));
         }
         for (auto i = from; i < ops.size() && ops[i].from <= till; i++) {
@@ -54,20 +56,20 @@
             auto& o = ops[i];
             auto next = r;
             auto fits = true;
-            if (o.read) fits = o.gen == r.gen && o.what == r.what && o.applied == r.applied;
-            else if (o.base == r.gen && o.status != 409) {
-                next.gen++;
+            if (o.read) fits = o.version == r.version && o.what == r.what && o.applied == r.applied;
+            else if (o.base == r.version && o.status != 409) {
+                next.version++;
                 next.what = o.what;
                 next.applied.insert(std::upper_bound(next.applied.begin(), next.applied.end(), o.who), o.who);
-                fits = o.status == 0 || next.gen == o.gen;
-            } else fits = o.status == 409 && o.base != r.gen;  // one not known to be told is left out
+                fits = o.status == 0 || next.version == o.version;
+            } else fits = o.status == 409 && o.base != r.version;  // one not known to be told is left out
             if (!fits) {
                 if (n >= far && o.to >= 0) {
                     far = n;
                     stuck =
                         fmt::format("{} from {} to {} (status {}, base {}, generation {} {}) against {} {}",
-                            o.read ? "readback" : "order", o.from, o.to, o.status, o.base, o.gen, o.what,
-                            r.gen, r.what);
+                            o.read ? "readback" : "order", o.from, o.to, o.status, o.base, o.version, o.what,
+                            r.version, r.what);
                 }
                 continue;
             }
--- a/src/sim/history.hpp
+++ b/src/sim/history.hpp
@@ -14,7 +14,7 @@
     Microseconds from = 0, to = -1;  // to: -1 if no outcome was ever told
     int status = 0;                  // of an order: 200, 409, or 0 if not known
     std::int64_t base = 0;           // an order's
-    std::int64_t gen = 0;            // that an order was told it made, or a readback read
+    std::int64_t version = 0;        // that an order was told it made, or a readback read
     std::string what;                // that an order writes, or a readback read
     std::vector<int> applied;        // a readback's: the orders (by place) of known success, rising
     int who = -1;                    // an order's place among orders
--- a/src/sim/oracles.cpp
+++ b/src/sim/oracles.cpp
@@ -27,12 +27,12 @@
     // Emptied districts: in the order of generations; an unknown outcome may stand or not.
     auto since = Microseconds(0);
     auto sure = true;
-    auto gen = std::int64_t(0);
+    auto version = std::int64_t(0);
     for (auto& d : ords)
-        if ((d.op == "empty" || d.op == "give-back") && d.what == s.district) {
+        if ((d.op == "empty" || d.op == "give-back") && d.what == s.zone) {
             if (d.over && d.status == 200) {
-                if (d.gen > gen) {
-                    gen = d.gen;
+                if (d.version > version) {
+                    version = d.version;
                     since = d.op == "empty" ? d.born : 0;
                     sure = true;
                 }
@@ -42,14 +42,15 @@
         r.lastDisobedient = std::max(r.lastDisobedient, t - since);
         if (t - since > 5 * SECOND)
             broke("nothing new reaches an emptied zone",
-                fmt::format("{} in {} {} us after the order", s.name, s.district, t - since));
+                fmt::format("{} in {} {} us after the order", s.name, s.zone, t - since));
     }
     // The probe's pool tells which configuration the sender's node obeyed.
-    if (s.pool.starts_with("probe-")) {
+    if (s.service.starts_with("probe-")) {
         auto in = inForce(t);
-        if (std::none_of(in.begin(), in.end(), [&](auto d) { return d->what == s.pool; }))
+        if (std::none_of(in.begin(), in.end(), [&](auto d) { return d->what == s.service; }))
             broke("an acknowledged configuration is obeyed within 3 s",
-                fmt::format("{} was reached; in force may be {}", s.pool, in.empty() ? "none" : in[0]->what));
+                fmt::format(
+                    "{} was reached; in force may be {}", s.service, in.empty() ? "none" : in[0]->what));
     }
 }
 
@@ -64,7 +65,7 @@
 }
 auto World::emptyTaken(const Order& d) -> void {
     for (auto& e : execs)
-        if (ss[std::size_t(e.s)].district == d.what && e.at - d.born > 5 * SECOND)
+        if (ss[std::size_t(e.s)].zone == d.what && e.at - d.born > 5 * SECOND)
             broke("nothing new reaches an emptied zone",
                 fmt::format("{} {} us after the order", d.what, e.at - d.born));
 }
@@ -75,12 +76,12 @@
     auto newest = std::int64_t(-1);
     for (auto& d : ords)
         if (d.op == "config" && d.status == 200 && d.over && at - d.over > 3 * SECOND)
-            newest = std::max(newest, d.gen);
+            newest = std::max(newest, d.version);
     auto o = std::vector<const Order*>();
     for (auto& d : ords) {
         if (d.op != "config" || !d.cfg) continue;
         auto unknown = !d.over || d.status == 504 || d.status == 503;
-        if ((d.status == 200 && d.over && d.gen >= newest) || (unknown && d.base + 1 > newest))
+        if ((d.status == 200 && d.over && d.version >= newest) || (unknown && d.base + 1 > newest))
             o.push_back(&d);
     }
     return o;
@@ -224,7 +225,7 @@
                     for (auto& x : v->voters()) o += x.disk.substr(0, 4) + " ";
                     return o;
                 }(),
-                int(v->role()), v->disk(), v->diskBad(), v->reign(), v->term(), v->last(), v->commit(),
+                int(v->role()), v->disk(), v->diskBad(), v->epoch(), v->term(), v->last(), v->commit(),
                 m->dk.under.size())
               : ""));
     }
@@ -241,7 +242,7 @@
         h.who = int(i);
         h.from = d.born;
         h.base = d.base;
-        h.gen = d.gen;
+        h.version = d.version;
         h.what = d.what;
         if (d.over && (d.status == 200 || d.status == 409)) h.to = d.over, h.status = d.status;
         ops.push_back(h);
--- a/src/sim/scale.hpp
+++ b/src/sim/scale.hpp
@@ -26,7 +26,7 @@
         int nodes = 0, servers = 0;
     };
     std::vector<Size> sizes;
-    bool learnt = false;
+    bool gossip = false;
     std::uint64_t seed = 1;
     std::string svg;
     std::vector<std::string> earlier;  // points of earlier runs, a line of JSON each, plotted beside
@@ -51,7 +51,7 @@
 
 auto scaleParse(const ScaleFlags& f) -> tl::expected<ScaleOptions, ScaleError>;
 /// An upper estimate of the memory of a run at this size, in bytes.
-auto scaleMemory(int nodes, int servers, bool learnt) -> std::int64_t;
+auto scaleMemory(int nodes, int servers, bool gossip) -> std::int64_t;
 auto scalePoint(const ScaleOptions& o, ScaleOptions::Size z) -> ScalePoint;
 /// The subcommand: 0, 1 (the plot could not be written) or 2 (wrong use).
 auto scaleMain(const ScaleFlags& f) -> int;
--- a/src/sim/scale_command.cpp
+++ b/src/sim/scale_command.cpp
@@ -54,7 +54,7 @@
 auto machineMemory() -> std::int64_t { return std::int64_t(sysconf(_SC_PHYS_PAGES)) * sysconf(_SC_PAGESIZE); }
 
 /// The sizes to run, each of which must fit into half of the machine's memory.
-auto parseSizes(const ScaleFlags& flags, bool learnt)
+auto parseSizes(const ScaleFlags& flags, bool gossip)
     -> tl::expected<std::vector<ScaleOptions::Size>, ScaleError> {
     auto nodes =
         parseNumbers(flags.nodes.empty() ? DEFAULT_NODES : flags.nodes, "--nodes", LEAST_NODES, MOST_COUNT);
@@ -69,7 +69,7 @@
     auto sizes = std::vector<ScaleOptions::Size>();
     for (auto i = std::size_t(0); i < nodes->size(); i++) {
         auto size = ScaleOptions::Size{(*nodes)[i], (*servers)[servers->size() == 1 ? 0 : i]};
-        if (auto needed = scaleMemory(size.nodes, size.servers, learnt); needed > memory / 2)
+        if (auto needed = scaleMemory(size.nodes, size.servers, gossip); needed > memory / 2)
             return refusal(fmt::format(
                 "--nodes: {} nodes with {} servers may take {} MB, over half of this machine's {} MB",
                 size.nodes, size.servers, needed >> 20, memory >> 20));
@@ -128,12 +128,12 @@
 
 }  // namespace
 
-auto scaleMemory(int nodes, int servers, bool learnt) -> std::int64_t {
+auto scaleMemory(int nodes, int servers, bool gossip) -> std::int64_t {
     auto n = std::int64_t(nodes), s = std::int64_t(servers);
     // A row with its strings, a listing with its load, the replicated state in a few copies.
     auto node = n * 900 + s * 900 + (2 << 20);
     auto message = n * 250 + s * 130;
-    if (!learnt) {
+    if (!gossip) {
         node += n * n * 90;
         message += n * n * 20;
     }
@@ -145,8 +145,8 @@
     if (flags.membership != "roster" && flags.membership != "learnt")
         return refusal("--membership: wants roster or learnt, not \"" + flags.membership + "\"");
     auto options = ScaleOptions();
-    options.learnt = flags.membership == "learnt";
-    auto sizes = parseSizes(flags, options.learnt);
+    options.gossip = flags.membership == "learnt";
+    auto sizes = parseSizes(flags, options.gossip);
     if (!sizes) return refusal(sizes.error().why);
     options.sizes = *sizes;
     options.seed = flags.seed;
--- a/src/sim/scale_fleet.cpp
+++ b/src/sim/scale_fleet.cpp
@@ -79,7 +79,7 @@
     for (auto figure : {&Stats::messagesIn, &Stats::messagesOut, &Stats::bytesIn, &Stats::bytesOut,
              &Stats::wordsIn, &Stats::rowsIn, &Stats::echoesIn, &Stats::pulsesIn, &Stats::listingsIn,
              &Stats::loadsIn, &Stats::probes, &Stats::ticks, &Stats::syncs, &Stats::lists, &Stats::tick,
-             &Stats::hear, &Stats::encode, &Stats::decode, &Stats::list, &Stats::other})
+             &Stats::handle, &Stats::encode, &Stats::decode, &Stats::list, &Stats::other})
         this->*figure += o.*figure;
 }
 
@@ -125,7 +125,7 @@
     return bytes;
 }
 
-auto HollowNode::tell(const std::string& addr, const wire::Envelope& envelope) -> void {
+auto HollowNode::send(const std::string& addr, const wire::Envelope& envelope) -> void {
     auto found = fleet.nodeByAddr.find(addr);
     if (found == fleet.nodeByAddr.end() || found->second == index) return;
     auto bytes = encoded(envelope);
@@ -148,13 +148,13 @@
         fleet.refusedMessages++;
         return;
     }
-    stats.wordsIn += envelope.__isset.word;
-    stats.rowsIn += std::int64_t(envelope.beat.rows.size());
-    for (auto& row : envelope.beat.rows) stats.echoesIn += std::int64_t(row.echo.size());
-    stats.pulsesIn += std::int64_t(envelope.beat.pulses.size());
-    stats.listingsIn += std::int64_t(envelope.beat.listings.size());
-    stats.loadsIn += std::int64_t(envelope.beat.loads.size());
-    fleet.spend(*this, &Stats::hear, [&] { node->hear(envelope, fleet.now); });
+    stats.wordsIn += envelope.__isset.replicatedState;
+    stats.rowsIn += std::int64_t(envelope.heartbeat.rows.size());
+    for (auto& row : envelope.heartbeat.rows) stats.echoesIn += std::int64_t(row.acks.size());
+    stats.pulsesIn += std::int64_t(envelope.heartbeat.pulses.size());
+    stats.listingsIn += std::int64_t(envelope.heartbeat.listings.size());
+    stats.loadsIn += std::int64_t(envelope.heartbeat.loads.size());
+    fleet.spend(*this, &Stats::handle, [&] { node->handle(envelope, fleet.now); });
     fleet.noteConfig(*this);
 }
 
@@ -194,7 +194,7 @@
     auto serverZone = fleet.servers[std::size_t(found->second)].zone;
     auto serverRegion = serverZone % fleet.regions;
     if (fleet.partitioned(region, serverRegion)) return;
-    auto load = wire::Load();
+    auto load = wire::ServerLoad();
     load.boot = 1;
     load.slots = 16;
     load.prefill = std::int32_t(fleet.net.below(4));
@@ -274,8 +274,8 @@
     // What the node holds is read over before, so that it is in the processor's caches as on a machine
     // of its own: hundreds of nodes in one process drive each other out of them.
     if (warmCaches_) {
-        for (auto& [name, known] : node.node->rows()) readSink_ += known.at + known.r.beat;
-        for (auto& [name, server] : node.node->servers()) readSink_ += server.told + server.d.slots;
+        for (auto& [name, known] : node.node->rows()) readSink_ += known.at + known.record.heartbeat;
+        for (auto& [name, server] : node.node->servers()) readSink_ += server.told + server.load.slots;
     }
     auto began = cpuNow(), encodingBefore = encoding_;
     call();
@@ -284,7 +284,9 @@
 
 auto Fleet::noteConfig(HollowNode& node) -> void {
     auto& took = tookAt_[std::size_t(node.index)];
-    if (awaitedConfig_ && took < 0 && node.up && node.node->word().configGen() >= awaitedConfig_) took = now;
+    if (awaitedConfig_ && took < 0 && node.up
+        && node.node->replicatedState().configVersion() >= awaitedConfig_)
+        took = now;
 }
 
 // ---- setting up
@@ -304,7 +306,7 @@
 auto Fleet::addNodes() -> void {
     auto inZone = std::vector<int>(std::size_t(zones), 0);
     auto seeds = std::vector<std::string>(), roster = std::vector<std::string>(),
-         seats = std::vector<std::string>();
+         initialVoters = std::vector<std::string>();
     for (auto i = 0; i < size.nodes; i++) {
         auto node = std::make_unique<HollowNode>(*this, i);
         node->zone = i % zones;
@@ -313,15 +315,15 @@
         auto number = ++inZone[std::size_t(node->zone)];
         auto ip = fmt::format("10.{}.{}.{}", node->region + 1, node->zone, number + 10);
         auto& settings = node->settings;
-        settings.district = fmt::format("hall-{:02}", node->zone);
+        settings.zone = fmt::format("hall-{:02}", node->zone);
         settings.region = fmt::format("region-{}", node->region);
-        settings.node = fmt::format("edge-{}-{}", settings.district, number);
+        settings.node = fmt::format("edge-{}-{}", settings.zone, number);
         settings.peer = ip + ":7720";
-        settings.sender = ip + ":8161";
-        settings.opr = ip + ":8166";
+        settings.clientAddress = ip + ":8161";
+        settings.operatorAddress = ip + ":8166";
         if (i < SEEDS) seeds.push_back(settings.peer);
         if (node->core) {
-            seats.push_back(settings.node);
+            initialVoters.push_back(settings.node);
             settings.data = "/data";
         }
         roster.push_back(settings.node);
@@ -331,11 +333,11 @@
     for (auto& node : nodes) {
         auto& settings = node->settings;
         settings.seeds = seeds;
-        settings.learnt = settings.bootstrap = options.learnt;
+        settings.gossip = settings.bootstrap = options.gossip;
         settings.probes = options.probes;
-        if (options.learnt) continue;
+        if (options.gossip) continue;
         settings.roster = roster;
-        if (node->core) settings.seats = seats;
+        if (node->core) settings.initialVoters = initialVoters;
     }
 }
 
@@ -343,7 +345,7 @@
     for (auto i = 0; i < size.servers; i++) {
         auto server = HollowServer();
         server.zone = i % zones;
-        server.pool = i % MODELS;
+        server.service = i % MODELS;
         server.name = fmt::format("i-{:08x}", std::uint32_t(hash64(fmt::format("server {}", i))));
         server.addr = fmt::format("10.{}.{}.{}:8080", 128 + server.zone, i / 250, i % 250 + 1);
         serverByAddr[server.addr] = i;
@@ -371,7 +373,7 @@
             "{}{{\"name\":\"{}\",\"address\":\"{}\",\"region\":\"region-{}\",\"district\":\"hall-{:02}\","
             "\"pool\":\"pool-{}\",\"weights\":\"v17\",\"slots\":16,\"state\":\"{}\",\"incarnation\":1}}",
             list.empty() ? "" : ",", server.name, server.addr, server.zone % regions, server.zone,
-            server.pool, server.leaving ? "leaving" : "up");
+            server.service, server.leaving ? "leaving" : "up");
     return fmt::format("{{\"revision\":{},\"servers\":[{}]}}", ++listingRevision_, list);
 }
 
@@ -381,7 +383,7 @@
     in(LISTING_PERIOD, [this] { tellListing(); });
     auto chosen = int(rng.below(nodes.size()));
     for (auto& node : nodes) {
-        if (!node->up || (options.learnt ? !node->node->duty(now) : node->index != chosen)) continue;
+        if (!node->up || (options.gossip ? !node->node->duty(now) : node->index != chosen)) continue;
         auto text = listing();
         point.counts["listing.jsonBytes"] = std::int64_t(text.size());
         node->stats.lists++;
@@ -412,7 +414,7 @@
 auto Fleet::sameState() -> bool {
     auto lead = leader();
     return lead && std::all_of(nodes.begin(), nodes.end(), [&](auto& node) {
-        return node->node->word().gen == lead->node->word().gen;
+        return node->node->replicatedState().version == lead->node->replicatedState().version;
     });
 }
 
@@ -431,7 +433,9 @@
     auto lead = leader();
     if (!lead || !allKnowLeader()) return false;
     return std::all_of(nodes.begin(), nodes.end(), [&](auto& node) {
-        return !node->up || (node->node->word().gen == lead->node->word().gen && node->node->ready(now));
+        return !node->up
+            || (node->node->replicatedState().version == lead->node->replicatedState().version
+                && node->node->ready(now));
     });
 }
 
--- a/src/sim/scale_fleet.hpp
+++ b/src/sim/scale_fleet.hpp
@@ -27,9 +27,9 @@
                  echoesIn = 0, pulsesIn = 0, listingsIn = 0, loadsIn = 0, probes = 0, ticks = 0, syncs = 0,
                  lists = 0;
     // Nanoseconds of processor time.
-    std::int64_t tick = 0, hear = 0, encode = 0, decode = 0, list = 0, other = 0;
+    std::int64_t tick = 0, handle = 0, encode = 0, decode = 0, list = 0, other = 0;
 
-    auto processorTime() const -> std::int64_t { return tick + hear + encode + decode + list + other; }
+    auto processorTime() const -> std::int64_t { return tick + handle + encode + decode + list + other; }
     /// Without what listings of the platform cost, which stands apart.
     auto controlTime() const -> std::int64_t { return processorTime() - list; }
     auto add(const Stats& o) -> void;
@@ -61,7 +61,7 @@
     auto start() -> void;
     auto kill() -> void;
     auto tick() -> void;
-    auto tell(const std::string& addr, const wire::Envelope& envelope) -> void override;
+    auto send(const std::string& addr, const wire::Envelope& envelope) -> void override;
     auto disk(const DiskWrite& write) -> void override;
     auto done(std::int64_t id, const Outcome& outcome) -> void override;
     auto book(const std::vector<std::string>& peers) -> void override { peerHints = peers; }
@@ -76,7 +76,7 @@
 /// A model server of the listing; it is never called.
 struct HollowServer {
     std::string name, addr;
-    int zone = 0, pool = 0;
+    int zone = 0, service = 0;
     bool leaving = false;
 };
 
--- a/src/sim/scale_measure.cpp
+++ b/src/sim/scale_measure.cpp
@@ -80,9 +80,9 @@
         });
     runUntil(now + OUTCOMES * OUTCOME_GAP);
     waitFor(CONVERGENCE_LIMIT,
-        [&] { return sameState() && leader()->node->word().d["outcomes"].Size() >= OUTCOMES; });
+        [&] { return sameState() && leader()->node->replicatedState().d["outcomes"].Size() >= OUTCOMES; });
     auto lead = leader();
-    point.counts["outcomes"] = std::int64_t(lead ? lead->node->word().d["outcomes"].Size() : 0);
+    point.counts["outcomes"] = std::int64_t(lead ? lead->node->replicatedState().d["outcomes"].Size() : 0);
 }
 
 auto Fleet::putConfiguration(const std::string& configuration) -> void {
@@ -114,7 +114,7 @@
     tellListing();
     counts["readyUs"] = waitFor(FOUNDING_LIMIT, [&] { return converged(); });
     if (counts["readyUs"] < 0) return false;
-    counts["wordBytes"] = std::int64_t(leader()->node->word().text().size());
+    counts["wordBytes"] = std::int64_t(leader()->node->replicatedState().text().size());
     counts["configBytes"] = std::int64_t(configuration.size());
     runUntil(now + 5 * SECOND);
     return true;
@@ -163,7 +163,7 @@
     auto& costs = point.costs;
     costs[role + ".cpuUs"] = sum.controlTime() / nodeSeconds / NANOSECONDS;
     costs[role + ".cpuTickUs"] = sum.tick / nodeSeconds / NANOSECONDS;
-    costs[role + ".cpuHearUs"] = sum.hear / nodeSeconds / NANOSECONDS;
+    costs[role + ".cpuHearUs"] = sum.handle / nodeSeconds / NANOSECONDS;
     costs[role + ".cpuEncodeUs"] = sum.encode / nodeSeconds / NANOSECONDS;
     costs[role + ".cpuDecodeUs"] = sum.decode / nodeSeconds / NANOSECONDS;
     costs[role + ".cpuOtherUs"] = sum.other / nodeSeconds / NANOSECONDS;
@@ -226,7 +226,7 @@
 
 // One change, small and laid on the newest; its times are taken into the longest so far.
 auto Fleet::oneChange(HollowNode& lead, bool withRelayLoss, ChangeTimes& times) -> void {
-    auto base = lead.node->word().configGen();
+    auto base = lead.node->replicatedState().configVersion();
     awaitedConfig_ = base + 1;
     tookAt_.assign(nodes.size(), -1);
     auto began = now, acknowledgedAt = Microseconds(-1);
@@ -322,7 +322,7 @@
     point.counts["listing.convergenceUs"] = waitFor(CONVERGENCE_LIMIT, [&] {
         return std::all_of(nodes.begin(), nodes.end(), [&](auto& node) {
             auto known = node->node->servers().find(leaving.name);
-            return known != node->node->servers().end() && known->second.l.state == LEAVING;
+            return known != node->node->servers().end() && known->second.listing.state == LEAVING;
         });
     });
 }
@@ -437,7 +437,7 @@
 auto scalePoint(const ScaleOptions& options, ScaleOptions::Size size) -> ScalePoint {
     logMute(true);
     auto fleet = std::make_unique<scale::Fleet>(options, size);
-    fleet->point.membership = options.learnt ? "learnt" : "roster";
+    fleet->point.membership = options.gossip ? "learnt" : "roster";
     fleet->point.seed = options.seed;
     fleet->run();
     logMute(false);
--- a/src/sim/simulate.cpp
+++ b/src/sim/simulate.cpp
@@ -57,7 +57,7 @@
     auto& b = w.op.broken;
     node->broken.noLease = b == "no-lease";
     node->broken.ackEarly = b == "ack-early";
-    node->broken.oldWord = b == "old-word";
+    node->broken.acceptOldState = b == "old-word";
     edge->broken.resendAny = b == "resend-any";
     edge->broken.joinAny = b == "join-any";
     edge->broken.ignoreHome = b == "ignore-home";
@@ -115,7 +115,7 @@
         if (c->m == i && c->life == life && c->open) w.in(w.lat(), [this, p = c.get()] { w.closeConn(p); });
 }
 
-auto Machine::tell(const std::string& addr, const wire::Envelope& e) -> void {
+auto Machine::send(const std::string& addr, const wire::Envelope& e) -> void {
     auto j = w.byAddr.find(addr);
     if (j == w.byAddr.end()) return;
     auto to = j->second;
@@ -130,7 +130,7 @@
     w.to(to, d.life, l - w.t, [this, to, p] {
         auto& d = *w.ms[std::size_t(to)];
         if (w.cut[std::size_t(i)][std::size_t(to)] > 0) return;
-        d.node->hear(*p, d.now());
+        d.node->handle(*p, d.now());
     });
 }
 
@@ -180,7 +180,7 @@
     w.in(w.lat(), [this, s, server, l] {
         auto& v = w.ss[std::size_t(s)];
         auto ok = v.up && !v.dark;
-        auto d = wire::Load();
+        auto d = wire::ServerLoad();
         d.prefill = v.prefill;
         d.decode = v.decode;
         d.slots = v.slots;
@@ -277,18 +277,18 @@
         auto& x = *ms[std::size_t(m)];
         x.node->tick(x.now(), t + x.wallOff);
         x.edge->tick(x.now());
-        auto& w = x.node->word();
-        auto p = std::pair(w.reign, w.gen);
+        auto& w = x.node->replicatedState();
+        auto p = std::pair(w.epoch, w.version);
         if (p < x.top)
             broke("no node slips back",
                 fmt::format(
                     "{} went from {}/{} to {}/{}", x.st.node, x.top.first, x.top.second, p.first, p.second));
         x.top = std::max(x.top, p);
         if (auto v = x.node->voter(); v && v->leads()) {
-            auto& l = ledBy[{v->reign(), v->term()}];
+            auto& l = ledBy[{v->epoch(), v->term()}];
             if (l.empty()) l = v->disk();
             if (l != v->disk())
-                broke("one leader a term", fmt::format("reign {} term {}", v->reign(), v->term()));
+                broke("one leader a term", fmt::format("reign {} term {}", v->epoch(), v->term()));
         }
         ticks(m, life);
     });
@@ -306,7 +306,7 @@
 }
 auto World::closeConn(Conn* c) -> void { c->open = false; }
 
-auto World::serve(Conn* c, int tr, const Exchange& x) -> void {
+auto World::serve(Conn* c, int tr, const Request& x) -> void {
     auto from = std::max<std::int64_t>(0, x.last);
     auto body = x.body;
     auto path = x.path;
@@ -482,7 +482,7 @@
     if (x.tries >= 4 || (t - x.born > 12 * SECOND && !x.moving)) {
         x.over = true;
         auto& k = r.kinds[ks[std::size_t(x.kind)].name];
-        (x.moving ? k.cut : k.denied)++;
+        (x.moving ? k.cut : k.rejected)++;
         return;
     }
     in(later ? SECOND / 2 + Microseconds(rng.below(SECOND)) : 1 * MILLISECOND, [this, a] { go(a); });
@@ -516,7 +516,7 @@
         for (; !v.empty() && to1 < 0; late += lat()) {
             auto i = rng.below(v.size());
             for (auto& m : ms)
-                if (m->st.sender == v[i] && m->up) to1 = m->i;
+                if (m->st.clientAddress == v[i] && m->up) to1 = m->i;
             v.erase(v.begin() + std::ptrdiff_t(i));
         }
         (void)life;
@@ -671,12 +671,12 @@
         T.over = T.notRun = true;
         auto d = rapidjson::Document();
         auto why = jsParse(body, d) && d.IsObject() ? jsStr(d, "error") : std::string();
-        r.denials[(T.from ? "resumed: " : "") + why.substr(0, 70)]++;
+        r.rejections[(T.from ? "resumed: " : "") + why.substr(0, 70)]++;
         if (!T.execs.empty()) broke("what was denied has not run", fmt::format("try {} of {}", tr, k.name));
         if (status >= 500) return again(T.ask, true);
         // It may not: coming back changes nothing.
         x.over = true;
-        (x.moving ? r.kinds[k.name].cut : r.kinds[k.name].denied)++;
+        (x.moving ? r.kinds[k.name].cut : r.kinds[k.name].rejected)++;
         return;
     }
     say(fmt::format("reply {} {}", status, body));
@@ -690,7 +690,7 @@
     for (auto& s : ss)
         o += (o.empty() ? "" : ",")
             + bodyOf({{"name", jsQuote(s.name)}, {"address", jsQuote(s.addr)}, {"region", jsQuote(s.region)},
-                {"district", jsQuote(s.district)}, {"pool", jsQuote(s.pool)}, {"weights", jsQuote(s.weights)},
+                {"district", jsQuote(s.zone)}, {"pool", jsQuote(s.service)}, {"weights", jsQuote(s.weights)},
                 {"slots", fmt::to_string(s.slots)}, {"state", s.leaving ? "\"leaving\"" : "\"up\""},
                 {"incarnation", fmt::to_string(s.life)}});
     return fmt::format("{{\"revision\":{},\"servers\":[{}]}}", ++rev, o);
@@ -769,8 +769,8 @@
             d.status = u.status;
             auto j = rapidjson::Document();
             if (jsParse(u.body, j) && j.IsObject())
-                d.gen = d.op == "config" && u.status == 200 ? jsInt(j, "configGeneration")
-                                                            : jsInt(j, "generation");
+                d.version = d.op == "config" && u.status == 200 ? jsInt(j, "configGeneration")
+                                                                : jsInt(j, "generation");
             say(fmt::format("order {}: status {} {}", n, u.status, u.body));
             if (u.status == 200) r.acked++, r.ackTook.push_back(t - d.born);
             if (u.status == 200 && o == "empty") emptyTaken(d);
@@ -806,7 +806,7 @@
             if (*over) return;
             *over = true;
             if (o.status == 200) {
-                auto w = Word();
+                auto w = ReplicatedState();
                 w.load(o.body);
                 auto p = std::string();
                 for (auto& v : w.config()["mappings"].GetArray())
@@ -816,19 +816,19 @@
                 h.read = true;
                 h.from = born;
                 h.to = t;
-                h.gen = w.configGen();
+                h.version = w.configVersion();
                 h.what = p;
                 for (auto i = std::size_t(0); i < ords.size(); i++)
                     if (ords[i].op == "config" && w.outcome(fmt::format("op-{}", i)).status == 200)
                         h.applied.push_back(int(i));
                 hist.push_back(h);
-                if (w.configGen() && std::none_of(ords.begin(), ords.end(), [&](auto& d) {
+                if (w.configVersion() && std::none_of(ords.begin(), ords.end(), [&](auto& d) {
                         auto unknown = d.over == 0 || d.status == 504 || d.status == 503;
                         return d.op == "config" && d.what == p
-                            && (unknown || (d.status == 200 && d.gen == w.configGen()));
+                            && (unknown || (d.status == 200 && d.version == w.configVersion()));
                     }))
                     broke("what was refused never takes effect",
-                        fmt::format("generation {} reads {}", w.configGen(), p));
+                        fmt::format("generation {} reads {}", w.configVersion(), p));
             }
             f(o.status == 200, o.body);
         };
@@ -908,8 +908,8 @@
         s.name = jsStr(v, "name");
         s.addr = jsStr(v, "address");
         s.region = jsStr(v, "region");
-        s.district = jsStr(v, "district");
-        s.pool = jsStr(v, "pool");
+        s.zone = jsStr(v, "district");
+        s.service = jsStr(v, "pool");
         s.weights = jsStr(v, "weights");
         s.slots = int(jsInt(v, "slots", 8));
         ss.push_back(s);
@@ -919,8 +919,8 @@
         s.name = fmt::format("probe-{}", i);
         s.addr = fmt::format("127.0.0.1:{}", 30000 + i);
         s.region = regions[0];
-        s.district = "probes";
-        s.pool = s.name;
+        s.zone = "probes";
+        s.service = s.name;
         s.weights = "w1";
         s.slots = 64;
         ss.push_back(s);
@@ -996,11 +996,11 @@
             if (*done) return;
             if (ok) {
                 *done = true;
-                auto w = Word();
+                auto w = ReplicatedState();
                 w.load(body);
-                r.wordGen = w.configGen();
-                r.reign = w.reign;
-                say(fmt::format("day's end reads configuration {} of reign {}", w.configGen(), w.reign));
+                r.stateVersion = w.configVersion();
+                r.epoch = w.epoch;
+                say(fmt::format("day's end reads configuration {} of reign {}", w.configVersion(), w.epoch));
                 // Booked moves fired once each, if their hour has come.
                 for (auto& m : w.d["plan"].GetArray())
                     if (jsStr(m, "state") == "booked"
@@ -1058,11 +1058,11 @@
             return 2;
         }
         auto ks = std::string(), ds = std::string();
-        for (auto& [n, k] : r->denials) ds += fmt::format("{}{}:{}", ds.empty() ? "" : ",", jsQuote(n), k);
+        for (auto& [n, k] : r->rejections) ds += fmt::format("{}{}:{}", ds.empty() ? "" : ",", jsQuote(n), k);
         for (auto& [n, k] : r->kinds)
             ks += (ks.empty() ? "" : ",") + jsQuote(n) + ":"
                 + bodyOf({{"sent", fmt::to_string(k.sent)}, {"whole", fmt::to_string(k.whole)},
-                    {"moved", fmt::to_string(k.moved)}, {"denied", fmt::to_string(k.denied)},
+                    {"moved", fmt::to_string(k.moved)}, {"denied", fmt::to_string(k.rejected)},
                     {"failed", fmt::to_string(k.failed)}, {"cut", fmt::to_string(k.cut)},
                     {"broke", fmt::to_string(k.broke)}, {"resumed", fmt::to_string(k.resumed)},
                     {"spilled", fmt::to_string(k.spilled)}, {"p50Us", fmt::to_string(quantile(k.took, .5))},
@@ -1080,9 +1080,9 @@
             {"tokensReadAgain", fmt::to_string(r->tokensAgain)}, {"orders", fmt::to_string(r->orders)},
             {"acknowledged", fmt::to_string(r->acked)}, {"unknown", fmt::to_string(r->unknown)},
             {"lastDisobedientUs", fmt::to_string(r->lastDisobedient)},
-            {"recoveryUs", fmt::to_string(r->recovery)}, {"configGeneration", fmt::to_string(r->wordGen)},
-            {"reign", fmt::to_string(r->reign)}, {"denials", "{" + ds + "}"},
-            {"worstMinute", fmt::to_string(r->worstMinute)},
+            {"recoveryUs", fmt::to_string(r->recovery)},
+            {"configGeneration", fmt::to_string(r->stateVersion)}, {"reign", fmt::to_string(r->epoch)},
+            {"denials", "{" + ds + "}"}, {"worstMinute", fmt::to_string(r->worstMinute)},
             {"ackP50Us", fmt::to_string(quantile(r->ackTook, .5))},
             {"ackP99Us", fmt::to_string(quantile(r->ackTook, .99))},
             {"markP50Us", fmt::to_string(quantile(r->markTook, .5))},
--- a/src/sim/simulate.hpp
+++ b/src/sim/simulate.hpp
@@ -27,7 +27,7 @@
 };
 
 struct SimKind {
-    std::int64_t sent = 0, whole = 0, denied = 0, failed = 0, cut = 0, moved = 0, spilled = 0, broke = 0,
+    std::int64_t sent = 0, whole = 0, rejected = 0, failed = 0, cut = 0, moved = 0, spilled = 0, broke = 0,
                  resumed = 0;  // streams cut, and whole all the same, by their sender
     std::vector<Microseconds> took, first;
 };
@@ -37,13 +37,13 @@
     std::map<std::string, SimKind> kinds;
     std::int64_t sends = 0, firsts = 0, extras = 0, execs = 0, cacheHits = 0, prompts = 0, tokensRead = 0,
                  tokensAgain = 0, orders = 0, acked = 0, unknown = 0, faults = 0;
-    std::int64_t wordGen = 0, reign = 0;
+    std::int64_t stateVersion = 0, epoch = 0;
     Microseconds lastDisobedient = 0;  // longest time from an acknowledged order to a send against it
     Microseconds recovery = 0;         // from everything killed to the next whole reply
     std::uint64_t digest = 0;          // of the whole trace: the same seed gives the same
-    std::map<std::string, std::int64_t> denials;  // by reason
-    std::vector<Microseconds> ackTook;            // from an order to its acknowledgement
-    std::vector<Microseconds> markTook;           // from a leaving mark to its acknowledgement
+    std::map<std::string, std::int64_t> rejections;  // by reason
+    std::vector<Microseconds> ackTook;               // from an order to its acknowledgement
+    std::vector<Microseconds> markTook;              // from a leaving mark to its acknowledgement
     int worstMinute = 0;  // extra sends in a thousand first ones, over the worst minute
     std::map<std::string, std::int64_t> counters;
 };
--- a/src/sim/world.hpp
+++ b/src/sim/world.hpp
@@ -58,7 +58,7 @@
     auto now() const -> Microseconds;
     auto start() -> void;
     auto kill(bool power) -> void;
-    auto tell(const std::string& addr, const wire::Envelope& e) -> void override;
+    auto send(const std::string& addr, const wire::Envelope& e) -> void override;
     auto disk(const DiskWrite& x) -> void override;
     auto diskStep() -> void;
     auto done(std::int64_t id, const Outcome& o) -> void override;
@@ -73,7 +73,7 @@
 };
 
 struct SimServer {
-    std::string name, addr, region, district, pool, weights;
+    std::string name, addr, region, zone, service, weights;
     int slots = 8;
     bool up = true, dark = false, cold = false;
     std::int64_t life = 1;
@@ -125,7 +125,7 @@
 struct Order {
     Microseconds born = 0, over = 0;  // over: 0 if the outcome never came
     int status = 0;
-    std::int64_t gen = 0, base = 0;
+    std::int64_t version = 0, base = 0;
     std::string op, what;  // config: the probe pool that it names; empty, give-back: the district
     std::shared_ptr<rapidjson::Document> cfg;
 };
@@ -175,7 +175,7 @@
     Microseconds calmFrom = 0, calmTo = 0;                // requests born between are judged for liveness
     std::map<std::string, std::pair<int, int>> calmAsks;  // kind/region: asked, whole
     std::map<std::string, std::int64_t> sumCt;
-    std::int64_t emptiesOpen = 0;
+    std::int64_t openEvacuations = 0;
     int askAt = -1;             // the node that the next order goes to
     Microseconds calmTill = 0;  // no other fault before this
     std::map<std::pair<std::int64_t, std::int64_t>, std::string> ledBy;
@@ -232,7 +232,7 @@
     auto newestConfig() const -> std::int64_t;
     auto putConfig(int probe, std::int64_t base, std::function<void(int)> f, const std::string& twist = "")
         -> void;
-    auto giveBack(const std::string& district) -> void;
+    auto restoreZone(const std::string& zone) -> void;
     auto go(int a) -> void;
     auto again(int a, bool later) -> void;
     auto lostTry(int tr) -> void;
@@ -240,7 +240,7 @@
     auto endTry(int tr, bool whole) -> void;
     auto replyTry(int tr, int status, const Headers& h, const std::string& body) -> void;
     auto result(int tr, const std::string& what) -> void;
-    auto serve(Conn* c, int tr, const Exchange& x) -> void;
+    auto serve(Conn* c, int tr, const Request& x) -> void;
     auto up(Conn* c, Microseconds d, std::function<void(Machine&)> f) -> void;
     auto closeConn(Conn* c) -> void;
     auto serverDown(int s, bool silent) -> void;
--- a/src/standins/fake_client.cpp
+++ b/src/standins/fake_client.cpp
@@ -44,7 +44,7 @@
 constexpr std::int64_t LETTERS_A_TOKEN = 4;
 
 struct Tally {
-    std::int64_t sent = 0, whole = 0, denied = 0, failed = 0, cut = 0, broken = 0, again = 0, broke = 0,
+    std::int64_t sent = 0, whole = 0, rejected = 0, failed = 0, cut = 0, broken = 0, again = 0, broke = 0,
                  resumed = 0;  // streams cut, and whole all the same
     std::vector<Microseconds> took, first;
 };
@@ -59,8 +59,8 @@
     Microseconds at = 0;
 };
 
-struct FakeSender {
-    FakeSenderOptions options;
+struct FakeClient {
+    FakeClientOptions options;
     asio::io_context io{1};
     std::vector<Kind> kinds;
     std::vector<std::string> weights, regions;
@@ -81,13 +81,13 @@
     auto report() -> std::string;
 };
 
-auto FakeSender::pause(Microseconds time) -> awaitable<void> {
+auto FakeClient::pause(Microseconds time) -> awaitable<void> {
     auto timer = asio::steady_timer(io);
     timer.expires_after(std::chrono::microseconds(time));
     co_await timer.async_wait(quiet);
 }
 
-auto FakeSender::askNode(std::string node, std::string region) -> awaitable<std::vector<std::string>> {
+auto FakeClient::askNode(std::string node, std::string region) -> awaitable<std::vector<std::string>> {
     auto addresses = std::vector<std::string>();
     auto stream = beast::tcp_stream(io);
     stream.expires_after(std::chrono::microseconds(ASK_LIMIT));
@@ -112,7 +112,7 @@
     co_return addresses;
 }
 
-auto FakeSender::ask(std::string region) -> awaitable<void> {
+auto FakeClient::ask(std::string region) -> awaitable<void> {
     for (auto i = std::size_t(0); i < options.nodes.size(); i++) {
         auto node = options.nodes[rng.below(options.nodes.size())];
         auto addresses = co_await askNode(node, region);
@@ -123,14 +123,14 @@
 }
 
 /// One request of a sender with its tries: comes back after refusals, and picks up a cut stream.
-class Exchange {
+class Request {
   public:
-    Exchange(FakeSender& sender, Kind& kind) : sender_(sender), kind_(kind), tally_(kind.tally) {
-        sender_.live++;
+    Request(FakeClient& client, Kind& kind) : client_(client), kind_(kind), tally_(kind.tally) {
+        client_.live++;
     }
-    ~Exchange() { sender_.live--; }
-    Exchange(const Exchange&) = delete;
-    auto operator=(const Exchange&) -> Exchange& = delete;
+    ~Request() { client_.live--; }
+    Request(const Request&) = delete;
+    auto operator=(const Request&) -> Request& = delete;
 
     auto run() -> awaitable<void>;
 
@@ -164,7 +164,7 @@
     /// Counts this request as broken off: `cut` if it had brought events.
     auto countEnd(std::int64_t& otherwise) -> void { (lastEvent_ > 0 ? tally_.cut : otherwise)++; }
 
-    FakeSender& sender_;
+    FakeClient& client_;
     Kind& kind_;
     Tally& tally_;
     std::string region_, path_, body_, node_;
@@ -176,19 +176,19 @@
     int resumes_ = 0;
 };
 
-auto Exchange::prompt() -> std::string {
+auto Request::prompt() -> std::string {
     auto prefixes = std::uint64_t(std::max<std::int64_t>(1, kind_.prefixes));
-    auto text = fmt::format("shared {} ", sender_.rng.below(prefixes));
+    auto text = fmt::format("shared {} ", client_.rng.below(prefixes));
     while (std::int64_t(text.size()) < kind_.shared * LETTERS_A_TOKEN) text += "lorem dune turns ";
-    text += fmt::format("own {} of {} ", serial_, sender_.options.seed);
+    text += fmt::format("own {} of {} ", serial_, client_.options.seed);
     while (std::int64_t(text.size()) < kind_.prompt * LETTERS_A_TOKEN) text += "storm cell ";
     return text;
 }
 
-auto Exchange::prepare() -> void {
-    auto& rng = sender_.rng;
-    region_ = !kind_.region.empty() ? kind_.region : sender_.regions[rng.below(sender_.regions.size())];
-    serial_ = ++sender_.serial;
+auto Request::prepare() -> void {
+    auto& rng = client_.rng;
+    region_ = !kind_.region.empty() ? kind_.region : client_.regions[rng.below(client_.regions.size())];
+    serial_ = ++client_.serial;
     path_ = kind_.path;
     if (!kind_.plain)
         body_ = bodyOf({{"prompt", jsQuote(prompt())}, {"tokens", fmt::to_string(kind_.tokens)},
@@ -201,7 +201,7 @@
     tally_.sent++;
 }
 
-auto Exchange::run() -> awaitable<void> {
+auto Request::run() -> awaitable<void> {
     prepare();
     for (auto number = 0; number < MOST_TRIES;) {
         auto step = co_await attempt(number);
@@ -209,13 +209,13 @@
         if (step == Step::GiveUp) break;
         number = step == Step::Resume ? 0 : number + 1;
     }
-    countEnd(tally_.denied);
+    countEnd(tally_.rejected);
 }
 
 // Connects to one of the known nodes, and the next where nobody is.
-auto Exchange::connect(beast::tcp_stream& stream) -> awaitable<bool> {
-    for (auto addresses = sender_.known[region_].addresses; !addresses.empty();) {
-        auto chosen = sender_.rng.below(addresses.size());
+auto Request::connect(beast::tcp_stream& stream) -> awaitable<bool> {
+    for (auto addresses = client_.known[region_].addresses; !addresses.empty();) {
+        auto chosen = client_.rng.below(addresses.size());
         node_ = addresses[chosen];
         addresses.erase(addresses.begin() + std::ptrdiff_t(chosen));
         stream.close();
@@ -227,7 +227,7 @@
     co_return false;
 }
 
-auto Exchange::request() -> Req {
+auto Request::request() -> Req {
     auto request = Req(http::string_to_verb(kind_.method), path_, 11);
     request.set(http::field::host, node_);
     request.set("X-Region", region_);
@@ -241,22 +241,22 @@
     return request;
 }
 
-auto Exchange::mayResume() -> bool {
+auto Request::mayResume() -> bool {
     tally_.broke++;
     if (weightsTold_.empty() || lastEvent_ == 0 || ++resumes_ > MOST_RESUMES) return false;
-    sender_.known[region_].addresses.clear();
+    client_.known[region_].addresses.clear();
     return true;
 }
 
-auto Exchange::attempt(int number) -> awaitable<Step> {
-    auto& known = sender_.known[region_];
+auto Request::attempt(int number) -> awaitable<Step> {
+    auto& known = client_.known[region_];
     if (known.addresses.empty() || bootNow() - known.at > ADDRESSES_KEPT || number > 0)
-        co_await sender_.ask(region_);
+        co_await client_.ask(region_);
     if (known.addresses.empty()) {
-        co_await sender_.pause(NOBODY_PAUSE);
+        co_await client_.pause(NOBODY_PAUSE);
         co_return Step::TryAgain;
     }
-    auto stream = beast::tcp_stream(sender_.io);
+    auto stream = beast::tcp_stream(client_.io);
     auto connected = co_await connect(stream);
     if (!connected) {
         known.addresses.clear();
@@ -280,13 +280,13 @@
     // Refused and not run: told when to come back, it comes back a few times.
     if (number == MOST_TRIES - 1 || reply.status < 500) co_return Step::GiveUp;
     tally_.again++;
-    auto time = RETRY_PAUSE + Microseconds(sender_.rng.below(RETRY_SPREAD));
-    co_await sender_.pause(time);
+    auto time = RETRY_PAUSE + Microseconds(client_.rng.below(RETRY_SPREAD));
+    co_await client_.pause(time);
     co_return Step::TryAgain;
 }
 
 // Sends the request and reads what comes back; false if no head of a reply came.
-auto Exchange::readReply(beast::tcp_stream& stream, Reply& reply) -> awaitable<bool> {
+auto Request::readReply(beast::tcp_stream& stream, Reply& reply) -> awaitable<bool> {
     auto message = request();
     auto [writeError, written] = co_await http::async_write(stream, message, quiet);
     if (writeError) co_return false;
@@ -317,17 +317,17 @@
     co_return true;
 }
 
-auto Exchange::wrong(Reply& reply, const std::string& why) -> void {
+auto Request::wrong(Reply& reply, const std::string& why) -> void {
     reply.wrong = true;
-    sender_.broke(kind_, why);
+    client_.broke(kind_, why);
 }
 
-auto Exchange::takeEvents(EventSplit& events, Reply& reply) -> void {
+auto Request::takeEvents(EventSplit& events, Reply& reply) -> void {
     auto event = Event();
     while (events.next(event)) takeEvent(event, reply);
 }
 
-auto Exchange::takeEvent(const Event& event, Reply& reply) -> void {
+auto Request::takeEvent(const Event& event, Reply& reply) -> void {
     if (reply.done || reply.failed) wrong(reply, "an event after the end");
     if (event.type == "failed") {
         reply.failed = true;
@@ -347,19 +347,19 @@
 }
 
 // All events of one request must be of the same weights.
-auto Exchange::judgeData(const Event& event, std::int64_t number, Reply& reply) -> void {
+auto Request::judgeData(const Event& event, std::int64_t number, Reply& reply) -> void {
     auto data = rapidjson::Document();
     auto text = jsParse(event.data, data) ? jsStr(data, "text") : std::string();
     if (weightsSeen_.empty())
-        for (auto& candidate : sender_.weights)
+        for (auto& candidate : client_.weights)
             if (text == fakePiece(body_, candidate, number)) weightsSeen_ = candidate;
     if (weightsSeen_.empty() || text != fakePiece(body_, weightsSeen_, number))
         wrong(reply, fmt::format("event {} is not what a server says to this", number));
 }
 
-auto Exchange::judgeStream(const Reply& reply) -> awaitable<Step> {
+auto Request::judgeStream(const Reply& reply) -> awaitable<Step> {
     if (reply.complete && !reply.done) {
-        sender_.broke(kind_, "a cut stream that looks whole");
+        client_.broke(kind_, "a cut stream that looks whole");
         co_return Step::Ended;
     }
     if (reply.complete && !reply.wrong) {
@@ -372,13 +372,13 @@
         tally_.cut++;
         co_return Step::Ended;
     }
-    auto time = RESUME_PAUSE + MILLISECOND * Microseconds(sender_.rng.below(RESUME_PAUSE / MILLISECOND));
-    co_await sender_.pause(time);
+    auto time = RESUME_PAUSE + MILLISECOND * Microseconds(client_.rng.below(RESUME_PAUSE / MILLISECOND));
+    co_await client_.pause(time);
     co_return Step::Resume;
 }
 
 // A reply that is no stream; TryAgain if it was refused without having run.
-auto Exchange::judgeWhole(const Reply& reply) -> Step {
+auto Request::judgeWhole(const Reply& reply) -> Step {
     if (reply.complete && reply.status != 200 && reply.notExecuted) return Step::TryAgain;
     if (!reply.complete || reply.status != 200) {
         tally_.failed++;
@@ -387,10 +387,10 @@
     auto answer = rapidjson::Document();
     auto text = jsParse(reply.text, answer) ? jsStr(answer, "reply") : std::string();
     auto asked = kind_.plain ? body_ + path_ : body_;
-    auto sound = std::any_of(sender_.weights.begin(), sender_.weights.end(),
+    auto sound = std::any_of(client_.weights.begin(), client_.weights.end(),
         [&](auto& weights) { return text == fakeWhole(asked, weights); });
     if (!sound) {
-        sender_.broke(kind_, "a reply that no server gave to this");
+        client_.broke(kind_, "a reply that no server gave to this");
         return Step::Ended;
     }
     tally_.whole++;
@@ -399,26 +399,26 @@
     return Step::Ended;
 }
 
-auto runExchange(FakeSender& sender, Kind& kind) -> awaitable<void> {
-    auto exchange = Exchange(sender, kind);
-    co_await exchange.run();
+auto runRequest(FakeClient& client, Kind& kind) -> awaitable<void> {
+    auto request = Request(client, kind);
+    co_await request.run();
 }
 
 // Sends this kind's requests at random times (Poisson) until the end.
-auto FakeSender::drive(Kind& kind, Microseconds end) -> awaitable<void> {
+auto FakeClient::drive(Kind& kind, Microseconds end) -> awaitable<void> {
     auto next = bootNow();
     while (bootNow() < end) {
         auto uniform = double((rng.next() >> 11) + 1) * 0x1.0p-53;
         next += Microseconds(-std::log(uniform) / (kind.rate * options.scale) * double(SECOND));
         if (auto wait = next - bootNow(); wait > 0) co_await pause(wait);
         if (bootNow() >= end) break;
-        if (live < MOST_LIVE) asio::co_spawn(io, runExchange(*this, kind), asio::detached);
+        if (live < MOST_LIVE) asio::co_spawn(io, runRequest(*this, kind), asio::detached);
     }
 }
 
 auto tallyText(const Tally& tally) -> std::string {
     return bodyOf({{"sent", fmt::to_string(tally.sent)}, {"whole", fmt::to_string(tally.whole)},
-        {"denied", fmt::to_string(tally.denied)}, {"failed", fmt::to_string(tally.failed)},
+        {"denied", fmt::to_string(tally.rejected)}, {"failed", fmt::to_string(tally.failed)},
         {"cut", fmt::to_string(tally.cut)}, {"brokeOff", fmt::to_string(tally.broke)},
         {"resumed", fmt::to_string(tally.resumed)}, {"broken", fmt::to_string(tally.broken)},
         {"cameBack", fmt::to_string(tally.again)}, {"p50Us", fmt::to_string(quantile(tally.took, .5))},
@@ -427,7 +427,7 @@
         {"first99Us", fmt::to_string(quantile(tally.first, .99))}});
 }
 
-auto FakeSender::report() -> std::string {
+auto FakeClient::report() -> std::string {
     auto byKind = std::string(), faults = std::string();
     for (auto& kind : kinds)
         byKind += (byKind.empty() ? "" : ",") + jsQuote(kind.name) + ":" + tallyText(kind.tally);
@@ -436,30 +436,30 @@
 }
 
 /// Reads the day into the sender; the fault, or empty.
-auto readDay(FakeSender& sender) -> std::string {
-    auto text = fileRead(sender.options.day);
+auto readDay(FakeClient& client) -> std::string {
+    auto text = fileRead(client.options.day);
     if (!text) return "--day: " + text.error();
     auto day = rapidjson::Document();
     if (!jsParse(*text, day) || !day.IsObject() || !day.HasMember("kinds") || !day["kinds"].IsArray())
         return "--day: wants {\"kinds\":[…]}";
-    if (sender.options.nodes.empty()) return "--nodes: missing";
-    sender.weights = jsList(day, "weights");
-    sender.regions = jsList(day, "regions");
+    if (client.options.nodes.empty()) return "--nodes: missing";
+    client.weights = jsList(day, "weights");
+    client.regions = jsList(day, "regions");
     for (auto& described : day["kinds"].GetArray()) {
         auto kind = Kind();
         static_cast<DayKind&>(kind) = dayKind(described);
-        sender.kinds.push_back(kind);
+        client.kinds.push_back(kind);
     }
     return "";
 }
 
-auto stopAfter(FakeSender& sender, Microseconds end) -> awaitable<void> {
-    while (bootNow() < end || (sender.live > 0 && bootNow() < end + AFTER_THE_DAY))
-        co_await sender.pause(100 * MILLISECOND);
-    sender.io.stop();
+auto stopAfter(FakeClient& client, Microseconds end) -> awaitable<void> {
+    while (bootNow() < end || (client.live > 0 && bootNow() < end + AFTER_THE_DAY))
+        co_await client.pause(100 * MILLISECOND);
+    client.io.stop();
 }
 
-auto writeReport(const FakeSenderOptions& options, const std::string& text) -> void {
+auto writeReport(const FakeClientOptions& options, const std::string& text) -> void {
     auto report = rapidjson::Document();
     jsParse(text, report);
     if (options.report.empty()) fmt::print("{}\n", jsPretty(report));
@@ -468,25 +468,25 @@
 
 }  // namespace
 
-auto fakeSenderRun(const FakeSenderOptions& options) -> int {
+auto fakeClientRun(const FakeClientOptions& options) -> int {
     signal(SIGPIPE, SIG_IGN);
-    auto sender = std::make_unique<FakeSender>();
-    sender->options = options;
-    sender->rng = Rng{options.seed};
-    if (auto fault = readDay(*sender); !fault.empty()) {
+    auto client = std::make_unique<FakeClient>();
+    client->options = options;
+    client->rng = Rng{options.seed};
+    if (auto fault = readDay(*client); !fault.empty()) {
         fmt::print(stderr, "duneturn fake-sender: {}\n", fault);
         return 2;
     }
     auto end = bootNow() + options.duration;
-    for (auto& kind : sender->kinds) asio::co_spawn(sender->io, sender->drive(kind, end), asio::detached);
-    auto signals = asio::signal_set(sender->io, SIGTERM, SIGINT);
+    for (auto& kind : client->kinds) asio::co_spawn(client->io, client->drive(kind, end), asio::detached);
+    auto signals = asio::signal_set(client->io, SIGTERM, SIGINT);
     signals.async_wait([&](beast::error_code error, int) {
-        if (!error) sender->io.stop();
+        if (!error) client->io.stop();
     });
-    asio::co_spawn(sender->io, stopAfter(*sender, end), asio::detached);
-    sender->io.run();
-    writeReport(options, sender->report());
-    return sender->rulesBroken.empty() ? 0 : 1;
+    asio::co_spawn(client->io, stopAfter(*client, end), asio::detached);
+    client->io.run();
+    writeReport(options, client->report());
+    return client->rulesBroken.empty() ? 0 : 1;
 }
 
 }  // namespace duneturn
--- a/src/standins/fake_server.cpp
+++ b/src/standins/fake_server.cpp
@@ -80,7 +80,7 @@
 struct FakeServer {
     FakeServerOptions op;
     asio::io_context io{1};
-    int prefill = 0, decode = 0, denied = 0;
+    int prefill = 0, decode = 0, rejected = 0;
     Microseconds born = bootNow();
     std::string mode;  // the fault switched on
     std::int64_t faults = 0, after = 0, ran = 0;
@@ -147,7 +147,7 @@
     auto d = rapidjson::Document();
     auto model = jsParse(q.body(), d) && d.IsObject() && d.HasMember("prompt");
     if (md == "deny" || (model && prefill + decode >= op.slots)) {
-        denied++;
+        rejected++;
         line(fmt::format("{} deny {}", bootNow(), ex));
         auto no = Headers();
         no.emplace_back("X-Not-Executed", "true");
--- a/src/standins/standins.hpp
+++ b/src/standins/standins.hpp
@@ -50,14 +50,14 @@
 };
 auto fakeServerRun(const FakeServerOptions& o) -> int;
 
-struct FakeSenderOptions {
+struct FakeClientOptions {
     std::string day, report;
     std::vector<std::string> nodes;
     Microseconds duration = 30 * SECOND;
     double scale = 1;
     std::uint64_t seed = 1;
 };
-auto fakeSenderRun(const FakeSenderOptions& o) -> int;
+auto fakeClientRun(const FakeClientOptions& o) -> int;
 
 struct FakePlatformOptions {
     std::string servers, listen;
--- a/src/state/config_change.cpp
+++ b/src/state/config_change.cpp
@@ -16,13 +16,13 @@
 
 using Allocator = rapidjson::Document::AllocatorType;
 
-constexpr auto MAPPINGS = "mappings";
+constexpr auto ROUTES = "mappings";
 constexpr auto ORIGIN = "origin";
 constexpr const char* NAMED_LISTS[] = {"pools", "models"};
 
-auto nameOf(const rapidjson::Value& mapping) -> std::string_view {
-    auto name = mapping.FindMember("name");
-    if (name == mapping.MemberEnd() || !name->value.IsString()) return "";
+auto nameOf(const rapidjson::Value& route) -> std::string_view {
+    auto name = route.FindMember("name");
+    if (name == route.MemberEnd() || !name->value.IsString()) return "";
     return {name->value.GetString(), name->value.GetStringLength()};
 }
 auto textOf(const rapidjson::Value& value) -> std::string_view {
@@ -35,7 +35,7 @@
 }
 auto isNamedList(std::string_view name) -> bool { return name == NAMED_LISTS[0] || name == NAMED_LISTS[1]; }
 auto hasPartsOfItsOwn(std::string_view name) -> bool {
-    return name == MAPPINGS || name == ORIGIN || isNamedList(name);
+    return name == ROUTES || name == ORIGIN || isNamedList(name);
 }
 
 // ---- finding the difference
@@ -56,24 +56,24 @@
         if (!parts.ObjectEmpty()) add(name, parts);
     }
 
-    auto mappings(const rapidjson::Value& older, const rapidjson::Value& newer) -> void {
+    auto routes(const rapidjson::Value& older, const rapidjson::Value& newer) -> void {
         auto known = std::unordered_map<std::string_view, const rapidjson::Value*>();
-        for (auto& mapping : older.GetArray()) known.emplace(nameOf(mapping), &mapping);
+        for (auto& route : older.GetArray()) known.emplace(nameOf(route), &route);
         auto put = rapidjson::Value(rapidjson::kArrayType);
-        for (auto& mapping : newer.GetArray()) {
-            auto old = known.find(nameOf(mapping));
-            auto same = old != known.end() && *old->second == mapping;
-            if (!same) put.PushBack(rapidjson::Value(mapping, allocator()), allocator());
+        for (auto& route : newer.GetArray()) {
+            auto old = known.find(nameOf(route));
+            auto same = old != known.end() && *old->second == route;
+            if (!same) put.PushBack(rapidjson::Value(route, allocator()), allocator());
             if (old != known.end()) known.erase(old);
         }
         auto removed = rapidjson::Value(rapidjson::kArrayType);
-        for (auto& mapping : older.GetArray())  // in the order of the configuration, not of the hashes
-            if (known.count(nameOf(mapping))) {
-                auto name = nameOf(mapping);
+        for (auto& route : older.GetArray())  // in the order of the configuration, not of the hashes
+            if (known.count(nameOf(route))) {
+                auto name = nameOf(route);
                 removed.PushBack(
                     rapidjson::Value(name.data(), unsigned(name.size()), allocator()), allocator());
             }
-        addParts(MAPPINGS, put, removed);
+        addParts(ROUTES, put, removed);
     }
     auto namedList(const char* name, const rapidjson::Value* older, const rapidjson::Value* newer) -> void {
         auto put = rapidjson::Value(rapidjson::kObjectType);
@@ -134,35 +134,34 @@
     return true;
 }
 
-auto applyMappings(rapidjson::Value& mappings, const rapidjson::Value& parts, Allocator& allocator) -> bool {
+auto applyRoutes(rapidjson::Value& routes, const rapidjson::Value& parts, Allocator& allocator) -> bool {
     auto removed = std::unordered_set<std::string_view>();
-    if (!mappings.IsArray() || !names(member(parts, "remove"), removed)) return false;
+    if (!routes.IsArray() || !names(member(parts, "remove"), removed)) return false;
     auto put = member(parts, "put");
     auto incoming = std::unordered_map<std::string_view, const rapidjson::Value*>();
     if (put && !put->IsArray()) return false;
     if (put)
-        for (auto& mapping : put->GetArray()) {
-            if (!mapping.IsObject() || nameOf(mapping).empty()) return false;
-            if (!incoming.emplace(nameOf(mapping), &mapping).second) return false;
+        for (auto& route : put->GetArray()) {
+            if (!route.IsObject() || nameOf(route).empty()) return false;
+            if (!incoming.emplace(nameOf(route), &route).second) return false;
         }
     auto kept = rapidjson::Value(rapidjson::kArrayType);
-    kept.Reserve(mappings.Size() + unsigned(incoming.size()), allocator);
+    kept.Reserve(routes.Size() + unsigned(incoming.size()), allocator);
     auto replaced = std::unordered_set<std::string_view>();
-    for (auto& mapping : mappings.GetArray()) {
-        if (removed.count(nameOf(mapping))) continue;
-        auto newer = incoming.find(nameOf(mapping));
+    for (auto& route : routes.GetArray()) {
+        if (removed.count(nameOf(route))) continue;
+        auto newer = incoming.find(nameOf(route));
         if (newer == incoming.end()) {
-            kept.PushBack(mapping, allocator);
+            kept.PushBack(route, allocator);
             continue;
         }
         replaced.insert(newer->first);
         kept.PushBack(rapidjson::Value(*newer->second, allocator), allocator);
     }
     if (put)
-        for (auto& mapping : put->GetArray())
-            if (!replaced.count(nameOf(mapping)))
-                kept.PushBack(rapidjson::Value(mapping, allocator), allocator);
-    mappings = kept;
+        for (auto& route : put->GetArray())
+            if (!replaced.count(nameOf(route))) kept.PushBack(rapidjson::Value(route, allocator), allocator);
+    routes = kept;
     return true;
 }
 
@@ -216,14 +215,14 @@
 auto applyConfigChange(rapidjson::Document& config, const rapidjson::Value& change)
     -> tl::expected<void, std::string> {
     auto& allocator = config.GetAllocator();
-    if (!config.IsObject() || !config.HasMember(MAPPINGS) || !change.IsObject())
+    if (!config.IsObject() || !config.HasMember(ROUTES) || !change.IsObject())
         return fault("not a change of a configuration");
     for (auto& part : change.GetObject()) {
         auto name = textOf(part.name);
         auto known = hasPartsOfItsOwn(name) || name == "set" || name == "unset";
         if (!known) return fault("the change has a part that is not known");
     }
-    if (auto parts = member(change, MAPPINGS); parts && !applyMappings(config[MAPPINGS], *parts, allocator))
+    if (auto parts = member(change, ROUTES); parts && !applyRoutes(config[ROUTES], *parts, allocator))
         return fault("the change of the mappings is malformed");
     for (auto list : NAMED_LISTS)
         if (auto parts = member(change, list); parts && !applyNamedList(config, list, *parts, allocator))
@@ -250,13 +249,13 @@
 auto configChange(const rapidjson::Value& older, const rapidjson::Value& newer)
     -> tl::expected<std::string, std::string> {
     auto sound = [](const rapidjson::Value& config) {
-        auto mappings = member(config, MAPPINGS);
-        return mappings && mappings->IsArray();
+        auto routes = member(config, ROUTES);
+        return routes && routes->IsArray();
     };
     if (!sound(older) || !sound(newer)) return fault("not a configuration");
     if (older.HasMember(ORIGIN) && !newer.HasMember(ORIGIN)) return fault("the origin is dropped");
     auto difference = Difference();
-    difference.mappings(older[MAPPINGS], newer[MAPPINGS]);
+    difference.routes(older[ROUTES], newer[ROUTES]);
     for (auto list : NAMED_LISTS) difference.namedList(list, member(older, list), member(newer, list));
     difference.origin(member(older, ORIGIN), member(newer, ORIGIN));
     difference.others(older, newer);
--- a/src/state/order_outcomes.cpp
+++ b/src/state/order_outcomes.cpp
@@ -65,7 +65,7 @@
     return changes;
 }
 
-auto takeOver(rapidjson::Document& state) -> void {
+auto timeoutNow(rapidjson::Document& state) -> void {
     auto& allocator = state.GetAllocator();
     auto newest = jsInt(state, "configGeneration");
     auto version = documentVersion(state);
@@ -112,7 +112,7 @@
     // A replica of the earlier format leaves the memory behind the generation that it has reached.
     auto sound =
         state.HasMember("acceptedChanges") && AcceptedChanges::sound(state["acceptedChanges"], generation);
-    if (!sound) takeOver(state);
+    if (!sound) timeoutNow(state);
     if (!state.HasMember("refusals")) sortOutcomes(state);
     return state["refusals"].IsArray();
 }
--- a/src/state/replicated_state.cpp
+++ b/src/state/replicated_state.cpp
@@ -19,7 +19,7 @@
 namespace duneturn {
 
 // Of one mapping; "pool" or "pools", as configCheck sees to.
-static constexpr auto MAPPING = R"({"type":"object","additionalProperties":false,
+static constexpr auto ROUTE_SCHEMA = R"({"type":"object","additionalProperties":false,
    "required":["name","path"],
    "properties":{
     "name":{"type":"string","pattern":"^[A-Za-z0-9_.-]+$"},
@@ -93,7 +93,7 @@
 }
 
 auto configCheck(const rapidjson::Value& v) -> std::vector<Fault> {
-    static const auto one = schemaOf(MAPPING);
+    static const auto one = schemaOf(ROUTE_SCHEMA);
     constexpr auto MANY = std::size_t(32);  // of a document that breaks more no more are named
     auto f = std::vector<Fault>();
     if (!v.IsObject() || !v.HasMember("mappings") || !v["mappings"].IsArray()) return jsCheck(v, CONFIG);
@@ -122,7 +122,7 @@
     }
     for (auto i = 0u; i < ms.Size() && f.size() < MANY; i++)
         if (!sound(ms[i], one))
-            for (auto& x : jsCheck(ms[i], MAPPING))
+            for (auto& x : jsCheck(ms[i], ROUTE_SCHEMA))
                 f.push_back({fmt::format("/mappings/{}{}", i, x.path == "/" ? "" : x.path), x.why});
     if (!f.empty()) return f;
     auto names = std::unordered_set<std::string>(), places = std::unordered_set<std::string>();
@@ -176,23 +176,26 @@
         {"faults", "[" + l + "]"}});
 }
 
-Word::Word() {
-    found({}, {});
-    gen = 0;
+ReplicatedState::ReplicatedState() {
+    bootstrap({}, {});
+    version = 0;
 }
-Word::Word(const Word& o) : reign(o.reign), gen(o.gen) { d.CopyFrom(o.d, d.GetAllocator()); }
-auto Word::operator=(const Word& o) -> Word& {
+ReplicatedState::ReplicatedState(const ReplicatedState& o) : epoch(o.epoch), version(o.version) {
+    d.CopyFrom(o.d, d.GetAllocator());
+}
+auto ReplicatedState::operator=(const ReplicatedState& o) -> ReplicatedState& {
     if (this == &o) return *this;
     // A new document, since an allocator never gives back what was erased.
     auto n = rapidjson::Document();
     n.CopyFrom(o.d, n.GetAllocator());
     d.Swap(n);
-    reign = o.reign;
-    gen = o.gen;
+    epoch = o.epoch;
+    version = o.version;
     return *this;
 }
 
-auto Word::found(const std::vector<std::string>& ro, const std::vector<Seat>& vs) -> void {
+auto ReplicatedState::bootstrap(const std::vector<std::string>& ro, const std::vector<VoterIdentity>& vs)
+    -> void {
     auto n = rapidjson::Document();
     jsParse(
         R"({"reign":0,"generation":0,"configGeneration":0,"config":{"mappings":[]},"empties":{},"plan":[],"roster":[],"voters":[],"outcomes":[]})",
@@ -201,14 +204,14 @@
     Evacuations::load(n);
     d.Swap(n);
     for (auto& r : ro) d["roster"].PushBack(rapidjson::Value(r, d.GetAllocator()), d.GetAllocator());
-    reign = 1;
-    gen = 1;
-    d["reign"].SetInt64(reign);
-    d["generation"].SetInt64(gen);
+    epoch = 1;
+    version = 1;
+    d["reign"].SetInt64(epoch);
+    d["generation"].SetInt64(version);
     setVoters(vs);
 }
 
-auto Word::load(const std::string& s) -> bool {
+auto ReplicatedState::load(const std::string& s) -> bool {
     auto n = rapidjson::Document();
     if (!jsParse(s, n) || !n.IsObject()) return false;
     for (auto k : {"config", "empties"})
@@ -219,64 +222,68 @@
         if (!n.HasMember(k) || !n[k].IsInt64()) return false;
     if (!OrderOutcomes::load(n) || !Evacuations::load(n)) return false;
     d.Swap(n);
-    reign = jsInt(d, "reign");
-    gen = jsInt(d, "generation");
+    epoch = jsInt(d, "reign");
+    version = jsInt(d, "generation");
     return true;
 }
 
-auto Word::rise() -> void {
-    gen++;
-    d["generation"].SetInt64(gen);
-    d["reign"].SetInt64(reign);
+auto ReplicatedState::rise() -> void {
+    version++;
+    d["generation"].SetInt64(version);
+    d["reign"].SetInt64(epoch);
 }
 
-auto Word::setVoters(const std::vector<Seat>& vs) -> void {
+auto ReplicatedState::setVoters(const std::vector<VoterIdentity>& vs) -> void {
     auto& al = d.GetAllocator();
     auto a = rapidjson::Value(rapidjson::kArrayType);
     for (auto& v : vs)
         a.PushBack(rapidjson::Value(rapidjson::kObjectType)
-                       .AddMember("seat", rapidjson::Value(v.seat, al), al)
+                       .AddMember("seat", rapidjson::Value(v.node, al), al)
                        .AddMember("disk", rapidjson::Value(v.disk, al), al),
             al);
     d["voters"] = a;
 }
 
-auto Word::voters() const -> std::vector<Seat> {
-    auto o = std::vector<Seat>();
+auto ReplicatedState::voters() const -> std::vector<VoterIdentity> {
+    auto o = std::vector<VoterIdentity>();
     for (auto& v : d["voters"].GetArray()) o.push_back({jsStr(v, "seat"), jsStr(v, "disk")});
     return o;
 }
-auto Word::emptied(const std::string& z) const -> bool { return d["empties"].HasMember(z.c_str()); }
+auto ReplicatedState::evacuated(const std::string& z) const -> bool {
+    return d["empties"].HasMember(z.c_str());
+}
 
-auto Word::accepted(const std::string& key) const -> Outcome { return OrderOutcomes::accepted(d, key); }
-auto Word::outcome(const std::string& key) const -> Outcome {
+auto ReplicatedState::accepted(const std::string& key) const -> Outcome {
+    return OrderOutcomes::accepted(d, key);
+}
+auto ReplicatedState::outcome(const std::string& key) const -> Outcome {
     auto known = OrderOutcomes::accepted(d, key);
     return known.status ? known : OrderOutcomes::refused(d, key);
 }
 
 // What an order's base says against it, by the newest configuration generation.
-static auto baseRefusal(const Word& w, std::int64_t base) -> Outcome {
+static auto baseRefusal(const ReplicatedState& w, std::int64_t base) -> Outcome {
     // A change on so old a base may have been accepted, and be forgotten since.
     if (base < AcceptedChanges::forgottenGeneration(w.d["acceptedChanges"])) return outcomeUnknown();
     return {409,
         bodyOf({{"error", jsQuote("based on a generation that is not the newest")},
-            {"configGeneration", fmt::to_string(w.configGen())}})};
+            {"configGeneration", fmt::to_string(w.configVersion())}})};
 }
 auto outcomeUnknown() -> Outcome {
     return {504, bodyOf({{"error", jsQuote("the outcome is not known")}, {"outcome", jsQuote("unknown")}})};
 }
 
 // One change, on a word whose caller raises the generation if it was accepted.
-auto Word::change(rapidjson::Value& o, bool planned) -> Outcome {
+auto ReplicatedState::change(rapidjson::Value& o, bool planned) -> Outcome {
     auto& al = d.GetAllocator();
     auto op = jsStr(o, "op");
     auto no = [](int st, std::string why) { return Outcome{st, bodyOf({{"error", jsQuote(why)}})}; };
     if (op == "config") {
-        if (auto base = jsInt(o, "base", -1); !planned && base != configGen())
+        if (auto base = jsInt(o, "base", -1); !planned && base != configVersion())
             return baseRefusal(*this, base);
         d["config"] = o["config"];
-        d["configGeneration"].SetInt64(configGen() + 1);
-        return {200, bodyOf({{"configGeneration", fmt::to_string(configGen())}})};
+        d["configGeneration"].SetInt64(configVersion() + 1);
+        return {200, bodyOf({{"configGeneration", fmt::to_string(configVersion())}})};
     }
     if (op == "empty" || op == "give-back") {
         auto z = jsStr(o, "district");
@@ -285,11 +292,11 @@
             return {409,
                 bodyOf({{"error", jsQuote("superseded: the zone has changed since")},
                     {"revision", fmt::to_string(revision)}})};
-        Evacuations::set(d, z, op == "empty", jsInt(o, "at"), gen + 1);
+        Evacuations::set(d, z, op == "empty", jsInt(o, "at"), version + 1);
         return {200, bodyOf({{"district", jsQuote(z)}, {"emptied", op == "empty" ? "true" : "false"}})};
     }
     if (op == "book") {
-        auto id = fmt::format("m{}", gen + 1);
+        auto id = fmt::format("m{}", version + 1);
         auto b = rapidjson::Value(rapidjson::kObjectType);
         b.AddMember("id", rapidjson::Value(id, al), al)
             .AddMember("at", rapidjson::Value(jsInt(o, "when")), al)
@@ -331,7 +338,7 @@
     return no(422, "unknown order: " + op);
 }
 
-auto Word::apply(const std::string& order) -> Outcome {
+auto ReplicatedState::apply(const std::string& order) -> Outcome {
     auto r = lay(order);
     // A new document, since an allocator never gives back what was overwritten.
     auto n = rapidjson::Document();
@@ -343,28 +350,28 @@
 static auto documentVersion(const rapidjson::Value& config) -> std::int64_t {
     return config.HasMember("origin") ? jsInt(config["origin"], "number") : 0;
 }
-auto Word::lay(const std::string& order) -> Outcome {
+auto ReplicatedState::lay(const std::string& order) -> Outcome {
     auto o = rapidjson::Document(&d.GetAllocator());  // so that what an order brings is moved, not copied
     if (!jsParse(order, o) || !o.IsObject()) return {422, bodyOf({{"error", jsQuote("not an order")}})};
     auto key = jsStr(o, "key");
     if (auto known = OrderOutcomes::accepted(d, key); known.status) return known;
     auto base = jsInt(o, "base", -1);
     if (auto known = OrderOutcomes::refused(d, key, base); known.status) return known;
-    auto before = configGen();
+    auto before = configVersion();
     auto r = change(o, false);
     if (r.status == 200) {
         rise();
         // The outcome names the generation that carries it.
-        r.body.insert(r.body.size() - 1, fmt::format(",\"generation\":{}", gen));
+        r.body.insert(r.body.size() - 1, fmt::format(",\"generation\":{}", version));
     }
-    if (configGen() != before) OrderOutcomes::keepConfiguration(d, key, documentVersion(config()));
+    if (configVersion() != before) OrderOutcomes::keepConfiguration(d, key, documentVersion(config()));
     else if (r.status == 200 && !key.empty()) OrderOutcomes::keepAccepted(d, key, r);
     else if (r.status != outcomeUnknown().status && !key.empty()) OrderOutcomes::keepRefused(d, key, base, r);
     return r;
 }
 
-static auto moveCheck(
-    const Word& w, const rapidjson::Value& m, const std::string& path, std::vector<Fault>& f) -> void {
+static auto moveCheck(const ReplicatedState& w, const rapidjson::Value& m, const std::string& path,
+    std::vector<Fault>& f) -> void {
     auto op = jsStr(m, "op");
     if (op == "empty" || op == "give-back") {
         if (jsStr(m, "district").empty()) f.push_back({path + "/district", "missing"});
@@ -379,8 +386,8 @@
     (void)w;
 }
 
-auto orderPrepare(const Word& w, const std::string& op, const std::string& key, const std::string& body,
-    Microseconds wall) -> tl::expected<std::string, OrderRefusal> {
+auto orderPrepare(const ReplicatedState& w, const std::string& op, const std::string& key,
+    const std::string& body, Microseconds wall) -> tl::expected<std::string, OrderRefusal> {
     auto b = rapidjson::Document();
     if (!jsParse(body.empty() ? "{}" : body, b))
         return tl::make_unexpected(OrderRefusal{{400, errorBody({{"/", "malformed JSON"}})}});
@@ -412,7 +419,7 @@
             o.AddMember("base", jsInt(b, "base"), al);  // a Val would be moved out of b
             o.AddMember("config", c, al);
             // A patch laid on another generation than it names must lose, not win by chance.
-            if (op == "merge" && jsInt(b, "base") != w.configGen() && f.empty())
+            if (op == "merge" && jsInt(b, "base") != w.configVersion() && f.empty())
                 return tl::make_unexpected(OrderRefusal{baseRefusal(w, jsInt(b, "base")), true});
         }
     } else if (op == "empty" || op == "give-back") {
--- a/src/state/replicated_state.hpp
+++ b/src/state/replicated_state.hpp
@@ -14,32 +14,32 @@
 
 namespace duneturn {
 
-struct Seat {
-    std::string seat, disk;
+struct VoterIdentity {
+    std::string node, disk;
 };
 
-struct Word {
+struct ReplicatedState {
     rapidjson::Document d;
-    std::int64_t reign = 0, gen = 0;
+    std::int64_t epoch = 0, version = 0;
 
-    Word();
-    Word(const Word& o);
-    auto operator=(const Word& o) -> Word&;
+    ReplicatedState();
+    ReplicatedState(const ReplicatedState& o);
+    auto operator=(const ReplicatedState& o) -> ReplicatedState&;
 
     /// The document of a new fleet.
-    auto found(const std::vector<std::string>& roster, const std::vector<Seat>& vs) -> void;
+    auto bootstrap(const std::vector<std::string>& roster, const std::vector<VoterIdentity>& vs) -> void;
     /// Takes `s` whole; false and unchanged if it is no such document.
     auto load(const std::string& s) -> bool;
     auto text() const -> std::string { return js(d); }
     /// One logged order. The same order on the same word gives the same outcome anywhere.
     auto apply(const std::string& order) -> Outcome;
-    auto setVoters(const std::vector<Seat>& vs) -> void;
+    auto setVoters(const std::vector<VoterIdentity>& vs) -> void;
 
-    auto voters() const -> std::vector<Seat>;
+    auto voters() const -> std::vector<VoterIdentity>;
     auto roster() const -> std::vector<std::string> { return jsList(d, "roster"); }
-    auto emptied(const std::string& district) const -> bool;
+    auto evacuated(const std::string& zone) const -> bool;
     auto config() const -> const rapidjson::Value& { return d["config"]; }
-    auto configGen() const -> std::int64_t { return jsInt(d, "configGeneration"); }
+    auto configVersion() const -> std::int64_t { return jsInt(d, "configGeneration"); }
     /// The outcome kept under an idempotency key; status 0 if there is none.
     auto outcome(const std::string& key) const -> Outcome;
     /// The same, of an order that was accepted.
@@ -65,8 +65,8 @@
 
 /// What a leader does with an operator's request before it is logged: checks it and
 /// lays merge patches onto the word. Gives the entry's text, or the denial.
-auto orderPrepare(const Word& w, const std::string& op, const std::string& key, const std::string& body,
-    Microseconds wall) -> tl::expected<std::string, OrderRefusal>;
+auto orderPrepare(const ReplicatedState& w, const std::string& op, const std::string& key,
+    const std::string& body, Microseconds wall) -> tl::expected<std::string, OrderRefusal>;
 /// Every fault of a whole configuration.
 auto configCheck(const rapidjson::Value& v) -> std::vector<Fault>;
 
--- a/src/state/state_query.cpp
+++ b/src/state/state_query.cpp
@@ -12,17 +12,17 @@
 
 namespace {
 
-auto changeAnswer(const Word& state, const std::string& key) -> std::string {
+auto changeAnswer(const ReplicatedState& state, const std::string& key) -> std::string {
     auto& memory = state.d["acceptedChanges"];
     auto accepted = AcceptedChanges::find(memory, key).has_value();
     auto& config = state.config();
     return bodyOf({{"accepted", accepted ? "true" : "false"},
         {"forgottenVersion", fmt::to_string(AcceptedChanges::forgottenVersion(memory))},
-        {"configGeneration", fmt::to_string(state.configGen())},
+        {"configGeneration", fmt::to_string(state.configVersion())},
         {"origin", config.HasMember("origin") ? js(config["origin"]) : "{}"}});
 }
 
-auto zoneAnswer(const Word& state, const std::string& name) -> std::string {
+auto zoneAnswer(const ReplicatedState& state, const std::string& name) -> std::string {
     auto zone = Evacuations::zone(state.d, name);
     return bodyOf(
         {{"evacuated", zone.evacuated ? "true" : "false"}, {"revision", fmt::to_string(zone.revision)}});
@@ -45,7 +45,7 @@
     return {};
 }
 
-auto StateQuery::answer(const Word& state) const -> std::string {
+auto StateQuery::answer(const ReplicatedState& state) const -> std::string {
     switch (kind) {
     case Kind::Change: return changeAnswer(state, name);
     case Kind::Zone: return zoneAnswer(state, name);
--- a/src/state/state_query.hpp
+++ b/src/state/state_query.hpp
@@ -25,7 +25,7 @@
     /// What cannot be read asks for the whole document, as an empty text does.
     static auto parse(const std::string& text) -> StateQuery;
     /// The answer's JSON out of `state`.
-    auto answer(const Word& state) const -> std::string;
+    auto answer(const ReplicatedState& state) const -> std::string;
 };
 
 /// The answer to StateQuery::change.
--- a/src/storage/store.cpp
+++ b/src/storage/store.cpp
@@ -41,7 +41,7 @@
 auto metaRecord(const DiskState& state) -> std::string {
     auto meta = wire::Meta();
     meta.disk = state.disk;
-    meta.reign = state.reign;
+    meta.epoch = state.epoch;
     meta.term = state.term;
     meta.vote = state.vote;
     meta.commit = state.commit;
@@ -81,7 +81,7 @@
             newer = true;
         }
         state.disk = meta.disk;
-        state.reign = meta.reign;
+        state.epoch = meta.epoch;
         state.term = meta.term;
         state.vote = meta.vote;
         state.commit = meta.commit;
--- a/tests/consensus/consensus_fixture.hpp
+++ b/tests/consensus/consensus_fixture.hpp
@@ -41,13 +41,13 @@
         std::int64_t appliedGen = 0;
 
         Member(ConsensusFixture& c, std::string d) : cluster(c), disk(std::move(d)) {}
-        auto voterTell(const std::string& to, wire::Envelope& e) -> void override {
+        auto voterSend(const std::string& to, wire::Envelope& e) -> void override {
             if (cluster.record) sent.emplace_back(to, e);
             cluster.post(disk, to, e);
         }
-        auto voterDisk(const DiskWrite& w) -> void override { pending.push_back(w); }
-        auto voterWord(const Word& w, const std::string&, const Outcome&) -> void override {
-            appliedGen = w.gen;
+        auto voterWrite(const DiskWrite& w) -> void override { pending.push_back(w); }
+        auto voterApplied(const ReplicatedState& w, const std::string&, const Outcome&) -> void override {
+            appliedGen = w.version;
         }
         auto voterRead(std::int64_t id, bool ok) -> void override { reads[id] = ok; }
         auto start() -> void {
@@ -85,8 +85,8 @@
 
     static auto sizeOf(const wire::Envelope& e) -> std::int64_t {
         auto n = std::int64_t(100);
-        for (auto& x : e.appendAsk.entries) n += std::int64_t(x.body.size()) + 20;
-        return n + std::int64_t(e.snapTell.doc.size() + e.snapshotChunk.data.size());
+        for (auto& x : e.appendEntries.entries) n += std::int64_t(x.body.size()) + 20;
+        return n + std::int64_t(e.installSnapshot.doc.size() + e.snapshotChunk.data.size());
     }
     auto post(const std::string& from, const std::string& to, wire::Envelope e) -> void {
         if (cut.count({from, to}) || !members.count(to)) return;
@@ -115,19 +115,19 @@
                 else cut.erase(link);
     }
     // A cluster of these disks, each in the seat "s-<disk>", led by somebody.
-    auto found(const std::vector<std::string>& disks, const std::string& name = "") -> void {
-        auto seats = std::vector<Seat>();
+    auto bootstrap(const std::vector<std::string>& disks, const std::string& name = "") -> void {
+        auto initialVoters = std::vector<VoterIdentity>();
         for (auto& d : disks) {
             add(d);
-            seats.push_back({"s-" + d, d});
+            initialVoters.push_back({"s-" + d, d});
         }
-        auto state = Word();
-        state.found({"n"}, seats);
+        auto state = ReplicatedState();
+        state.bootstrap({"n"}, initialVoters);
         if (!name.empty()) {
             auto& al = state.d.GetAllocator();
             state.d["config"].AddMember("name", rapidjson::Value(name, al), al);
         }
-        at(disks[0]).found(state, 1, now);
+        at(disks[0]).bootstrap(state, 1, now);
         run(10 * SECOND);
     }
     auto step() -> void {
@@ -136,7 +136,7 @@
             auto [to, e] = network.begin()->second;
             network.erase(network.begin());
             auto m = members.find(to);
-            if (m != members.end() && m->second->voter) m->second->voter->hear(e, now);
+            if (m != members.end() && m->second->voter) m->second->voter->handle(e, now);
         }
         auto blank = std::vector<std::string>();
         for (auto& [d, m] : members)
@@ -144,8 +144,8 @@
         for (auto& [d, m] : members) {
             m->sync();
             if (!m->voter) continue;
-            m->voter->untold(blank);
-            m->voter->offer(spares);
+            m->voter->setBlankVoters(blank);
+            m->voter->setSpareDisks(spares);
             m->voter->tick(now);
         }
     }
@@ -177,9 +177,9 @@
         }
         CHECK_EQ(disk, leader());
     }
-    auto propose(const std::string& disk, const std::string& district) -> bool {
-        auto body = orderPrepare(at(disk).head(), "empty", fmt::format("k{}", ++keys_),
-            fmt::format("{{\"district\":\"{}\"}}", district), now);
+    auto propose(const std::string& disk, const std::string& zone) -> bool {
+        auto body = orderPrepare(at(disk).latestState(), "empty", fmt::format("k{}", ++keys_),
+            fmt::format("{{\"district\":\"{}\"}}", zone), now);
         return body && at(disk).propose(ENTRY_ORDER, *body, now);
     }
     auto votersOf(const std::string& disk) -> std::set<std::string> {
--- a/tests/consensus/consensus_membership_test.cpp
+++ b/tests/consensus/consensus_membership_test.cpp
@@ -73,7 +73,7 @@
 
 struct Replacement {
     ConsensusFixture f;
-    Replacement() { f.found({"a", "b", "c"}); }
+    Replacement() { f.bootstrap({"a", "b", "c"}); }
     // Steps to the moment at which the leader has appended the joint configuration.
     auto toJoint(const std::string& seat) -> std::string {
         auto leader = f.leader();
@@ -128,8 +128,8 @@
     for (auto& [d, m] : r.f.members) {
         CHECK_EQ(std::size_t(1), r.f.votersOf(d).count("d"));
         CHECK_EQ(std::size_t(0), r.f.votersOf(d).count(lost));
-        CHECK_EQ(r.f.at(leader).word().gen, m->voter->word().gen);
-        CHECK_EQ(std::size_t(3), m->voter->word().voters().size());
+        CHECK_EQ(r.f.at(leader).replicatedState().version, m->voter->replicatedState().version);
+        CHECK_EQ(std::size_t(3), m->voter->replicatedState().voters().size());
     }
 }
 
@@ -171,7 +171,7 @@
 static auto newMajorityCommits(Voter::Broken broken) -> bool {
     auto f = ConsensusFixture();
     f.broken = broken;
-    f.found({"a", "b", "c"});
+    f.bootstrap({"a", "b", "c"});
     auto leader = f.leader();
     auto seat = leader == "c" ? std::string("b") : std::string("c");
     f.add("d");
@@ -221,7 +221,7 @@
 // A store of the format before joint configurations, in the middle of "add, then remove".
 TEST(ConsensusMembership, formerVotersEntryIsRead) {
     auto f = ConsensusFixture();
-    f.found({"a", "b", "c"});
+    f.bootstrap({"a", "b", "c"});
     auto leader = f.leader();
     f.run(SECOND);
     auto index = f.at(leader).last();
@@ -244,7 +244,9 @@
     f.members.at("d")->held = f.members.at("a")->held;
     f.members.at("d")->held.disk = "d";
     f.members.at("d")->start();
-    auto done = [&] { return !f.leader().empty() && f.at(f.leader()).word().voters().size() == 3; };
+    auto done = [&] {
+        return !f.leader().empty() && f.at(f.leader()).replicatedState().voters().size() == 3;
+    };
     CHECK(f.until(done, 10 * SECOND));
     CHECK(f.votersOf(f.leader()) == (Disks{"a", "b", "d"}));
 }
@@ -257,7 +259,7 @@
     auto lost = leader == "c" ? std::string("b") : std::string("c");
     f.lose(lost);
     f.drop = [](const std::string&, wire::Envelope& e) {
-        e.appendReply.knowsJoint = false;
+        e.appendEntriesReply.knowsJoint = false;
         return false;
     };
     f.lead(leader);  // a leader remembers what it heard in its own term only
@@ -274,27 +276,27 @@
 // must be there, and somebody must lead. `early`: by hearsay of a change that is not committed.
 static auto survivesRetiring(bool early, const std::string& victim) -> bool {
     auto f = ConsensusFixture();
-    f.found({"a", "b", "c"});
+    f.bootstrap({"a", "b", "c"});
     f.lead("a");
     f.isolate("b", true);  // so that the acknowledged order is on a and c
     f.propose("a", "kept");
-    CHECK(f.until([&] { return f.at("a").word().emptied("kept"); }, SECOND));
+    CHECK(f.until([&] { return f.at("a").replicatedState().evacuated("kept"); }, SECOND));
     f.add("d");
     f.isolate("b", true);
     f.spares = {{"s-c", "d"}};
     auto named = [&] {
-        auto voters = early ? f.at("a").voters() : f.at("a").word().voters();
+        auto voters = early ? f.at("a").voters() : f.at("a").replicatedState().voters();
         return std::none_of(voters.begin(), voters.end(), [](auto& v) { return v.disk == "c"; });
     };
     CHECK(f.until(named, 10 * SECOND));
-    auto gen = early ? f.at("c").word().gen + 1000 : f.at("a").word().gen;
+    auto version = early ? f.at("c").replicatedState().version + 1000 : f.at("a").replicatedState().version;
     // One whose log holds the change itself knows of it; only one that is behind retires.
-    f.at("c").retire(gen, "c2", f.now);
+    f.at("c").retire(version, "c2", f.now);
     if (early) CHECK(f.at("c").blank());
     f.spares.clear();
     f.cut.clear();
     f.lose(victim);
-    auto kept = [&] { return !f.leader().empty() && f.at(f.leader()).word().emptied("kept"); };
+    auto kept = [&] { return !f.leader().empty() && f.at(f.leader()).replicatedState().evacuated("kept"); };
     f.run(5 * SECOND);
     return f.until(kept, 10 * SECOND);
 }
--- a/tests/consensus/consensus_snapshot_test.cpp
+++ b/tests/consensus/consensus_snapshot_test.cpp
@@ -22,7 +22,7 @@
     std::string leader, late;
     std::int64_t chunksBefore = 0;
     explicit Laggard(std::size_t size) {
-        f.found({"a", "b", "c"}, std::string(size, 'x'));
+        f.bootstrap({"a", "b", "c"}, std::string(size, 'x'));
         leader = f.leader();
         late = leader == "c" ? "b" : "c";
         f.stop(late);
@@ -57,8 +57,8 @@
             changes += f.propose(l.leader, fmt::format("y{}", changes));
         }
         f.step();
-        acknowledged = std::max(acknowledged, f.at(l.leader).word().gen);
-        if (f.at(l.late).ready()) CHECK(f.at(l.late).word().gen >= acknowledged);
+        acknowledged = std::max(acknowledged, f.at(l.leader).replicatedState().version);
+        if (f.at(l.late).ready()) CHECK(f.at(l.late).replicatedState().version >= acknowledged);
         if (!caughtAt && l.caughtUp()) caughtAt = f.now;
     }
     if (getenv("DT_SHOW")) fmt::print("caught up after {} us, {} changes\n", caughtAt - began, changes);
@@ -70,7 +70,7 @@
 
 TEST(ConsensusSnapshot, slightlyBehindGetsEntries) {
     auto f = ConsensusFixture();
-    f.found({"a", "b", "c"}, std::string(MEGABYTE, 'x'));
+    f.bootstrap({"a", "b", "c"}, std::string(MEGABYTE, 'x'));
     auto leader = f.leader(), late = std::string(leader == "c" ? "b" : "c");
     for (auto i = 0; i < 250; i++) {
         f.propose(leader, "z");
@@ -91,7 +91,7 @@
 
 TEST(ConsensusSnapshot, logIsCutByBytes) {
     auto f = ConsensusFixture();
-    f.found({"a", "b", "c"});
+    f.bootstrap({"a", "b", "c"});
     auto leader = f.leader();
     for (auto i = 0; i < 40; i++) {
         f.at(leader).propose(ENTRY_NOOP, std::string(100'000, 'x'), f.now);
@@ -109,7 +109,7 @@
 // No entry is sent again while it is on its way.
 TEST(ConsensusSnapshot, batchesAreBounded) {
     auto f = ConsensusFixture();
-    f.found({"a", "b", "c"});
+    f.bootstrap({"a", "b", "c"});
     auto leader = f.leader(), late = std::string(leader == "c" ? "b" : "c");
     f.bitsPerSecond[late] = SLOW_LINK;
     f.stop(late);
@@ -123,7 +123,7 @@
     f.drop = [&](const std::string& to, wire::Envelope& e) {
         if (to != late) return false;
         largest = std::max(largest, ConsensusFixture::sizeOf(e));
-        sent += std::int64_t(e.appendAsk.entries.size());
+        sent += std::int64_t(e.appendEntries.entries.size());
         return false;
     };
     for (auto i = 0; i < 60; i++) {
@@ -156,7 +156,7 @@
     f.bitsPerSecond[l.late] = SLOW_LINK / 4;
     f.members.at(l.late)->start();
     CHECK(f.until([&] { return l.chunks() >= 8; }, 10 * SECOND));
-    CHECK(f.at(l.leader).handOver(f.now));
+    CHECK(f.at(l.leader).transferLeadership(f.now));
     auto former = l.leader;
     CHECK(f.until([&] { return !f.leader().empty() && f.leader() != former; }, 5 * SECOND));
     l.leader = f.leader();
@@ -185,33 +185,33 @@
     g.run(SECOND);
     auto& v = *m.voter;
     auto unharmed = [&] { return v.blank() && v.commit() == 0 && m.held.snapIdx == 0; };
-    auto hear = [&](std::size_t i, const std::function<void(wire::SnapshotChunk&)>& change) {
+    auto handle = [&](std::size_t i, const std::function<void(wire::SnapshotChunk&)>& change) {
         auto e = chunks[i];
         change(e.snapshotChunk);
-        v.hear(e, g.now);
+        v.handle(e, g.now);
         CHECK(unharmed());
     };
-    hear(0, [](auto& c) { c.data.resize(c.data.size() / 2); });
-    hear(0, [](auto& c) { c.data[100] ^= 1; });
-    hear(0, [](auto& c) { c.offset = 5; });
-    hear(0, [](auto& c) { c.size = 10; });
-    hear(0, [](auto& c) { c.idxTerm = c.term + 1; });
+    handle(0, [](auto& c) { c.data.resize(c.data.size() / 2); });
+    handle(0, [](auto& c) { c.data[100] ^= 1; });
+    handle(0, [](auto& c) { c.offset = 5; });
+    handle(0, [](auto& c) { c.size = 10; });
+    handle(0, [](auto& c) { c.idxTerm = c.term + 1; });
     CHECK_EQ(std::int64_t(5), m.counters.get("snapshot_chunk_malformed_total"));
-    hear(1, [](auto&) {});
-    hear(0, [](auto&) {});
-    hear(2, [](auto&) {});
+    handle(1, [](auto&) {});
+    handle(0, [](auto&) {});
+    handle(2, [](auto&) {});
     CHECK_EQ(std::int64_t(2), m.counters.get("snapshot_chunk_out_of_order_total"));
-    for (auto i = std::size_t(1); i < chunks.size(); i++) v.hear(chunks[i], g.now);
+    for (auto i = std::size_t(1); i < chunks.size(); i++) v.handle(chunks[i], g.now);
     CHECK(!v.blank());
     g.run(100 * MILLISECOND);
     CHECK_EQ(chunks[0].snapshotChunk.idx, m.held.snapIdx);
     // Of a term that is over.
     auto old = chunks[0];
-    v.hear(old, g.now);
+    v.handle(old, g.now);
     auto later = chunks[0];
     later.snapshotChunk.term += 5;
-    v.hear(later, g.now);
-    v.hear(old, g.now);
+    v.handle(later, g.now);
+    v.handle(old, g.now);
     CHECK_EQ(std::int64_t(1), m.counters.get("snapshot_chunk_old_term_total"));
 }
 
@@ -248,16 +248,16 @@
     auto& m = f.add("n");
     f.run(SECOND);
     auto e = wire::Envelope();
-    auto s = wire::SnapTell();
+    auto s = wire::InstallSnapshot();
     e.wire = WIRE;
-    e.reign = 1;
+    e.epoch = 1;
     e.disk = "a";
     s.term = 3;
     s.idx = 9;
     s.idxTerm = 2;
     s.doc = "{\"reign\":1";
-    e.__set_snapTell(s);
-    m.voter->hear(e, f.now);
+    e.__set_installSnapshot(s);
+    m.voter->handle(e, f.now);
     CHECK(m.voter->blank());
     CHECK_EQ(std::int64_t(1), m.counters.get("snapshot_malformed_total"));
 }
--- a/tests/consensus/consensus_test.cpp
+++ b/tests/consensus/consensus_test.cpp
@@ -16,13 +16,13 @@
 
 auto appendFrom(ConsensusFixture& f, const std::string& leader) -> wire::Envelope {
     auto e = wire::Envelope();
-    auto ask = wire::AppendAsk();
+    auto ask = wire::AppendEntries();
     e.wire = WIRE;
     e.disk = leader;
-    e.reign = f.at(leader).reign();
+    e.epoch = f.at(leader).epoch();
     ask.term = f.at(leader).term();
     ask.commit = f.at(leader).commit();
-    e.__set_appendAsk(ask);
+    e.__set_appendEntries(ask);
     return e;
 }
 
@@ -44,7 +44,7 @@
 auto contradict(Voter::Broken broken) -> std::pair<std::int64_t, std::int64_t> {
     auto f = ConsensusFixture();
     f.broken = broken;
-    f.found({"a", "b", "c"});
+    f.bootstrap({"a", "b", "c"});
     auto leader = f.leader(), follower = other(f, leader);
     for (auto i = 0; i < 5; i++) f.propose(leader, "z");
     f.run(SECOND);
@@ -52,11 +52,11 @@
     auto before = v.last();
     CHECK_EQ(before, v.commit());
     auto e = appendFrom(f, leader);
-    e.appendAsk.term++;
-    e.appendAsk.prevIdx = before - 3;
-    e.appendAsk.prevTerm = v.term();
-    e.appendAsk.entries = {entry(v.term() + 1, before - 2)};
-    v.hear(e, f.now);
+    e.appendEntries.term++;
+    e.appendEntries.prevIdx = before - 3;
+    e.appendEntries.prevTerm = v.term();
+    e.appendEntries.entries = {entry(v.term() + 1, before - 2)};
+    v.handle(e, f.now);
     return {before - v.last(), f.counter(follower, "append_contradicts_committed_total")};
 }
 
@@ -71,76 +71,76 @@
 
 TEST(Consensus, malformedAppendsAreRefused) {
     auto f = ConsensusFixture();
-    f.found({"a", "b", "c"});
+    f.bootstrap({"a", "b", "c"});
     auto leader = f.leader(), follower = other(f, leader);
     auto& v = f.at(follower);
     auto last = v.last(), term = v.term();
-    auto hear = [&](std::int64_t prev, std::vector<wire::Entry> entries) {
+    auto handle = [&](std::int64_t prev, std::vector<wire::Entry> entries) {
         auto e = appendFrom(f, leader);
-        e.appendAsk.prevIdx = prev;
-        e.appendAsk.prevTerm = term;
-        e.appendAsk.entries = std::move(entries);
-        v.hear(e, f.now);
+        e.appendEntries.prevIdx = prev;
+        e.appendEntries.prevTerm = term;
+        e.appendEntries.entries = std::move(entries);
+        v.handle(e, f.now);
     };
-    hear(last, {entry(term, last + 2)});                         // a gap
-    hear(last, {entry(term, last + 1), entry(term, last + 1)});  // an index twice
-    hear(last, {entry(term + 1, last + 1)});                     // of a term to come
-    hear(last, {entry(term - 1, last + 1)});                     // falling terms
-    hear(last, {entry(term, last + 1, 77)});                     // of an unknown kind
-    hear(last, {entry(term, last + 1, ENTRY_JOINT)});            // without its voters
-    hear(-1, {});
+    handle(last, {entry(term, last + 2)});                         // a gap
+    handle(last, {entry(term, last + 1), entry(term, last + 1)});  // an index twice
+    handle(last, {entry(term + 1, last + 1)});                     // of a term to come
+    handle(last, {entry(term - 1, last + 1)});                     // falling terms
+    handle(last, {entry(term, last + 1, 77)});                     // of an unknown kind
+    handle(last, {entry(term, last + 1, ENTRY_JOINT)});            // without its voters
+    handle(-1, {});
     CHECK_EQ(std::int64_t(7), f.counter(follower, "append_malformed_total"));
     CHECK_EQ(last, v.last());
-    hear(last, {entry(term, last + 1)});
+    handle(last, {entry(term, last + 1)});
     CHECK_EQ(last + 1, v.last());
 }
 
 TEST(Consensus, secondLeaderOfATermIsRefused) {
     auto f = ConsensusFixture();
-    f.found({"a", "b", "c"});
+    f.bootstrap({"a", "b", "c"});
     auto leader = f.leader(), follower = other(f, leader), third = other(f, leader, follower);
     auto e = appendFrom(f, leader);
     e.disk = third;
-    e.appendAsk.prevIdx = f.at(follower).last();
-    e.appendAsk.prevTerm = f.at(follower).term();
-    f.at(follower).hear(e, f.now);
+    e.appendEntries.prevIdx = f.at(follower).last();
+    e.appendEntries.prevTerm = f.at(follower).term();
+    f.at(follower).handle(e, f.now);
     CHECK_EQ(std::int64_t(1), f.counter(follower, "append_second_leader_total"));
     CHECK_EQ(leader, f.at(follower).leader());
 }
 
 TEST(Consensus, repliesOfStrangersAndBeyondTheLogAreRefused) {
     auto f = ConsensusFixture();
-    f.found({"a", "b", "c"});
+    f.bootstrap({"a", "b", "c"});
     auto leader = f.leader(), follower = other(f, leader);
     auto e = wire::Envelope();
-    auto reply = wire::AppendReply();
+    auto reply = wire::AppendEntriesReply();
     e.wire = WIRE;
-    e.reign = f.at(leader).reign();
+    e.epoch = f.at(leader).epoch();
     e.disk = "stranger";
     reply.term = f.at(leader).term();
     reply.ok = true;
     reply.match = f.at(leader).last();
-    e.__set_appendReply(reply);
-    f.at(leader).hear(e, f.now);
+    e.__set_appendEntriesReply(reply);
+    f.at(leader).handle(e, f.now);
     CHECK_EQ(std::int64_t(1), f.counter(leader, "reply_of_stranger_total"));
     e.disk = follower;
-    e.appendReply.match = f.at(leader).last() + 1;
-    f.at(leader).hear(e, f.now);
+    e.appendEntriesReply.match = f.at(leader).last() + 1;
+    f.at(leader).handle(e, f.now);
     CHECK_EQ(std::int64_t(1), f.counter(leader, "reply_beyond_log_total"));
 }
 
 TEST(Consensus, takeOverComesFromTheLeaderOnly) {
     auto f = ConsensusFixture();
-    f.found({"a", "b", "c"});
+    f.bootstrap({"a", "b", "c"});
     auto leader = f.leader(), follower = other(f, leader), third = other(f, leader, follower);
     auto e = wire::Envelope();
-    auto takeOver = wire::TakeOver();
+    auto timeoutNow = wire::TimeoutNow();
     e.wire = WIRE;
-    e.reign = f.at(leader).reign();
+    e.epoch = f.at(leader).epoch();
     e.disk = third;
-    takeOver.term = f.at(leader).term();
-    e.__set_takeOver(takeOver);
-    f.at(follower).hear(e, f.now);
+    timeoutNow.term = f.at(leader).term();
+    e.__set_timeoutNow(timeoutNow);
+    f.at(follower).handle(e, f.now);
     CHECK(f.at(follower).role() == Voter::Role::Follower);
     CHECK_EQ(std::int64_t(1), f.counter(follower, "transfer_refused_total"));
 }
@@ -149,25 +149,26 @@
 static auto answersWithUnsavedTerm(Voter::Broken broken) -> bool {
     auto f = ConsensusFixture();
     f.broken = broken;
-    f.found({"a", "b", "c"});
+    f.bootstrap({"a", "b", "c"});
     auto leader = f.leader(), follower = other(f, leader);
     f.isolate(follower, true);
     auto& m = *f.members.at(follower);
     f.step();
     auto e = appendFrom(f, leader);
-    e.appendAsk.term = m.voter->term() + 1;
-    e.appendAsk.prevIdx = m.voter->last();
-    e.appendAsk.prevTerm = m.held.log.empty() ? m.held.snapTerm : m.held.log.back().term;
+    e.appendEntries.term = m.voter->term() + 1;
+    e.appendEntries.prevIdx = m.voter->last();
+    e.appendEntries.prevTerm = m.held.log.empty() ? m.held.snapTerm : m.held.log.back().term;
     m.failNextWrite = true;
-    m.voter->hear(e, f.now);
+    m.voter->handle(e, f.now);
     m.sync();
     CHECK(m.voter->diskBad());
     m.diskHangs = true;
     f.record = true;
     m.sent.clear();
-    m.voter->hear(e, f.now + 10 * MILLISECOND);
-    CHECK(m.held.term < e.appendAsk.term);
-    return std::any_of(m.sent.begin(), m.sent.end(), [](auto& s) { return s.second.__isset.appendReply; });
+    m.voter->handle(e, f.now + 10 * MILLISECOND);
+    CHECK(m.held.term < e.appendEntries.term);
+    return std::any_of(
+        m.sent.begin(), m.sent.end(), [](auto& s) { return s.second.__isset.appendEntriesReply; });
 }
 
 TEST(Consensus, termIsSavedBeforeAnAnswer) {
@@ -179,7 +180,7 @@
 
 TEST(Consensus, ownVoteCountsOnceItIsSaved) {
     auto f = ConsensusFixture();
-    f.found({"a"});
+    f.bootstrap({"a"});
     CHECK(f.at("a").leads());
     f.stop("a");
     f.members.at("a")->start();
@@ -192,7 +193,7 @@
 
 TEST(Consensus, failedSnapshotIsWrittenAgain) {
     auto f = ConsensusFixture();
-    f.found({"a", "b", "c"});
+    f.bootstrap({"a", "b", "c"});
     auto leader = f.leader(), late = other(f, leader);
     f.stop(late);
     for (auto i = 0; i < 600; i++) {
@@ -218,12 +219,12 @@
     again.members["x"] = std::make_unique<ConsensusFixture::Member>(again, "x");
     again.members.at("x")->held = m.held;
     again.members.at("x")->start();
-    CHECK_EQ(f.at(leader).word().gen, again.at("x").word().gen);
+    CHECK_EQ(f.at(leader).replicatedState().version, again.at("x").replicatedState().version);
 }
 
 TEST(Consensus, readNeedsAMajorityAfterTheQuestion) {
     auto f = ConsensusFixture();
-    f.found({"a", "b", "c"});
+    f.bootstrap({"a", "b", "c"});
     auto leader = f.leader();
     f.isolate(leader, true);
     f.network.clear();
--- a/tests/consensus/voter_test.cpp
+++ b/tests/consensus/voter_test.cpp
@@ -35,9 +35,10 @@
         std::string disk;
         Microseconds wake = 0;
         Replica(Cluster& x, int k) : l(x), i(k) {}
-        auto voterTell(const std::string& d, wire::Envelope& e) -> void override { l.post(d, e); }
-        auto voterDisk(const DiskWrite& w) -> void override { under.push_back(w); }
-        auto voterWord(const Word& w, const std::string& key, const Outcome& o) -> void override {
+        auto voterSend(const std::string& d, wire::Envelope& e) -> void override { l.post(d, e); }
+        auto voterWrite(const DiskWrite& w) -> void override { under.push_back(w); }
+        auto voterApplied(const ReplicatedState& w, const std::string& key, const Outcome& o)
+            -> void override {
             l.applied(*this, w);
             // The one who proposed it hears of it: from here on it is acknowledged.
             if (!key.empty() && o.status == 200 && v && v->leads()) l.acked.push_back(key);
@@ -45,8 +46,9 @@
         auto voterRead(std::int64_t id, bool ok) -> void override {
             if (!ok) return;
             auto& r = l.reads[id];
-            if (v->word().gen < r)
-                l.bad = fmt::format("a readback gave generation {} after {} was known", v->word().gen, r);
+            if (v->replicatedState().version < r)
+                l.bad = fmt::format(
+                    "a readback gave generation {} after {} was known", v->replicatedState().version, r);
         }
         auto start() -> void {
             gate = {};
@@ -56,9 +58,9 @@
             disk = v->disk();
         }
     };
-    auto voterTell(const std::string&, wire::Envelope&) -> void override {}
-    auto voterDisk(const DiskWrite&) -> void override {}
-    auto voterWord(const Word&, const std::string&, const Outcome&) -> void override {}
+    auto voterSend(const std::string&, wire::Envelope&) -> void override {}
+    auto voterWrite(const DiskWrite&) -> void override {}
+    auto voterApplied(const ReplicatedState&, const std::string&, const Outcome&) -> void override {}
     auto voterRead(std::int64_t, bool) -> void override {}
 
     Rng r;
@@ -89,22 +91,22 @@
             t + Microseconds(r.below(r.chance(.1) ? 400 * MILLISECOND : 20 * MILLISECOND)), std::pair(d, e));
         if (r.chance(.03)) net.emplace(t + Microseconds(r.below(800 * MILLISECOND)), std::pair(d, e));
     }
-    auto applied(Replica&, const Word& w) -> void {
-        if (w.gen == 0) return;
-        auto& x = texts[w.gen];
+    auto applied(Replica&, const ReplicatedState& w) -> void {
+        if (w.version == 0) return;
+        auto& x = texts[w.version];
         if (x.empty()) x = w.text();
         else if (x != w.text())
-            bad = fmt::format("two words of generation {}: {} {}", w.gen, getenv("DT_SHOW") ? x : "",
+            bad = fmt::format("two words of generation {}: {} {}", w.version, getenv("DT_SHOW") ? x : "",
                 getenv("DT_SHOW") ? w.text() : "");
-        top = std::max(top, w.gen);
+        top = std::max(top, w.version);
     }
     auto run(int steps) -> void {
         for (auto& b : bs) b->start();
-        auto vs = std::vector<Seat>();
+        auto vs = std::vector<VoterIdentity>();
         for (auto& b : bs) vs.push_back({fmt::format("s{}", b->i), b->disk});
-        auto w = Word();
-        w.found({"n"}, vs);
-        bs[0]->v->found(w, 1, t);
+        auto w = ReplicatedState();
+        w.bootstrap({"n"}, vs);
+        bs[0]->v->bootstrap(w, 1, t);
         auto key = 0;
         auto nextFault = SECOND;
         for (auto s = 0; s < steps && bad.empty(); s++) {
@@ -113,7 +115,7 @@
                 auto [d, e] = net.begin()->second;
                 net.erase(net.begin());
                 for (auto& b : bs)
-                    if (b->v && b->disk == d && t >= b->wake) b->v->hear(e, t);
+                    if (b->v && b->disk == d && t >= b->wake) b->v->handle(e, t);
             }
             for (auto& b : bs) {
                 if (!b->v) {
@@ -132,19 +134,19 @@
                 auto un = std::vector<std::string>();
                 for (auto& o : bs)
                     if (o->v && o->v->blank()) un.push_back(o->disk);
-                b->v->untold(un);
+                b->v->setBlankVoters(un);
                 auto of = std::vector<std::pair<std::string, std::string>>();
                 for (auto& o : bs)
                     if (o->v) of.emplace_back(fmt::format("s{}", o->i), o->disk);
-                b->v->offer(of);
+                b->v->setSpareDisks(of);
                 b->v->tick(t);
                 if (b->v->leads()) {
-                    auto& l = leads[{b->v->reign(), b->v->term()}];
+                    auto& l = leads[{b->v->epoch(), b->v->term()}];
                     if (l.empty()) l = b->disk;
                     if (l != b->disk) bad = fmt::format("two leaders in term {}", b->v->term());
                     if (r.chance(.05)) {
                         auto k = fmt::format("k{}", key++);
-                        if (auto o = orderPrepare(b->v->head(), "empty", k,
+                        if (auto o = orderPrepare(b->v->latestState(), "empty", k,
                                 fmt::format("{{\"district\":\"z{}\"}}", r.below(5)), t))
                             b->v->propose(ORDER, *o, t);
                     }
@@ -152,7 +154,7 @@
                         reads[key] = top;
                         b->v->read(key++, t);
                     }
-                    if (!calm && r.chance(.002)) b->v->handOver(t);
+                    if (!calm && r.chance(.002)) b->v->transferLeadership(t);
                 }
             }
             if (t >= nextFault) {
@@ -205,7 +207,7 @@
         for (auto& b : bs)
             for (auto k = acked.size() > 100 ? acked.end() - 100 : acked.begin(); k != acked.end();
                  ++k)  // a word keeps the last 256
-                if (b->v && b->v->leads() && b->v->word().outcome(*k).status != 200)
+                if (b->v && b->v->leads() && b->v->replicatedState().outcome(*k).status != 200)
                     bad = "acknowledged and gone: " + *k;
     }
 };
--- a/tests/membership/fleet_fixture.hpp
+++ b/tests/membership/fleet_fixture.hpp
@@ -44,7 +44,7 @@
     std::unique_ptr<Node> n;
     std::int64_t top = 0;
     explicit Box(Fleet& x) : f(x) {}
-    auto tell(const std::string& addr, const wire::Envelope& e) -> void override;
+    auto send(const std::string& addr, const wire::Envelope& e) -> void override;
     auto disk(const DiskWrite& w) -> void override;
     auto done(std::int64_t id, const Outcome& o) -> void override;
     auto book(const std::vector<std::string>& a) -> void override { kept = a; }
@@ -67,33 +67,33 @@
     std::map<std::int64_t, Outcome> outs;
     std::vector<std::string> seeds;
     std::map<std::string, std::size_t> byAddr;
-    std::int64_t ids = 0, between = 0, all = 0, probes = 0, beats = 0;
+    std::int64_t ids = 0, between = 0, all = 0, probes = 0, heartbeats = 0;
     std::string bad;
     double loss = 0;
     bool serveOn = true, weigh = false, broken = false;
 
     explicit Fleet(std::uint64_t seed) : r{seed} {}
 
-    auto add(const std::string& region, const std::string& district, bool core, bool bootstrap) -> Box& {
+    auto add(const std::string& region, const std::string& zone, bool core, bool bootstrap) -> Box& {
         auto& b = *bs.emplace_back(std::make_unique<Box>(*this));
         auto k = bs.size();
         b.core = core;
-        b.st.node = fmt::format("edge-{}-{}", district, k);
-        b.st.district = district;
+        b.st.node = fmt::format("edge-{}-{}", zone, k);
+        b.st.zone = zone;
         b.st.region = region;
         b.st.peer = fmt::format("10.1.{}.{}:7720", k / 250, k % 250);
-        b.st.sender = fmt::format("10.1.{}.{}:8161", k / 250, k % 250);
-        b.st.opr = fmt::format("10.1.{}.{}:8166", k / 250, k % 250);
+        b.st.clientAddress = fmt::format("10.1.{}.{}:8161", k / 250, k % 250);
+        b.st.operatorAddress = fmt::format("10.1.{}.{}:8166", k / 250, k % 250);
         byAddr[b.st.peer] = k - 1;
         b.st.seeds = seeds;
-        b.st.learnt = true;
+        b.st.gossip = true;
         b.st.bootstrap = bootstrap;
         b.st.serveOn = serveOn;
         b.st.probes = false;
         return b;
     }
     // `cores` of them with a disk, one a district in turn.
-    auto found(int cores = 3, int nodes = 12) -> void {
+    auto bootstrap(int cores = 3, int nodes = 12) -> void {
         auto ds = std::vector<std::pair<std::string, std::string>>{
             {"punjab", "lhr-hall"}, {"punjab", "mtn-hall"}, {"sindh", "khi-hall"}};
         seeds = {"10.1.0.1:7720", "10.1.0.2:7720", "10.1.0.3:7720"};
@@ -159,9 +159,9 @@
         auto j = at(to);
         if (j < 0 || r.chance(loss)) return;
         auto& o = *bs[std::size_t(j)];
-        auto d = b.st.region != o.st.region  ? 55 * MILLISECOND
-            : b.st.district != o.st.district ? 900
-                                             : Microseconds(300);
+        auto d = b.st.region != o.st.region ? 55 * MILLISECOND
+            : b.st.zone != o.st.zone        ? 900
+                                            : Microseconds(300);
         if (weigh) {
             auto m = std::make_shared<apache::thrift::transport::TMemoryBuffer>();
             auto p = apache::thrift::protocol::TCompactProtocol(m);
@@ -186,7 +186,7 @@
                 if (j < 0 || !bs[std::size_t(j)]->up || cut.count({p.from, std::size_t(j)})) continue;
                 auto& b = *bs[std::size_t(j)];
                 if (b.frozen > t) net.emplace(std::max(when, b.frozen), p);
-                else b.n->hear(p.e, t);
+                else b.n->handle(p.e, t);
             }
             for (auto i = std::size_t(0); i < bs.size(); i++) {
                 auto& b = *bs[i];
@@ -200,9 +200,9 @@
                 if ((t / MILLISECOND + Microseconds(i) * 2) % 20 == 0)
                     b.n->tick(t, 1'700'000'000 * SECOND + t);
                 // Within one life no word goes back.
-                if (b.n->word().gen < b.top)
-                    bad = fmt::format("{} went back to {}", b.st.node, b.n->word().gen);
-                b.top = b.n->word().gen;
+                if (b.n->replicatedState().version < b.top)
+                    bad = fmt::format("{} went back to {}", b.st.node, b.n->replicatedState().version);
+                b.top = b.n->replicatedState().version;
             }
         }
         CPPUNIT_ASSERT_EQUAL_MESSAGE(bad, std::string(), bad);
@@ -240,7 +240,7 @@
     }
     auto everywhere(const std::string& what) -> bool {
         for (auto& b : bs)
-            if (b->up && b->frozen <= t && !b->n->word().emptied(what)) return false;
+            if (b->up && b->frozen <= t && !b->n->replicatedState().evacuated(what)) return false;
         return true;
     }
     auto config() -> bool {
@@ -251,7 +251,7 @@
     }
     auto voters() -> std::vector<std::string> {
         auto v = std::vector<std::string>();
-        for (auto& s : leader()->n->word().voters()) v.push_back(s.disk);
+        for (auto& s : leader()->n->replicatedState().voters()) v.push_back(s.disk);
         return v;
     }
     auto seated(Box& b) -> bool {
@@ -264,18 +264,19 @@
             if (!b->core || !b->n) continue;
             auto v = b->n->voter();
             fmt::print("{} disk {} role {} term {} last {} commit {} gen {} alive {} leader {} voters",
-                b->st.node, v->disk(), int(v->role()), v->term(), v->last(), v->commit(), b->n->word().gen,
-                b->n->aliveNodes(t).size(), b->n->leaderNode(t));
-            for (auto& s : v->voters()) fmt::print(" {}={}", s.seat, s.disk);
+                b->st.node, v->disk(), int(v->role()), v->term(), v->last(), v->commit(),
+                b->n->replicatedState().version, b->n->aliveNodes(t).size(), b->n->leaderNode(t));
+            for (auto& s : v->voters()) fmt::print(" {}={}", s.node, s.disk);
             fmt::print("\n");
         }
     }
     auto standing(int cores = 3, int nodes = 12) -> void {
-        found(cores, nodes);
+        bootstrap(cores, nodes);
         CHECK(until(3 * SECOND, [&] { return leader() != nullptr; }));
         CHECK(config());
-        CHECK(until(SECOND,
-            [&] { return std::all_of(bs.begin(), bs.end(), [&](auto& b) { return b->n->fresh(t); }); }));
+        CHECK(until(SECOND, [&] {
+            return std::all_of(bs.begin(), bs.end(), [&](auto& b) { return b->n->withinLease(t); });
+        }));
         run(2 * SECOND);
     }
     auto list(Box& b, const std::vector<std::string>& names, const std::string& more = "") -> int {
@@ -295,15 +296,15 @@
     }
     auto state(Box& b, const std::string& s) -> int {
         auto i = b.n->servers().find(s);
-        return i == b.n->servers().end() ? -1 : int(i->second.l.state);
+        return i == b.n->servers().end() ? -1 : int(i->second.listing.state);
     }
     auto listed(const std::string& s, int state_) -> bool {
         return std::all_of(bs.begin(), bs.end(), [&](auto& b) { return !b->up || state(*b, s) == state_; });
     }
 };
 
-inline auto Box::tell(const std::string& addr, const wire::Envelope& e) -> void {
-    f.beats += e.__isset.beat;
+inline auto Box::send(const std::string& addr, const wire::Envelope& e) -> void {
+    f.heartbeats += e.__isset.heartbeat;
     f.post(*this, addr, e);
 }
 inline auto Box::disk(const DiskWrite& w) -> void {
--- a/tests/membership/node_fixture.hpp
+++ b/tests/membership/node_fixture.hpp
@@ -36,14 +36,14 @@
     std::int64_t rev = 0;
 
     NodeFixture() {
-        st.node = "a", st.district = "d", st.region = "near", st.peer = "127.0.0.1:1";
-        st.roster = st.seats = {"a"};
+        st.node = "a", st.zone = "d", st.region = "near", st.peer = "127.0.0.1:1";
+        st.roster = st.initialVoters = {"a"};
         n = std::make_unique<Node>(st, *this, ct, 7, 1);
         e = std::make_unique<Edge>(*n, *this, ct, 2);
         n->startCore({}, "disk", now);
         run(8 * SECOND);
     }
-    auto tell(const std::string&, const wire::Envelope&) -> void override {}
+    auto send(const std::string&, const wire::Envelope&) -> void override {}
     auto disk(const DiskWrite& w) -> void override { dq.push_back(w); }
     auto done(std::int64_t id, const Outcome& o) -> void override { outs[id] = o; }
     auto book(const std::vector<std::string>&) -> void override {}
@@ -69,7 +69,7 @@
             auto p = std::move(probes);
             probes.clear();
             for (auto& s : p) {
-                auto l = wire::Load();
+                auto l = wire::ServerLoad();
                 l.slots = 4, l.boot = 1, l.up = 3600 * SECOND;
                 n->loadSeen(s, true, false, l, now);
             }
@@ -78,7 +78,7 @@
     auto config(const std::string& c) -> int {
         auto id = std::int64_t(rng.next() >> 8);
         n->order(id, "config", fmt::format("k{}", id),
-            fmt::format("{{\"base\":{},\"config\":{}}}", n->word().configGen(), c), now);
+            fmt::format("{{\"base\":{},\"config\":{}}}", n->replicatedState().configVersion(), c), now);
         run(2 * SECOND);
         return outs[id].status;
     }
