--- a/tests/membership/node_learnt_test.cpp
+++ b/tests/membership/node_learnt_test.cpp
@@ -19,15 +19,15 @@
     auto q = Quiet();
     for (auto seed = 1u; seed < 6; seed++) {
         auto f = Fleet(seed);
-        f.found();
-        for (auto& b : f.bs) CHECK(!b->n->fresh(f.t));
+        f.bootstrap();
+        for (auto& b : f.bs) CHECK(!b->n->withinLease(f.t));
         CHECK(f.until(3 * SECOND, [&] { return f.leader() != nullptr; }));
         CHECK_EQ(std::size_t(3), f.voters().size());
         auto a = f.t;
         CHECK(f.config());
         CHECK(f.t - a < SECOND);
         CHECK(f.until(SECOND, [&] {
-            return std::all_of(f.bs.begin(), f.bs.end(), [&](auto& b) { return b->n->fresh(f.t); });
+            return std::all_of(f.bs.begin(), f.bs.end(), [&](auto& b) { return b->n->withinLease(f.t); });
         }));
         for (auto& b : f.bs) CHECK_EQ(std::size_t(12), b->n->aliveNodes(f.t).size());
         CHECK_EQ(std::int64_t(0), f.probes);
@@ -40,12 +40,12 @@
 TEST(NodeLearnt, foundsFiveOfSix) {
     auto q = Quiet();
     auto f = Fleet(3);
-    f.found(6);
+    f.bootstrap(6);
     CHECK(f.until(3 * SECOND, [&] { return f.leader() != nullptr; }));
     CHECK_EQ(std::size_t(5), f.voters().size());
     auto in = std::map<std::string, int>();
     for (auto& b : f.bs)
-        if (f.seated(*b)) in[b->st.district]++;
+        if (f.seated(*b)) in[b->st.zone]++;
     CHECK_EQ(std::size_t(3), in.size());
     for (auto& [d, n] : in) CHECK(n <= 2);
 }
@@ -53,7 +53,7 @@
 TEST(NodeLearnt, foundsOnlyAtTheFirstStart) {
     auto q = Quiet();
     auto f = Fleet(4);
-    f.found();
+    f.bootstrap();
     for (auto& b : f.bs) {
         f.stop(*b);
         f.restart(*b);
@@ -84,7 +84,7 @@
         CHECK(f.ordered("z", 4 * SECOND - (f.t - a)));
         CHECK(f.until(2500 * MILLISECOND, [&] { return f.everywhere("z"); }));
         f.restart(*l);
-        CHECK(l->n->fresh(f.t));  // by its disk, at once
+        CHECK(l->n->withinLease(f.t));  // by its disk, at once
         CHECK(f.until(3 * SECOND, [&] { return f.everywhere("z"); }));
     }
 }
@@ -124,17 +124,17 @@
         auto& l = *f.leader()->n;
         for (auto& b : f.bs) {
             CHECK_EQ(std::size_t(12), b->n->aliveNodes(f.t).size());
-            CHECK_EQ(l.word().gen, b->n->word().gen);
+            CHECK_EQ(l.replicatedState().version, b->n->replicatedState().version);
             CHECK_EQ(l.servers().size(), b->n->servers().size());
             for (auto& [n, s] : l.servers()) {
-                CHECK_EQ(s.l.state, b->n->servers().at(n).l.state);
-                CHECK_EQ(s.l.gen, b->n->servers().at(n).l.gen);
+                CHECK_EQ(s.listing.state, b->n->servers().at(n).listing.state);
+                CHECK_EQ(s.listing.revision, b->n->servers().at(n).listing.revision);
             }
             for (auto& o : f.bs)
                 if (o != b) {
-                    auto& r = b->n->rows().at(o->st.node).r;
+                    auto& r = b->n->rows().at(o->st.node).record;
                     CHECK_EQ(o->n->me().version, r.version);
-                    CHECK_EQ(o->n->me().gen, r.gen);
+                    CHECK_EQ(o->n->me().stateVersion, r.stateVersion);
                     CHECK_EQ(o->n->me().leader, r.leader);
                 }
         }
@@ -204,8 +204,8 @@
             CHECK_EQ(a.servers().size(), b->n->servers().size());
             for (auto& [n, s] : a.servers()) {
                 CHECK_EQ(std::size_t(1), b->n->servers().count(n));
-                CHECK_EQ(s.l.gen, b->n->servers().at(n).l.gen);
-                CHECK_EQ(s.l.state, b->n->servers().at(n).l.state);
+                CHECK_EQ(s.listing.revision, b->n->servers().at(n).listing.revision);
+                CHECK_EQ(s.listing.state, b->n->servers().at(n).listing.state);
             }
         }
     }
@@ -222,14 +222,14 @@
         if (d != l->n->me().disk) other = d;
     auto say = [&](const std::string& disk) {
         auto e = wire::Envelope();
-        auto r = wire::AppendReply();
+        auto r = wire::AppendEntriesReply();
         r.term = l->n->voter()->term() + 5;
         e.wire = WIRE;
         e.node = "x";
         e.disk = disk;
-        e.reign = l->n->voter()->reign();
-        e.__set_appendReply(r);
-        l->n->hear(e, f.t);
+        e.epoch = l->n->voter()->epoch();
+        e.__set_appendEntriesReply(r);
+        l->n->handle(e, f.t);
     };
     say("disk-of-nobody");
     CHECK(l->n->voter()->leads());
@@ -241,20 +241,20 @@
 TEST(NodeLearnt, retiresBehindItsLogOnly) {
     auto q = Quiet();
     struct Port : VoterPort {
-        auto voterTell(const std::string&, wire::Envelope&) -> void override {}
-        auto voterDisk(const DiskWrite&) -> void override {}
-        auto voterWord(const Word&, const std::string&, const Outcome&) -> void override {}
+        auto voterSend(const std::string&, wire::Envelope&) -> void override {}
+        auto voterWrite(const DiskWrite&) -> void override {}
+        auto voterApplied(const ReplicatedState&, const std::string&, const Outcome&) -> void override {}
         auto voterRead(std::int64_t, bool) -> void override {}
     } p;
     auto ct = Counters();
     auto v = Voter(p, ct, 1);
     v.start({}, "a", 0);
-    auto w = Word();
-    w.found({}, {{"x", "a"}, {"y", "b"}, {"z", "c"}});
-    v.found(w, 1, 0);
+    auto w = ReplicatedState();
+    w.bootstrap({}, {{"x", "a"}, {"y", "b"}, {"z", "c"}});
+    v.bootstrap(w, 1, 0);
     // Two entries more, of which it does not know yet whether they are committed.
     auto e = wire::Envelope();
-    auto a = wire::AppendAsk();
+    auto a = wire::AppendEntries();
     a.term = a.prevTerm = a.prevIdx = a.commit = 1;
     for (auto i : {2, 3}) {
         auto x = wire::Entry();
@@ -265,9 +265,9 @@
         a.entries.push_back(x);
     }
     e.disk = "b";
-    e.reign = 1;
-    e.__set_appendAsk(a);
-    v.hear(e, 1);
+    e.epoch = 1;
+    e.__set_appendEntries(a);
+    v.handle(e, 1);
     CHECK_EQ(std::int64_t(3), v.last());
     CHECK(!v.retire(3, "new", 2));
     CHECK_EQ(std::string("a"), v.disk());
@@ -338,12 +338,12 @@
     for (auto i : {0, 1}) f.restart(*f.bs[std::size_t(i)]);
     CHECK(!f.until(10 * SECOND, [&] { return f.leader() != nullptr; }));
     // None founds anew; what is known is served on, and a survivor can be told to begin.
-    for (auto i = 2u; i < 12; i++) CHECK(f.bs[i]->n->fresh(f.t));
+    for (auto i = 2u; i < 12; i++) CHECK(f.bs[i]->n->withinLease(f.t));
     auto& w = f.bs[2]->n->newest();
-    CHECK_EQ(409, f.bs[2]->n->rescue(w.reign, w.gen - 1, f.t).status);
-    CHECK_EQ(200, f.bs[2]->n->rescue(w.reign, w.gen, f.t).status);
+    CHECK_EQ(409, f.bs[2]->n->rescue(w.epoch, w.version - 1, f.t).status);
+    CHECK_EQ(200, f.bs[2]->n->rescue(w.epoch, w.version, f.t).status);
     CHECK(f.until(8 * SECOND, [&] { return f.leader() != nullptr; }));
-    CHECK(f.leader()->n->word().emptied("z"));
+    CHECK(f.leader()->n->replicatedState().evacuated("z"));
 }
 
 TEST(NodeLearnt, coreIsReplacedForGood) {
@@ -356,7 +356,7 @@
         f.stop(gone);
         gone.removed = true;
         f.run(f.r.below(2) ? 300 * MILLISECOND : 4 * SECOND);
-        auto& n = f.add(gone.st.region, gone.st.district, true, false);
+        auto& n = f.add(gone.st.region, gone.st.zone, true, false);
         f.start(n);
         CHECK(f.until(5 * SECOND, [&] { return f.seated(n) && f.voters().size() == 3; }));
         CHECK(f.ordered("b", 4 * SECOND));
@@ -376,7 +376,7 @@
         CHECK(f.ordered("a", 4 * SECOND));
         auto& leaving = *f.bs[k];
         CHECK(leaving.n->seatHandedOver(f.t));
-        auto& spare = f.add(leaving.st.region, leaving.st.district, true, false);
+        auto& spare = f.add(leaving.st.region, leaving.st.zone, true, false);
         f.start(spare);
         f.run(2 * SECOND);
         CHECK(!f.seated(spare));
@@ -401,7 +401,7 @@
         auto& old = *(f.leader() == f.bs[0].get() ? f.bs[1] : f.bs[0]);
         auto was = old.n->me().disk;
         f.lone(old, true);
-        auto& n = f.add(old.st.region, old.st.district, true, false);
+        auto& n = f.add(old.st.region, old.st.zone, true, false);
         f.lone(old, true);
         f.start(n);
         CHECK(f.until(6 * SECOND, [&] { return f.seated(n) && f.voters().size() == 3; }));
@@ -433,8 +433,8 @@
         f.lone(c, true);
         CHECK(f.ordered("z", 4 * SECOND));
         f.run(5 * SECOND);
-        CHECK(c.n->fresh(f.t));  // it serves on by what it knows
-        CHECK(!c.n->word().emptied("z"));
+        CHECK(c.n->withinLease(f.t));  // it serves on by what it knows
+        CHECK(!c.n->replicatedState().evacuated("z"));
         auto term = l->n->voter()->term();
         f.lone(c, false);
         CHECK(f.until(2 * SECOND, [&] { return f.everywhere("z"); }));
@@ -445,7 +445,7 @@
 }
 
 // Where out of touch means to deny, it is denied.
-TEST(NodeLearnt, cutNodeDeniesIfTold) {
+TEST(NodeLearnt, cutNodeRejectsIfConfigured) {
     auto q = Quiet();
     auto f = Fleet(50);
     f.serveOn = false;
@@ -453,10 +453,10 @@
     auto& c = *f.bs[7];
     f.lone(c, true);
     f.run(4 * SECOND);
-    CHECK(!c.n->fresh(f.t));
-    CHECK(f.bs[8]->n->fresh(f.t));
+    CHECK(!c.n->withinLease(f.t));
+    CHECK(f.bs[8]->n->withinLease(f.t));
     f.lone(c, false);
-    CHECK(f.until(2 * SECOND, [&] { return c.n->fresh(f.t); }));
+    CHECK(f.until(2 * SECOND, [&] { return c.n->withinLease(f.t); }));
 }
 
 TEST(NodeLearnt, allLosePower) {
@@ -472,10 +472,10 @@
             if (seed % 2) b->st.seeds = {b->core ? "10.1.0.99:7720" : "10.1.0.1:7720"};
             f.restart(*b);
         }
-        for (auto i = 0u; i < 3; i++) CHECK(f.bs[i]->n->fresh(f.t));
+        for (auto i = 0u; i < 3; i++) CHECK(f.bs[i]->n->withinLease(f.t));
         CHECK(f.until(5 * SECOND, [&] { return f.leader() && f.everywhere("z"); }));
         CHECK(f.ordered("y", 4 * SECOND));
-        for (auto& b : f.bs) CHECK(b->n->fresh(f.t));
+        for (auto& b : f.bs) CHECK(b->n->withinLease(f.t));
         f.run(2 * SECOND);
         for (auto& b : f.bs) CHECK_EQ(std::size_t(12), b->n->aliveNodes(f.t).size());
     }
@@ -510,14 +510,14 @@
         auto ns = std::vector<std::string>();
         for (auto k = 0; k < 14; k++) ns.push_back(fmt::format("server-{}", k));
         CHECK_EQ(200, f.list(*f.leader(), ns));
-        if (i == 4) f.between = f.beats = 0;
+        if (i == 4) f.between = f.heartbeats = 0;
         f.run(SECOND);
     }
     auto rate = f.between / 16;
-    if (getenv("DT_SHOW")) fmt::print("{} bytes and {} beats a second\n", rate, f.beats / 16);
+    if (getenv("DT_SHOW")) fmt::print("{} bytes and {} beats a second\n", rate, f.heartbeats / 16);
     CHECK(rate > 500);  // counted at all
     CHECK(rate < 5'000);
-    CHECK(f.beats / 16 < 70);
+    CHECK(f.heartbeats / 16 < 70);
     CHECK_EQ(std::int64_t(0), f.probes);
     f.bs[0]->st.probes = true;
     f.stop(*f.bs[0]);
@@ -651,7 +651,7 @@
             c->removed = true;
             f.run(d);
             f.reseed();
-            auto& n = f.add(c->st.region, c->st.district, true, false);
+            auto& n = f.add(c->st.region, c->st.zone, true, false);
             f.start(n);
             cs[i] = &n;
         } else if (fault == 3) c->frozen = f.t + d;
@@ -676,9 +676,10 @@
         f.run(3 * SECOND);
         if (!f.leader()) return at + "no leader";
         for (auto& b : f.bs)
-            if (b->up && !b->n->fresh(f.t)) return at + b->st.node + " has no configuration";
+            if (b->up && !b->n->withinLease(f.t)) return at + b->st.node + " has no configuration";
         for (auto& a : acked)
-            if (!f.leader()->n->word().emptied(a) || !f.everywhere(a)) return at + a + " is not everywhere";
+            if (!f.leader()->n->replicatedState().evacuated(a) || !f.everywhere(a))
+                return at + a + " is not everywhere";
     }
     return acked.empty() ? "nothing was acknowledged" : "";
 }
@@ -723,15 +724,15 @@
         std::map<std::string, std::string>{{"node", "a"}, {"peer", "127.0.0.1:1"}, {"sender", "127.0.0.1:2"},
             {"operator", "127.0.0.1:3"}, {"seeds", "127.0.0.1:1"}, {"district", "d"}, {"region", "r"}};
     auto s = settingsRead("", base);
-    CHECK(s && !s->learnt && !s->bootstrap && !s->serveOn && s->probes && !s->beat);
+    CHECK(s && !s->gossip && !s->bootstrap && !s->serveOn && s->probes && !s->heartbeat);
     auto with = [&](std::map<std::string, std::string> m) {
         m.insert(base.begin(), base.end());
         return settingsRead("", m);
     };
     s = with({{"membership", "learnt"}, {"bootstrap", "true"}, {"outOfTouch", "serve"}, {"probes", "false"},
         {"beatUs", "300000"}});
-    CHECK(s && s->learnt && s->bootstrap && s->serveOn && !s->probes);
-    CHECK_EQ(Microseconds(300000), s->beat);
+    CHECK(s && s->gossip && s->bootstrap && s->serveOn && !s->probes);
+    CHECK_EQ(Microseconds(300000), s->heartbeat);
     CHECK(!with({{"outOfTouch", "serve"}}));
     CHECK(!with({{"bootstrap", "true"}}));
     CHECK(!with({{"membership", "learnt"}, {"roster", "a"}}));
--- a/tests/membership/node_test.cpp
+++ b/tests/membership/node_test.cpp
@@ -16,25 +16,25 @@
     auto e = wire::Envelope();
     e.wire = WIRE;
     e.node = "b";
-    auto b = wire::Beat();
+    auto b = wire::Heartbeat();
     b.rows.resize(2);
-    b.rows[0].node = "b", b.rows[0].boot = 5, b.rows[0].beat = 1, b.rows[0].peer = "127.0.0.1:2";
-    b.rows[1].node = "a", b.rows[1].boot = 900, b.rows[1].beat = 44, b.rows[1].peer = "127.0.0.1:1";
-    e.__set_beat(b);
-    r.n->hear(e, r.now);
+    b.rows[0].node = "b", b.rows[0].boot = 5, b.rows[0].heartbeat = 1, b.rows[0].peer = "127.0.0.1:2";
+    b.rows[1].node = "a", b.rows[1].boot = 900, b.rows[1].heartbeat = 44, b.rows[1].peer = "127.0.0.1:1";
+    e.__set_heartbeat(b);
+    r.n->handle(e, r.now);
     CHECK(r.n->me().boot > 900);
     // The load that comes after a freeze was written before it.
     r.list({{"x", "near", "z", "p", "w"}});
     auto seen = r.n->servers().at("x").seen;
     r.now += 5 * SECOND;
-    e.beat.rows.resize(1);
-    e.beat.rows[0].beat = 2;
-    e.beat.loads.resize(1);
-    e.beat.loads[0].server = "x";
-    r.n->hear(e, r.now);
+    e.heartbeat.rows.resize(1);
+    e.heartbeat.rows[0].heartbeat = 2;
+    e.heartbeat.loads.resize(1);
+    e.heartbeat.loads[0].server = "x";
+    r.n->handle(e, r.now);
     CHECK_EQ(seen, r.n->servers().at("x").seen);
     CHECK_EQ(std::int64_t(1), r.ct.get("woke_total"));
-    CHECK(!r.n->fresh(r.now) || r.n->word().roster().size() == 1);
+    CHECK(!r.n->withinLease(r.now) || r.n->replicatedState().roster().size() == 1);
 }
 
 // What the platform says late undoes nothing newer; what it says later is believed.
@@ -52,19 +52,20 @@
     CHECK_EQ(200, r.outs[2].status);
     r.n->list(3, l(11, "up"), r.now);
     CHECK_EQ(409, r.outs[3].status);
-    CHECK_EQ(int(LEAVING), int(r.n->servers().at("x").l.state));
+    CHECK_EQ(int(LEAVING), int(r.n->servers().at("x").listing.state));
     r.n->mark(4, "x", 9, r.now);
     CHECK_EQ(409, r.outs[4].status);
     r.n->list(5, l(13, "up"), r.now);
     CHECK_EQ(200, r.outs[5].status);
-    CHECK_EQ(int(UP), int(r.n->servers().at("x").l.state));
+    CHECK_EQ(int(UP), int(r.n->servers().at("x").listing.state));
 }
 
 // The last resort is denied here: one node that stands is its own majority.
-TEST(Node, rescueDenied) {
+TEST(Node, rescueRejected) {
     auto r = NodeFixture();
-    CHECK_EQ(409, r.n->rescue(r.n->word().reign, r.n->word().gen, r.now).status);
-    CHECK_EQ(409, r.n->rescue(r.n->word().reign, r.n->word().gen + 1, r.now).status);
+    CHECK_EQ(409, r.n->rescue(r.n->replicatedState().epoch, r.n->replicatedState().version, r.now).status);
+    CHECK_EQ(
+        409, r.n->rescue(r.n->replicatedState().epoch, r.n->replicatedState().version + 1, r.now).status);
 }
 
 }  // namespace duneturn
--- a/tests/net/compress_test.cpp
+++ b/tests/net/compress_test.cpp
@@ -9,58 +9,58 @@
 
 namespace duneturn {
 
-static auto wordOf(std::size_t mappings) -> wire::Envelope {
+static auto stateOf(std::size_t routes) -> wire::Envelope {
     auto e = wire::Envelope();
     e.wire = WIRE;
     e.node = "a";
-    e.reign = 3;
-    auto w = wire::Word();
-    w.gen = 7;
-    for (auto i = std::size_t(0); i < mappings; i++)
+    e.epoch = 3;
+    auto w = wire::ReplicatedState();
+    w.version = 7;
+    for (auto i = std::size_t(0); i < routes; i++)
         w.doc += fmt::format(R"({{"name":"r-{}","host":"h.example","path":"/p{}/*","pool":"x"}},)", i, i * 7);
-    e.__set_word(w);
+    e.__set_replicatedState(w);
     return e;
 }
 
 // A word of many mappings goes as a small part of its length and is the same at the other end.
 TEST(Compress, largeIsSmallAndComesBack) {
     auto c = Compressor();
-    auto e = wordOf(1800);
+    auto e = stateOf(1800);
     auto z = c(e);
     CHECK(bool(z));
-    CHECK(!z->__isset.word);
-    CHECK(z->compressed.size() * 5 < e.word.doc.size());
+    CHECK(!z->__isset.replicatedState);
+    CHECK(z->compressed.size() * 5 < e.replicatedState.doc.size());
     auto back = decompressed(*z);
     CHECK(bool(back));
     CHECK(*back == e);
     CHECK(bool(c(e)));  // to a second peer
     CHECK_EQ(std::int64_t(1), c.runs);
-    auto other = wordOf(1801);
+    auto other = stateOf(1801);
     CHECK(*decompressed(*c(other)) == other);
     CHECK_EQ(std::int64_t(2), c.runs);
 }
 
 TEST(Compress, smallGoesAsItIs) {
     auto c = Compressor();
-    CHECK(!c(wordOf(3)));
+    CHECK(!c(stateOf(3)));
     CHECK(!c(wire::Envelope()));
 }
 
 // Log entries, orders and their replies count as the word does.
 TEST(Compress, whateverIsLong) {
     auto c = Compressor();
-    auto doc = wordOf(200).word.doc;
+    auto doc = stateOf(200).replicatedState.doc;
     auto a = wire::Envelope(), o = a, r = a, s = a;
-    auto ask = wire::AppendAsk();
+    auto ask = wire::AppendEntries();
     ask.entries.emplace_back();
     ask.entries.back().body = doc;
-    a.__set_appendAsk(ask);
-    o.__set_orderAsk({});
-    o.orderAsk.body = doc;
+    a.__set_appendEntries(ask);
+    o.__set_orderRequest({});
+    o.orderRequest.body = doc;
     r.__set_orderReply({});
     r.orderReply.body = doc;
-    s.__set_snapTell({});
-    s.snapTell.doc = doc;
+    s.__set_installSnapshot({});
+    s.installSnapshot.doc = doc;
     for (auto& e : {a, o, r, s}) {
         auto z = c(e);
         CHECK(bool(z));
@@ -71,7 +71,7 @@
 // What was cut, changed or is too long is not taken, nor one that speaks for another.
 TEST(Compress, unreadableIsNone) {
     auto c = Compressor();
-    auto z = *c(wordOf(1800));
+    auto z = *c(stateOf(1800));
     auto r = Rng{5};
     auto taken = 0;
     for (auto i = 0; i < 300; i++) {
--- a/tests/platform/platform_adapter_test.cpp
+++ b/tests/platform/platform_adapter_test.cpp
@@ -32,7 +32,7 @@
 }
 
 struct FakeShell : Shell {
-    Word w;
+    ReplicatedState w;
     Settings st;
     bool up = true, ok = true, hidden = false;
     bool unfenced = false;  // a deliberate fault: evacuations don't name what they rest on
@@ -42,7 +42,7 @@
     std::vector<std::string> asked, lists, keys;
     std::string places = R"({"nodes":[]})";
 
-    FakeShell() { w.found({"n1"}, {{"n1", "d1"}}); }
+    FakeShell() { w.bootstrap({"n1"}, {{"n1", "d1"}}); }
     auto order(const std::string& op, const std::string& key, const std::string& body)
         -> asio::awaitable<Outcome> override {
         auto f = std::move(before);
@@ -69,7 +69,7 @@
     auto where(const std::string&, const std::string&) -> std::string override { return places; }
     auto ready() -> bool override { return ok; }
     auto duty() -> bool override { return true; }
-    auto word() -> std::string override { return w.text(); }
+    auto replicatedState() -> std::string override { return w.text(); }
     auto fetch(const std::string& addr, const std::string& target, Microseconds)
         -> asio::awaitable<tl::expected<Res, CallError>> override {
         asked.push_back(addr + target);
@@ -140,13 +140,13 @@
     auto one = document(3, 100, R"(, "Unknown" : [ 1.0e1 ])");
     CHECK_EQ(200u, s.put(one, "0"));
     CHECK_EQ(one, s.held());
-    CHECK_EQ(std::int64_t(1), s.sh.w.configGen());
+    CHECK_EQ(std::int64_t(1), s.sh.w.configVersion());
     // Again, unchanged, also later and to any node: it has been taken.
     CHECK_EQ(200u, s.put(one, "0"));
     CHECK_EQ(200u, s.put(document(8), "3"));
     CHECK_EQ(200u, s.put(one, "0"));
     CHECK_EQ(200u, s.put(document(8), "3"));
-    CHECK_EQ(std::int64_t(2), s.sh.w.configGen());
+    CHECK_EQ(std::int64_t(2), s.sh.w.configVersion());
     CHECK_EQ(document(8), s.held());
     // Another on the same version has lost, and stays so.
     CHECK_EQ(412u, s.put(document(8, 200), "3"));
@@ -170,7 +170,7 @@
     CHECK_EQ(400u, s.put(document(5, 200), "5"));
     CHECK_EQ(400u, s.put(document(4), "5"));
     CHECK_EQ(document(5), s.held());
-    CHECK_EQ(std::int64_t(1), s.sh.w.configGen());
+    CHECK_EQ(std::int64_t(1), s.sh.w.configVersion());
 }
 
 TEST(PlatformAdapter, patchesOnTheSameTerms) {
@@ -189,7 +189,7 @@
     CHECK_EQ(seven, s.held());
     CHECK_EQ(200u, s.patch(R"({"ConfigVersion":9,"Remove":{"Routes":["q"]}})", "7"));
     CHECK_EQ(200u, s.patch(p, "5"));  // taken once, whatever came after
-    CHECK_EQ(std::int64_t(3), s.sh.w.configGen());
+    CHECK_EQ(std::int64_t(3), s.sh.w.configVersion());
     // The same body as a whole configuration is another call.
     CHECK_EQ(412u, s.put(p, "5"));
 }
@@ -204,11 +204,11 @@
     // The same call, sent twice at once to two nodes: both are told that it was taken.
     s.sh.before = [&] { CHECK_EQ(200u, s.put(document(7), "6")); };
     CHECK_EQ(200u, s.put(document(7), "6"));
-    CHECK_EQ(std::int64_t(3), s.sh.w.configGen());
+    CHECK_EQ(std::int64_t(3), s.sh.w.configVersion());
     // The product's own operators changed something that leaves the document as it was.
     auto merge = [&] {
         auto p = orderPrepare(s.sh.w, "merge", "m",
-            fmt::format(R"({{"base":{},"patch":{{"name":"n"}}}})", s.sh.w.configGen()), 0);
+            fmt::format(R"({{"base":{},"patch":{{"name":"n"}}}})", s.sh.w.configVersion()), 0);
         CHECK_EQ(200, s.sh.w.apply(*p).status);
     };
     s.sh.before = merge;
@@ -286,16 +286,16 @@
 TEST(PlatformAdapter, evacuations) {
     auto s = Site();
     CHECK_EQ(200u, s.ask(http::verb::post, "/v1/evacuation/x").result_int());
-    CHECK(s.sh.w.emptied("x"));
+    CHECK(s.sh.w.evacuated("x"));
     // One that finds the zone as wanted is acknowledged and changes nothing.
     auto before = s.sh.w.text();
     CHECK_EQ(200u, s.ask(http::verb::post, "/v1/evacuation/x").result_int());
     CHECK_EQ(before, s.sh.w.text());
     CHECK_EQ(std::size_t(1), s.sh.keys.size());
     CHECK_EQ(200u, s.ask(http::verb::delete_, "/v1/evacuation/x").result_int());
-    CHECK(!s.sh.w.emptied("x"));
+    CHECK(!s.sh.w.evacuated("x"));
     CHECK_EQ(200u, s.ask(http::verb::post, "/v1/evacuation/two%20words?a=b").result_int());
-    CHECK(s.sh.w.emptied("two words"));
+    CHECK(s.sh.w.evacuated("two words"));
     CHECK_EQ(404u, s.ask(http::verb::post, "/v1/evacuation/nowhere").result_int());
     CHECK_EQ(404u, s.ask(http::verb::post, "/v1/evacuation/").result_int());
     auto r = s.ask(http::verb::put, "/v1/evacuation/x");
@@ -325,7 +325,7 @@
         }
     };
     auto status = s.ask(http::verb::post, zone).result_int();
-    return {status, s.sh.w.emptied("x")};
+    return {status, s.sh.w.evacuated("x")};
 }
 TEST(PlatformAdapter, heldUpEvacuationsAreFenced) {
     // The order that was acknowledged while this call waited is its own: known by its key.
@@ -339,7 +339,7 @@
     auto zone = std::string("/v1/evacuation/x");
     s.sh.before = [&] { CHECK_EQ(200u, s.ask(http::verb::post, zone).result_int()); };
     CHECK_EQ(200u, s.ask(http::verb::post, zone).result_int());
-    CHECK(s.sh.w.emptied("x"));
+    CHECK(s.sh.w.evacuated("x"));
 }
 
 // What was acknowledged is acknowledged again, whatever other orders, refusals and changes came since.
@@ -359,7 +359,7 @@
     }
     CHECK_EQ(200u, s.put(document(3), "0"));
     for (auto n = 4; n < 300; n += 37) CHECK_EQ(200u, s.put(document(n), fmt::to_string(n - 1)));
-    auto loaded = Word();
+    auto loaded = ReplicatedState();
     CHECK(loaded.load(s.sh.w.text()));
     s.sh.w = loaded;
     CHECK_EQ(200u, s.put(document(3), "0"));
--- a/tests/platform/platform_orders_fixture.hpp
+++ b/tests/platform/platform_orders_fixture.hpp
@@ -52,7 +52,7 @@
     auto where(const std::string&, const std::string&) -> std::string override { return "{}"; }
     auto ready() -> bool override { return true; }
     auto duty() -> bool override { return false; }
-    auto word() -> std::string override { return box.n->word().text(); }
+    auto replicatedState() -> std::string override { return box.n->replicatedState().text(); }
     auto fetch(const std::string&, const std::string&, Microseconds)
         -> asio::awaitable<tl::expected<Res, CallError>> override {
         co_return tl::make_unexpected(CallError{"silent"});
@@ -79,8 +79,8 @@
     }
     ControlFleet(std::uint64_t seed, ControlFaults f) : fleet(seed), faults(f), adapter(settings(), "") {}
 
-    auto found(int cores, int nodes) -> void {
-        fleet.found(cores, nodes);
+    auto bootstrap(int cores, int nodes) -> void {
+        fleet.bootstrap(cores, nodes);
         CHECK(fleet.until(5 * SECOND, [&] { return fleet.leader() != nullptr; }));
     }
     auto call(Box& box, http::verb verb, const std::string& target, const std::string& body = "",
--- a/tests/platform/platform_orders_model.hpp
+++ b/tests/platform/platform_orders_model.hpp
@@ -228,7 +228,7 @@
     auto look() -> void {
         auto leader = site.fleet.leader();
         if (!acknowledged || !leader) return;
-        if (leader->n->voter()->word().emptied("x") == wanted) return;
+        if (leader->n->voter()->replicatedState().evacuated("x") == wanted) return;
         history.zoneFaults.push_back(fmt::format(
             "the zone is {} again after the other was acknowledged", wanted ? "not evacuated" : "evacuated"));
         acknowledged = false;
--- a/tests/platform/platform_orders_test.cpp
+++ b/tests/platform/platform_orders_test.cpp
@@ -21,7 +21,7 @@
 auto judged(std::uint64_t seed, ControlFaults faults, Microseconds time) -> std::vector<std::string> {
     auto site = ControlFleet(seed, faults);
     auto history = History();
-    site.found(3, 5);
+    site.bootstrap(3, 5);
     auto operators = std::vector<std::unique_ptr<ConfigOperator>>();
     for (auto i = 1u; i <= 2; i++)
         operators.push_back(std::make_unique<ConfigOperator>(site, history, seed * 10 + i, .2));
@@ -96,7 +96,7 @@
 static auto cutOffLeader(std::uint64_t seed, ControlFaults faults) -> std::vector<std::string> {
     auto site = ControlFleet(seed, faults);
     auto history = History();
-    site.found(3, 5);
+    site.bootstrap(3, 5);
     auto last = std::int64_t(1);
     CHECK_EQ(200, site.finish(http::verb::put, CONFIG, document(1, 1), "0", 8 * SECOND));
     site.run(SECOND);
@@ -183,11 +183,11 @@
 
 // An evacuation that was read at a node, and whose order is held up by a freeze of that node, while the
 // zone is evacuated and given back through others. True if the zone is empty in the end.
-static auto frozenEvacuationEmpties(std::uint64_t seed, bool unfenced) -> bool {
+static auto frozenEvacuationCounts(std::uint64_t seed, bool unfenced) -> bool {
     auto faults = ControlFaults();
     faults.unfenced = unfenced;
     auto site = ControlFleet(seed, faults);
-    site.found(3, 5);
+    site.bootstrap(3, 5);
     CHECK_EQ(200, site.finish(http::verb::put, CONFIG, document(1, 1), "0", 8 * SECOND));
     auto& held = *site.fleet.bs[4];
     auto call = site.call(held, http::verb::post, ZONE);
@@ -209,22 +209,22 @@
     CHECK(held.frozen > site.fleet.t);
     site.run(8 * SECOND);
     CHECK(call->status == 200 || call->status == 503);
-    return site.fleet.leader()->n->word().emptied("x");
+    return site.fleet.leader()->n->replicatedState().evacuated("x");
 }
 TEST(ControlOrders, aFrozenEvacuationIsFenced) {
     auto quiet = Quiet();
-    for (auto seed = std::uint64_t(1); seed <= 4; seed++) CHECK(!frozenEvacuationEmpties(seed, false));
-    CHECK(frozenEvacuationEmpties(1, true));
+    for (auto seed = std::uint64_t(1); seed <= 4; seed++) CHECK(!frozenEvacuationCounts(seed, false));
+    CHECK(frozenEvacuationCounts(1, true));
 }
 
 // An evacuation waits for its read at a node that is cut off, whose caller gives up and evacuates and
 // gives back the zone through others. Its connection's end is not heard. True if the zone is empty in
 // the end.
-static auto cutOffEvacuationEmpties(std::uint64_t seed, bool ageless) -> bool {
+static auto cutOffEvacuationCounts(std::uint64_t seed, bool ageless) -> bool {
     auto faults = ControlFaults();
     faults.ageless = ageless;
     auto site = ControlFleet(seed, faults);
-    site.found(3, 5);
+    site.bootstrap(3, 5);
     CHECK_EQ(200, site.finish(http::verb::put, CONFIG, document(1, 1), "0", 8 * SECOND));
     auto& node = *site.fleet.bs[4];
     site.fleet.lone(node, true);
@@ -238,12 +238,12 @@
     site.fleet.lone(node, false);
     site.run(8 * SECOND);
     CHECK_EQ(ageless ? 200 : 503, call->status);
-    return site.fleet.leader()->n->word().emptied("x");
+    return site.fleet.leader()->n->replicatedState().evacuated("x");
 }
 TEST(ControlOrders, aCutOffEvacuationIsNotBegunLate) {
     auto quiet = Quiet();
-    for (auto seed = std::uint64_t(1); seed <= 4; seed++) CHECK(!cutOffEvacuationEmpties(seed, false));
-    CHECK(cutOffEvacuationEmpties(1, true));
+    for (auto seed = std::uint64_t(1); seed <= 4; seed++) CHECK(!cutOffEvacuationCounts(seed, false));
+    CHECK(cutOffEvacuationCounts(1, true));
     CHECK(!tooLateToBegin("config", 0, 60 * SECOND));
     CHECK(!tooLateToBegin("empty", 0, CALLER_PATIENCE));
     CHECK(tooLateToBegin("give-back", 0, CALLER_PATIENCE + 1));
@@ -263,7 +263,7 @@
     CHECK_EQ(504, fleet.outs[id].status);
     fleet.lone(node, false);
     fleet.run(5 * SECOND);
-    CHECK(!fleet.leader()->n->word().emptied("zone"));
+    CHECK(!fleet.leader()->n->replicatedState().evacuated("zone"));
 }
 
 // After a freeze, what came by its end may have lain unread.
@@ -289,11 +289,11 @@
 // An answer to an earlier life of the node that waits ends no order of the present one.
 TEST(ControlOrders, answersToAnEarlierLifeMatchNothing) {
     struct Port : OrderClientPort {
-        std::vector<wire::OrderAsk> sent;
+        std::vector<wire::OrderRequest> sent;
         std::map<std::int64_t, Outcome> done;
         auto findLeader(Microseconds) -> std::string override { return "leader"; }
         auto lastLeader() -> std::string override { return "leader"; }
-        auto sendOrder(const std::string&, wire::OrderAsk& ask, Microseconds) -> void override {
+        auto sendOrder(const std::string&, wire::OrderRequest& ask, Microseconds) -> void override {
             sent.push_back(ask);
         }
         auto orderDone(std::int64_t id, const Outcome& outcome) -> void override { done[id] = outcome; }
@@ -331,7 +331,7 @@
         for (auto i = 0; i < 10; i++) {
             fleet.run(2 * MILLISECOND);
             for (auto& [when, post] : fleet.net)
-                if (post.e.__isset.orderAsk && post.from == 4) asked.insert(post.e.orderAsk.id);
+                if (post.e.__isset.orderRequest && post.from == 4) asked.insert(post.e.orderRequest.id);
         }
         fleet.run(SECOND);
         fleet.stop(node);
--- a/tests/platform/platform_settings_test.cpp
+++ b/tests/platform/platform_settings_test.cpp
@@ -60,17 +60,17 @@
     auto p = settingsParse(SETTINGS);
     CHECK(bool(p));
     CHECK_EQ(std::string("edge-lhr-hall-1"), p->st.node);
-    CHECK_EQ(std::string("lhr-hall"), p->st.district);
+    CHECK_EQ(std::string("lhr-hall"), p->st.zone);
     CHECK_EQ(std::string("punjab"), p->st.region);
-    CHECK_EQ(std::string("10.1.0.13:8161"), p->st.sender);
+    CHECK_EQ(std::string("10.1.0.13:8161"), p->st.clientAddress);
     CHECK_EQ(std::string("10.1.0.13:7720"), p->st.peer);
-    CHECK_EQ(std::string("10.1.0.13:7735"), p->st.opr);
+    CHECK_EQ(std::string("10.1.0.13:7735"), p->st.operatorAddress);
     CHECK_EQ(std::size_t(2), p->st.seeds.size());
     CHECK_EQ(std::string("10.2.0.30:7720"), p->st.seeds[1]);
     CHECK_EQ(std::string("/data/node"), p->st.data);
-    CHECK(p->st.learnt && p->st.bootstrap && p->st.serveOn && !p->st.probes);
-    CHECK_EQ(500 * MILLISECOND, p->st.beat);
-    CHECK(p->st.roster.empty() && p->st.seats.empty());
+    CHECK(p->st.gossip && p->st.bootstrap && p->st.serveOn && !p->st.probes);
+    CHECK_EQ(500 * MILLISECOND, p->st.heartbeat);
+    CHECK(p->st.roster.empty() && p->st.initialVoters.empty());
     CHECK_EQ(std::string("10.1.0.13:8167"), p->readiness);
     CHECK_EQ(std::string("10.200.0.79:8169"), p->api);
     CHECK_EQ(std::string("sindh"), p->zones.at("khi-hall"));
@@ -84,7 +84,7 @@
 TEST(PlatformSettings, equalAddressesAreOne) {
     auto a = PlatformAdapter(*settingsParse(SETTINGS), "");
     CHECK_EQ(std::size_t(2), a.listens.size());
-    CHECK(a.dialect.senderNames && a.dialect.passHeaders && !a.dialect.doneEvent);
+    CHECK(a.dialect.clientNamesRequests && a.dialect.passHeaders && !a.dialect.doneEvent);
 }
 
 TEST(PlatformSettings, aCoreIsACountedMachineWithADisk) {
@@ -98,7 +98,8 @@
     for (auto k : {"Readiness", "Control", "Directory", "GraceS", "ColdSlack", "RatePerS", "ttl_max_s"})
         CHECK(bool(settingsParse(with(k, ""))));
     // One internal port only: none is left for the product's own operators.
-    CHECK_EQ(std::string(), settingsParse(with("InternalPorts", "InternalPorts = [7720, 7720]"))->st.opr);
+    CHECK_EQ(std::string(),
+        settingsParse(with("InternalPorts", "InternalPorts = [7720, 7720]"))->st.operatorAddress);
 }
 
 TEST(PlatformSettings, everyFaultIsNamed) {
--- a/tests/routing/edge_fixture.hpp
+++ b/tests/routing/edge_fixture.hpp
@@ -26,10 +26,10 @@
 /// The names of a wire on which senders name their requests.
 inline auto testDialect() -> Dialect {
     auto d = Dialect();
-    d.exchange = "X-Try", d.notExecuted = "X-Not-Run", d.weights = "", d.target = "X-For";
+    d.request = "X-Try", d.notExecuted = "X-Not-Run", d.weights = "", d.target = "X-For";
     d.deadlineMs = "X-Left", d.urgency = "X-Urgency", d.load = "X-Load", d.serverId = "X-Server";
     d.coldMs = "X-Cold", d.parts = "X-Parts", d.tokens = "X-Tokens", d.model = "X-Model";
-    d.senderNames = d.passHeaders = true;
+    d.clientNamesRequests = d.passHeaders = true;
     d.doneEvent = false;
     return d;
 }
@@ -60,20 +60,20 @@
     std::map<std::int64_t, std::pair<int, Headers>> heads;
     std::map<std::int64_t, std::string> parts;
     std::set<std::int64_t> cut, whole;
-    std::int64_t rev = 0, names = 0, beat = 0;
+    std::int64_t rev = 0, names = 0, heartbeat = 0;
     std::string region = "near";
     int others = 0;
 
     explicit EdgeFixture(const std::string& name = "a", int oth = 0, std::uint64_t seed = 2) : others(oth) {
         logMute(true);
-        st.node = name, st.district = "d", st.region = region, st.peer = "127.0.0.1:1";
-        st.roster = st.seats = {name};
+        st.node = name, st.zone = "d", st.region = region, st.peer = "127.0.0.1:1";
+        st.roster = st.initialVoters = {name};
         n = std::make_unique<Node>(st, *this, ct, 7, seed);
         e = std::make_unique<Edge>(*n, *this, ct, seed, testDialect());
         n->startCore({}, "disk", now);
         run(8 * SECOND);
     }
-    auto tell(const std::string&, const wire::Envelope&) -> void override {}
+    auto send(const std::string&, const wire::Envelope&) -> void override {}
     auto disk(const DiskWrite& w) -> void override { dq.push_back(w); }
     auto done(std::int64_t id, const Outcome& o) -> void override { outs[id] = o; }
     auto book(const std::vector<std::string>&) -> void override {}
@@ -98,18 +98,18 @@
             auto v = wire::Envelope();
             v.wire = WIRE;
             v.node = "n1";
-            auto b = wire::Beat();
-            beat++;
+            auto b = wire::Heartbeat();
+            heartbeat++;
             for (auto i = 0; i <= others; i++) {
-                auto w = wire::Row();
+                auto w = wire::NodeRecord();
                 w.node = fmt::format("n{}", i);
                 if (w.node == st.node) continue;
-                w.boot = 5, w.beat = beat, w.peer = fmt::format("127.0.0.2:{}", 100 + i);
+                w.boot = 5, w.heartbeat = heartbeat, w.peer = fmt::format("127.0.0.2:{}", 100 + i);
                 b.rows.push_back(w);
             }
-            v.__set_beat(b);
+            v.__set_heartbeat(b);
             if (st.node == "n1") v.node = "n0";
-            n->hear(v, now);
+            n->handle(v, now);
         }
         if (!listed.empty() && now % (5 * SECOND) == 0) list(listed, 0);
         n->tick(now, 1800000000 * SECOND + now);
@@ -125,12 +125,12 @@
     auto config(const std::string& c) -> int {
         auto id = std::int64_t(1000 + names++);
         n->order(id, "config", fmt::format("k{}", id),
-            fmt::format("{{\"base\":{},\"config\":{}}}", n->word().configGen(), c), now);
+            fmt::format("{{\"base\":{},\"config\":{}}}", n->replicatedState().configVersion(), c), now);
         run(SECOND);
         return outs[id].status;
     }
     struct S {
-        std::string name, region = "near", pool = "p", district = "z";
+        std::string name, region = "near", service = "p", zone = "z";
         int slots = 4;
     };
     std::vector<S> listed;  // told again under its lease
@@ -140,8 +140,8 @@
         for (auto& s : v)
             o += (o.empty() ? "" : ",")
                 + bodyOf({{"name", jsQuote(s.name)}, {"address", "\"127.0.0.1:9\""},
-                    {"region", jsQuote(s.region)}, {"district", jsQuote(s.district)},
-                    {"pool", jsQuote(s.pool)}, {"slots", fmt::to_string(s.slots)}});
+                    {"region", jsQuote(s.region)}, {"district", jsQuote(s.zone)},
+                    {"pool", jsQuote(s.service)}, {"slots", fmt::to_string(s.slots)}});
         for (auto& [s, till] : colds)  // told of those alone whose cold time is known
             if (auto i = o.find(bodyOf({{"name", jsQuote(s)}}).substr(1, s.size() + 9));
                 i != std::string::npos)
@@ -160,7 +160,7 @@
         h.emplace_back("X-Try", fmt::format("t{}", ++names));
         return e->accept("POST", path, h, "body", now);
     }
-    auto echo(std::int64_t x, Headers h = {}) -> Headers {
+    auto acks(std::int64_t x, Headers h = {}) -> Headers {
         auto p = e->find(x);
         h.emplace_back("X-Try", p ? p->exid : "");
         return h;
@@ -170,7 +170,7 @@
     auto ok(std::int64_t x, Headers h = {}) -> void {
         auto p = e->find(x);
         auto a = p->a;
-        h = echo(x, h);
+        h = acks(x, h);
         if (e->upHead(x, a, 200, h, now)) e->upWhole(x, a, 200, h, "done", now);
     }
     auto event(std::int64_t x, const std::string& id, const std::string& data = "d") -> void {
--- a/tests/routing/edge_platform_test.cpp
+++ b/tests/routing/edge_platform_test.cpp
@@ -43,7 +43,7 @@
     CHECK_EQ(std::string("0"), get(h, "X-Urgency"));
     CHECK_EQ(std::string("2"), get(h, "X-Else"));
     for (auto k : {"Connection", "X-Mine", "Te"}) CHECK_EQ(std::string("-"), get(h, k));
-    auto back = r.echo(x, {{"X-Seal", "s"}, {"Keep-Alive", "3"}, {"Content-Length", "4"}});
+    auto back = r.acks(x, {{"X-Seal", "s"}, {"Keep-Alive", "3"}, {"Content-Length", "4"}});
     CHECK(r.e->upHead(x, 1, 201, back, r.now));
     r.e->upWhole(x, 1, 201, back, "body", r.now);
     CHECK_EQ(201, r.fate(x));
@@ -52,12 +52,12 @@
     // Its own failure is passed on; what promises that nothing ran is not, unless the server says so.
     auto y = r.ask("/a/x");
     CHECK(r.go(y));
-    r.e->upWhole(y, 1, 500, r.echo(y), "oops", r.now);
+    r.e->upWhole(y, 1, 500, r.acks(y), "oops", r.now);
     CHECK_EQ(500, r.fate(y));
     CHECK_EQ(std::string("oops"), r.replies[y].body);
     auto z = r.ask("/a/x");
     CHECK(r.go(z));
-    r.e->upWhole(z, 1, 503, r.echo(z), "", r.now);
+    r.e->upWhole(z, 1, 503, r.acks(z), "", r.now);
     CHECK_EQ(502, r.fate(z));
     auto w = r.ask("/a/x");
     CHECK(r.go(w));
@@ -105,14 +105,14 @@
     // Ids rise, by whatever; the end of the message is the end.
     auto x = r.ask("/a/1", m);
     CHECK(r.go(x));
-    CHECK(r.e->upHead(x, 1, 200, r.echo(x, {{"X-Seal", "1"}}), r.now));
+    CHECK(r.e->upHead(x, 1, 200, r.acks(x, {{"X-Seal", "1"}}), r.now));
     for (auto i : {"3", "5", "6"}) r.event(x, i);
     auto first = r.last().server;
     r.e->upLost(x, 1, "reset", r.now);
     CHECK(r.last().server != first);
     CHECK(r.go(x));
     CHECK_EQ(std::string("6"), get(r.e->outgoing(*r.e->find(x), r.now), "Last-Event-Id"));
-    CHECK(r.e->upHead(x, r.last().a, 200, r.echo(x, {{"X-Seal", "2"}}), r.now));
+    CHECK(r.e->upHead(x, r.last().a, 200, r.acks(x, {{"X-Seal", "2"}}), r.now));
     r.event(x, "9");
     r.e->upEnd(x, r.last().a, r.now);
     CHECK_EQ(1, r.fate(x));
@@ -123,7 +123,7 @@
     for (auto bad : {"5", "4", "x", ""}) {
         auto y = r.ask("/a/1", m);
         CHECK(r.go(y));
-        CHECK(r.e->upHead(y, 1, 200, r.echo(y), r.now));
+        CHECK(r.e->upHead(y, 1, 200, r.acks(y), r.now));
         r.event(y, "5");
         r.event(y, bad, "");
         CHECK_EQ(2, r.fate(y));
@@ -133,7 +133,7 @@
     auto lost = [&](const std::string& p, const Headers& h, int events) {
         auto y = r.ask(p, h);
         CHECK(r.go(y));
-        CHECK(r.e->upHead(y, 1, 200, r.echo(y), r.now));
+        CHECK(r.e->upHead(y, 1, 200, r.acks(y), r.now));
         for (auto i = 1; i <= events; i++) r.event(y, fmt::to_string(i));
         auto k = r.sends.size();
         r.e->upLost(y, 1, "reset", r.now);
@@ -150,7 +150,7 @@
     // What may be repeated is not joined: its events are no stream that can be resumed.
     auto p = r.ask("/p/1");
     CHECK(r.go(p));
-    CHECK(r.e->upHead(p, 1, 200, r.echo(p), r.now));
+    CHECK(r.e->upHead(p, 1, 200, r.acks(p), r.now));
     r.event(p, "1");
     r.e->upLost(p, 1, "reset", r.now);
     CHECK_EQ(2, r.fate(p));
@@ -160,7 +160,7 @@
     CHECK(r.go(z));
     CHECK_EQ(std::string("7"), get(r.e->outgoing(*r.e->find(z), r.now), "Last-Event-Id"));
     CHECK_EQ(ct, r.ct.get("extra_sends_total"));
-    CHECK(r.e->upHead(z, 1, 200, r.echo(z), r.now));
+    CHECK(r.e->upHead(z, 1, 200, r.acks(z), r.now));
     auto k = r.sends.size();
     r.event(z, "7");  // it began anew; another server may do better
     CHECK_EQ(k + 1, r.sends.size());
@@ -259,7 +259,7 @@
 }
 
 // A quarter of a core has 50 ms of its time in 200 ms.
-TEST(EdgePlatform, thousandsOfMappings) {
+TEST(EdgePlatform, thousandsOfRoutes) {
     auto t = R"({"origin":{"number":1,"text":")" + std::string(2 << 20, 'x') + R"("},"mappings":[)";
     for (auto i = 0; i < 4000; i++)
         t += fmt::format(
@@ -282,13 +282,13 @@
 #endif
     CHECK_EQ(3998, ru.match("GET", "h2.example", "/x3998/y"));
     // A configuration is not copied for each order, nor kept with the outcomes.
-    auto w = Word();
+    auto w = ReplicatedState();
     auto p = orderPrepare(w, "config", "k", "{\"base\":0,\"config\":" + t + "}", 1);
     CHECK(bool(p));
     CHECK_EQ(200, w.apply(*p).status);
     CHECK(js(w.d["outcomes"]).size() < 200);
     CHECK_EQ(200, w.apply(*p).status);  // the same key again
-    CHECK_EQ(std::int64_t(1), w.configGen());
+    CHECK_EQ(std::int64_t(1), w.configVersion());
 }
 
 // Whatever is listed or ordered between the pick and the send.
@@ -332,7 +332,7 @@
                     sent++;
                     auto l = std::find_if(ls.begin(), ls.end(), [&](auto& v) { return v.name == s.server; });
                     CHECK(l != ls.end());
-                    CHECK_EQ(std::string("p"), l->pool);
+                    CHECK_EQ(std::string("p"), l->service);
                     auto& h = homes[at];
                     CHECK(h.empty() || std::find(h.begin(), h.end(), l->region) != h.end());
                     if (g.chance(.5)) r.ok(s.x);
@@ -372,19 +372,19 @@
     }
     // Listed again it is asked again; where it says the same again, less often.
     r.list({{"x"}, {"y"}});
-    auto denied = 0;
+    auto rejected = 0;
     for (auto i = 0; i < 100; i++) {
         auto y = r.ask("/a/x");
         CHECK(r.go(y));
         if (r.last().server == bad) {
-            denied++;
+            rejected++;
             r.e->upWhole(y, r.last().a, 421, {}, "", r.now);
             CHECK(r.go(y));
         }
         r.ok(y);
         r.list({{"x"}, {"y"}}, 20 * MILLISECOND);
     }
-    CHECK(denied >= 1 && denied <= 4);
+    CHECK(rejected >= 1 && rejected <= 4);
     r.run(8 * SECOND);
     r.list({{"x"}, {"y"}});
     auto seen = 0;
@@ -449,9 +449,9 @@
                 auto deny = [&](int s) {
                     v.runs--;
                     r.e->upWhole(x, a, s,
-                        s == 421 && g.chance(.5) ? Headers{} : r.echo(x, {{"X-Not-Run", "1"}}), "", r.now);
+                        s == 421 && g.chance(.5) ? Headers{} : r.acks(x, {{"X-Not-Run", "1"}}), "", r.now);
                 };
-                auto h = r.echo(x, {{"X-Load", fmt::format("{},{},9", g.below(9), g.below(3))}});
+                auto h = r.acks(x, {{"X-Load", fmt::format("{},{},9", g.below(9), g.below(3))}});
                 switch (g.below(v.path == "/e" || v.path == "/s" ? 8 : 13)) {
                 case 0: r.e->upLost(x, a, "reset", r.now); break;
                 case 1: deny(e->headSent ? 421 : 503); break;
@@ -536,7 +536,7 @@
                     ? std::size_t(0)
                     : std::size_t(std::find(ids.begin(), ids.end(), std::stoll(l)) - ids.begin()) + 1;
                 CHECK(j <= 12);
-                if (!r.e->upHead(x, a, 200, r.echo(x), r.now)) continue;
+                if (!r.e->upHead(x, a, 200, r.acks(x), r.now)) continue;
                 auto lost = false;
                 for (; j < 12 && !lost; j++) {
                     r.event(x, fmt::to_string(ids[j]));
@@ -693,7 +693,7 @@
     CHECK(r.go(x));
     auto y = r.ask("/a/x", {{"X-Model", "m"}});
     CHECK(r.go(y));
-    CHECK(r.e->upHead(y, r.last().a, 200, r.echo(y), r.now));
+    CHECK(r.e->upHead(y, r.last().a, 200, r.acks(y), r.now));
     r.event(y, "1");
     r.run(220 * MILLISECOND);
     CHECK_EQ(n + 3, r.sends.size());
@@ -755,7 +755,7 @@
     }
     auto now() const -> Microseconds { return es[0]->now; }
     /// What edge `i` began since it was last asked.
-    auto fresh(std::size_t i) -> std::vector<Sent> {
+    auto withinLease(std::size_t i) -> std::vector<Sent> {
         auto& r = *es[i];
         auto o = std::vector<Sent>(r.sends.begin() + std::ptrdiff_t(seen[i]), r.sends.end());
         seen[i] = r.sends.size();
@@ -802,7 +802,7 @@
                 auto& r = *f.es[i];
                 for (auto k = 0; k < 400 / c.nodes; k++)
                     if (g.chance(crowd * .3)) r.ask("/a/x");
-                for (auto& s : f.fresh(i)) {
+                for (auto& s : f.withinLease(i)) {
                     if (!r.e->maySend(s.x, s.a, r.now)) continue;
                     if (s.server == "c") at.push_back(r.now + Microseconds(g.below(5 * MILLISECOND)));
                     if (g.chance(.7)) r.ok(s.x);
@@ -837,9 +837,9 @@
                 if (g.chance(.4)) r.ask("/a/x");  // far more of one pool than of the other
                 if (g.chance(.02)) r.ask("/b/x");
                 for (auto n = 0; n < 8; n++)
-                    for (auto& s : f.fresh(i)) {
+                    for (auto& s : f.withinLease(i)) {
                         if (!r.e->maySend(s.x, s.a, r.now)) continue;
-                        auto p = r.e->find(s.x)->m.pool;
+                        auto p = r.e->find(s.x)->m.service;
                         (r.e->find(s.x)->tries == 1 ? first : extra)[p].push_back(r.now);
                         // First only the smaller pool is in trouble, then both.
                         if (t < 700 ? p == "q" : t % 500 < 250 || g.chance(.6))
@@ -903,7 +903,7 @@
                         {{"X-Tokens", "383,48"},
                             {"X-Parts",
                                 fmt::format("{:x}:92,{:x}:291", 500 + g.below(20), 99000000 + r.names)}});
-                for (auto& s : f.fresh(i)) {
+                for (auto& s : f.withinLease(i)) {
                     CHECK(r.e->maySend(s.x, s.a, r.now));
                     auto e = r.e->find(s.x);
                     auto p =
@@ -923,7 +923,7 @@
                         }
                         c[id] = r.now;
                     }
-                    r.e->upHead(s.x, s.a, 200, r.echo(s.x, {{"X-Load", load}}), r.now);
+                    r.e->upHead(s.x, s.a, 200, r.acks(s.x, {{"X-Load", load}}), r.now);
                     r.event(s.x, "1");
                     runs.push_back({r.now + lat, i, s.x, s.server});
                 }
@@ -990,12 +990,12 @@
                 for (auto k = 0; k < 2; k++)
                     if (g.chance(11 * 24 / (0.4 * 50) / c.nodes / 2))
                         refused += r.fate(r.ask("/b/x", {{"X-Tokens", "383,48"}})) != 0;
-                for (auto& s : f.fresh(i)) {
+                for (auto& s : f.withinLease(i)) {
                     CHECK(r.e->maySend(s.x, s.a, r.now));
                     auto n = ++running[s.server];
                     if (t > 100 && t < 400) all++, over += n > 32;
                     if (s.server == "new") c.fresh = std::max(c.fresh, n);
-                    r.e->upHead(s.x, s.a, 200, r.echo(s.x, {{"X-Load", fmt::format("{},0,32", n)}}), r.now);
+                    r.e->upHead(s.x, s.a, 200, r.acks(s.x, {{"X-Load", fmt::format("{},0,32", n)}}), r.now);
                     runs.push_back({r.now + 400 * MILLISECOND, i, s.x, s.server});
                 }
             }
@@ -1095,7 +1095,7 @@
 
 // Exchanges that may only go to the near region claim its servers; long prompts that may go anywhere
 // are read in the other, unless that is full or no other exchange is bound.
-TEST(EdgePlatform, boundExchangesClaimARegion) {
+TEST(EdgePlatform, boundRequestsClaimARegion) {
     auto conf = std::string(
         R"({"pools":{"p":{"engine":true,"kvTokens":300000}},"mappings":[{"name":"a","path":"/a/*","pool":"p","homes":["near"],"aimUs":800000},{"name":"l","path":"/l/*","pool":"p","aimUs":1000000}]})");
     for (auto bound : {false, true}) {
--- a/tests/routing/edge_test.cpp
+++ b/tests/routing/edge_test.cpp
@@ -16,7 +16,7 @@
 
 namespace duneturn {
 
-static auto mapping(const std::string& more) -> std::string {
+static auto route(const std::string& more) -> std::string {
     return R"({"models":{"m":{"migrationLimit":2,"maxSequence":64}},"ramp":{"overUs":0},"mappings":[
         {"name":"s","path":"/s","pool":"p","model":"m","stream":true,"spill":["far"])"
         + more + "}]}";
@@ -30,13 +30,13 @@
     };
     auto ok = std::string(R"(,"Resumable":true,"MaxTries":3)");
     for (auto& c :
-        std::vector<Case>{{mapping(ok), true}, {mapping(R"(,"MaxTries":3)"), false},
-            {mapping(R"(,"Resumable":true,"MaxTries":1)"), false},
+        std::vector<Case>{{route(ok), true}, {route(R"(,"MaxTries":3)"), false},
+            {route(R"(,"Resumable":true,"MaxTries":1)"), false},
             {R"({"mappings":[{"name":"t","path":"/t","pool":"p"}]})", false},
             {R"({"models":{"m":{}},"ramp":{"overUs":0},"mappings":[{"name":"s","path":"/s","pool":"p","model":"m","stream":true,"Resumable":true,"MaxTries":3}]})",
                 false}}) {
         auto r = NodeFixture();
-        CHECK_EQ(200, r.config(mapping(ok)));
+        CHECK_EQ(200, r.config(route(ok)));
         r.list({{"x", "near", "z", "p", "w"}, {"y", "near", "z", "p", "w"}});
         for (auto i = 0; i < 12; i++) {  // earns credit
             auto id = r.e->accept("POST", "/s", {}, "b", r.now);
@@ -60,7 +60,7 @@
 // A refusal that is told of a send whose first byte was written proves nothing.
 TEST(Edge, refusedAfterTheFirstByte) {
     auto r = NodeFixture();
-    CHECK_EQ(200, r.config(mapping(R"(,"MaxTries":3)")));
+    CHECK_EQ(200, r.config(route(R"(,"MaxTries":3)")));
     r.list({{"x", "near", "z", "p", "w"}, {"y", "near", "z", "p", "w"}});
     auto id = r.e->accept("POST", "/s", {}, "b", r.now);
     CHECK(r.e->maySend(id, 1, r.now));
@@ -72,7 +72,7 @@
 // What a sender may pick up, and what not; nothing of a denied one runs.
 TEST(Edge, resumption) {
     auto r = NodeFixture();
-    auto two = mapping(R"(,"Resumable":true,"MaxTries":3)");
+    auto two = route(R"(,"Resumable":true,"MaxTries":3)");
     two.insert(
         two.size() - 2, R"(,{"name":"n","path":"/n","pool":"p","model":"m","stream":true,"MaxTries":3})");
     CHECK_EQ(200, r.config(two));
@@ -135,13 +135,13 @@
         if (home.empty())
             for (auto& x : names)
                 if (g.chance(.4)) spill.push_back(x);
-        auto pool = fmt::format("p{}", g.below(2));
+        auto service = fmt::format("p{}", g.below(2));
         auto sp = std::string();
         for (auto& x : spill) sp += (sp.empty() ? "" : ",") + jsQuote(x);
         CHECK_EQ(200,
             r.config(fmt::format(
                 R"({{"ramp":{{"overUs":0}},"mappings":[{{"name":"a","path":"/a/*","pool":"{}","queueUs":0{}}}]}})",
-                pool, home.empty() ? ",\"spill\":[" + sp + "]" : ",\"home\":" + jsQuote(home))));
+                service, home.empty() ? ",\"spill\":[" + sp + "]" : ",\"home\":" + jsQuote(home))));
         auto v = std::vector<std::array<std::string, 5>>();
         for (auto i = 0; i < 6; i++)
             v.push_back({fmt::format("s{}", i), any(names), fmt::format("z{}", g.below(2)),
@@ -150,8 +150,8 @@
         auto gone = fmt::format("s{}", g.below(6));
         r.n->mark(99, gone, ++r.rev, r.now);
         auto z = fmt::format("z{}", g.below(2));
-        auto emptied = g.chance(.5);
-        if (emptied) r.n->order(98, "empty", "e", bodyOf({{"district", jsQuote(z)}}), r.now);
+        auto evacuated = g.chance(.5);
+        if (evacuated) r.n->order(98, "empty", "e", bodyOf({{"district", jsQuote(z)}}), r.now);
         r.run(2 * SECOND);
         for (auto i = 0; i < 20; i++) {
             auto from = any(names);
@@ -159,7 +159,7 @@
             auto may = std::set<std::string>(), near = std::set<std::string>();
             for (auto& s : v) {
                 auto h = home == "@near" ? from : home;
-                if (s[3] != pool || s[0] == gone || (emptied && s[2] == z)) continue;
+                if (s[3] != service || s[0] == gone || (evacuated && s[2] == z)) continue;
                 if (!h.empty() ? s[1] != h
                                : s[1] != from && std::find(spill.begin(), spill.end(), s[1]) == spill.end())
                     continue;
--- a/tests/routing/incident_edge_test.cpp
+++ b/tests/routing/incident_edge_test.cpp
@@ -23,9 +23,9 @@
 
 auto dialect() -> Dialect {
     auto d = Dialect();
-    d.exchange = "X-Try", d.notExecuted = "X-Not-Run", d.weights = "", d.target = "X-For";
+    d.request = "X-Try", d.notExecuted = "X-Not-Run", d.weights = "", d.target = "X-For";
     d.load = "X-Load", d.model = "X-Model";
-    d.senderNames = d.passHeaders = true;
+    d.clientNamesRequests = d.passHeaders = true;
     d.doneEvent = false;
     return d;
 }
@@ -47,17 +47,17 @@
     std::vector<Sent> sends;
     std::int64_t names = 0;
 
-    Rig(const std::string& mappings, const std::vector<std::pair<std::string, std::string>>& servers) {
+    Rig(const std::string& routes, const std::vector<std::pair<std::string, std::string>>& servers) {
         logMute(true);
-        st.node = "a", st.district = "d", st.region = "near", st.peer = "127.0.0.1:1";
-        st.roster = st.seats = {"a"};
+        st.node = "a", st.zone = "d", st.region = "near", st.peer = "127.0.0.1:1";
+        st.roster = st.initialVoters = {"a"};
         n = std::make_unique<Node>(st, *this, ct, 7, 2);
         e = std::make_unique<Edge>(*n, *this, ct, 2, dialect());
         n->startCore({}, "disk", now);
         run(8 * SECOND);
         n->order(1, "config", "k",
             R"({"base":0,"config":{"budget":{"slack":64,"share":0.2},"models":{"m":{"migrationLimit":1}},"mappings":[)"
-                + mappings + "]}}",
+                + routes + "]}}",
             now);
         run(SECOND);
         CHECK_EQ(200, outs[1]);
@@ -69,7 +69,7 @@
         n->list(2, "{\"revision\":1,\"servers\":[" + o + "]}", now);
         run(SECOND);
     }
-    auto tell(const std::string&, const wire::Envelope&) -> void override {}
+    auto send(const std::string&, const wire::Envelope&) -> void override {}
     auto disk(const DiskWrite& w) -> void override { dq.push_back(w); }
     auto done(std::int64_t id, const Outcome& o) -> void override { outs[id] = o.status; }
     auto book(const std::vector<std::string>&) -> void override {}
--- a/tests/routing/server_model.cpp
+++ b/tests/routing/server_model.cpp
@@ -64,14 +64,14 @@
 
 ServerModel::ServerModel() : EdgeFixture() {
     constexpr auto COMMON = R"("pool":"p","MaxTries":3,"deadlineUs":2000000,"idleUs":300000)";
-    auto mapping = [&](const char* name, const char* more) {
+    auto route = [&](const char* name, const char* more) {
         return fmt::format(R"({{"name":"{0}","path":"/{0}",{1}{2}}})", name, COMMON, more);
     };
     CHECK_EQ(200,
         config(R"({"budget":{"slack":4000,"share":0.2},"models":{"m":{"migrationLimit":3}},"mappings":[)"
-            + mapping("once", "") + "," + mapping("safe", R"(,"repeatable":true)") + ","
-            + mapping("stream", R"(,"stream":true)") + ","
-            + mapping("resumable", R"(,"stream":true,"Resumable":true)") + "]}"));
+            + route("once", "") + "," + route("safe", R"(,"repeatable":true)") + ","
+            + route("stream", R"(,"stream":true)") + ","
+            + route("resumable", R"(,"stream":true,"Resumable":true)") + "]}"));
     list({{"x", "near", "p", "z", 9}, {"y", "near", "p", "z", 9}, {"w", "near", "p", "z", 9}});
 }
 
--- a/tests/sim/history_test.cpp
+++ b/tests/sim/history_test.cpp
@@ -12,16 +12,16 @@
 
 namespace duneturn {
 
-static auto write(Microseconds a, Microseconds b, int st, std::int64_t base, std::int64_t gen,
+static auto write(Microseconds a, Microseconds b, int st, std::int64_t base, std::int64_t version,
     std::string what, int who) -> HistOp {
     auto o = HistOp();
-    o.from = a, o.to = b, o.status = st, o.base = base, o.gen = gen, o.what = what, o.who = who;
+    o.from = a, o.to = b, o.status = st, o.base = base, o.version = version, o.what = what, o.who = who;
     return o;
 }
-static auto read(Microseconds a, Microseconds b, std::int64_t gen, std::string what, std::vector<int> applied)
-    -> HistOp {
+static auto read(Microseconds a, Microseconds b, std::int64_t version, std::string what,
+    std::vector<int> applied) -> HistOp {
     auto o = HistOp();
-    o.read = true, o.from = a, o.to = b, o.gen = gen, o.what = what, o.applied = std::move(applied);
+    o.read = true, o.from = a, o.to = b, o.version = version, o.what = what, o.applied = std::move(applied);
     return o;
 }
 
@@ -55,19 +55,19 @@
     auto caught = 0, changed = 0;
     for (auto i = 0; i < 300; i++) {
         auto ops = std::vector<HistOp>();
-        auto gen = std::int64_t(0);
+        auto version = std::int64_t(0);
         auto what = std::string();
         auto applied = std::vector<int>();
         for (auto k = 0; k < 24; k++) {
             auto t = Microseconds(k) * 100 + 50;  // its moment; asked before, told after
             auto a = t - Microseconds(g.below(250)), b = t + Microseconds(g.below(250));
             if (g.chance(.5)) {
-                ops.push_back(read(a, b, gen, what, applied));
+                ops.push_back(read(a, b, version, what, applied));
                 continue;
             }
-            auto o = write(a, b, 200, gen - std::int64_t(g.below(2)), 0, fmt::format("v{}", k), k);
-            if (o.base == gen) {
-                o.gen = ++gen;
+            auto o = write(a, b, 200, version - std::int64_t(g.below(2)), 0, fmt::format("v{}", k), k);
+            if (o.base == version) {
+                o.version = ++version;
                 what = o.what;
                 applied.push_back(k);
             } else o.status = 409;
@@ -77,7 +77,7 @@
         CHECK_EQ(std::string(), historyCheck(ops, ""));
         for (auto& o : ops)
             if (o.read && g.chance(.3)) {
-                o.gen += g.chance(.5) ? 1 : -1;
+                o.version += g.chance(.5) ? 1 : -1;
                 changed++;
                 caught += historyCheck(ops, "") != "";
                 break;
--- a/tests/sim/scale_test.cpp
+++ b/tests/sim/scale_test.cpp
@@ -19,14 +19,14 @@
     return o ? "" : o.error().why;
 }
 
-static auto learnt() -> ScaleOptions {
+static auto gossip() -> ScaleOptions {
     auto o = ScaleOptions();
-    o.learnt = true;
+    o.gossip = true;
     return o;
 }
 
 TEST(Scale, sameSeedSameCounts) {
-    auto o = learnt();
+    auto o = gossip();
     auto a = scalePoint(o, {12, 8}), b = scalePoint(o, {12, 8});
     CHECK(a.counts == b.counts);
     CHECK(a.counts.at("readyUs") >= 0);
@@ -42,7 +42,7 @@
 // A node's bytes grow no faster than the nodes where membership is learnt, and no faster than their
 // square with a roster, whose rows carry echoes.
 TEST(Scale, bytesGrowWithTheNodes) {
-    for (auto [o, factor] : {std::pair(learnt(), 2), {ScaleOptions(), 4}}) {
+    for (auto [o, factor] : {std::pair(gossip(), 2), {ScaleOptions(), 4}}) {
         o.faults = false;
         auto a = scalePoint(o, {12, 8}), b = scalePoint(o, {24, 8});
         CHECK(a.counts.at("all.bytesMean") > 0);
--- a/tests/state/config_change_test.cpp
+++ b/tests/state/config_change_test.cpp
@@ -17,26 +17,26 @@
 /// A configuration that changes at random: mappings come at the end, go, and change in place.
 struct RandomConfig {
     Rng rng;
-    std::vector<std::string> mappings = {};
+    std::vector<std::string> routes = {};
     int made = 0;
 
-    auto mapping(int id) -> std::string {
+    auto route(int id) -> std::string {
         return fmt::format(R"({{"name":"m{}","path":"/{}/*","pool":"p{}","urgency":{}}})", id, id,
             rng.below(4), rng.below(3));
     }
     auto step() -> void {
-        while (mappings.size() < 40) mappings.push_back(mapping(made++));
+        while (routes.size() < 40) routes.push_back(route(made++));
         for (auto n = rng.below(4); n > 0; n--) {
-            auto at = rng.below(mappings.size());
-            auto id = std::stoi(mappings[at].substr(mappings[at].find('m', 8) + 1));
-            if (rng.chance(.3)) mappings.erase(mappings.begin() + std::ptrdiff_t(at));
-            else mappings[at] = mapping(id);
+            auto at = rng.below(routes.size());
+            auto id = std::stoi(routes[at].substr(routes[at].find('m', 8) + 1));
+            if (rng.chance(.3)) routes.erase(routes.begin() + std::ptrdiff_t(at));
+            else routes[at] = route(id);
         }
     }
     auto text(int number) -> std::string {
         step();
         auto list = std::string();
-        for (auto& one : mappings) list += (list.empty() ? "" : ",") + one;
+        for (auto& one : routes) list += (list.empty() ? "" : ",") + one;
         auto pools = std::string();
         for (auto id = 0; id < 4; id++)
             if (!rng.chance(.2))
@@ -90,7 +90,7 @@
     CHECK(change->size() < 600);
 }
 
-TEST(ConfigChange, reorderedMappingsAreNoDifference) {
+TEST(ConfigChange, reorderedRoutesAreNoDifference) {
     auto one = parsed(R"({"mappings":[{"name":"a","path":"/a"},{"name":"b","path":"/b"}]})");
     auto two = parsed(R"({"mappings":[{"name":"b","path":"/b"},{"name":"a","path":"/a"}]})");
     CHECK(!configChange(one, two));
--- a/tests/state/order_state_test.cpp
+++ b/tests/state/order_state_test.cpp
@@ -15,7 +15,8 @@
 
 namespace {
 
-auto lay(Word& state, const std::string& op, const std::string& key, const std::string& body) -> Outcome {
+auto lay(ReplicatedState& state, const std::string& op, const std::string& key, const std::string& body)
+    -> Outcome {
     auto entry = orderPrepare(state, op, key, body, 1000);
     return entry ? state.apply(*entry) : entry.error();
 }
@@ -57,7 +58,7 @@
 }
 
 TEST(OrderState, oldBasesAreUnknownNotRefused) {
-    auto state = Word();
+    auto state = ReplicatedState();
     auto most = std::int64_t(AcceptedChanges::CAPACITY);
     for (auto i = std::int64_t(0); i < most + 2; i++)
         CHECK_EQ(200, lay(state, "config", fmt::format("k{}", i), configBody(i, int(i) + 1)).status);
@@ -66,13 +67,13 @@
     CHECK_EQ(200, lay(state, "config", "k2", configBody(2, 3)).status);
     CHECK_EQ(409, lay(state, "config", "other", configBody(2, 3)).status);
     CHECK_EQ(504, lay(state, "merge", "merge", R"({"base":1,"patch":{}})").status);
-    CHECK_EQ(most + 2, state.configGen());
+    CHECK_EQ(most + 2, state.configVersion());
     // An unknown outcome is not remembered as one.
     CHECK_EQ(0, state.outcome("k0").status);
 }
 
 TEST(OrderState, refusalsPushNothingOut) {
-    auto state = Word();
+    auto state = ReplicatedState();
     CHECK_EQ(200, lay(state, "config", "first", configBody(0, 1)).status);
     CHECK_EQ(200, lay(state, "empty", "zone", R"({"district":"z"})").status);
     for (auto i = 0; i < 1000; i++)
@@ -87,30 +88,30 @@
 }
 
 TEST(OrderState, zonesAreFencedByRevision) {
-    auto state = Word();
+    auto state = ReplicatedState();
     auto revision = [&](const std::string& zone) { return Evacuations::zone(state.d, zone).revision; };
     auto first = revision("z");
     CHECK_EQ(200, lay(state, "empty", "a", zoneBody("z", first)).status);
-    CHECK(state.emptied("z"));
+    CHECK(state.evacuated("z"));
     CHECK(revision("z") > first);
     CHECK_EQ(first, revision("other"));
     auto second = revision("z");
     CHECK_EQ(200, lay(state, "give-back", "b", zoneBody("z", second)).status);
-    auto before = state.gen;
+    auto before = state.version;
     auto late = lay(state, "empty", "late", zoneBody("z", first));
     CHECK_EQ(409, late.status);
     CHECK(late.body.find("superseded") != std::string::npos);
-    CHECK(!state.emptied("z"));
-    CHECK_EQ(before, state.gen);
+    CHECK(!state.evacuated("z"));
+    CHECK_EQ(before, state.version);
     // The same order again, by its key, is acknowledged and changes nothing.
     CHECK_EQ(200, lay(state, "empty", "a", zoneBody("z", first)).status);
-    CHECK(!state.emptied("z"));
+    CHECK(!state.evacuated("z"));
     CHECK_EQ(422, lay(state, "empty", "c", R"({"district":"z","revision":"1"})").status);
 }
 
 // Of zones beyond the bound none is taken for unchanged that has changed.
 TEST(OrderState, forgottenZonesAreFencedToo) {
-    auto state = Word();
+    auto state = ReplicatedState();
     auto old = Evacuations::zone(state.d, "z0").revision;
     for (auto i = 0u; i < Evacuations::ZONES + 5; i++)
         CHECK_EQ(200,
@@ -130,19 +131,19 @@
         R"({"key":"lost","status":409,"body":{"error":"x"}},)"
         R"({"key":"zone","status":200,"body":{"district":"z","emptied":true,"generation":5}},)"
         R"({"key":"put-20-bb-2","status":200,"body":{"configGeneration":3,"generation":9}}]})");
-    auto state = Word();
+    auto state = ReplicatedState();
     CHECK(state.load(text));
     CHECK_EQ(200, state.outcome("put-10-aa").status);
     CHECK_EQ(200, state.outcome("put-20-bb").status);
     CHECK_EQ(200, state.outcome("zone").status);
     CHECK_EQ(409, state.outcome("lost").status);
-    CHECK(state.emptied("z"));
+    CHECK(state.evacuated("z"));
     // Who made the first is not known, so a change as old as that is not refused.
     CHECK_EQ(std::int64_t(1), AcceptedChanges::forgottenGeneration(state.d["acceptedChanges"]));
     CHECK_EQ(504, lay(state, "config", "old", configBody(0, 10)).status);
     CHECK_EQ(409, lay(state, "config", "new", configBody(2, 40)).status);
     CHECK_EQ(409, lay(state, "empty", "late", zoneBody("z", 4)).status);
-    auto again = Word();
+    auto again = ReplicatedState();
     CHECK(again.load(state.text()));
     CHECK_EQ(state.text(), again.text());
     // A memory that does not reach the configuration in force tells nothing.
@@ -158,7 +159,7 @@
 }
 
 TEST(OrderState, queriesTravelAndAreAnswered) {
-    auto state = Word();
+    auto state = ReplicatedState();
     CHECK_EQ(200, lay(state, "config", "mine", configBody(0, 7)).status);
     CHECK_EQ(200, lay(state, "empty", "zone", R"({"district":"z"})").status);
     auto ask = [&](const StateQuery& query) { return StateQuery::parse(query.text()).answer(state); };
--- a/tests/state/replicated_state_test.cpp
+++ b/tests/state/replicated_state_test.cpp
@@ -13,31 +13,31 @@
 
 namespace duneturn {
 
-static auto order(Word& w, const std::string& op, const std::string& key, const std::string& body)
+static auto order(ReplicatedState& w, const std::string& op, const std::string& key, const std::string& body)
     -> Outcome {
     auto p = orderPrepare(w, op, key, body, 1000);
     return p ? w.apply(*p) : p.error();
 }
-static constexpr auto ONE_MAPPING = R"({"mappings":[{"name":"a","path":"/a","pool":"p","MaxTries":2}]})";
+static constexpr auto ONE_ROUTE = R"({"mappings":[{"name":"a","path":"/a","pool":"p","MaxTries":2}]})";
 
-TEST(Word, raceAndKey) {
-    auto w = Word();
-    w.found({"n1", "n2"}, {{"n1", "d1"}});
-    auto body = fmt::format("{{\"base\":0,\"config\":{}}}", ONE_MAPPING);
+TEST(ReplicatedState, raceAndKey) {
+    auto w = ReplicatedState();
+    w.bootstrap({"n1", "n2"}, {{"n1", "d1"}});
+    auto body = fmt::format("{{\"base\":0,\"config\":{}}}", ONE_ROUTE);
     CHECK_EQ(200, order(w, "config", "k1", body).status);
-    CHECK_EQ(std::int64_t(1), w.configGen());
+    CHECK_EQ(std::int64_t(1), w.configVersion());
     // The same key again is the first outcome; another on the same base has lost.
     CHECK_EQ(200, order(w, "config", "k1", body).status);
-    CHECK_EQ(std::int64_t(1), w.configGen());
+    CHECK_EQ(std::int64_t(1), w.configVersion());
     auto o = order(w, "config", "k2", body);
     CHECK_EQ(409, o.status);
     CHECK(o.body.find("\"configGeneration\":1") != std::string::npos);
     CHECK_EQ(409, w.outcome("k2").status);
-    CHECK_EQ(std::int64_t(2), w.gen);
+    CHECK_EQ(std::int64_t(2), w.version);
 }
 
-TEST(Word, faultsAreNamed) {
-    auto w = Word();
+TEST(ReplicatedState, faultsAreNamed) {
+    auto w = ReplicatedState();
     auto o = order(w, "config", "k",
         R"({"base":0,"config":{"colour":1,"mappings":[{"name":"a","path":"x","pool":"p","MaxTries":0,"tries":3}]}})");
     CHECK_EQ(422, o.status);
@@ -49,10 +49,10 @@
     CHECK_EQ(422, order(w, "config", "k", "[]").status);
     CHECK_EQ(404, order(w, "colour", "k", "{}").status);
     CHECK_EQ(422, order(w, "empty", "k", R"({"district":"z","zone":"z"})").status);
-    CHECK_EQ(std::int64_t(0), w.gen);
+    CHECK_EQ(std::int64_t(0), w.version);
 }
 
-TEST(Word, mergePatch) {
+TEST(ReplicatedState, mergePatch) {
     // The examples of RFC 7396, appendix A, and what it says of nested nulls.
     auto t = std::vector<std::array<const char*, 3>>{{R"({"a":"b"})", R"({"a":"c"})", R"({"a":"c"})"},
         {R"({"a":"b"})", R"({"b":"c"})", R"({"a":"b","b":"c"})"}, {R"({"a":"b"})", R"({"a":null})", "{}"},
@@ -73,47 +73,47 @@
     }
 }
 
-TEST(Word, changeIsLaid) {
-    auto w = Word();
-    CHECK_EQ(200, order(w, "config", "a", fmt::format("{{\"base\":0,\"config\":{}}}", ONE_MAPPING)).status);
+TEST(ReplicatedState, changeIsLaid) {
+    auto w = ReplicatedState();
+    CHECK_EQ(200, order(w, "config", "a", fmt::format("{{\"base\":0,\"config\":{}}}", ONE_ROUTE)).status);
     CHECK_EQ(200, order(w, "merge", "b", R"({"base":1,"patch":{"name":"x","budget":{"share":0.1}}})").status);
     CHECK_EQ(std::string("x"), jsStr(w.config(), "name"));
     CHECK_EQ(409, order(w, "merge", "c", R"({"base":1,"patch":{"name":"y"}})").status);
     CHECK_EQ(422, order(w, "merge", "d", R"({"base":2,"patch":{"mappings":null}})").status);
     CHECK_EQ(std::string("x"), jsStr(w.config(), "name"));
-    CHECK_EQ(std::int64_t(2), w.configGen());
+    CHECK_EQ(std::int64_t(2), w.configVersion());
 }
 
-TEST(Word, planFiresOnce) {
-    auto w = Word();
-    w.found({"n1"}, {{"n1", "d1"}});
+TEST(ReplicatedState, planFiresOnce) {
+    auto w = ReplicatedState();
+    w.bootstrap({"n1"}, {{"n1", "d1"}});
     CHECK_EQ(200,
         order(w, "book", "b", R"({"at":"2026-01-31T06:00:00Z","move":{"op":"empty","district":"z"}})")
             .status);
     auto id = jsStr(w.d["plan"][0], "id");
     auto f = "{\"move\":" + jsQuote(id) + "}";
     CHECK_EQ(200, order(w, "fire", "f1", f).status);
-    CHECK(w.emptied("z"));
+    CHECK(w.evacuated("z"));
     CHECK_EQ(200, order(w, "give-back", "g", R"({"district":"z"})").status);
     // Fired again by another leader, under another key: it has no effect.
     CHECK_EQ(409, order(w, "fire", "f2", f).status);
-    CHECK(!w.emptied("z"));
+    CHECK(!w.evacuated("z"));
     CHECK_EQ(409, order(w, "cancel", "c", f).status);
 }
 
 // Whatever the orders, two words fed the same log are the same, a text loads back to
 // the same word, and a generation never falls.
-TEST(Word, fuzzSameLogSameWord) {
+TEST(ReplicatedState, fuzzSameLogSameWord) {
     auto r = Rng{7};
     for (auto round = 0; round < 200; round++) {
-        auto a = Word(), b = Word();
-        a.found({"n1", "n2"}, {{"n1", "d1"}});
-        b.found({"n1", "n2"}, {{"n1", "d1"}});
+        auto a = ReplicatedState(), b = ReplicatedState();
+        a.bootstrap({"n1", "n2"}, {{"n1", "d1"}});
+        b.bootstrap({"n1", "n2"}, {{"n1", "d1"}});
         for (auto i = 0; i < 30; i++) {
             auto z = fmt::format("z{}", r.below(3));
-            auto base = a.configGen() - std::int64_t(r.below(2));
+            auto base = a.configVersion() - std::int64_t(r.below(2));
             auto ops = std::vector<std::pair<std::string, std::string>>{
-                {"config", fmt::format("{{\"base\":{},\"config\":{}}}", base, ONE_MAPPING)},
+                {"config", fmt::format("{{\"base\":{},\"config\":{}}}", base, ONE_ROUTE)},
                 {"merge", fmt::format("{{\"base\":{},\"patch\":{{\"name\":\"{}\"}}}}", base, z)},
                 {"empty", "{\"district\":" + jsQuote(z) + "}"},
                 {"give-back", "{\"district\":" + jsQuote(z) + "}"},
@@ -124,13 +124,13 @@
             auto& [op, body] = ops[r.below(ops.size())];
             auto p = orderPrepare(a, op, fmt::format("k{}", r.below(40)), body, 5);
             if (!p) continue;
-            auto g = a.gen;
+            auto g = a.version;
             auto x = a.apply(*p), y = b.apply(*p);
             CHECK_EQ(x.body, y.body);
-            CHECK(a.gen >= g);
-            CHECK((x.status == 200) || a.gen == g);
+            CHECK(a.version >= g);
+            CHECK((x.status == 200) || a.version == g);
             CHECK_EQ(a.text(), b.text());
-            auto c = Word();
+            auto c = ReplicatedState();
             CHECK(c.load(a.text()));
             CHECK_EQ(a.text(), c.text());
         }
--- a/tests/storage/disk_test.cpp
+++ b/tests/storage/disk_test.cpp
@@ -56,7 +56,7 @@
     return e;
 }
 auto same(const DiskState& a, const DiskState& b) -> bool {
-    return a.disk == b.disk && a.reign == b.reign && a.term == b.term && a.vote == b.vote
+    return a.disk == b.disk && a.epoch == b.epoch && a.term == b.term && a.vote == b.vote
         && a.commit == b.commit && a.snapIdx == b.snapIdx && a.snapTerm == b.snapTerm
         && a.snapDoc == b.snapDoc && a.log == b.log;
 }
@@ -124,7 +124,7 @@
     CHECK(bool(s->open(f.p)));
     auto w = DiskWrite();
     w.meta.disk = "d";
-    w.meta.reign = 1;
+    w.meta.epoch = 1;
     w.snap = true;
     w.doc = "old";
     w.meta.snapIdx = 1;
@@ -134,7 +134,7 @@
     x.reset = x.snap = true;
     x.doc = "found" + std::string(100000, 'n');
     x.meta.disk = "d";
-    x.meta.reign = 2;
+    x.meta.epoch = 2;
     x.meta.snapIdx = 1;
     x.meta.snapTerm = 5;
     {
--- a/tests/storage/storage_fixture.hpp
+++ b/tests/storage/storage_fixture.hpp
@@ -35,7 +35,7 @@
 }
 
 inline auto sameState(const DiskState& a, const DiskState& b) -> bool {
-    return a.disk == b.disk && a.reign == b.reign && a.term == b.term && a.vote == b.vote
+    return a.disk == b.disk && a.epoch == b.epoch && a.term == b.term && a.vote == b.vote
         && a.commit == b.commit && a.snapIdx == b.snapIdx && a.snapTerm == b.snapTerm
         && a.snapDoc == b.snapDoc && a.log == b.log;
 }
--- a/tests/storage/storage_full_test.cpp
+++ b/tests/storage/storage_full_test.cpp
@@ -81,7 +81,7 @@
     if (state.snapIdx) put("snap", state.snapDoc);
     auto meta = wire::Meta();
     meta.disk = state.disk;
-    meta.reign = state.reign;
+    meta.epoch = state.epoch;
     meta.term = state.term;
     meta.vote = state.vote;
     meta.commit = state.commit;
@@ -97,7 +97,7 @@
 auto earlierState(int entries, std::size_t bytes) -> DiskState {
     auto state = DiskState();
     state.disk = "0123456789abcdef";
-    state.reign = 1025;
+    state.epoch = 1025;
     state.term = 7;
     state.vote = "fedcba9876543210";
     state.commit = 12;
@@ -123,9 +123,10 @@
         CHECK(!store.setAside);
         voter.start(*state, "d", now);
     }
-    auto voterTell(const std::string&, wire::Envelope&) -> void override {}
-    auto voterDisk(const DiskWrite& write) -> void override { writes.push_back(write); }
-    auto voterWord(const Word&, const std::string& key, const Outcome& outcome) -> void override {
+    auto voterSend(const std::string&, wire::Envelope&) -> void override {}
+    auto voterWrite(const DiskWrite& write) -> void override { writes.push_back(write); }
+    auto voterApplied(const ReplicatedState&, const std::string& key, const Outcome& outcome)
+        -> void override {
         applied += !key.empty() && outcome.status == 200;
     }
     auto voterRead(std::int64_t, bool) -> void override {}
@@ -142,17 +143,17 @@
             voter.diskDone(write.seq, bool(store.write(write)), now);
         }
     }
-    auto found() -> void {
-        auto state = Word();
-        state.found({}, {{"a", "d"}});
-        voter.found(state, 1, now);
+    auto bootstrap() -> void {
+        auto state = ReplicatedState();
+        state.bootstrap({}, {{"a", "d"}});
+        voter.bootstrap(state, 1, now);
         run(3 * SECOND);
     }
     auto propose(int number, std::size_t bytes) -> bool {
         auto text = std::string(bytes, char('a' + number % 20));
         auto order = fmt::format(
             R"({{"key":"k{}","op":"config","base":{},"config":{{"mappings":[],"origin":{{"number":{},"text":"{}"}}}}}})",
-            number, voter.head().configGen(), number, text);
+            number, voter.latestState().configVersion(), number, text);
         auto taken = voter.propose(1, order, now);
         finishWrites();
         return taken;
@@ -167,7 +168,7 @@
     auto directory = TemporaryDirectory();
     {
         auto lone = LoneVoter(directory.path);
-        lone.found();
+        lone.bootstrap();
         CHECK(lone.voter.ready());
         for (auto number = 1; number <= 200; number++) {
             CHECK(lone.propose(number, LARGE_ENTRY_BYTES));
@@ -179,7 +180,7 @@
     auto again = LoneVoter(directory.path);
     again.run(3 * SECOND);
     CHECK(again.voter.ready());
-    CHECK_EQ(std::int64_t(200), again.voter.word().configGen());
+    CHECK_EQ(std::int64_t(200), again.voter.replicatedState().configVersion());
 }
 
 // Entries of 600 kB fill the file. They are refused then, but a snapshot never is, and with the
--- a/tests/storage/store_test.cpp
+++ b/tests/storage/store_test.cpp
@@ -65,7 +65,7 @@
     }
 }
 static auto same(const DiskState& a, const DiskState& b) -> bool {
-    return a.disk == b.disk && a.reign == b.reign && a.term == b.term && a.vote == b.vote
+    return a.disk == b.disk && a.epoch == b.epoch && a.term == b.term && a.vote == b.vote
         && a.commit == b.commit && a.snapIdx == b.snapIdx && a.snapTerm == b.snapTerm
         && a.snapDoc == b.snapDoc && a.log == b.log;
 }
@@ -301,27 +301,27 @@
         e.wire = WIRE;
         e.node = std::string(r.below(20), 'n');
         e.disk = std::string(r.below(20), char(r.below(256)));
-        e.reign = std::int64_t(r.next());
+        e.epoch = std::int64_t(r.next());
         if (r.chance(.5)) {
-            auto b = wire::Beat();
+            auto b = wire::Heartbeat();
             for (auto n = r.below(6); n > 0; n--) {
-                auto w = wire::Row();
+                auto w = wire::NodeRecord();
                 w.node = fmt::format("n{}", n);
                 w.boot = std::int64_t(r.next());
                 w.credit = -std::int64_t(r.below(1000));
-                w.echo.resize(r.below(5));
+                w.acks.resize(r.below(5));
                 w.marks.resize(r.below(3));
                 b.rows.push_back(w);
             }
             b.listings.resize(r.below(4));
             b.loads.resize(r.below(4));
-            e.__set_beat(b);
+            e.__set_heartbeat(b);
         }
         if (r.chance(.5)) {
-            auto a = wire::AppendAsk();
+            auto a = wire::AppendEntries();
             a.entries.resize(r.below(5));
             for (auto& x : a.entries) x.body = std::string(r.below(300), char(r.below(256)));
-            e.__set_appendAsk(a);
+            e.__set_appendEntries(a);
         }
         auto t = pack(e);
         auto o = wire::Envelope();
--- a/thrift/wire.thrift
+++ b/thrift/wire.thrift
@@ -5,18 +5,18 @@
 namespace cpp duneturn.wire
 
 // The sign that `node` has heard the beat `beat` of another node's life `boot`.
-struct Echo { 1: string node, 2: i64 boot, 3: i64 beat }
+struct HeartbeatAck { 1: string node, 2: i64 boot, 3: i64 heartbeat }
 
 // A server listed as leaving, with the generation of that listing.
-struct Mark { 1: string server, 2: i64 gen }
+struct DrainMark { 1: string server, 2: i64 revision }
 
 // One node's word about itself; carried onward unchanged by whoever hears it.
-struct Row {
-  1: string node, 2: i64 boot, 3: i64 beat,
-  4: string district, 5: string region,
-  6: string peer, 7: string sender, 8: string opr,
-  9: i64 reign, 10: i64 gen, 11: bool settled,
-  12: list<Echo> echo, 13: list<Mark> marks,
+struct NodeRecord {
+  1: string node, 2: i64 boot, 3: i64 heartbeat,
+  4: string zone, 5: string region,
+  6: string peer, 7: string clientAddress, 8: string operatorAddress,
+  9: i64 epoch, 10: i64 stateVersion, 11: bool settled,
+  12: list<HeartbeatAck> acks, 13: list<DrainMark> marks,
   14: i64 credit, 15: i64 wall,
   16: string disk, 17: bool blank, 18: i64 term, 19: bool leader, 20: bool ready,
   21: bool stopping, 22: i64 want,
@@ -25,55 +25,55 @@
 }
 
 // The sign that a node lives and that its row is still the one of this version.
-struct Pulse { 1: string node, 2: i64 boot, 3: i64 beat, 4: i64 version }
+struct HeartbeatPulse { 1: string node, 2: i64 boot, 3: i64 heartbeat, 4: i64 version }
 
 // A server as the platform listed it. Told again under a lease; never logged.
-struct Listing {
-  1: string server, 2: string address, 3: string region, 4: string district,
-  5: string pool, 6: string weights, 7: i32 slots, 8: i32 state, 9: i64 inc,
-  10: i64 gen, 11: i64 age, 12: i64 cold
+struct ServerListing {
+  1: string server, 2: string address, 3: string region, 4: string zone,
+  5: string serviceName, 6: string weights, 7: i32 slots, 8: i32 state, 9: i64 inc,
+  10: i64 revision, 11: i64 age, 12: i64 cold
 }
 
 // What a watcher saw of a server.
-struct Load {
+struct ServerLoad {
   1: string server, 2: i64 boot, 3: i32 prefill, 4: i32 decode, 5: i32 slots,
   6: bool dark, 7: i64 up, 8: string watcher, 9: i64 age, 10: bool cold
 }
 
 // Fields from 4 on: learnt membership only. `listNo` numbers the listing that the teller holds;
 // `listings` holds what changed in it since `listBase` (0: all of it; -1: none are told).
-struct Beat {
-  1: list<Row> rows, 2: list<Listing> listings, 3: list<Load> loads,
-  4: list<Pulse> pulses, 5: list<string> rowAsk, 6: bool fullAsk,
+struct Heartbeat {
+  1: list<NodeRecord> rows, 2: list<ServerListing> listings, 3: list<ServerLoad> loads,
+  4: list<HeartbeatPulse> pulses, 5: list<string> rowAsk, 6: bool fullAsk,
   7: i64 listNo, 8: i64 listBase = -1
 }
 
 // The operator's word: everything an operator ordered, as one document.
-struct Word { 1: i64 reign, 2: i64 gen, 3: string doc }
-struct WordAsk { 1: i64 reign, 2: i64 gen }
+struct ReplicatedState { 1: i64 epoch, 2: i64 version, 3: string doc }
+struct ReplicatedStateRequest { 1: i64 epoch, 2: i64 version }
 
 // `boot`: the life of the node that asks; its answer names it again, so that an answer to an earlier
 // life of that node is known as such.
-struct OrderAsk { 1: i64 id, 2: string back, 3: string body, 4: bool readback, 5: i64 boot }
+struct OrderRequest { 1: i64 id, 2: string back, 3: string body, 4: bool readback, 5: i64 boot }
 struct OrderReply { 1: i64 id, 2: i32 status, 3: string body, 4: i64 boot }
 
-struct Grant { 1: string node, 2: i64 boot, 3: i64 seq, 4: i64 credit }
+struct CreditGrant { 1: string node, 2: i64 boot, 3: i64 seq, 4: i64 credit }
 
 struct Entry { 1: i64 term, 2: i64 idx, 3: i32 kind, 4: string body }
 // `joint`: the candidate counts both majorities of a joint configuration.
-struct VoteAsk {
+struct RequestVote {
   1: i64 term, 2: i64 lastIdx, 3: i64 lastTerm, 4: bool pre, 5: bool handed, 6: bool joint
 }
-struct VoteReply { 1: i64 term, 2: bool pre, 3: bool granted }
-struct AppendAsk {
+struct RequestVoteReply { 1: i64 term, 2: bool pre, 3: bool granted }
+struct AppendEntries {
   1: i64 term, 2: i64 prevIdx, 3: i64 prevTerm, 4: list<Entry> entries,
   5: i64 commit, 6: i64 round
 }
 // `knowsJoint`: the sender reads joint configurations; `prevIdx`: of what was rejected.
-struct AppendReply {
+struct AppendEntriesReply {
   1: i64 term, 2: bool ok, 3: i64 match, 4: i64 hint, 5: i64 round, 6: bool knowsJoint, 7: i64 prevIdx
 }
-struct SnapTell { 1: i64 term, 2: i64 idx, 3: i64 idxTerm, 4: string doc, 5: i64 round }
+struct InstallSnapshot { 1: i64 term, 2: i64 idx, 3: i64 idxTerm, 4: string doc, 5: i64 round }
 // A part of a snapshot's document of `size` bytes, from `offset` on; `checksum` covers the part and
 // where it stands, `digest` the whole document.
 struct SnapshotChunk {
@@ -84,16 +84,17 @@
 struct SnapshotChunkReply {
   1: i64 term, 2: i64 idx, 3: i64 digest, 4: i64 received, 5: bool refused, 6: i64 round
 }
-struct TakeOver { 1: i64 term }
+struct TimeoutNow { 1: i64 term }
 
 struct Envelope {
-  1: i32 wire, 2: string node, 3: string disk, 4: i64 reign,
-  5: optional Beat beat, 6: optional Word word, 7: optional WordAsk wordAsk,
-  8: optional OrderAsk orderAsk, 9: optional OrderReply orderReply,
-  10: optional Grant grant,
-  11: optional VoteAsk voteAsk, 12: optional VoteReply voteReply,
-  13: optional AppendAsk appendAsk, 14: optional AppendReply appendReply,
-  15: optional SnapTell snapTell, 16: optional TakeOver takeOver,
+  1: i32 wire, 2: string node, 3: string disk, 4: i64 epoch,
+  5: optional Heartbeat heartbeat, 6: optional ReplicatedState replicatedState,
+  7: optional ReplicatedStateRequest replicatedStateRequest,
+  8: optional OrderRequest orderRequest, 9: optional OrderReply orderReply,
+  10: optional CreditGrant creditGrant,
+  11: optional RequestVote requestVote, 12: optional RequestVoteReply requestVoteReply,
+  13: optional AppendEntries appendEntries, 14: optional AppendEntriesReply appendEntriesReply,
+  15: optional InstallSnapshot installSnapshot, 16: optional TimeoutNow timeoutNow,
   // This envelope whole, in the compact protocol and zlib's format; told to wire 2 and above.
   17: optional binary compressed,
   30: optional SnapshotChunk snapshotChunk, 31: optional SnapshotChunkReply snapshotChunkReply
@@ -103,6 +104,6 @@
 
 // A voter's disk: the record beside the snapshot and the entries.
 struct Meta {
-  1: string disk, 2: i64 reign, 3: i64 term, 4: string vote, 5: i64 commit,
+  1: string disk, 2: i64 epoch, 3: i64 term, 4: string vote, 5: i64 commit,
   6: i64 snapIdx, 7: i64 snapTerm, 8: i32 format
 }
