--- a/src/main.cpp
+++ b/src/main.cpp
@@ -105,8 +105,8 @@
              --faults KIND,… --broken VARIANT --noclosing --trace
 scale:       --nodes N,… --servers N[,…] --seed N --membership roster|learnt --svg FILE
              --earlier FILE --noprobes --json
-check:       --scenario founded|elected|deposed|diverged|reelected --bounds EVENT=N,… --depth N --states N
-             --walks N --seed N --reorder --eager_disks --broken VARIANT --replay TRACE
+check:       --scenario founded|elected|deposed|diverged|reelected|overtaken --bounds EVENT=N,…
+             --depth N --states N --walks N --seed N --reorder --eager_disks --broken VARIANT --replay TRACE
 fake-server: --listen --name --weights --slots --token_us --prefill_us --plain_us --cold --log
 fake-platform: --servers FILE --nodes OPERATOR,… --listen
 fake-sender: --day FILE --nodes SENDER,… --duration_us --scale --seed --report
--- a/src/modelcheck/search.cpp
+++ b/src/modelcheck/search.cpp
@@ -145,12 +145,26 @@
     scenario.settle({0, 1}, 0);
 }
 
+// Replica 0 leads and has sent a heartbeat, then an order; replica 1 has received the order before
+// the heartbeat, which is still on its way, as is its acknowledgement.
+auto overtake(Scenario& scenario) -> void {
+    constexpr auto LEADER = std::uint8_t(0), FOLLOWER = std::uint8_t(1);
+    constexpr auto SECOND_MESSAGE = std::uint8_t(1);
+    elect(scenario);
+    scenario.perform({ActionKind::Heartbeat, LEADER, 0, 0});
+    scenario.perform({ActionKind::Propose, LEADER, 0, 0});
+    scenario.sync(LEADER);
+    scenario.perform({ActionKind::Deliver, FOLLOWER, LEADER, SECOND_MESSAGE});
+    scenario.sync(FOLLOWER);
+}
+
 auto enter(Model& model, const Str& name) -> Scenario {
     auto scenario = Scenario(model);
     if (name == "elected") elect(scenario);
     if (name == "diverged") diverge(scenario);
     if (name == "deposed") depose(scenario);
     if (name == "reelected") reelect(scenario);
+    if (name == "overtaken") overtake(scenario);
     model.beginSearch(scenario.state);
     return scenario;
 }
@@ -205,7 +219,7 @@
 }  // namespace
 
 auto scenarioNames() -> std::vector<Str> {
-    return {"founded", "elected", "deposed", "diverged", "reelected"};
+    return {"founded", "elected", "deposed", "diverged", "reelected", "overtaken"};
 }
 
 auto search(const SearchOptions& options) -> SearchResult {
--- a/src/modelcheck/search.hpp
+++ b/src/modelcheck/search.hpp
@@ -28,7 +28,8 @@
 /// The starting points: "founded" (three voters that hold an empty cluster), "elected" (replica 0
 /// leads and its first entry is committed), "diverged" (replicas 0 and 2 have each led a term and
 /// hold an entry that no other has; nobody leads), "deposed" (replica 2 leads, and replica 0 doesn't
-/// know it), "reelected" (replica 0 leads again after "diverged", and its disk lags).
+/// know it), "reelected" (replica 0 leads again after "diverged", and its disk lags), "overtaken"
+/// (replica 0 leads; replica 1 holds its newest order and has yet to receive an earlier heartbeat).
 auto scenarioNames() -> std::vector<Str>;
 
 auto search(const SearchOptions& options) -> SearchResult;
