--- a/tests/checks.sh
+++ b/tests/checks.sh
@@ -180,6 +180,40 @@
   fails "four listed" "3 are allowed" "$root/scripts/known-red.sh" "$list" "$failed"
 }
 
+# A stand-in for the program: prints what the file `behaviour` holds, and ends with `status`.
+stand_in() {
+  printf '#!/bin/sh\ncat behaviour\nexit %s\n' "$1" >program
+  chmod +x program
+}
+
+test_same_behaviour() {
+  good_tree
+  mkdir -p tests/pinned
+  printf '# a list\nsimulate --seed 1 | 0123456789abcdef\n' >tests/pinned/behaviour.txt
+  echo 'seed 1: 0 rules broken, digest 0123456789abcdef' >behaviour
+  stand_in 0
+  passes "a day as pinned" scripts/same-behaviour.sh --pinned program
+  stand_in 1
+  fails "a day as pinned that fails" "+simulate --seed 1 | 0123456789abcdef (exit 1)" \
+    scripts/same-behaviour.sh --pinned program
+  stand_in 0
+  echo 'seed 1: 0 rules broken, digest 0123456789abcdee' >behaviour
+  fails "a day of another digest" "+simulate --seed 1 | 0123456789abcdee" scripts/same-behaviour.sh --pinned program
+  echo 'no such role' >behaviour
+  fails "a day without a digest" "no result: no such role" scripts/same-behaviour.sh --pinned program
+  printf 'scale --json | 6b0ef4cd3b7b6ea9\n' >tests/pinned/behaviour.txt
+  echo '{"counts":{"messages":7},"costs":{"cpu":1}}' >behaviour
+  fails "other counts" "+scale --json | " scripts/same-behaviour.sh --pinned program
+  printf 'check --depth 3 | 12 states, 30 transitions\n' >tests/pinned/behaviour.txt
+  printf '12 states, 30 transitions\nno violation\n' >behaviour
+  passes "a search as pinned" scripts/same-behaviour.sh --pinned program
+  printf '12 states, 31 transitions\nno violation\n' >behaviour
+  fails "a search of other numbers" "31 transitions" scripts/same-behaviour.sh --pinned program
+  printf '# nothing\n' >tests/pinned/behaviour.txt
+  fails "an empty list" "states nothing" scripts/same-behaviour.sh --pinned program
+  fails "no such commit" "no such commit: none" scripts/same-behaviour.sh none
+}
+
 test_packages() {
   good_tree
   track
@@ -202,6 +236,7 @@
 test_lint
 test_function_sizes
 test_known_red
+test_same_behaviour
 test_packages
 echo "checks: $cases cases, $failures failed"
 [ $failures -eq 0 ]
