--- a/src/consensus/membership.cpp
+++ b/src/consensus/membership.cpp
@@ -109,9 +109,7 @@
         appliedJoint_ = true;
     } else if (e.kind == ENTRY_VOTERS) {
         appliedJoint_ = false;
-        replicatedState_.setVoters(votersParse(e.body));
-        replicatedState_.version++;
-        replicatedState_.d["generation"].SetInt64(replicatedState_.version);
+        replicatedState_.applyVoters(votersParse(e.body));
         port_.voterApplied(replicatedState_, "", {});
     }
 }
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -1045,7 +1045,7 @@
                     bodyOf({{"generation", fmt::to_string(w.configVersion())}, {"config", js(w.config())}});
             else if (path == "/v1/plan")
                 o.body =
-                    bodyOf({{"generation", g}, {"plan", js(w.d["plan"])}, {"empties", js(w.d["empties"])}});
+                    bodyOf({{"generation", g}, {"plan", w.planText()}, {"empties", w.evacuationsText()}});
             else {
                 auto x = w.outcome(path.substr(11));
                 if (x.status)
--- a/src/membership/node.cpp
+++ b/src/membership/node.cpp
@@ -831,10 +831,9 @@
         if (now - k.at < alive_) ws.push_back(k.record.wall + (now - (st_.gossip ? k.told : k.at)));
     std::nth_element(ws.begin(), ws.begin() + std::ptrdiff_t(ws.size() / 2), ws.end());
     auto m = ws[ws.size() / 2];
-    for (auto& p : vt_->latestState().d["plan"].GetArray())
-        if (jsStr(p, "state") == "booked" && jsInt(p, "at") <= m) {
+    for (auto& [id, at] : vt_->latestState().scheduledOperations())
+        if (at <= m) {
             firedAt_ = now;
-            auto id = jsStr(p, "id");
             auto o =
                 orderPrepare(vt_->latestState(), "fire", "fire-" + id, bodyOf({{"move", jsQuote(id)}}), m);
             if (o && vt_->propose(1, *o, now)) {
@@ -946,11 +945,8 @@
     for (auto& [k, x] : rows_)
         if (st_.gossip ? now - x.at < alive_ : x.t0 && now - x.t0 <= LEASE)
             term = std::max(term, x.record.term);
-    w.epoch = (w.epoch / EPOCH_STRIDE + 1) * EPOCH_STRIDE + std::int64_t(hash64(me_.disk) % EPOCH_STRIDE);
-    w.version++;
-    w.setVoters(vs);
-    w.d["reign"].SetInt64(w.epoch);
-    w.d["generation"].SetInt64(w.version);
+    w.beginEpoch(
+        (w.epoch / EPOCH_STRIDE + 1) * EPOCH_STRIDE + std::int64_t(hash64(me_.disk) % EPOCH_STRIDE), vs);
     vt_->bootstrap(w, term + 1, now);
 }
 
@@ -1083,7 +1079,7 @@
         {"configGeneration", fmt::to_string(replicatedState_.configVersion())},
         {"wordHash", jsQuote(fmt::format("{:016x}", hash64(replicatedState_.text())))},
         {"fresh", withinLease(now) ? "true" : "false"}, {"leader", jsQuote(leaderNode(now))},
-        {"empties", js(replicatedState_.d["empties"])}, {"nodes", "[" + ns + "]"},
+        {"empties", replicatedState_.evacuationsText()}, {"nodes", "[" + ns + "]"},
         {"servers", "[" + ss + "]"}, {"relays", "{" + tr + "}"}});
 }
 
@@ -1106,7 +1102,7 @@
 
 auto Node::planText(Microseconds) const -> std::string {
     return bodyOf({{"generation", fmt::to_string(replicatedState_.version)},
-        {"plan", js(replicatedState_.d["plan"])}, {"empties", js(replicatedState_.d["empties"])}});
+        {"plan", replicatedState_.planText()}, {"empties", replicatedState_.evacuationsText()}});
 }
 
 auto Node::where(const std::string& region, const std::string& zone, Microseconds now) const -> std::string {
--- a/src/routing/edge.cpp
+++ b/src/routing/edge.cpp
@@ -37,8 +37,7 @@
     roster_ = w.roster().size();
     auto was = std::move(evacuatedZones_);
     evacuatedZones_.clear();
-    if (w.d["empties"].IsObject())
-        for (auto& m : w.d["empties"].GetObject()) evacuatedZones_.insert(m.name.GetString());
+    for (auto& zone : w.evacuatedZones()) evacuatedZones_.insert(zone);
     for (auto& d : was)
         if (!evacuatedZones_.count(d)) restoredZones_[d] = -1;
     auto z = w.evacuated(n_.settings().zone);
--- a/src/sim/faults.cpp
+++ b/src/sim/faults.cpp
@@ -199,15 +199,15 @@
     } else if (f == "disk-wipe" || f == "replace-core") {
         // One disk at a time: what the fleet is built to lose.
         auto blank = 0;
-        for (auto i : cores)
-            blank += !ms[std::size_t(i)]->up || ms[std::size_t(i)]->node->voter()->blank()
-                || (leader() >= 0
-                    && !std::any_of(ms[std::size_t(leader())]->node->replicatedState().voters().size()
-                            ? ms[std::size_t(leader())]->node->replicatedState().d["voters"].Begin()
-                            : nullptr,
-                        ms[std::size_t(leader())]->node->replicatedState().d["voters"].End(), [&](auto& v) {
-                            return jsStr(v, "disk") == ms[std::size_t(i)]->node->voter()->disk();
-                        }));
+        for (auto i : cores) {
+            auto& machine = *ms[std::size_t(i)];
+            auto isVoter = [&] {
+                auto voters = ms[std::size_t(leader())]->node->replicatedState().voters();
+                return std::any_of(voters.begin(), voters.end(),
+                    [&](auto& voter) { return voter.disk == machine.node->voter()->disk(); });
+            };
+            blank += !machine.up || machine.node->voter()->blank() || (leader() >= 0 && !isVoter());
+        }
         if (blank || leader() < 0) return;
         k.kill(true);
         loseDisk(k);
--- a/src/sim/scale_measure.cpp
+++ b/src/sim/scale_measure.cpp
@@ -79,10 +79,11 @@
                 order(*lead, "give-back", fmt::format("{{\"district\":\"none-{}\"}}", k), [](auto&) {});
         });
     runUntil(now + OUTCOMES * OUTCOME_GAP);
-    waitFor(CONVERGENCE_LIMIT,
-        [&] { return sameState() && leader()->node->replicatedState().d["outcomes"].Size() >= OUTCOMES; });
+    waitFor(CONVERGENCE_LIMIT, [&] {
+        return sameState() && leader()->node->replicatedState().outcomeCount() >= std::size_t(OUTCOMES);
+    });
     auto lead = leader();
-    point.counts["outcomes"] = std::int64_t(lead ? lead->node->replicatedState().d["outcomes"].Size() : 0);
+    point.counts["outcomes"] = std::int64_t(lead ? lead->node->replicatedState().outcomeCount() : 0);
 }
 
 auto Fleet::putConfiguration(const std::string& configuration) -> void {
--- a/src/sim/simulate.cpp
+++ b/src/sim/simulate.cpp
@@ -1002,10 +1002,9 @@
                 r.epoch = w.epoch;
                 say(fmt::format("day's end reads configuration {} of reign {}", w.configVersion(), w.epoch));
                 // Booked moves fired once each, if their hour has come.
-                for (auto& m : w.d["plan"].GetArray())
-                    if (jsStr(m, "state") == "booked"
-                        && jsInt(m, "at") + 5 * SECOND < t + 1800000000LL * SECOND)
-                        broke("a move fires exactly once", jsStr(m, "id") + " never fired");
+                for (auto& operation : w.scheduledOperations())
+                    if (operation.at + 5 * SECOND < t + 1800000000LL * SECOND)
+                        broke("a move fires exactly once", operation.id + " never fired");
             } else if (tries > 0) in(500 * MILLISECOND, [last, tries] { (*last)(tries - 1); });
             else dump(), broke("the newest accepted is read back at day's end", "no readback succeeds");
         });
--- a/src/state/replicated_state.cpp
+++ b/src/state/replicated_state.cpp
@@ -244,6 +244,30 @@
     d["voters"] = a;
 }
 
+auto ReplicatedState::applyVoters(const std::vector<VoterIdentity>& voters) -> void {
+    setVoters(voters);
+    rise();
+}
+
+auto ReplicatedState::beginEpoch(std::int64_t newEpoch, const std::vector<VoterIdentity>& voters) -> void {
+    epoch = newEpoch;
+    applyVoters(voters);
+}
+
+auto ReplicatedState::evacuatedZones() const -> std::vector<std::string> {
+    auto zones = std::vector<std::string>();
+    for (auto& zone : d["empties"].GetObject()) zones.emplace_back(zone.name.GetString());
+    return zones;
+}
+
+auto ReplicatedState::scheduledOperations() const -> std::vector<ScheduledOperation> {
+    auto operations = std::vector<ScheduledOperation>();
+    for (auto& operation : d["plan"].GetArray())
+        if (jsStr(operation, "state") == "booked")
+            operations.push_back({jsStr(operation, "id"), jsInt(operation, "at")});
+    return operations;
+}
+
 auto ReplicatedState::voters() const -> std::vector<VoterIdentity> {
     auto o = std::vector<VoterIdentity>();
     for (auto& v : d["voters"].GetArray()) o.push_back({jsStr(v, "seat"), jsStr(v, "disk")});
--- a/src/state/replicated_state.hpp
+++ b/src/state/replicated_state.hpp
@@ -18,6 +18,12 @@
     std::string node, disk;
 };
 
+/// An operation that was scheduled and has not begun.
+struct ScheduledOperation {
+    std::string id;
+    Microseconds at = 0;  // when it is due, by the calendar
+};
+
 struct ReplicatedState {
     rapidjson::Document d;
     std::int64_t epoch = 0, version = 0;
@@ -33,11 +39,22 @@
     auto text() const -> std::string { return js(d); }
     /// One logged order. The same order on the same word gives the same outcome anywhere.
     auto apply(const std::string& order) -> Outcome;
-    auto setVoters(const std::vector<VoterIdentity>& vs) -> void;
+    /// Applies a committed change of the voters: the next version of the state.
+    auto applyVoters(const std::vector<VoterIdentity>& voters) -> void;
+    /// Begins another epoch with these voters, on top of all that is held here.
+    auto beginEpoch(std::int64_t newEpoch, const std::vector<VoterIdentity>& voters) -> void;
 
     auto voters() const -> std::vector<VoterIdentity>;
     auto roster() const -> std::vector<std::string> { return jsList(d, "roster"); }
     auto evacuated(const std::string& zone) const -> bool;
+    auto evacuatedZones() const -> std::vector<std::string>;
+    /// The evacuations and the plan as operators read them, as JSON.
+    auto evacuationsText() const -> std::string { return js(d["empties"]); }
+    auto planText() const -> std::string { return js(d["plan"]); }
+    /// The scheduled operations that have not begun, in the order in which they were accepted.
+    auto scheduledOperations() const -> std::vector<ScheduledOperation>;
+    /// How many outcomes of requests are kept.
+    auto outcomeCount() const -> std::size_t { return d["outcomes"].Size(); }
     auto config() const -> const rapidjson::Value& { return d["config"]; }
     auto configVersion() const -> std::int64_t { return jsInt(d, "configGeneration"); }
     /// The outcome kept under an idempotency key; status 0 if there is none.
@@ -46,6 +63,7 @@
     auto accepted(const std::string& key) const -> Outcome;
 
   private:
+    auto setVoters(const std::vector<VoterIdentity>& vs) -> void;
     auto rise() -> void;
     auto change(rapidjson::Value& o, bool planned) -> Outcome;
     auto lay(const std::string& order) -> Outcome;
