--- a/src/consensus/disk.hpp
+++ b/src/consensus/disk.hpp
@@ -13,21 +13,22 @@
 /// What a voter's disk holds.
 struct DiskState {
     std::string disk;  // the voter's identity; empty before the first write
-    std::int64_t epoch = 0, term = 0, commit = 0, snapIdx = 0, snapTerm = 0;
-    std::string vote, snapDoc;
-    std::vector<wire::Entry> log;  // from snapIdx + 1
+    std::int64_t epoch = 0, term = 0, commit = 0, snapshotIndex = 0, snapshotTerm = 0;
+    std::string vote, snapshotDocument;
+    std::vector<wire::Entry> log;  // from snapshotIndex + 1
 };
 
 /// One write, all of it or none, synced before it is reported done.
 struct DiskWrite {
     std::int64_t seq = 0;
-    std::int64_t writeEpoch = 0;  // rises when the voter has learnt of a failed write
-    DiskState meta;               // disk, reign, term, vote, commit; log and snapDoc unused
-    std::int64_t cut = -1;        // entries from here on are dropped first
-    std::vector<wire::Entry> add;
-    bool snap = false;   // meta.snapIdx, snapTerm and doc replace all up to snapIdx
+    std::int64_t writeEpoch = 0;     // rises when the voter has learnt of a failed write
+    DiskState meta;                  // disk, epoch, term, vote, commit; log and snapshotDocument unused
+    std::int64_t truncateFrom = -1;  // entries from here on are dropped first
+    std::vector<wire::Entry> entries;
+    bool hasSnapshot =
+        false;           // meta.snapshotIndex, snapshotTerm and document replace all up to snapshotIndex
     bool reset = false;  // everything kept before goes
-    std::string doc;
+    std::string document;
 };
 
 /// After a failed write, refuses the writes that were issued before the voter learnt of the
--- a/src/consensus/election.cpp
+++ b/src/consensus/election.cpp
@@ -36,11 +36,11 @@
     voteSeq_ = 0;
     restartElectionTimer(now);
     auto ask = wire::RequestVote();
-    ask.pre = preVote;
-    ask.handed = transferred;
+    ask.preVote = preVote;
+    ask.leadershipTransfer = transferred;
     ask.joint = true;
-    ask.lastIdx = last();
-    ask.lastTerm = termAt(last());
+    ask.lastLogIndex = last();
+    ask.lastLogTerm = termAt(last());
     ask.term = term_ + 1;
     auto seq = std::int64_t(0);
     if (preVote) {
@@ -100,7 +100,7 @@
 
 auto Voter::logIsCurrent(const wire::RequestVote& ask) const -> bool {
     auto lastTerm = termAt(last());
-    return ask.lastTerm > lastTerm || (ask.lastTerm == lastTerm && ask.lastIdx >= last());
+    return ask.lastLogTerm > lastTerm || (ask.lastLogTerm == lastTerm && ask.lastLogIndex >= last());
 }
 
 // Whether a leader stands as far as this voter knows; then nobody else is voted for.
@@ -114,11 +114,11 @@
 
 auto Voter::onPreVoteAsk(const std::string& from, const wire::RequestVote& ask, Microseconds now) -> void {
     // Two that ask at the same time would split the vote: the lower identity gives way.
-    auto precedes = role() == Role::Asking && now - preVoteAt_ < ELECTION_TIMEOUT / 2 && disk_ > from
-        && ask.lastTerm == termAt(last()) && ask.lastIdx == last();
-    auto leaderStands = !ask.handed && hearsLeader(now);
+    auto precedes = role() == Role::PreCandidate && now - preVoteAt_ < ELECTION_TIMEOUT / 2 && disk_ > from
+        && ask.lastLogTerm == termAt(last()) && ask.lastLogIndex == last();
+    auto leaderStands = !ask.leadershipTransfer && hearsLeader(now);
     auto reply = wire::RequestVoteReply();
-    reply.pre = true;
+    reply.preVote = true;
     reply.granted = ask.term > term_ && logIsCurrent(ask) && candidateMayCount(ask) && !leaderStands
         && !precedes && !diskBad_;
     reply.term = reply.granted ? ask.term : term_;
@@ -128,7 +128,7 @@
 }
 
 auto Voter::onVoteAsk(const std::string& from, const wire::RequestVote& ask, Microseconds now) -> void {
-    if (!ask.handed && hearsLeader(now) && ask.term > term_) return;
+    if (!ask.leadershipTransfer && hearsLeader(now) && ask.term > term_) return;
     auto message = envelope();
     auto reply = wire::RequestVoteReply();
     adoptTerm(ask.term, now);
@@ -150,12 +150,12 @@
         if (isVoter(from)) adoptTerm(reply.term, now);  // one that is no voter deposes nobody
         return;
     }
-    if (reply.pre && role() == Role::Asking && reply.term == term_ + 1) {
+    if (reply.preVote && role() == Role::PreCandidate && reply.term == term_ + 1) {
         votes_.insert(from);
         if (!hasVotes()) return;
         role_->process(PreVoteWon{}, counters_);
         campaign(false, false, now);
-    } else if (!reply.pre && role() == Role::Candidate && reply.term == term_) {
+    } else if (!reply.preVote && role() == Role::Candidate && reply.term == term_) {
         votes_.insert(from);
         if (hasVotes()) becomeLeader(now);
     }
--- a/src/consensus/log.cpp
+++ b/src/consensus/log.cpp
@@ -12,20 +12,20 @@
 
 auto diskApply(DiskState& state, const DiskWrite& write) -> void {
     if (write.reset) state = DiskState();
-    auto base = write.snap ? write.meta.snapIdx : state.snapIdx;
-    if (write.cut >= 0)
-        while (!state.log.empty() && state.log.back().idx >= write.cut) state.log.pop_back();
-    for (auto& e : write.add) state.log.push_back(e);
-    auto doc = write.snap ? write.doc : state.snapDoc;
-    auto snapTerm = write.snap ? write.meta.snapTerm : state.snapTerm;
+    auto base = write.hasSnapshot ? write.meta.snapshotIndex : state.snapshotIndex;
+    if (write.truncateFrom >= 0)
+        while (!state.log.empty() && state.log.back().index >= write.truncateFrom) state.log.pop_back();
+    for (auto& e : write.entries) state.log.push_back(e);
+    auto doc = write.hasSnapshot ? write.document : state.snapshotDocument;
+    auto snapshotTerm = write.hasSnapshot ? write.meta.snapshotTerm : state.snapshotTerm;
     auto log = std::move(state.log);
     state = write.meta;
-    state.snapIdx = base;
-    state.snapTerm = snapTerm;
-    state.snapDoc = doc;
+    state.snapshotIndex = base;
+    state.snapshotTerm = snapshotTerm;
+    state.snapshotDocument = doc;
     state.log.clear();
     for (auto& e : log)
-        if (e.idx > base) state.log.push_back(std::move(e));
+        if (e.index > base) state.log.push_back(std::move(e));
 }
 
 auto Voter::termAt(std::int64_t index) const -> std::int64_t {
@@ -37,11 +37,11 @@
 auto Voter::write(DiskWrite w, Microseconds now) -> std::int64_t {
     w.seq = ++seq_;
     w.writeEpoch = writeEpoch_;
-    if (cutNext_ >= 0 && (w.cut < 0 || w.cut > cutNext_)) w.cut = cutNext_;
+    if (cutNext_ >= 0 && (w.truncateFrom < 0 || w.truncateFrom > cutNext_)) w.truncateFrom = cutNext_;
     cutNext_ = -1;
-    if (owedSnap_ && snapIdx_ > 0 && !w.snap) {
-        w.snap = true;
-        w.doc = *snapDoc_;
+    if (owedSnap_ && snapshotIndex_ > 0 && !w.hasSnapshot) {
+        w.hasSnapshot = true;
+        w.document = *snapshotDocument_;
     }
     w.reset = w.reset || owedReset_;
     owedReset_ = owedSnap_ = false;
@@ -52,10 +52,10 @@
     w.meta.term = term_;
     w.meta.vote = vote_;
     w.meta.commit = commit_;
-    w.meta.snapIdx = snapIdx_;
-    w.meta.snapTerm = snapTerm_;
+    w.meta.snapshotIndex = snapshotIndex_;
+    w.meta.snapshotTerm = snapshotTerm_;
     pendingWrites_.push_back(
-        {w.seq, last(), termAt(last()), commit_, writeEpoch_, term_, now, w.reset, w.snap});
+        {w.seq, last(), termAt(last()), commit_, writeEpoch_, term_, now, w.reset, w.hasSnapshot});
     counters_.add("disk_writes_total");
     port_.voterWrite(w);
     return seq_;
@@ -71,7 +71,7 @@
 
 auto Voter::owe(const PendingWrite& w) -> void {
     owedReset_ = owedReset_ || w.reset;
-    owedSnap_ = owedSnap_ || w.snap;
+    owedSnap_ = owedSnap_ || w.hasSnapshot;
 }
 
 // What must not be said before the disk holds what it rests on.
@@ -106,7 +106,7 @@
     owe(w);
     for (auto& behind : pendingWrites_) owe(behind);  // none of them is taken either
     if (!broken.ackUnsavedTerm) writtenTerm_ = -1;
-    if (!blank() && last() > synced_ && synced_ >= snapIdx_) {
+    if (!blank() && last() > synced_ && synced_ >= snapshotIndex_) {
         log_.resize(std::size_t(synced_ - logBase_));
         cutNext_ = last() + 1;
         commit_ = std::min(commit_, last());
--- a/src/consensus/membership.cpp
+++ b/src/consensus/membership.cpp
@@ -58,13 +58,13 @@
 
 // The configuration in force is the newest in the log, committed or not.
 auto Voter::refreshVoters() -> void {
-    voters_ = snapVoters_;
+    voters_ = snapshotVoters_;
     outgoing_.clear();
-    configIdx_ = snapIdx_;
+    configurationIndex_ = snapshotIndex_;
     auto newest = std::find_if(
         log_.rbegin(), log_.rend(), [](auto& e) { return e.kind == ENTRY_VOTERS || e.kind == ENTRY_JOINT; });
     if (newest == log_.rend()) return;
-    configIdx_ = newest->idx;
+    configurationIndex_ = newest->index;
     if (newest->kind == ENTRY_VOTERS) {
         voters_ = votersParse(newest->body);
         return;
@@ -124,18 +124,18 @@
     epoch_ = state.epoch;
     term_ = term;
     vote_.clear();
-    snapIdx_ = commit_ = applied_ = 1;
-    snapTerm_ = term;
-    setLogBase(snapIdx_, snapTerm_);
-    snapDoc_ = std::make_shared<const std::string>(state.text());
+    snapshotIndex_ = commit_ = applied_ = 1;
+    snapshotTerm_ = term;
+    setLogBase(snapshotIndex_, snapshotTerm_);
+    snapshotDocument_ = std::make_shared<const std::string>(state.text());
     transfers_.clear();
     replicatedState_ = latestState_ = state;
-    snapVoters_ = state.voters();
+    snapshotVoters_ = state.voters();
     appliedJoint_ = false;
     synced_ = 1;
     auto w = DiskWrite();
-    w.reset = w.snap = true;
-    w.doc = *snapDoc_;
+    w.reset = w.hasSnapshot = true;
+    w.document = *snapshotDocument_;
     installSeq_ = write(w, now);
     refreshVoters();
     electionDue_ = now + ELECTION_TIMEOUT;
@@ -147,16 +147,16 @@
     if (leads() && force) follow(now);
     if (blank() || leads() || (!force && !vote_.empty())) return false;
     if (!role_->process(Erased{}, counters_)) return false;
-    epoch_ = term_ = commit_ = applied_ = snapIdx_ = snapTerm_ = synced_ = 0;
+    epoch_ = term_ = commit_ = applied_ = snapshotIndex_ = snapshotTerm_ = synced_ = 0;
     setLogBase(0, 0);
-    snapDoc_ = std::make_shared<const std::string>();
+    snapshotDocument_ = std::make_shared<const std::string>();
     transfers_.clear();
     assembly_ = {};
     leader_.clear();
     voters_.clear();
     outgoing_.clear();
-    snapVoters_.clear();
-    configIdx_ = 0;
+    snapshotVoters_.clear();
+    configurationIndex_ = 0;
     appliedJoint_ = false;
     deferred_.clear();
     replicatedState_ = latestState_ = ReplicatedState();
@@ -189,7 +189,7 @@
 // is ended first.
 auto Voter::changeVoters(Microseconds now) -> void {
     auto mayChange = broken.changeBeforeNoop ? leads() : ready();
-    if (!mayChange || diskBad_ || configIdx_ > commit_) return;
+    if (!mayChange || diskBad_ || configurationIndex_ > commit_) return;
     if (joint()) {
         logf("core: the change of voters ends: {}", votersText(voters_));
         append(ENTRY_VOTERS, votersText(voters_), now);
--- a/src/consensus/replication.cpp
+++ b/src/consensus/replication.cpp
@@ -15,14 +15,14 @@
 auto Voter::append(int kind, const std::string& body, Microseconds now) -> void {
     auto e = wire::Entry();
     e.term = term_;
-    e.idx = last() + 1;
+    e.index = last() + 1;
     e.kind = kind;
     e.body = body;
     log_.push_back(e);
     if (kind == ENTRY_VOTERS || kind == ENTRY_JOINT) refreshVoters();
     if (kind == ENTRY_ORDER) latestState_.apply(body);
     auto w = DiskWrite();
-    w.add.push_back(e);
+    w.entries.push_back(e);
     write(w, now);
     sendAppends(now);
 }
@@ -77,8 +77,8 @@
 auto Voter::sendBatch(const std::string& disk, Peer& peer) -> void {
     auto ask = wire::AppendEntries();
     ask.term = term_;
-    ask.prevIdx = peer.next - 1;
-    ask.prevTerm = termAt(peer.next - 1);
+    ask.prevLogIndex = peer.next - 1;
+    ask.prevLogTerm = termAt(peer.next - 1);
     ask.commit = commit_;
     ask.round = round_;
     auto bytes = std::size_t(0);
@@ -91,8 +91,8 @@
         bytes += at(i).body.size();
     }
     if (!ask.entries.empty()) {
-        peer.inFlight.push_back({peer.next, ask.entries.back().idx, bytes});
-        peer.next = ask.entries.back().idx + 1;
+        peer.inFlight.push_back({peer.next, ask.entries.back().index, bytes});
+        peer.next = ask.entries.back().index + 1;
     }
     auto message = envelope();
     message.__set_appendEntries(ask);
@@ -162,11 +162,11 @@
 
 // Whether entries follow each other without a gap, in rising terms, and can be read here.
 auto Voter::wellFormed(const wire::AppendEntries& ask) const -> bool {
-    if (ask.prevIdx < 0 || ask.commit < 0) return false;
-    auto index = ask.prevIdx;
-    auto term = ask.prevTerm;
+    if (ask.prevLogIndex < 0 || ask.commit < 0) return false;
+    auto index = ask.prevLogIndex;
+    auto term = ask.prevLogTerm;
     for (auto& e : ask.entries) {
-        if (e.idx != ++index || e.term < term || e.term > ask.term) return false;
+        if (e.index != ++index || e.term < term || e.term > ask.term) return false;
         if (!entryKnown(e)) return false;
         term = e.term;
     }
@@ -175,11 +175,11 @@
 
 auto Voter::contradictsCommitted(const wire::AppendEntries& ask) const -> bool {
     auto contradicts = [&](std::int64_t index, std::int64_t term) {
-        return index >= snapIdx_ && index <= commit_ && termAt(index) != term;
+        return index >= snapshotIndex_ && index <= commit_ && termAt(index) != term;
     };
-    if (contradicts(ask.prevIdx, ask.prevTerm)) return true;
+    if (contradicts(ask.prevLogIndex, ask.prevLogTerm)) return true;
     return std::any_of(
-        ask.entries.begin(), ask.entries.end(), [&](auto& e) { return contradicts(e.idx, e.term); });
+        ask.entries.begin(), ask.entries.end(), [&](auto& e) { return contradicts(e.index, e.term); });
 }
 
 auto Voter::onAppendAsk(const std::string& from, const wire::AppendEntries& ask, Microseconds now) -> void {
@@ -204,26 +204,27 @@
     reply.term = term_;
     reply.round = ask.round;
     reply.knowsJoint = true;
-    if (ask.prevIdx > last() || (ask.prevIdx >= snapIdx_ && termAt(ask.prevIdx) != ask.prevTerm)) {
-        reply.prevIdx = ask.prevIdx;
-        reply.hint = std::min(last(), ask.prevIdx - 1);
+    if (ask.prevLogIndex > last()
+        || (ask.prevLogIndex >= snapshotIndex_ && termAt(ask.prevLogIndex) != ask.prevLogTerm)) {
+        reply.prevLogIndex = ask.prevLogIndex;
+        reply.rejectHint = std::min(last(), ask.prevLogIndex - 1);
         message.__set_appendEntriesReply(reply);
         sendAfter(writeIfUnsaved(now), from, message);
         return;
     }
     auto w = storeEntries(ask);
-    auto match = ask.prevIdx + std::int64_t(ask.entries.size());
+    auto match = ask.prevLogIndex + std::int64_t(ask.entries.size());
     auto commit = std::min(ask.commit, match);
     auto rises = commit > commit_;
     if (rises) commit_ = commit;
-    if (!w.add.empty()) {
+    if (!w.entries.empty()) {
         refreshVoters();
         rebuildHead();
     }
     reply.ok = true;
     reply.match = match;
     message.__set_appendEntriesReply(reply);
-    auto seq = rises || !w.add.empty() ? write(w, now) : writeIfUnsaved(now);
+    auto seq = rises || !w.entries.empty() ? write(w, now) : writeIfUnsaved(now);
     sendAfter(seq, from, message);
 }
 
@@ -231,19 +232,19 @@
 auto Voter::storeEntries(const wire::AppendEntries& ask) -> DiskWrite {
     auto w = DiskWrite();
     for (auto& e : ask.entries) {
-        if (e.idx <= snapIdx_ || (e.idx <= last() && termAt(e.idx) == e.term)) continue;
-        if (e.idx <= last()) {
-            if (w.cut < 0) w.cut = e.idx;
-            log_.resize(std::size_t(e.idx - logBase_ - 1));
+        if (e.index <= snapshotIndex_ || (e.index <= last() && termAt(e.index) == e.term)) continue;
+        if (e.index <= last()) {
+            if (w.truncateFrom < 0) w.truncateFrom = e.index;
+            log_.resize(std::size_t(e.index - logBase_ - 1));
             synced_ = std::min(synced_, last());
         }
         log_.push_back(e);
-        w.add.push_back(e);
+        w.entries.push_back(e);
     }
-    auto end = ask.prevIdx + std::int64_t(ask.entries.size());
-    if (broken.truncateMatching && last() > end && end > snapIdx_) {
+    auto end = ask.prevLogIndex + std::int64_t(ask.entries.size());
+    if (broken.truncateMatching && last() > end && end > snapshotIndex_) {
         cutNext_ = end + 1;
-        log_.resize(std::size_t(end - snapIdx_));
+        log_.resize(std::size_t(end - snapshotIndex_));
         synced_ = std::min(synced_, last());
     }
     return w;
@@ -279,10 +280,10 @@
     const std::string& from, Peer& peer, const wire::AppendEntriesReply& reply, Microseconds now) -> void {
     // What counts is the answer to the first unanswered batch: `next` has run ahead of it.
     auto first = peer.inFlight.empty() ? peer.next : peer.inFlight.front().first;
-    auto stale = reply.prevIdx > 0 && reply.prevIdx != first - 1;
+    auto stale = reply.prevLogIndex > 0 && reply.prevLogIndex != first - 1;
     if (!stale) {
         peer.inFlight.clear();
-        peer.next = std::max<std::int64_t>(1, std::min(first - 1, reply.hint + 1));
+        peer.next = std::max<std::int64_t>(1, std::min(first - 1, reply.rejectHint + 1));
         peer.next = std::max(peer.next, peer.match + 1);
         sendAppend(from, now);
     }
--- a/src/consensus/snapshot.cpp
+++ b/src/consensus/snapshot.cpp
@@ -19,30 +19,30 @@
 // while the voters change: a snapshot names one set of voters only.
 auto Voter::compactionDue() const -> bool {
     if (appliedJoint_) return false;
-    if (applied_ - snapIdx_ > COMPACTION_ENTRIES) return true;
+    if (applied_ - snapshotIndex_ > COMPACTION_ENTRIES) return true;
     auto bytes = std::size_t(0);
-    for (auto i = snapIdx_ + 1; i <= applied_; i++) bytes += at(i).body.size();
-    return bytes > std::max(COMPACTION_BYTES, snapDoc_->size());
+    for (auto i = snapshotIndex_ + 1; i <= applied_; i++) bytes += at(i).body.size();
+    return bytes > std::max(COMPACTION_BYTES, snapshotDocument_->size());
 }
 
 auto Voter::compact(Microseconds now) -> void {
-    snapTerm_ = termAt(applied_);
-    snapIdx_ = applied_;
-    snapDoc_ = std::make_shared<const std::string>(replicatedState_.text());
-    snapVoters_ = replicatedState_.voters();
+    snapshotTerm_ = termAt(applied_);
+    snapshotIndex_ = applied_;
+    snapshotDocument_ = std::make_shared<const std::string>(replicatedState_.text());
+    snapshotVoters_ = replicatedState_.voters();
     trimTail();
     auto w = DiskWrite();
-    w.snap = true;
-    w.doc = *snapDoc_;
+    w.hasSnapshot = true;
+    w.document = *snapshotDocument_;
     write(w, now);
     counters_.add("snapshots_total");
 }
 
 // The newest entries before the snapshot stay in memory, though not on disk.
 auto Voter::trimTail() -> void {
-    auto base = snapIdx_;
+    auto base = snapshotIndex_;
     auto bytes = std::size_t(0);
-    while (base > logBase_ && snapIdx_ - base < TAIL_ENTRIES) {
+    while (base > logBase_ && snapshotIndex_ - base < TAIL_ENTRIES) {
         bytes += at(base).body.size();
         if (bytes > TAIL_BYTES) break;
         base--;
@@ -56,13 +56,14 @@
 // Whether this log is behind a snapshot. What it already holds is kept: entries behind it may
 // have been acknowledged.
 auto Voter::lacks(std::int64_t index, std::int64_t term) const -> bool {
-    return index > snapIdx_ && termAt(index) != term;
+    return index > snapshotIndex_ && termAt(index) != term;
 }
 
 auto Voter::checkSnapshot(const std::string& from, std::int64_t epoch, const wire::InstallSnapshot& snapshot,
     ReplicatedState& state) -> bool {
-    auto sound = snapshot.idx > 0 && snapshot.idxTerm > 0 && snapshot.idxTerm <= snapshot.term
-        && state.load(snapshot.doc) && state.epoch == epoch && !state.voters().empty();
+    auto sound = snapshot.lastIncludedIndex > 0 && snapshot.lastIncludedTerm > 0
+        && snapshot.lastIncludedTerm <= snapshot.term && state.load(snapshot.document) && state.epoch == epoch
+        && !state.voters().empty();
     if (!sound) refuse("snapshot_malformed_total", from);
     return sound;
 }
@@ -71,8 +72,8 @@
     Microseconds now) -> void {
     auto other = epoch != epoch_;
     if (!other && (snapshot.term < term_ || (leads() && snapshot.term == term_))) return;
-    auto lacking = other || lacks(snapshot.idx, snapshot.idxTerm);
-    if (!other && lacking && snapshot.idx <= commit_)
+    auto lacking = other || lacks(snapshot.lastIncludedIndex, snapshot.lastIncludedTerm);
+    if (!other && lacking && snapshot.lastIncludedIndex <= commit_)
         return refuse("snapshot_contradicts_committed_total", from);
     auto state = ReplicatedState();
     if (lacking && !checkSnapshot(from, epoch, snapshot, state)) return;
@@ -101,7 +102,7 @@
     reply.term = term_;
     reply.ok = true;
     reply.round = snapshot.round;
-    reply.match = snapshot.idx;
+    reply.match = snapshot.lastIncludedIndex;
     reply.knowsJoint = true;
     auto answer = envelope();
     answer.__set_appendEntriesReply(reply);
@@ -111,16 +112,16 @@
 auto Voter::installSnapshot(
     const wire::InstallSnapshot& snapshot, const ReplicatedState& state, Microseconds now) -> void {
     replicatedState_ = latestState_ = state;
-    snapIdx_ = applied_ = commit_ = synced_ = snapshot.idx;
-    snapTerm_ = snapshot.idxTerm;
-    setLogBase(snapIdx_, snapTerm_);
-    snapDoc_ = std::make_shared<const std::string>(snapshot.doc);
-    snapVoters_ = state.voters();
+    snapshotIndex_ = applied_ = commit_ = synced_ = snapshot.lastIncludedIndex;
+    snapshotTerm_ = snapshot.lastIncludedTerm;
+    setLogBase(snapshotIndex_, snapshotTerm_);
+    snapshotDocument_ = std::make_shared<const std::string>(snapshot.document);
+    snapshotVoters_ = state.voters();
     appliedJoint_ = false;
     refreshVoters();
     auto w = DiskWrite();
-    w.reset = w.snap = true;
-    w.doc = *snapDoc_;
+    w.reset = w.hasSnapshot = true;
+    w.document = *snapshotDocument_;
     installSeq_ = write(w, now);
     counters_.add("snapshots_installed_total");
 }
--- a/src/consensus/transfer.cpp
+++ b/src/consensus/transfer.cpp
@@ -20,33 +20,33 @@
 constexpr int STALLS_BEFORE_WHOLE = 4;
 
 static auto chunkChecksum(const wire::SnapshotChunk& chunk) -> std::int64_t {
-    auto seed = hash64(fmt::format("{}/{}/{}", chunk.idx, chunk.size, chunk.offset));
+    auto seed = hash64(fmt::format("{}/{}/{}", chunk.lastIncludedIndex, chunk.size, chunk.offset));
     return std::int64_t(hash64(chunk.data, seed));
 }
 
 auto Voter::sendSnapshot(const std::string& disk, Microseconds now) -> void {
     auto& transfer = transfers_[disk];
     // One that was begun goes on while the entries behind it are still at hand.
-    if (!transfer.doc || transfer.idx < logBase_) {
+    if (!transfer.document || transfer.lastIncludedIndex < logBase_) {
         auto readsChunks = transfer.readsChunks;
         transfer = {};
         transfer.readsChunks = readsChunks;
-        transfer.idx = snapIdx_;
-        transfer.idxTerm = snapTerm_;
-        transfer.doc = snapDoc_;
-        transfer.digest = std::int64_t(hash64(*snapDoc_));
+        transfer.lastIncludedIndex = snapshotIndex_;
+        transfer.lastIncludedTerm = snapshotTerm_;
+        transfer.document = snapshotDocument_;
+        transfer.digest = std::int64_t(hash64(*snapshotDocument_));
         transfer.progressAt = now;
     }
     retryTransfer(disk, transfer, now);
     // Until the receiver answers, one chunk at a time.
     auto window = transfer.readsChunks && transfer.stalls == 0 ? MAX_CHUNKS_IN_FLIGHT : 1;
-    while (transfer.sent < transfer.doc->size() && transfer.sent < transfer.acked + window * CHUNK_BYTES)
+    while (transfer.sent < transfer.document->size() && transfer.sent < transfer.acked + window * CHUNK_BYTES)
         sendChunk(disk, transfer);
 }
 
 auto Voter::retryTransfer(const std::string& disk, SnapshotTransfer& transfer, Microseconds now) -> void {
     auto unanswered = transfer.sent - transfer.acked;
-    auto complete = transfer.acked == transfer.doc->size();
+    auto complete = transfer.acked == transfer.document->size();
     if (unanswered == 0 && !complete) return;
     if (now - transfer.progressAt < RETRY_BASE + Microseconds(unanswered) * RETRY_PER_BYTE) return;
     // All of it is there but the word that it was installed: the last chunk asks for that.
@@ -61,9 +61,9 @@
 auto Voter::sendWholeSnapshot(const std::string& disk) -> void {
     auto snapshot = wire::InstallSnapshot();
     snapshot.term = term_;
-    snapshot.idx = snapIdx_;
-    snapshot.idxTerm = snapTerm_;
-    snapshot.doc = *snapDoc_;
+    snapshot.lastIncludedIndex = snapshotIndex_;
+    snapshot.lastIncludedTerm = snapshotTerm_;
+    snapshot.document = *snapshotDocument_;
     snapshot.round = round_;
     auto message = envelope();
     message.__set_installSnapshot(snapshot);
@@ -74,11 +74,11 @@
 auto Voter::sendChunk(const std::string& disk, SnapshotTransfer& transfer) -> void {
     auto chunk = wire::SnapshotChunk();
     chunk.term = term_;
-    chunk.idx = transfer.idx;
-    chunk.idxTerm = transfer.idxTerm;
-    chunk.size = std::int64_t(transfer.doc->size());
+    chunk.lastIncludedIndex = transfer.lastIncludedIndex;
+    chunk.lastIncludedTerm = transfer.lastIncludedTerm;
+    chunk.size = std::int64_t(transfer.document->size());
     chunk.offset = std::int64_t(transfer.sent);
-    chunk.data = transfer.doc->substr(transfer.sent, CHUNK_BYTES);
+    chunk.data = transfer.document->substr(transfer.sent, CHUNK_BYTES);
     chunk.checksum = chunkChecksum(chunk);
     chunk.digest = transfer.digest;
     chunk.round = round_;
@@ -98,7 +98,8 @@
 }
 
 auto Voter::chunkSound(const wire::SnapshotChunk& chunk) const -> bool {
-    if (chunk.idx <= 0 || chunk.idxTerm <= 0 || chunk.idxTerm > chunk.term) return false;
+    if (chunk.lastIncludedIndex <= 0 || chunk.lastIncludedTerm <= 0 || chunk.lastIncludedTerm > chunk.term)
+        return false;
     if (chunk.size <= 0 || chunk.size > std::int64_t(MAX_SNAPSHOT_BYTES)) return false;
     if (chunk.offset < 0 || chunk.offset >= chunk.size || chunk.data.empty()) return false;
     if (std::int64_t(chunk.data.size()) > chunk.size - chunk.offset) return false;
@@ -116,14 +117,14 @@
     }
     if ((blank() && diskBad_) || (ours && leads() && chunk.term == term_)) return;
     if (!ours) return assemble(message, now);
-    if (!lacks(chunk.idx, chunk.idxTerm)) {
+    if (!lacks(chunk.lastIncludedIndex, chunk.lastIncludedTerm)) {
         auto held = wire::InstallSnapshot();
-        held.idx = chunk.idx;
+        held.lastIncludedIndex = chunk.lastIncludedIndex;
         held.round = chunk.round;
         hearSender(chunk.term, now);
         return answerInstalled(from, held, now);
     }
-    if (chunk.idx <= commit_) return refuse("snapshot_contradicts_committed_total", from);
+    if (chunk.lastIncludedIndex <= commit_) return refuse("snapshot_contradicts_committed_total", from);
     hearSender(chunk.term, now);
     assemble(message, now);
 }
@@ -131,10 +132,10 @@
 auto Voter::assemble(const wire::Envelope& message, Microseconds now) -> void {
     auto& chunk = message.snapshotChunk;
     auto& a = assembly_;
-    auto same = a.epoch == message.epoch && a.idx == chunk.idx && a.idxTerm == chunk.idxTerm
-        && a.size == chunk.size && a.digest == chunk.digest;
+    auto same = a.epoch == message.epoch && a.lastIncludedIndex == chunk.lastIncludedIndex
+        && a.lastIncludedTerm == chunk.lastIncludedTerm && a.size == chunk.size && a.digest == chunk.digest;
     if (!same && chunk.offset == 0)
-        a = {message.epoch, chunk.idx, chunk.idxTerm, chunk.size, chunk.digest, {}};
+        a = {message.epoch, chunk.lastIncludedIndex, chunk.lastIncludedTerm, chunk.size, chunk.digest, {}};
     auto expected = same || chunk.offset == 0 ? std::int64_t(a.data.size()) : 0;
     if (chunk.offset > expected) {
         counters_.add("snapshot_chunk_out_of_order_total");
@@ -145,16 +146,16 @@
     if (std::int64_t(a.data.size()) < a.size) return answerChunk(message, a.data.size(), false);
     auto snapshot = wire::InstallSnapshot();
     snapshot.term = chunk.term;
-    snapshot.idx = chunk.idx;
-    snapshot.idxTerm = chunk.idxTerm;
-    snapshot.doc = std::move(a.data);
+    snapshot.lastIncludedIndex = chunk.lastIncludedIndex;
+    snapshot.lastIncludedTerm = chunk.lastIncludedTerm;
+    snapshot.document = std::move(a.data);
     snapshot.round = chunk.round;
     a = {};
-    if (std::int64_t(hash64(snapshot.doc)) != chunk.digest) {
+    if (std::int64_t(hash64(snapshot.document)) != chunk.digest) {
         refuse("snapshot_digest_wrong_total", message.disk);
         return answerChunk(message, 0, true);
     }
-    answerChunk(message, snapshot.doc.size(), false);
+    answerChunk(message, snapshot.document.size(), false);
     onSnapshot(message.disk, message.epoch, snapshot, now);
 }
 
@@ -163,7 +164,7 @@
     auto reply = wire::SnapshotChunkReply();
     // A blank disk has no term of its own yet.
     reply.term = message.epoch == epoch_ ? term_ : chunk.term;
-    reply.idx = chunk.idx;
+    reply.lastIncludedIndex = chunk.lastIncludedIndex;
     reply.digest = chunk.digest;
     reply.received = std::int64_t(received);
     reply.refused = refused;
@@ -183,9 +184,9 @@
     auto found = transfers_.find(from);
     if (found == transfers_.end() || reply.term != term_) return;
     auto& transfer = found->second;
-    if (reply.idx != transfer.idx || reply.digest != transfer.digest) return;
+    if (reply.lastIncludedIndex != transfer.lastIncludedIndex || reply.digest != transfer.digest) return;
     auto received = std::size_t(std::max<std::int64_t>(0, reply.received));
-    if (received > transfer.doc->size()) return refuse("snapshot_reply_malformed_total", from);
+    if (received > transfer.document->size()) return refuse("snapshot_reply_malformed_total", from);
     if (auto peer = peers_.find(from); leads() && peer != peers_.end()) peer->second.heard = now;
     transfer.readsChunks = true;
     if (received > transfer.acked) {
@@ -200,12 +201,12 @@
         transfer.acked = transfer.sent = received;
         transfer.progressAt = now;
     }
-    if (transfer.acked < transfer.doc->size()) sendSnapshot(from, now);
+    if (transfer.acked < transfer.document->size()) sendSnapshot(from, now);
 }
 
 auto Voter::endTransfer(const std::string& disk, std::int64_t match) -> void {
     auto found = transfers_.find(disk);
-    if (found != transfers_.end() && match >= found->second.idx) transfers_.erase(found);
+    if (found != transfers_.end() && match >= found->second.lastIncludedIndex) transfers_.erase(found);
 }
 
 }  // namespace duneturn
--- a/src/consensus/voter.cpp
+++ b/src/consensus/voter.cpp
@@ -23,7 +23,7 @@
     disk_ = state.disk.empty() ? newDiskId : state.disk;
     heardLeader_ = now;
     restartElectionTimer(now);
-    if (state.disk.empty() || state.snapIdx == 0) {
+    if (state.disk.empty() || state.snapshotIndex == 0) {
         write({}, now);  // the identity is synced before anyone relies on it
         return;
     }
@@ -31,16 +31,16 @@
     term_ = state.term;
     vote_ = state.vote;
     commit_ = state.commit;
-    snapIdx_ = state.snapIdx;
-    snapTerm_ = state.snapTerm;
-    snapDoc_ = std::make_shared<const std::string>(state.snapDoc);
-    setLogBase(snapIdx_, snapTerm_);
+    snapshotIndex_ = state.snapshotIndex;
+    snapshotTerm_ = state.snapshotTerm;
+    snapshotDocument_ = std::make_shared<const std::string>(state.snapshotDocument);
+    setLogBase(snapshotIndex_, snapshotTerm_);
     log_ = state.log;
-    replicatedState_.load(*snapDoc_);
-    snapVoters_ = replicatedState_.voters();
-    applied_ = snapIdx_;
+    replicatedState_.load(*snapshotDocument_);
+    snapshotVoters_ = replicatedState_.voters();
+    applied_ = snapshotIndex_;
     synced_ = last();
-    commit_ = std::min(std::max(commit_, snapIdx_), last());
+    commit_ = std::min(std::max(commit_, snapshotIndex_), last());
     role_->process(Initialized{}, counters_);
     refreshVoters();
     applyUpTo(commit_, now);
@@ -120,7 +120,8 @@
     if (message.__isset.snapshotChunk) return onChunk(message, now);
     if (blank()) return;
     auto& from = message.disk;
-    if (message.__isset.requestVote && message.requestVote.pre) onPreVoteAsk(from, message.requestVote, now);
+    if (message.__isset.requestVote && message.requestVote.preVote)
+        onPreVoteAsk(from, message.requestVote, now);
     else if (message.__isset.requestVote) onVoteAsk(from, message.requestVote, now);
     else if (message.__isset.requestVoteReply) onVoteReply(from, message.requestVoteReply, now);
     else if (message.__isset.timeoutNow) onTakeOver(from, message.timeoutNow, now);
--- a/src/consensus/voter.hpp
+++ b/src/consensus/voter.hpp
@@ -79,7 +79,7 @@
 
 class Voter {
   public:
-    enum class Role { Blank, Follower, Asking, Candidate, Leader };
+    enum class Role { Blank, Follower, PreCandidate, Candidate, Leader };
 
     Voter(VoterPort& port, Counters& counters, std::uint64_t seed);
     ~Voter();
@@ -171,7 +171,7 @@
     struct PendingWrite {
         std::int64_t seq, last, lastTerm, commit, writeEpoch, term;
         Microseconds at;
-        bool reset, snap;
+        bool reset, hasSnapshot;
     };
     /// A message that may leave only when a write is on disk.
     struct DeferredMessage {
@@ -181,8 +181,8 @@
     };
     /// A snapshot on its way to another member.
     struct SnapshotTransfer {
-        std::int64_t idx = 0, idxTerm = 0, digest = 0;
-        std::shared_ptr<const std::string> doc;
+        std::int64_t lastIncludedIndex = 0, lastIncludedTerm = 0, digest = 0;
+        std::shared_ptr<const std::string> document;
         std::size_t acked = 0, sent = 0;  // bytes
         Microseconds progressAt = 0;
         int stalls = 0;            // retries since the last progress
@@ -190,7 +190,7 @@
     };
     /// The part of a snapshot that has come here.
     struct SnapshotAssembly {
-        std::int64_t epoch = 0, idx = 0, idxTerm = 0, size = 0, digest = 0;
+        std::int64_t epoch = 0, lastIncludedIndex = 0, lastIncludedTerm = 0, size = 0, digest = 0;
         std::string data;
     };
     struct PendingRead {
@@ -299,16 +299,16 @@
     Rng rng_;
     std::unique_ptr<RoleMachine> role_;
     std::string disk_, vote_, leader_;
-    std::shared_ptr<const std::string> snapDoc_ = std::make_shared<const std::string>();
-    std::int64_t epoch_ = 0, term_ = 0, commit_ = 0, applied_ = 0, snapIdx_ = 0, snapTerm_ = 0;
-    std::int64_t synced_ = 0;        // the last entry that this disk holds
-    std::int64_t termStart_ = 0;     // this leader's first entry
-    std::int64_t installSeq_ = 0;    // the write of a snapshot that was not reported yet
-    std::int64_t cutNext_ = -1;      // the next write drops the entries from here on
-    std::int64_t writeEpoch_ = 0;    // see DiskWrite::epoch
-    std::int64_t writtenTerm_ = -1;  // the term and vote of the newest write
-    std::int64_t voteSeq_ = 0;       // the write of this candidate's own vote
-    std::int64_t configIdx_ = 0;     // the entry of the voters in force
+    std::shared_ptr<const std::string> snapshotDocument_ = std::make_shared<const std::string>();
+    std::int64_t epoch_ = 0, term_ = 0, commit_ = 0, applied_ = 0, snapshotIndex_ = 0, snapshotTerm_ = 0;
+    std::int64_t synced_ = 0;              // the last entry that this disk holds
+    std::int64_t termStart_ = 0;           // this leader's first entry
+    std::int64_t installSeq_ = 0;          // the write of a snapshot that was not reported yet
+    std::int64_t cutNext_ = -1;            // the next write drops the entries from here on
+    std::int64_t writeEpoch_ = 0;          // see DiskWrite::epoch
+    std::int64_t writtenTerm_ = -1;        // the term and vote of the newest write
+    std::int64_t voteSeq_ = 0;             // the write of this candidate's own vote
+    std::int64_t configurationIndex_ = 0;  // the entry of the voters in force
     std::string writtenVote_;
     bool owedReset_ = false, owedSnap_ = false;  // parts of failed writes, for the next one
     bool appliedJoint_ = false;                  // the newest applied configuration is a joint one
@@ -321,7 +321,7 @@
     std::set<std::string> votes_;
     std::vector<std::string> blankVoters_;
     std::vector<std::pair<std::string, std::string>> spares_;
-    std::vector<VoterIdentity> voters_, outgoing_, snapVoters_;
+    std::vector<VoterIdentity> voters_, outgoing_, snapshotVoters_;
     ReplicatedState replicatedState_, latestState_;
     Microseconds preVoteAt_ = 0, leadSince_ = 0, electionDue_ = 0, heardLeader_ = 0, quorumAt_ = 0,
                  heartbeatAt_ = 0, toldAt_ = 0, transferDue_ = 0, probeAt_ = 0;
--- a/src/membership/node.cpp
+++ b/src/membership/node.cpp
@@ -233,7 +233,7 @@
     auto w = wire::ReplicatedState();
     w.epoch = replicatedState_.epoch;
     w.version = replicatedState_.version;
-    w.doc = replicatedState_.text();
+    w.document = replicatedState_.text();
     e.__set_replicatedState(w);
     po_.send(addr, e);
 }
@@ -450,12 +450,13 @@
     // A voter takes its word from its own disk only: what it says it holds must last.
     if (vt_ && !vt_->blank()) {
         if (std::pair(w.epoch, w.version) > std::pair(heard_.epoch, heard_.version))
-            if (auto n = ReplicatedState(); n.load(w.doc) && n.epoch == w.epoch && n.version == w.version)
+            if (auto n = ReplicatedState();
+                n.load(w.document) && n.epoch == w.epoch && n.version == w.version)
                 heard_ = n;
         if (st_.gossip && w.epoch == vt_->epoch()) {
             // Acknowledgement rests on the disks alone, so a newer word may be acted on at once.
             auto n = ReplicatedState();
-            if (w.version <= replicatedState_.version || !n.load(w.doc) || n.epoch != w.epoch
+            if (w.version <= replicatedState_.version || !n.load(w.document) || n.epoch != w.epoch
                 || n.version != w.version)
                 return;
             auto vs = n.voters();
@@ -476,7 +477,7 @@
         return;
     }
     auto n = ReplicatedState();
-    if (!n.load(w.doc) || n.epoch != w.epoch || n.version != w.version) {
+    if (!n.load(w.document) || n.epoch != w.epoch || n.version != w.version) {
         ct_.add("word_malformed_total");
         return;
     }
--- a/src/modelcheck/invariants.cpp
+++ b/src/modelcheck/invariants.cpp
@@ -72,9 +72,9 @@
     for (auto& sent : node().sent) {
         auto& message = step.graph.message(sent.message);
         if (message.__isset.requestVoteReply && message.requestVoteReply.granted
-            && !message.requestVoteReply.pre)
+            && !message.requestVoteReply.preVote)
             vote(message.requestVoteReply.term, sent.toDisk);
-        if (message.__isset.requestVote && !message.requestVote.pre)
+        if (message.__isset.requestVote && !message.requestVote.preVote)
             vote(message.requestVote.term, message.disk);
     }
 }
--- a/src/modelcheck/model.cpp
+++ b/src/modelcheck/model.cpp
@@ -62,7 +62,7 @@
     switch (role) {
     case Voter::Role::Blank: return "blank";
     case Voter::Role::Follower: return "follower";
-    case Voter::Role::Asking: return "pre-candidate";
+    case Voter::Role::PreCandidate: return "pre-candidate";
     case Voter::Role::Candidate: return "candidate";
     case Voter::Role::Leader: return "leader";
     }
@@ -342,14 +342,14 @@
 auto Model::messageText(MessageId id) const -> std::string {
     auto& m = graph_.message(id);
     if (m.__isset.requestVote)
-        return fmt::format("{}(term {}, last {}/{})", m.requestVote.pre ? "PreVote" : "RequestVote",
-            m.requestVote.term, m.requestVote.lastIdx, m.requestVote.lastTerm);
+        return fmt::format("{}(term {}, last {}/{})", m.requestVote.preVote ? "PreVote" : "RequestVote",
+            m.requestVote.term, m.requestVote.lastLogIndex, m.requestVote.lastLogTerm);
     if (m.__isset.requestVoteReply)
-        return fmt::format("{}Reply(term {}, {})", m.requestVoteReply.pre ? "PreVote" : "RequestVote",
+        return fmt::format("{}Reply(term {}, {})", m.requestVoteReply.preVote ? "PreVote" : "RequestVote",
             m.requestVoteReply.term, m.requestVoteReply.granted ? "granted" : "denied");
     if (m.__isset.appendEntries)
         return fmt::format("AppendEntries(term {}, after {}/{}, {} entries, commit {}, round {})",
-            m.appendEntries.term, m.appendEntries.prevIdx, m.appendEntries.prevTerm,
+            m.appendEntries.term, m.appendEntries.prevLogIndex, m.appendEntries.prevLogTerm,
             m.appendEntries.entries.size(), m.appendEntries.commit, m.appendEntries.round);
     if (m.__isset.appendEntriesReply)
         return fmt::format("AppendEntriesReply(term {}, {}, match {}, round {})", m.appendEntriesReply.term,
@@ -357,7 +357,7 @@
             m.appendEntriesReply.round);
     if (m.__isset.installSnapshot)
         return fmt::format("InstallSnapshot(term {}, last {}/{})", m.installSnapshot.term,
-            m.installSnapshot.idx, m.installSnapshot.idxTerm);
+            m.installSnapshot.lastIncludedIndex, m.installSnapshot.lastIncludedTerm);
     if (m.__isset.timeoutNow) return fmt::format("TimeoutNow(term {})", m.timeoutNow.term);
     return "message";
 }
--- a/src/modelcheck/replica.cpp
+++ b/src/modelcheck/replica.cpp
@@ -38,7 +38,7 @@
 
 auto viewOf(const DiskState& state) -> LogView {
     auto view = LogView();
-    view.snapshotIndex = state.snapIdx;
+    view.snapshotIndex = state.snapshotIndex;
     for (auto& entry : state.log) view.entries.push_back({entry.term, digestOf(entry), isMembership(entry)});
     return view;
 }
@@ -48,7 +48,7 @@
     auto found = std::uint32_t(0);
     for (auto number = 0u; number < MAX_ORDERS; number++) {
         auto quoted = jsQuote(orderKey(number));
-        auto holds = state.snapDoc.find(quoted) != std::string::npos;
+        auto holds = state.snapshotDocument.find(quoted) != std::string::npos;
         for (auto& entry : state.log)
             holds = holds || (entry.kind == ORDER_ENTRY && entry.body.find(quoted) != std::string::npos);
         if (holds) found |= 1u << number;
@@ -146,7 +146,7 @@
 }
 
 auto Replica::voterWrite(const DiskWrite& write) -> void {
-    if (write.cut >= 0) output_.cuts.push_back(write.cut);
+    if (write.truncateFrom >= 0) output_.cuts.push_back(write.truncateFrom);
     pending_.push_back(write);
 }
 
@@ -196,9 +196,9 @@
     state.disk = disk;
     state.epoch = founded.epoch;
     state.term = 1;
-    state.commit = state.snapIdx = 1;
-    state.snapTerm = 1;
-    state.snapDoc = founded.text();
+    state.commit = state.snapshotIndex = 1;
+    state.snapshotTerm = 1;
+    state.snapshotDocument = founded.text();
     return state;
 }
 
--- a/src/modelcheck/replica_graph.cpp
+++ b/src/modelcheck/replica_graph.cpp
@@ -24,7 +24,7 @@
 
 auto serialized(const DiskState& state) -> std::string {
     auto text = fmt::format("{} {} {} {} {} {} {} {}\n", state.disk, state.epoch, state.term, state.commit,
-        state.snapIdx, state.snapTerm, state.vote, state.snapDoc);
+        state.snapshotIndex, state.snapshotTerm, state.vote, state.snapshotDocument);
     for (auto& entry : state.log) text += serialized(entry);
     return text;
 }
--- a/src/net/compress.cpp
+++ b/src/net/compress.cpp
@@ -27,8 +27,8 @@
 }
 
 auto Compressor::operator()(const wire::Envelope& e) -> std::optional<wire::Envelope> {
-    auto n = e.replicatedState.doc.size() + e.orderRequest.body.size() + e.orderReply.body.size()
-        + e.installSnapshot.doc.size();
+    auto n = e.replicatedState.document.size() + e.orderRequest.body.size() + e.orderReply.body.size()
+        + e.installSnapshot.document.size();
     if (e.__isset.appendEntries)
         for (auto& x : e.appendEntries.entries) n += x.body.size();
     if (n < COMPRESS_FROM || n > LONGEST / 2 || e.__isset.compressed) return {};
--- a/src/sim/scale_fleet.cpp
+++ b/src/sim/scale_fleet.cpp
@@ -160,8 +160,8 @@
 
 auto HollowNode::disk(const DiskWrite& write) -> void {
     writing.push_back(write);
-    diskBytes += std::int64_t(write.doc.size());
-    for (auto& entry : write.add) diskBytes += std::int64_t(entry.body.size());
+    diskBytes += std::int64_t(write.document.size());
+    for (auto& entry : write.entries) diskBytes += std::int64_t(entry.body.size());
     if (!syncing) syncNext();
 }
 
--- a/src/storage/store.cpp
+++ b/src/storage/store.cpp
@@ -45,8 +45,8 @@
     meta.term = state.term;
     meta.vote = state.vote;
     meta.commit = state.commit;
-    meta.snapIdx = state.snapIdx;
-    meta.snapTerm = state.snapTerm;
+    meta.snapshotIndex = state.snapshotIndex;
+    meta.snapshotTerm = state.snapshotTerm;
     meta.format = FORMAT;
     return packRecord(meta);
 }
@@ -66,7 +66,7 @@
         auto bytes = openRecord(key, sealed);
         if (!bytes) fault = "a checksum does not match";
         else if (key == META_KEY) takeMeta(*bytes);
-        else if (key == SNAPSHOT_KEY) state.snapDoc = std::string(*bytes);
+        else if (key == SNAPSHOT_KEY) state.snapshotDocument = std::string(*bytes);
         else if (entryIndex(key)) takeEntry(*bytes);
         return fault.empty();
     }
@@ -85,8 +85,8 @@
         state.term = meta.term;
         state.vote = meta.vote;
         state.commit = meta.commit;
-        state.snapIdx = meta.snapIdx;
-        state.snapTerm = meta.snapTerm;
+        state.snapshotIndex = meta.snapshotIndex;
+        state.snapshotTerm = meta.snapshotTerm;
         sawMeta = true;
     }
     auto takeEntry(std::string_view bytes) -> void {
@@ -98,10 +98,12 @@
     auto finish() -> void {
         if (!fault.empty()) return;
         if (!sawMeta && !state.log.empty()) fault = "entries without the record of the voter";
-        std::erase_if(state.log, [&](auto& entry) { return entry.idx <= state.snapIdx; });
+        std::erase_if(state.log, [&](auto& entry) { return entry.index <= state.snapshotIndex; });
         for (auto i = std::size_t(0); fault.empty() && i < state.log.size(); i++)
-            if (state.log[i].idx != state.snapIdx + 1 + std::int64_t(i)) fault = "an entry is missing";
-        if (fault.empty() && state.snapIdx > 0 && state.snapDoc.empty()) fault = "the snapshot is missing";
+            if (state.log[i].index != state.snapshotIndex + 1 + std::int64_t(i))
+                fault = "an entry is missing";
+        if (fault.empty() && state.snapshotIndex > 0 && state.snapshotDocument.empty())
+            fault = "the snapshot is missing";
     }
 };
 
@@ -203,15 +205,15 @@
 
 auto Store::owe(const DiskWrite& write) -> void {
     oweReset_ = oweReset_ || write.reset;
-    if (!write.reset && !write.snap) return;
-    oweSnapshot_ = write.snap;
-    oweDocument_ = write.doc;
+    if (!write.reset && !write.hasSnapshot) return;
+    oweSnapshot_ = write.hasSnapshot;
+    oweDocument_ = write.document;
 }
 
 auto Store::write(const DiskWrite& write) -> tl::expected<void, StoreError> {
-    auto own = write.reset || write.snap;
-    auto change = Change{
-        write, write.reset || oweReset_, own ? write.snap : oweSnapshot_, own ? write.doc : oweDocument_};
+    auto own = write.reset || write.hasSnapshot;
+    auto change = Change{write, write.reset || oweReset_, own ? write.hasSnapshot : oweSnapshot_,
+        own ? write.document : oweDocument_};
     auto error = syncNames();
     if (!error && !environment_) error = openFile();
     if (!error) error = contentsDoubted_ ? MDB_MAP_FULL : commit(change);
@@ -237,16 +239,16 @@
     if (key == SNAPSHOT_KEY) return !snapshot;
     auto index = entryIndex(key);
     if (!index) return true;
-    if (write.cut >= 0 && *index >= write.cut) return false;
-    return !snapshot || *index > write.meta.snapIdx;
+    if (write.truncateFrom >= 0 && *index >= write.truncateFrom) return false;
+    return !snapshot || *index > write.meta.snapshotIndex;
 }
 
 /// What a change adds, whatever it drops.
 auto putAdded(Transaction& transaction, bool snapshot, const std::string& document, const DiskWrite& write)
     -> void {
-    for (auto& entry : write.add)
-        if (!snapshot || entry.idx > write.meta.snapIdx)
-            putRecord(transaction, entryKey(entry.idx), packRecord(entry));
+    for (auto& entry : write.entries)
+        if (!snapshot || entry.index > write.meta.snapshotIndex)
+            putRecord(transaction, entryKey(entry.index), packRecord(entry));
     if (snapshot) putRecord(transaction, SNAPSHOT_KEY, document);
     putRecord(transaction, META_KEY, metaRecord(write.meta));
 }
@@ -257,8 +259,9 @@
     auto& write = change.write;
     auto error = environment_->change([&](Transaction& transaction) {
         if (change.reset) transaction.clear();
-        if (write.cut >= 0) transaction.eraseRange(entryKey(write.cut), entryKey(INT64_MAX));
-        if (change.snapshot) transaction.eraseRange(entryKey(0), entryKey(write.meta.snapIdx));
+        if (write.truncateFrom >= 0)
+            transaction.eraseRange(entryKey(write.truncateFrom), entryKey(INT64_MAX));
+        if (change.snapshot) transaction.eraseRange(entryKey(0), entryKey(write.meta.snapshotIndex));
         putAdded(transaction, change.snapshot, change.document, write);
     });
     if (!error) error = files_.syncFile(path(), environment_->descriptor());
--- a/tests/consensus/consensus_fixture.hpp
+++ b/tests/consensus/consensus_fixture.hpp
@@ -86,7 +86,7 @@
     static auto sizeOf(const wire::Envelope& e) -> std::int64_t {
         auto n = std::int64_t(100);
         for (auto& x : e.appendEntries.entries) n += std::int64_t(x.body.size()) + 20;
-        return n + std::int64_t(e.installSnapshot.doc.size() + e.snapshotChunk.data.size());
+        return n + std::int64_t(e.installSnapshot.document.size() + e.snapshotChunk.data.size());
     }
     auto post(const std::string& from, const std::string& to, wire::Envelope e) -> void {
         if (cut.count({from, to}) || !members.count(to)) return;
--- a/tests/consensus/consensus_membership_test.cpp
+++ b/tests/consensus/consensus_membership_test.cpp
@@ -227,7 +227,7 @@
     auto index = f.at(leader).last();
     auto e = wire::Entry();
     e.term = f.at(leader).term();
-    e.idx = index + 1;
+    e.index = index + 1;
     e.kind = ENTRY_VOTERS;
     e.body = R"([{"seat":"s-a","disk":"a"},{"seat":"s-b","disk":"b"},{"seat":"s-c","disk":"c"},)"
              R"({"seat":"s-c","disk":"d"}])";
--- a/tests/consensus/consensus_snapshot_test.cpp
+++ b/tests/consensus/consensus_snapshot_test.cpp
@@ -184,7 +184,7 @@
     auto& m = g.add("n");
     g.run(SECOND);
     auto& v = *m.voter;
-    auto unharmed = [&] { return v.blank() && v.commit() == 0 && m.held.snapIdx == 0; };
+    auto unharmed = [&] { return v.blank() && v.commit() == 0 && m.held.snapshotIndex == 0; };
     auto handle = [&](std::size_t i, const std::function<void(wire::SnapshotChunk&)>& change) {
         auto e = chunks[i];
         change(e.snapshotChunk);
@@ -195,7 +195,7 @@
     handle(0, [](auto& c) { c.data[100] ^= 1; });
     handle(0, [](auto& c) { c.offset = 5; });
     handle(0, [](auto& c) { c.size = 10; });
-    handle(0, [](auto& c) { c.idxTerm = c.term + 1; });
+    handle(0, [](auto& c) { c.lastIncludedTerm = c.term + 1; });
     CHECK_EQ(std::int64_t(5), m.counters.get("snapshot_chunk_malformed_total"));
     handle(1, [](auto&) {});
     handle(0, [](auto&) {});
@@ -204,7 +204,7 @@
     for (auto i = std::size_t(1); i < chunks.size(); i++) v.handle(chunks[i], g.now);
     CHECK(!v.blank());
     g.run(100 * MILLISECOND);
-    CHECK_EQ(chunks[0].snapshotChunk.idx, m.held.snapIdx);
+    CHECK_EQ(chunks[0].snapshotChunk.lastIncludedIndex, m.held.snapshotIndex);
     // Of a term that is over.
     auto old = chunks[0];
     v.handle(old, g.now);
@@ -253,9 +253,9 @@
     e.epoch = 1;
     e.disk = "a";
     s.term = 3;
-    s.idx = 9;
-    s.idxTerm = 2;
-    s.doc = "{\"reign\":1";
+    s.lastIncludedIndex = 9;
+    s.lastIncludedTerm = 2;
+    s.document = "{\"reign\":1";
     e.__set_installSnapshot(s);
     m.voter->handle(e, f.now);
     CHECK(m.voter->blank());
--- a/tests/consensus/consensus_test.cpp
+++ b/tests/consensus/consensus_test.cpp
@@ -29,7 +29,7 @@
 auto entry(std::int64_t term, std::int64_t index, int kind = ENTRY_NOOP) -> wire::Entry {
     auto e = wire::Entry();
     e.term = term;
-    e.idx = index;
+    e.index = index;
     e.kind = kind;
     return e;
 }
@@ -53,8 +53,8 @@
     CHECK_EQ(before, v.commit());
     auto e = appendFrom(f, leader);
     e.appendEntries.term++;
-    e.appendEntries.prevIdx = before - 3;
-    e.appendEntries.prevTerm = v.term();
+    e.appendEntries.prevLogIndex = before - 3;
+    e.appendEntries.prevLogTerm = v.term();
     e.appendEntries.entries = {entry(v.term() + 1, before - 2)};
     v.handle(e, f.now);
     return {before - v.last(), f.counter(follower, "append_contradicts_committed_total")};
@@ -77,8 +77,8 @@
     auto last = v.last(), term = v.term();
     auto handle = [&](std::int64_t prev, std::vector<wire::Entry> entries) {
         auto e = appendFrom(f, leader);
-        e.appendEntries.prevIdx = prev;
-        e.appendEntries.prevTerm = term;
+        e.appendEntries.prevLogIndex = prev;
+        e.appendEntries.prevLogTerm = term;
         e.appendEntries.entries = std::move(entries);
         v.handle(e, f.now);
     };
@@ -101,8 +101,8 @@
     auto leader = f.leader(), follower = other(f, leader), third = other(f, leader, follower);
     auto e = appendFrom(f, leader);
     e.disk = third;
-    e.appendEntries.prevIdx = f.at(follower).last();
-    e.appendEntries.prevTerm = f.at(follower).term();
+    e.appendEntries.prevLogIndex = f.at(follower).last();
+    e.appendEntries.prevLogTerm = f.at(follower).term();
     f.at(follower).handle(e, f.now);
     CHECK_EQ(std::int64_t(1), f.counter(follower, "append_second_leader_total"));
     CHECK_EQ(leader, f.at(follower).leader());
@@ -156,8 +156,8 @@
     f.step();
     auto e = appendFrom(f, leader);
     e.appendEntries.term = m.voter->term() + 1;
-    e.appendEntries.prevIdx = m.voter->last();
-    e.appendEntries.prevTerm = m.held.log.empty() ? m.held.snapTerm : m.held.log.back().term;
+    e.appendEntries.prevLogIndex = m.voter->last();
+    e.appendEntries.prevLogTerm = m.held.log.empty() ? m.held.snapshotTerm : m.held.log.back().term;
     m.failNextWrite = true;
     m.voter->handle(e, f.now);
     m.sync();
@@ -207,7 +207,7 @@
     auto installed = f.counter(late, "snapshots_installed_total");
     CHECK(f.until([&] { return f.counter(late, "snapshots_installed_total") > installed; }, 5 * SECOND));
     // The write of the snapshot is under way.
-    CHECK(std::any_of(m.pending.begin(), m.pending.end(), [](auto& w) { return w.snap; }));
+    CHECK(std::any_of(m.pending.begin(), m.pending.end(), [](auto& w) { return w.hasSnapshot; }));
     m.failNextWrite = true;
     m.diskHangs = false;
     m.sync();
--- a/tests/membership/node_learnt_test.cpp
+++ b/tests/membership/node_learnt_test.cpp
@@ -255,11 +255,11 @@
     // Two entries more, of which it does not know yet whether they are committed.
     auto e = wire::Envelope();
     auto a = wire::AppendEntries();
-    a.term = a.prevTerm = a.prevIdx = a.commit = 1;
+    a.term = a.prevLogTerm = a.prevLogIndex = a.commit = 1;
     for (auto i : {2, 3}) {
         auto x = wire::Entry();
         x.term = 1;
-        x.idx = i;
+        x.index = i;
         x.kind = 1;
         x.body = "{}";
         a.entries.push_back(x);
--- a/tests/net/compress_test.cpp
+++ b/tests/net/compress_test.cpp
@@ -17,7 +17,8 @@
     auto w = wire::ReplicatedState();
     w.version = 7;
     for (auto i = std::size_t(0); i < routes; i++)
-        w.doc += fmt::format(R"({{"name":"r-{}","host":"h.example","path":"/p{}/*","pool":"x"}},)", i, i * 7);
+        w.document +=
+            fmt::format(R"({{"name":"r-{}","host":"h.example","path":"/p{}/*","pool":"x"}},)", i, i * 7);
     e.__set_replicatedState(w);
     return e;
 }
@@ -29,7 +30,7 @@
     auto z = c(e);
     CHECK(bool(z));
     CHECK(!z->__isset.replicatedState);
-    CHECK(z->compressed.size() * 5 < e.replicatedState.doc.size());
+    CHECK(z->compressed.size() * 5 < e.replicatedState.document.size());
     auto back = decompressed(*z);
     CHECK(bool(back));
     CHECK(*back == e);
@@ -49,7 +50,7 @@
 // Log entries, orders and their replies count as the word does.
 TEST(Compress, whateverIsLong) {
     auto c = Compressor();
-    auto doc = stateOf(200).replicatedState.doc;
+    auto doc = stateOf(200).replicatedState.document;
     auto a = wire::Envelope(), o = a, r = a, s = a;
     auto ask = wire::AppendEntries();
     ask.entries.emplace_back();
@@ -60,7 +61,7 @@
     r.__set_orderReply({});
     r.orderReply.body = doc;
     s.__set_installSnapshot({});
-    s.installSnapshot.doc = doc;
+    s.installSnapshot.document = doc;
     for (auto& e : {a, o, r, s}) {
         auto z = c(e);
         CHECK(bool(z));
--- a/tests/storage/disk_test.cpp
+++ b/tests/storage/disk_test.cpp
@@ -50,15 +50,15 @@
 };
 auto entry(std::int64_t i, std::int64_t term, std::size_t n) -> wire::Entry {
     auto e = wire::Entry();
-    e.idx = i;
+    e.index = i;
     e.term = term;
     e.body = std::string(n, char('a' + i % 20));
     return e;
 }
 auto same(const DiskState& a, const DiskState& b) -> bool {
     return a.disk == b.disk && a.epoch == b.epoch && a.term == b.term && a.vote == b.vote
-        && a.commit == b.commit && a.snapIdx == b.snapIdx && a.snapTerm == b.snapTerm
-        && a.snapDoc == b.snapDoc && a.log == b.log;
+        && a.commit == b.commit && a.snapshotIndex == b.snapshotIndex && a.snapshotTerm == b.snapshotTerm
+        && a.snapshotDocument == b.snapshotDocument && a.log == b.log;
 }
 }  // namespace
 
@@ -72,19 +72,19 @@
         auto m = DiskState();
         auto w = DiskWrite();
         w.meta.disk = "d";
-        w.snap = true;
-        w.doc = "old";
-        w.meta.snapIdx = 1;
-        for (auto i = 2; i <= 10; i++) w.add.push_back(entry(i, 1, 100));
+        w.hasSnapshot = true;
+        w.document = "old";
+        w.meta.snapshotIndex = 1;
+        for (auto i = 2; i <= 10; i++) w.entries.push_back(entry(i, 1, 100));
         CHECK(bool(s->write(w)));
         diskApply(m, w);
         auto x = DiskWrite();
         x.meta = m;
         x.meta.log.clear();
-        x.meta.snapIdx = 8;
-        x.meta.snapTerm = 1;
-        x.snap = true;
-        x.doc = "new" + std::string(100000, 'n');
+        x.meta.snapshotIndex = 8;
+        x.meta.snapshotTerm = 1;
+        x.hasSnapshot = true;
+        x.document = "new" + std::string(100000, 'n');
         if (behind) s->owe(x);
         else {
             auto no = Full(32 * 1024);
@@ -96,8 +96,8 @@
         y.meta = m;
         y.meta.log.clear();
         y.meta.term = 2;
-        y.cut = 10;
-        y.add = {entry(10, 2, 50)};
+        y.truncateFrom = 10;
+        y.entries = {entry(10, 2, 50)};
         CHECK(bool(s->write(y)));
         diskApply(m, y);
         s = std::make_unique<Store>();
@@ -108,8 +108,8 @@
         // Paid once: a later write without a snapshot leaves the document as it is.
         auto z = y;
         z.meta.term = 3;
-        z.cut = -1;
-        z.add = {entry(11, 3, 50)};
+        z.truncateFrom = -1;
+        z.entries = {entry(11, 3, 50)};
         CHECK(bool(s->write(z)));
         diskApply(m, z);
         s = std::make_unique<Store>();
@@ -125,25 +125,25 @@
     auto w = DiskWrite();
     w.meta.disk = "d";
     w.meta.epoch = 1;
-    w.snap = true;
-    w.doc = "old";
-    w.meta.snapIdx = 1;
-    for (auto i = 2; i <= 10; i++) w.add.push_back(entry(i, 1, 100));
+    w.hasSnapshot = true;
+    w.document = "old";
+    w.meta.snapshotIndex = 1;
+    for (auto i = 2; i <= 10; i++) w.entries.push_back(entry(i, 1, 100));
     CHECK(bool(s->write(w)));
     auto x = DiskWrite();
-    x.reset = x.snap = true;
-    x.doc = "found" + std::string(100000, 'n');
+    x.reset = x.hasSnapshot = true;
+    x.document = "found" + std::string(100000, 'n');
     x.meta.disk = "d";
     x.meta.epoch = 2;
-    x.meta.snapIdx = 1;
-    x.meta.snapTerm = 5;
+    x.meta.snapshotIndex = 1;
+    x.meta.snapshotTerm = 5;
     {
         auto no = Full(32 * 1024);
         CHECK(!s->write(x));
     }
     auto y = x;
-    y.reset = y.snap = false;
-    y.doc.clear();
+    y.reset = y.hasSnapshot = false;
+    y.document.clear();
     y.meta.vote = "v";
     CHECK(bool(s->write(y)));
     auto m = DiskState();
@@ -169,7 +169,7 @@
             auto w = DiskWrite();
             w.meta.disk = "d";
             w.meta.term = i;
-            w.add = {entry(i, i, std::size_t(i * 97))};
+            w.entries = {entry(i, i, std::size_t(i * 97))};
             if (i == 41) a = *fileRead(f.p + "/data.mdb"), before = after;
             CHECK(bool(s.write(w)));
             diskApply(after, w);
--- a/tests/storage/storage_fixture.hpp
+++ b/tests/storage/storage_fixture.hpp
@@ -27,7 +27,7 @@
 
 inline auto makeEntry(std::int64_t index, std::int64_t term, std::size_t bytes) -> wire::Entry {
     auto entry = wire::Entry();
-    entry.idx = index;
+    entry.index = index;
     entry.term = term;
     entry.kind = 1;
     entry.body = std::string(bytes, char('a' + index % 20));
@@ -36,8 +36,8 @@
 
 inline auto sameState(const DiskState& a, const DiskState& b) -> bool {
     return a.disk == b.disk && a.epoch == b.epoch && a.term == b.term && a.vote == b.vote
-        && a.commit == b.commit && a.snapIdx == b.snapIdx && a.snapTerm == b.snapTerm
-        && a.snapDoc == b.snapDoc && a.log == b.log;
+        && a.commit == b.commit && a.snapshotIndex == b.snapshotIndex && a.snapshotTerm == b.snapshotTerm
+        && a.snapshotDocument == b.snapshotDocument && a.log == b.log;
 }
 
 }  // namespace duneturn
--- a/tests/storage/storage_full_test.cpp
+++ b/tests/storage/storage_full_test.cpp
@@ -35,22 +35,22 @@
         auto write = DiskWrite();
         write.meta = state;
         write.meta.log.clear();
-        write.meta.snapDoc.clear();
+        write.meta.snapshotDocument.clear();
         write.meta.disk = "d";
         return write;
     }
-    auto last() const -> std::int64_t { return state.snapIdx + std::int64_t(state.log.size()); }
+    auto last() const -> std::int64_t { return state.snapshotIndex + std::int64_t(state.log.size()); }
     auto append(std::size_t bytes) -> bool {
         auto next = base();
-        next.add = {makeEntry(last() + 1, 1, bytes)};
+        next.entries = {makeEntry(last() + 1, 1, bytes)};
         return write(next);
     }
     auto snapshot(std::int64_t index, std::string document) -> bool {
         auto next = base();
-        next.snap = true;
-        next.meta.snapIdx = index;
-        next.meta.snapTerm = 1;
-        next.doc = std::move(document);
+        next.hasSnapshot = true;
+        next.meta.snapshotIndex = index;
+        next.meta.snapshotTerm = 1;
+        next.document = std::move(document);
         return write(next);
     }
 };
@@ -75,18 +75,18 @@
     };
     for (auto& entry : state.log) {
         auto key = std::string("e");
-        for (auto shift = 56; shift >= 0; shift -= 8) key += char(std::uint64_t(entry.idx) >> shift);
+        for (auto shift = 56; shift >= 0; shift -= 8) key += char(std::uint64_t(entry.index) >> shift);
         put(key, packRecord(entry));
     }
-    if (state.snapIdx) put("snap", state.snapDoc);
+    if (state.snapshotIndex) put("snap", state.snapshotDocument);
     auto meta = wire::Meta();
     meta.disk = state.disk;
     meta.epoch = state.epoch;
     meta.term = state.term;
     meta.vote = state.vote;
     meta.commit = state.commit;
-    meta.snapIdx = state.snapIdx;
-    meta.snapTerm = state.snapTerm;
+    meta.snapshotIndex = state.snapshotIndex;
+    meta.snapshotTerm = state.snapshotTerm;
     meta.format = 1;
     put("meta", packRecord(meta));
     CHECK_EQ(0, mdb_txn_commit(transaction));
@@ -101,9 +101,9 @@
     state.term = 7;
     state.vote = "fedcba9876543210";
     state.commit = 12;
-    state.snapIdx = 10;
-    state.snapTerm = 6;
-    state.snapDoc = R"({"a":"document"})";
+    state.snapshotIndex = 10;
+    state.snapshotTerm = 6;
+    state.snapshotDocument = R"({"a":"document"})";
     for (auto i = 1; i <= entries; i++) state.log.push_back(makeEntry(10 + i, 7, bytes));
     return state;
 }
@@ -270,7 +270,7 @@
     auto next = writer.base();
     next.meta.disk = state.disk;
     next.meta.term = 8;
-    next.add = {makeEntry(16, 8, 100)};
+    next.entries = {makeEntry(16, 8, 100)};
     CHECK(writer.write(next));
     store = std::make_unique<Store>();
     CHECK(sameState(*store->open(directory.path), writer.state));
@@ -295,10 +295,10 @@
     CHECK(writer.write(vote));
     auto snapshot = writer.base();
     snapshot.meta.disk = state.disk;
-    snapshot.snap = true;
-    snapshot.meta.snapIdx = 58;
-    snapshot.meta.snapTerm = 7;
-    snapshot.doc = "document";
+    snapshot.hasSnapshot = true;
+    snapshot.meta.snapshotIndex = 58;
+    snapshot.meta.snapshotTerm = 7;
+    snapshot.document = "document";
     CHECK(writer.write(snapshot));
     CHECK(fileBytes(directory.path + "/data.mdb") <= StoreLimits().fileBytes);
     auto again = Store();
--- a/tests/storage/storage_power_test.cpp
+++ b/tests/storage/storage_power_test.cpp
@@ -53,22 +53,22 @@
         auto write = DiskWrite();
         write.meta = underWay;
         write.meta.log.clear();
-        write.meta.snapDoc.clear();
+        write.meta.snapshotDocument.clear();
         write.meta.disk = "d";
         return write;
     }
     auto append(std::size_t bytes) -> bool {
         auto next = base();
-        auto last = underWay.snapIdx + std::int64_t(underWay.log.size());
-        next.add = {makeEntry(last + 1, 1, bytes)};
+        auto last = underWay.snapshotIndex + std::int64_t(underWay.log.size());
+        next.entries = {makeEntry(last + 1, 1, bytes)};
         return write(next);
     }
     auto snapshot(std::size_t bytes) -> bool {
         auto next = base();
-        next.snap = true;
-        next.meta.snapIdx = underWay.snapIdx + std::int64_t(underWay.log.size());
-        next.meta.snapTerm = 1;
-        next.doc = std::string(bytes, 's');
+        next.hasSnapshot = true;
+        next.meta.snapshotIndex = underWay.snapshotIndex + std::int64_t(underWay.log.size());
+        next.meta.snapshotTerm = 1;
+        next.document = std::string(bytes, 's');
         return write(next);
     }
     /// A first start, some entries, a snapshot.
@@ -145,7 +145,7 @@
         auto write = DiskWrite();
         write.meta.disk = "old";
         write.meta.term = 5;
-        write.add = {makeEntry(1, 5, 3000)};
+        write.entries = {makeEntry(1, 5, 3000)};
         CHECK(bool(store.write(write)));
     }
     auto path = directory.path + "/data.mdb";
--- a/tests/storage/store_test.cpp
+++ b/tests/storage/store_test.cpp
@@ -66,8 +66,8 @@
 }
 static auto same(const DiskState& a, const DiskState& b) -> bool {
     return a.disk == b.disk && a.epoch == b.epoch && a.term == b.term && a.vote == b.vote
-        && a.commit == b.commit && a.snapIdx == b.snapIdx && a.snapTerm == b.snapTerm
-        && a.snapDoc == b.snapDoc && a.log == b.log;
+        && a.commit == b.commit && a.snapshotIndex == b.snapshotIndex && a.snapshotTerm == b.snapshotTerm
+        && a.snapshotDocument == b.snapshotDocument && a.log == b.log;
 }
 
 // Random writes to LMDB and to a plain state side by side; reopened now and then, they agree.
@@ -80,28 +80,30 @@
         CHECK(bool(s->open(f.p)));
         for (auto i = 0; i < 60; i++) {
             auto w = DiskWrite();
-            auto last = m.snapIdx + std::int64_t(m.log.size());
+            auto last = m.snapshotIndex + std::int64_t(m.log.size());
             w.meta = m;
             w.meta.log.clear();
             w.meta.disk = "d";
             w.meta.term = m.term + std::int64_t(r.below(2));
             w.meta.vote = fmt::format("v{}", r.below(3));
-            if (last > m.snapIdx && r.chance(.2))
-                w.cut = m.snapIdx + 1 + std::int64_t(r.below(std::uint64_t(last - m.snapIdx)));
-            auto at = w.cut >= 0 ? w.cut : last + 1;
+            if (last > m.snapshotIndex && r.chance(.2))
+                w.truncateFrom =
+                    m.snapshotIndex + 1 + std::int64_t(r.below(std::uint64_t(last - m.snapshotIndex)));
+            auto at = w.truncateFrom >= 0 ? w.truncateFrom : last + 1;
             for (auto n = r.below(4); n > 0; n--) {
                 auto e = wire::Entry();
-                e.idx = at++;
+                e.index = at++;
                 e.term = w.meta.term;
                 e.kind = 1;
                 e.body = std::string(r.below(3000), char('a' + r.below(20)));
-                w.add.push_back(e);
+                w.entries.push_back(e);
             }
-            if (at - 1 > m.snapIdx && r.chance(.15)) {
-                w.snap = true;
-                w.meta.snapIdx = m.snapIdx + 1 + std::int64_t(r.below(std::uint64_t(at - 1 - m.snapIdx)));
-                w.meta.snapTerm = w.meta.term;
-                w.doc = fmt::format("doc {}", i);
+            if (at - 1 > m.snapshotIndex && r.chance(.15)) {
+                w.hasSnapshot = true;
+                w.meta.snapshotIndex =
+                    m.snapshotIndex + 1 + std::int64_t(r.below(std::uint64_t(at - 1 - m.snapshotIndex)));
+                w.meta.snapshotTerm = w.meta.term;
+                w.document = fmt::format("doc {}", i);
             }
             CHECK(bool(s->write(w)));
             diskApply(m, w);
@@ -130,10 +132,10 @@
         w.meta.disk = "d";
         for (auto i = 1; i <= 40; i++) {
             w.meta.term = i;
-            w.add.resize(1);
-            w.add[0].idx = i;
-            w.add[0].term = i;
-            w.add[0].body = std::string(std::size_t(i * 97), char('a' + i % 20));
+            w.entries.resize(1);
+            w.entries[0].index = i;
+            w.entries[0].term = i;
+            w.entries[0].body = std::string(std::size_t(i * 97), char('a' + i % 20));
             if (i == 40) a = snap();
             CHECK(bool(s.write(w)));
             if (i < 40) diskApply(before, w);
@@ -194,10 +196,10 @@
         auto w = DiskWrite();
         w.meta.disk = "d";
         w.meta.term = i;
-        w.add.resize(1);
-        w.add[0].idx = i;
-        w.add[0].term = i;
-        w.add[0].body = std::string(20000, 'x');
+        w.entries.resize(1);
+        w.entries[0].index = i;
+        w.entries[0].term = i;
+        w.entries[0].body = std::string(20000, 'x');
         auto ok = bool(s->write(w));
         if (ok) diskApply(m, w);
         return ok;
@@ -234,10 +236,10 @@
             w.meta.term = 3;
             for (auto i = 1; i <= 20; i++) {
                 auto e = wire::Entry();
-                e.idx = i;
+                e.index = i;
                 e.term = 3;
                 e.body = std::string(700, 'x');
-                w.add.push_back(e);
+                w.entries.push_back(e);
             }
             CHECK(bool(s.write(w)));
             diskApply(m, w);
--- a/tests/storage/stored_format_test.cpp
+++ b/tests/storage/stored_format_test.cpp
@@ -271,9 +271,9 @@
     CHECK_EQ(std::int64_t(9), state.term);
     CHECK_EQ(std::string("disk-2"), state.vote);
     CHECK_EQ(std::int64_t(6), state.commit);
-    CHECK_EQ(std::int64_t(4), state.snapIdx);
-    CHECK_EQ(std::int64_t(8), state.snapTerm);
-    CHECK_EQ(toHex(pinnedState()), toHex(state.snapDoc));
+    CHECK_EQ(std::int64_t(4), state.snapshotIndex);
+    CHECK_EQ(std::int64_t(8), state.snapshotTerm);
+    CHECK_EQ(toHex(pinnedState()), toHex(state.snapshotDocument));
     auto entries = readPinned("entries.txt", 2);
     CHECK_EQ(entries.size(), state.log.size());
     for (auto i = std::size_t(0); i < entries.size(); i++) {
@@ -289,9 +289,9 @@
     copyPinnedStore(source.path);
     auto write = DiskWrite();
     write.meta = openSound(source.path);
-    write.add = write.meta.log;
-    write.snap = true;
-    write.doc = write.meta.snapDoc;
+    write.entries = write.meta.log;
+    write.hasSnapshot = true;
+    write.document = write.meta.snapshotDocument;
     {
         auto store = Store();
         CHECK(bool(store.open(target.path)));
--- a/thrift/wire.thrift
+++ b/thrift/wire.thrift
@@ -49,7 +49,7 @@
 }
 
 // The operator's word: everything an operator ordered, as one document.
-struct ReplicatedState { 1: i64 epoch, 2: i64 version, 3: string doc }
+struct ReplicatedState { 1: i64 epoch, 2: i64 version, 3: string document }
 struct ReplicatedStateRequest { 1: i64 epoch, 2: i64 version }
 
 // `boot`: the life of the node that asks; its answer names it again, so that an answer to an earlier
@@ -59,30 +59,38 @@
 
 struct CreditGrant { 1: string node, 2: i64 boot, 3: i64 seq, 4: i64 credit }
 
-struct Entry { 1: i64 term, 2: i64 idx, 3: i32 kind, 4: string body }
+struct Entry { 1: i64 term, 2: i64 index, 3: i32 kind, 4: string body }
+// A candidate's request for a vote; with `preVote` only the question whether it would get one, which
+// changes no term (Ongaro 2014, 9.6). `leadershipTransfer`: the leader asked for this election.
 // `joint`: the candidate counts both majorities of a joint configuration.
 struct RequestVote {
-  1: i64 term, 2: i64 lastIdx, 3: i64 lastTerm, 4: bool pre, 5: bool handed, 6: bool joint
+  1: i64 term, 2: i64 lastLogIndex, 3: i64 lastLogTerm, 4: bool preVote, 5: bool leadershipTransfer,
+  6: bool joint
 }
-struct RequestVoteReply { 1: i64 term, 2: bool pre, 3: bool granted }
+struct RequestVoteReply { 1: i64 term, 2: bool preVote, 3: bool granted }
+// `round`: the newest round of heartbeats, which the reply names again (ReadIndex, 6.4).
 struct AppendEntries {
-  1: i64 term, 2: i64 prevIdx, 3: i64 prevTerm, 4: list<Entry> entries,
+  1: i64 term, 2: i64 prevLogIndex, 3: i64 prevLogTerm, 4: list<Entry> entries,
   5: i64 commit, 6: i64 round
 }
-// `knowsJoint`: the sender reads joint configurations; `prevIdx`: of what was rejected.
+// `knowsJoint`: this voter reads joint configurations; `rejectHint`: with
+// ok = false the last index that may match; `prevLogIndex`: of what was rejected.
 struct AppendEntriesReply {
-  1: i64 term, 2: bool ok, 3: i64 match, 4: i64 hint, 5: i64 round, 6: bool knowsJoint, 7: i64 prevIdx
+  1: i64 term, 2: bool ok, 3: i64 match, 4: i64 rejectHint, 5: i64 round, 6: bool knowsJoint,
+  7: i64 prevLogIndex
+}
+struct InstallSnapshot {
+  1: i64 term, 2: i64 lastIncludedIndex, 3: i64 lastIncludedTerm, 4: string document, 5: i64 round
 }
-struct InstallSnapshot { 1: i64 term, 2: i64 idx, 3: i64 idxTerm, 4: string doc, 5: i64 round }
 // A part of a snapshot's document of `size` bytes, from `offset` on; `checksum` covers the part and
 // where it stands, `digest` the whole document.
 struct SnapshotChunk {
-  1: i64 term, 2: i64 idx, 3: i64 idxTerm, 4: i64 size, 5: i64 offset, 6: binary data,
+  1: i64 term, 2: i64 lastIncludedIndex, 3: i64 lastIncludedTerm, 4: i64 size, 5: i64 offset, 6: binary data,
   7: i64 checksum, 8: i64 digest, 9: i64 round
 }
 // `received`: the offset that is expected next; `refused`: the chunk was not taken.
 struct SnapshotChunkReply {
-  1: i64 term, 2: i64 idx, 3: i64 digest, 4: i64 received, 5: bool refused, 6: i64 round
+  1: i64 term, 2: i64 lastIncludedIndex, 3: i64 digest, 4: i64 received, 5: bool refused, 6: i64 round
 }
 struct TimeoutNow { 1: i64 term }
 
@@ -105,5 +113,5 @@
 // A voter's disk: the record beside the snapshot and the entries.
 struct Meta {
   1: string disk, 2: i64 epoch, 3: i64 term, 4: string vote, 5: i64 commit,
-  6: i64 snapIdx, 7: i64 snapTerm, 8: i32 format
+  6: i64 snapshotIndex, 7: i64 snapshotTerm, 8: i32 format
 }
