--- a/src/consensus/election.cpp
+++ b/src/consensus/election.cpp
@@ -28,7 +28,7 @@
 }
 
 auto Voter::hasVotes() const -> bool {
-    return majority([&](auto& disk) { return votes_.count(disk) > 0; });
+    return hasMajority([&](auto& disk) { return votes_.count(disk) > 0; });
 }
 
 auto Voter::campaign(bool preVote, bool transferred, Microseconds now) -> void {
@@ -40,7 +40,7 @@
     ask.leadershipTransfer = transferred;
     ask.joint = true;
     ask.lastLogIndex = last();
-    ask.lastLogTerm = termAt(last());
+    ask.lastLogTerm = log_.lastTerm();
     ask.term = term_ + 1;
     auto seq = std::int64_t(0);
     if (preVote) {
@@ -55,7 +55,7 @@
     }
     auto message = envelope();
     message.__set_requestVote(ask);
-    for (auto& disk : members()) {
+    for (auto& disk : configuration_.disks()) {
         if (disk == disk_) continue;
         if (preVote) port_.voterSend(disk, message);
         else sendAfter(seq, disk, message);
@@ -82,7 +82,7 @@
 auto Voter::transferLeadership(Microseconds now) -> bool {
     if (!leads()) return false;
     auto best = std::string();
-    for (auto& v : voters_) {  // while a change is under way, only one who stays
+    for (auto& v : configuration_.voters()) {  // while a change is under way, only one who stays
         if (v.disk == disk_ || now - peers_[v.disk].heard >= ELECTION_TIMEOUT) continue;
         if (best.empty() || peers_[v.disk].match > peers_[best].match) best = v.disk;
     }
@@ -99,7 +99,7 @@
 }
 
 auto Voter::logIsCurrent(const wire::RequestVote& ask) const -> bool {
-    auto lastTerm = termAt(last());
+    auto lastTerm = log_.lastTerm();
     return ask.lastLogTerm > lastTerm || (ask.lastLogTerm == lastTerm && ask.lastLogIndex >= last());
 }
 
@@ -115,7 +115,7 @@
 auto Voter::onPreVoteAsk(const std::string& from, const wire::RequestVote& ask, Microseconds now) -> void {
     // Two that ask at the same time would split the vote: the lower identity gives way.
     auto precedes = role() == Role::PreCandidate && now - preVoteAt_ < ELECTION_TIMEOUT / 2 && disk_ > from
-        && ask.lastLogTerm == termAt(last()) && ask.lastLogIndex == last();
+        && ask.lastLogTerm == log_.lastTerm() && ask.lastLogIndex == last();
     auto leaderStands = !ask.leadershipTransfer && hearsLeader(now);
     auto reply = wire::RequestVoteReply();
     reply.preVote = true;
--- a/src/consensus/log.cpp
+++ b/src/consensus/log.cpp
@@ -28,20 +28,14 @@
         if (e.index > base) state.log.push_back(std::move(e));
 }
 
-auto Voter::termAt(std::int64_t index) const -> std::int64_t {
-    if (index == logBase_) return logBaseTerm_;
-    if (index < logBase_ || index > last()) return -1;
-    return at(index).term;
-}
-
 auto Voter::write(DiskWrite w, Microseconds now) -> std::int64_t {
     w.seq = ++seq_;
     w.writeEpoch = writeEpoch_;
     if (cutNext_ >= 0 && (w.truncateFrom < 0 || w.truncateFrom > cutNext_)) w.truncateFrom = cutNext_;
     cutNext_ = -1;
-    if (owedSnap_ && snapshotIndex_ > 0 && !w.hasSnapshot) {
+    if (owedSnap_ && snapshot_.index > 0 && !w.hasSnapshot) {
         w.hasSnapshot = true;
-        w.document = *snapshotDocument_;
+        w.document = *snapshot_.document;
     }
     w.reset = w.reset || owedReset_;
     owedReset_ = owedSnap_ = false;
@@ -52,10 +46,10 @@
     w.meta.term = term_;
     w.meta.vote = vote_;
     w.meta.commit = commit_;
-    w.meta.snapshotIndex = snapshotIndex_;
-    w.meta.snapshotTerm = snapshotTerm_;
+    w.meta.snapshotIndex = snapshot_.index;
+    w.meta.snapshotTerm = snapshot_.term;
     pendingWrites_.push_back(
-        {w.seq, last(), termAt(last()), commit_, writeEpoch_, term_, now, w.reset, w.hasSnapshot});
+        {w.seq, last(), log_.lastTerm(), commit_, writeEpoch_, term_, now, w.reset, w.hasSnapshot});
     counters_.add("disk_writes_total");
     port_.voterWrite(w);
     return seq_;
@@ -106,12 +100,12 @@
     owe(w);
     for (auto& behind : pendingWrites_) owe(behind);  // none of them is taken either
     if (!broken.ackUnsavedTerm) writtenTerm_ = -1;
-    if (!blank() && last() > synced_ && synced_ >= snapshotIndex_) {
-        log_.resize(std::size_t(synced_ - logBase_));
+    if (!blank() && last() > synced_ && synced_ >= snapshot_.index) {
+        log_.truncateFrom(synced_ + 1);
         cutNext_ = last() + 1;
         commit_ = std::min(commit_, last());
         rebuildHead();
-        refreshVoters();
+        refreshConfiguration();
     }
     if (leads()) follow(now);
 }
@@ -121,7 +115,7 @@
         diskBad_ = false;
         logf("disk: writes succeed again");
     }
-    if (w.last > synced_ && w.last <= last() && termAt(w.last) == w.lastTerm) synced_ = w.last;
+    if (w.last > synced_ && w.last <= last() && log_.termAt(w.last) == w.lastTerm) synced_ = w.last;
     while (!deferred_.empty() && deferred_.front().seq <= w.seq) {
         auto message = std::move(deferred_.front());
         deferred_.pop_front();
@@ -144,7 +138,7 @@
 auto Voter::rebuildHead() -> void {
     latestState_ = replicatedState_;
     for (auto i = applied_ + 1; i <= last(); i++)
-        if (at(i).kind == ENTRY_ORDER) latestState_.apply(at(i).body);
+        if (log_.at(i).kind == ENTRY_ORDER) latestState_.apply(log_.at(i).body);
 }
 
 }  // namespace duneturn
--- a/src/consensus/membership.cpp
+++ b/src/consensus/membership.cpp
@@ -15,87 +15,11 @@
 
 namespace duneturn {
 
-// A round that has not ended by then shows that the learner is too slow.
-constexpr Microseconds CATCH_UP_ROUND_LIMIT = 10 * SECOND;
-
-static auto votersParse(const std::string& body) -> std::vector<VoterIdentity> {
-    auto voters = std::vector<VoterIdentity>();
-    auto d = rapidjson::Document();
-    if (!jsParse(body, d) || !d.IsArray()) return voters;
-    for (auto& v : d.GetArray()) voters.push_back({jsStr(v, "seat"), jsStr(v, "disk")});
-    return voters;
-}
-
-static auto votersText(const std::vector<VoterIdentity>& voters) -> std::string {
-    auto list = std::string();
-    for (auto& v : voters)
-        list += (list.empty() ? "" : ",") + bodyOf({{"seat", jsQuote(v.node)}, {"disk", jsQuote(v.disk)}});
-    return "[" + list + "]";
-}
-
-// A joint configuration's entry: the voters before and after the change.
-struct JointVoters {
-    std::vector<VoterIdentity> before, after;
-};
-
-static auto jointText(const JointVoters& joint) -> std::string {
-    return bodyOf({{"before", votersText(joint.before)}, {"after", votersText(joint.after)}});
-}
-
-static auto jointParse(const std::string& body) -> JointVoters {
-    auto d = rapidjson::Document();
-    if (!jsParse(body, d) || !d.IsObject() || !d.HasMember("before") || !d.HasMember("after")) return {};
-    return {votersParse(js(d["before"])), votersParse(js(d["after"]))};
-}
-
-auto entryKnown(const wire::Entry& e) -> bool {
-    if (e.kind == ENTRY_NOOP || e.kind == ENTRY_ORDER) return true;
-    if (e.kind == ENTRY_VOTERS) return !votersParse(e.body).empty();
-    if (e.kind != ENTRY_JOINT) return false;
-    auto joint = jointParse(e.body);
-    return !joint.before.empty() && !joint.after.empty();
-}
-
 // The configuration in force is the newest in the log, committed or not.
-auto Voter::refreshVoters() -> void {
-    voters_ = snapshotVoters_;
-    outgoing_.clear();
-    configurationIndex_ = snapshotIndex_;
-    auto newest = std::find_if(
-        log_.rbegin(), log_.rend(), [](auto& e) { return e.kind == ENTRY_VOTERS || e.kind == ENTRY_JOINT; });
-    if (newest == log_.rend()) return;
-    configurationIndex_ = newest->index;
-    if (newest->kind == ENTRY_VOTERS) {
-        voters_ = votersParse(newest->body);
-        return;
-    }
-    auto joint = jointParse(newest->body);
-    voters_ = joint.after;
-    outgoing_ = joint.before;
-}
-
-auto Voter::members() const -> std::vector<std::string> {
-    auto disks = std::vector<std::string>();
-    for (auto set : {&voters_, &outgoing_})
-        for (auto& v : *set)
-            if (std::find(disks.begin(), disks.end(), v.disk) == disks.end()) disks.push_back(v.disk);
-    return disks;
-}
-
-auto Voter::isVoter(const std::string& disk) const -> bool {
-    auto is = [&](auto& v) { return v.disk == disk; };
-    return std::any_of(voters_.begin(), voters_.end(), is)
-        || std::any_of(outgoing_.begin(), outgoing_.end(), is);
-}
-
-// Of a joint configuration both majorities are needed, for votes, commit, reads and check-quorum.
-auto Voter::majority(const std::function<bool(const std::string&)>& has) const -> bool {
-    auto count = [&](const std::vector<VoterIdentity>& voters) {
-        return std::size_t(std::count_if(voters.begin(), voters.end(), [&](auto& v) { return has(v.disk); }));
-    };
-    if (broken.noQuorum) return count(voters_) > 0;
-    if (count(voters_) * 2 <= voters_.size()) return false;
-    return !joint() || broken.newMajorityOnly || count(outgoing_) * 2 > outgoing_.size();
+auto Voter::refreshConfiguration() -> void {
+    auto entry = log_.newestConfigurationEntry();
+    configuration_ = entry ? Configuration::ofEntry(*entry) : Configuration(snapshot_.voters);
+    configurationIndex_ = entry ? entry->index : snapshot_.index;
 }
 
 auto Voter::applyEntry(const wire::Entry& e) -> void {
@@ -109,7 +33,7 @@
         appliedJoint_ = true;
     } else if (e.kind == ENTRY_VOTERS) {
         appliedJoint_ = false;
-        replicatedState_.applyVoters(votersParse(e.body));
+        replicatedState_.applyVoters(Configuration::ofEntry(e).voters());
         port_.voterApplied(replicatedState_, "", {});
     }
 }
@@ -124,20 +48,18 @@
     epoch_ = state.epoch;
     term_ = term;
     vote_.clear();
-    snapshotIndex_ = commit_ = applied_ = 1;
-    snapshotTerm_ = term;
-    setLogBase(snapshotIndex_, snapshotTerm_);
-    snapshotDocument_ = std::make_shared<const std::string>(state.text());
+    commit_ = applied_ = 1;
+    snapshot_ = {1, term, std::make_shared<const std::string>(state.text()), state.voters()};
+    log_.reset(snapshot_.index, snapshot_.term);
     transfers_.clear();
     replicatedState_ = latestState_ = state;
-    snapshotVoters_ = state.voters();
     appliedJoint_ = false;
     synced_ = 1;
     auto w = DiskWrite();
     w.reset = w.hasSnapshot = true;
-    w.document = *snapshotDocument_;
+    w.document = *snapshot_.document;
     installSeq_ = write(w, now);
-    refreshVoters();
+    refreshConfiguration();
     electionDue_ = now + ELECTION_TIMEOUT;
     logf("core: reign {} begins on disk {} at generation {}", epoch_, disk_, state.version);
     counters_.add("reigns_begun_total");
@@ -147,15 +69,13 @@
     if (leads() && force) follow(now);
     if (blank() || leads() || (!force && !vote_.empty())) return false;
     if (!role_->process(Erased{}, counters_)) return false;
-    epoch_ = term_ = commit_ = applied_ = snapshotIndex_ = snapshotTerm_ = synced_ = 0;
-    setLogBase(0, 0);
-    snapshotDocument_ = std::make_shared<const std::string>();
+    epoch_ = term_ = commit_ = applied_ = synced_ = 0;
+    snapshot_ = {};
+    log_.reset(0, 0);
     transfers_.clear();
     assembly_ = {};
     leader_.clear();
-    voters_.clear();
-    outgoing_.clear();
-    snapshotVoters_.clear();
+    configuration_ = {};
     configurationIndex_ = 0;
     appliedJoint_ = false;
     deferred_.clear();
@@ -191,8 +111,9 @@
     auto mayChange = broken.changeBeforeNoop ? leads() : ready();
     if (!mayChange || diskBad_ || configurationIndex_ > commit_) return;
     if (joint()) {
-        logf("core: the change of voters ends: {}", votersText(voters_));
-        append(ENTRY_VOTERS, votersText(voters_), now);
+        auto final = Configuration(configuration_.voters());
+        logf("core: the change of voters ends: {}", final.entryBody());
+        append(final.entryKind(), final.entryBody(), now);
         return;
     }
     if (!removeReplaced(now)) addLearner(now);
@@ -200,10 +121,10 @@
 
 // Two disks of one seat: the former procedure added the newer one behind the one it replaces.
 auto Voter::removeReplaced(Microseconds now) -> bool {
-    for (auto i = std::size_t(0); i < voters_.size(); i++)
-        for (auto j = i + 1; j < voters_.size(); j++) {
-            if (voters_[i].node != voters_[j].node) continue;
-            auto voters = voters_;
+    auto voters = configuration_.voters();
+    for (auto i = std::size_t(0); i < voters.size(); i++)
+        for (auto j = i + 1; j < voters.size(); j++) {
+            if (voters[i].node != voters[j].node) continue;
             voters.erase(voters.begin() + std::ptrdiff_t(i));
             return beginChange(voters, now);
         }
@@ -214,7 +135,7 @@
 auto Voter::addLearner(Microseconds now) -> void {
     for (auto& [seat, disk] : spares_) {
         if (isVoter(disk)) continue;
-        auto voters = voters_;
+        auto voters = configuration_.voters();
         auto held = std::find_if(voters.begin(), voters.end(), [s = seat](auto& v) { return v.node == s; });
         if (held == voters.end() && voters.size() >= MIN_VOTERS) continue;
         auto& peer = peers_[disk];
@@ -256,14 +177,15 @@
     auto unfit = [&](const std::string& disk) {
         return disk != disk_ && peers_[disk].heard && !peers_[disk].knowsJoint;
     };
-    auto disks = members();
+    auto disks = configuration_.disks();
     for (auto& v : voters) disks.push_back(v.disk);
     if (std::any_of(disks.begin(), disks.end(), unfit)) {
         counters_.add("change_waits_for_upgrade_total");
         return false;
     }
-    logf("core: the voters change: from {} to {}", votersText(voters_), votersText(voters));
-    append(ENTRY_JOINT, jointText({voters_, std::move(voters)}), now);
+    logf("core: the voters change: from {} to {}", votersText(configuration_.voters()), votersText(voters));
+    auto joint = Configuration::joint(configuration_.voters(), std::move(voters));
+    append(joint.entryKind(), joint.entryBody(), now);
     return true;
 }
 
--- a/src/consensus/replication.cpp
+++ b/src/consensus/replication.cpp
@@ -18,8 +18,8 @@
     e.index = last() + 1;
     e.kind = kind;
     e.body = body;
-    log_.push_back(e);
-    if (kind == ENTRY_VOTERS || kind == ENTRY_JOINT) refreshVoters();
+    log_.append(e);
+    if (isConfigurationEntry(e)) refreshConfiguration();
     if (kind == ENTRY_ORDER) latestState_.apply(body);
     auto w = DiskWrite();
     w.entries.push_back(e);
@@ -44,7 +44,7 @@
 }
 
 auto Voter::sendAppends(Microseconds now) -> void {
-    for (auto& disk : members())
+    for (auto& disk : configuration_.disks())
         if (disk != disk_) sendAppend(disk, now);
 }
 
@@ -53,7 +53,7 @@
     if (peer.next == 0) peer.next = last() + 1;
     peer.sent = now;
     dropLostBatches(peer, now);
-    if (peer.next <= logBase_) return sendSnapshot(disk, now);
+    if (peer.next <= log_.base()) return sendSnapshot(disk, now);
     auto before = peer.next;
     do {
         before = peer.next;
@@ -78,17 +78,17 @@
     auto ask = wire::AppendEntries();
     ask.term = term_;
     ask.prevLogIndex = peer.next - 1;
-    ask.prevLogTerm = termAt(peer.next - 1);
+    ask.prevLogTerm = log_.termAt(peer.next - 1);
     ask.commit = commit_;
     ask.round = round_;
     auto bytes = std::size_t(0);
     auto room = peer.inFlight.size() < MAX_BATCHES_IN_FLIGHT;
     for (auto i = peer.next; room && i <= last() && ask.entries.size() < BATCH_ENTRIES; i++) {
-        if (bytes > 0 && bytes + at(i).body.size() > BATCH_BYTES) break;
+        if (bytes > 0 && bytes + log_.at(i).body.size() > BATCH_BYTES) break;
         // One that reads no joint configuration would go on by the voters before it.
-        if (at(i).kind == ENTRY_JOINT && !peer.knowsJoint) break;
-        ask.entries.push_back(at(i));
-        bytes += at(i).body.size();
+        if (log_.at(i).kind == ENTRY_JOINT && !peer.knowsJoint) break;
+        ask.entries.push_back(log_.at(i));
+        bytes += log_.at(i).body.size();
     }
     if (!ask.entries.empty()) {
         peer.inFlight.push_back({peer.next, ask.entries.back().index, bytes});
@@ -101,10 +101,14 @@
 
 auto Voter::advanceCommit(Microseconds now) -> void {
     if (!leads()) return;
-    auto held = majorityMatch(voters_);
-    if (joint() && !broken.newMajorityOnly) held = std::min(held, majorityMatch(outgoing_));
+    auto matchOf = [&](const std::string& disk) {
+        if (disk == disk_) return synced_;
+        auto peer = peers_.find(disk);
+        return peer == peers_.end() ? 0 : peer->second.match;
+    };
+    auto held = configuration_.majorityIndex(matchOf, quorumFaults());
     // Entries of earlier terms are committed by one of this term (Raft, 3.6.2).
-    auto mayCount = termAt(held) == term_ || broken.commitOldTerm;
+    auto mayCount = log_.termAt(held) == term_ || broken.commitOldTerm;
     if (held > commit_ && mayCount) {
         commit_ = held;
         write({}, now);
@@ -113,26 +117,13 @@
     answerReads();
 }
 
-// The highest index that a majority of these voters' disks holds.
-auto Voter::majorityMatch(const std::vector<VoterIdentity>& voters) const -> std::int64_t {
-    auto held = std::vector<std::int64_t>();
-    for (auto& v : voters) {
-        auto peer = peers_.find(v.disk);
-        auto match = peer == peers_.end() ? 0 : peer->second.match;
-        held.push_back(v.disk == disk_ ? synced_ : match);
-    }
-    std::sort(held.begin(), held.end(), std::greater<>());
-    if (held.empty()) return 0;
-    return held[broken.noQuorum ? std::size_t(0) : held.size() / 2];
-}
-
 auto Voter::answerReads() -> void {
     for (auto i = std::size_t(0); i < reads_.size();) {
         auto r = reads_[i];
         auto confirmed = [&](const std::string& disk) {
             return disk == disk_ || peers_[disk].round >= r.round;
         };
-        if (applied_ >= r.commit && (majority(confirmed) || broken.skipReadQuorum)) {
+        if (applied_ >= r.commit && (hasMajority(confirmed) || broken.skipReadQuorum)) {
             reads_.erase(reads_.begin() + std::ptrdiff_t(i));
             port_.voterRead(r.id, true);
         } else i++;
@@ -143,7 +134,7 @@
     auto any = applied_ < index && applied_ < last();
     while (applied_ < index && applied_ < last()) {
         applied_++;
-        applyEntry(at(applied_));
+        applyEntry(log_.at(applied_));
     }
     if (!any) return;
     if (applied_ == last()) latestState_ = replicatedState_;
@@ -175,7 +166,7 @@
 
 auto Voter::contradictsCommitted(const wire::AppendEntries& ask) const -> bool {
     auto contradicts = [&](std::int64_t index, std::int64_t term) {
-        return index >= snapshotIndex_ && index <= commit_ && termAt(index) != term;
+        return index >= snapshot_.index && index <= commit_ && log_.termAt(index) != term;
     };
     if (contradicts(ask.prevLogIndex, ask.prevLogTerm)) return true;
     return std::any_of(
@@ -205,7 +196,7 @@
     reply.round = ask.round;
     reply.knowsJoint = true;
     if (ask.prevLogIndex > last()
-        || (ask.prevLogIndex >= snapshotIndex_ && termAt(ask.prevLogIndex) != ask.prevLogTerm)) {
+        || (ask.prevLogIndex >= snapshot_.index && log_.termAt(ask.prevLogIndex) != ask.prevLogTerm)) {
         reply.prevLogIndex = ask.prevLogIndex;
         reply.rejectHint = std::min(last(), ask.prevLogIndex - 1);
         message.__set_appendEntriesReply(reply);
@@ -218,7 +209,7 @@
     auto rises = commit > commit_;
     if (rises) commit_ = commit;
     if (!w.entries.empty()) {
-        refreshVoters();
+        refreshConfiguration();
         rebuildHead();
     }
     reply.ok = true;
@@ -232,19 +223,19 @@
 auto Voter::storeEntries(const wire::AppendEntries& ask) -> DiskWrite {
     auto w = DiskWrite();
     for (auto& e : ask.entries) {
-        if (e.index <= snapshotIndex_ || (e.index <= last() && termAt(e.index) == e.term)) continue;
+        if (e.index <= snapshot_.index || (e.index <= last() && log_.termAt(e.index) == e.term)) continue;
         if (e.index <= last()) {
             if (w.truncateFrom < 0) w.truncateFrom = e.index;
-            log_.resize(std::size_t(e.index - logBase_ - 1));
+            log_.truncateFrom(e.index);
             synced_ = std::min(synced_, last());
         }
-        log_.push_back(e);
+        log_.append(e);
         w.entries.push_back(e);
     }
     auto end = ask.prevLogIndex + std::int64_t(ask.entries.size());
-    if (broken.truncateMatching && last() > end && end > snapshotIndex_) {
+    if (broken.truncateMatching && last() > end && end > snapshot_.index) {
         cutNext_ = end + 1;
-        log_.resize(std::size_t(end - snapshotIndex_));
+        log_.truncateFrom(end + 1);
         synced_ = std::min(synced_, last());
     }
     return w;
--- a/src/consensus/snapshot.cpp
+++ b/src/consensus/snapshot.cpp
@@ -9,54 +9,30 @@
 
 namespace duneturn {
 
-auto Voter::setLogBase(std::int64_t index, std::int64_t term) -> void {
-    log_.clear();
-    logBase_ = index;
-    logBaseTerm_ = term;
-}
-
 // After so many entries, or when their bytes outweigh the snapshot that would replace them. Not
 // while the voters change: a snapshot names one set of voters only.
 auto Voter::compactionDue() const -> bool {
     if (appliedJoint_) return false;
-    if (applied_ - snapshotIndex_ > COMPACTION_ENTRIES) return true;
-    auto bytes = std::size_t(0);
-    for (auto i = snapshotIndex_ + 1; i <= applied_; i++) bytes += at(i).body.size();
-    return bytes > std::max(COMPACTION_BYTES, snapshotDocument_->size());
+    if (applied_ - snapshot_.index > COMPACTION_ENTRIES) return true;
+    auto bytes = log_.bodyBytes(snapshot_.index + 1, applied_);
+    return bytes > std::max(COMPACTION_BYTES, snapshot_.document->size());
 }
 
 auto Voter::compact(Microseconds now) -> void {
-    snapshotTerm_ = termAt(applied_);
-    snapshotIndex_ = applied_;
-    snapshotDocument_ = std::make_shared<const std::string>(replicatedState_.text());
-    snapshotVoters_ = replicatedState_.voters();
-    trimTail();
+    snapshot_ = {applied_, log_.termAt(applied_),
+        std::make_shared<const std::string>(replicatedState_.text()), replicatedState_.voters()};
+    log_.compact(snapshot_.index);
     auto w = DiskWrite();
     w.hasSnapshot = true;
-    w.document = *snapshotDocument_;
+    w.document = *snapshot_.document;
     write(w, now);
     counters_.add("snapshots_total");
 }
 
-// The newest entries before the snapshot stay in memory, though not on disk.
-auto Voter::trimTail() -> void {
-    auto base = snapshotIndex_;
-    auto bytes = std::size_t(0);
-    while (base > logBase_ && snapshotIndex_ - base < TAIL_ENTRIES) {
-        bytes += at(base).body.size();
-        if (bytes > TAIL_BYTES) break;
-        base--;
-    }
-    auto term = termAt(base);
-    log_.erase(log_.begin(), log_.begin() + std::ptrdiff_t(base - logBase_));
-    logBase_ = base;
-    logBaseTerm_ = term;
-}
-
 // Whether this log is behind a snapshot. What it already holds is kept: entries behind it may
 // have been acknowledged.
 auto Voter::lacks(std::int64_t index, std::int64_t term) const -> bool {
-    return index > snapshotIndex_ && termAt(index) != term;
+    return index > snapshot_.index && log_.termAt(index) != term;
 }
 
 auto Voter::checkSnapshot(const std::string& from, std::int64_t epoch, const wire::InstallSnapshot& snapshot,
@@ -112,16 +88,15 @@
 auto Voter::installSnapshot(
     const wire::InstallSnapshot& snapshot, const ReplicatedState& state, Microseconds now) -> void {
     replicatedState_ = latestState_ = state;
-    snapshotIndex_ = applied_ = commit_ = synced_ = snapshot.lastIncludedIndex;
-    snapshotTerm_ = snapshot.lastIncludedTerm;
-    setLogBase(snapshotIndex_, snapshotTerm_);
-    snapshotDocument_ = std::make_shared<const std::string>(snapshot.document);
-    snapshotVoters_ = state.voters();
+    applied_ = commit_ = synced_ = snapshot.lastIncludedIndex;
+    snapshot_ = {snapshot.lastIncludedIndex, snapshot.lastIncludedTerm,
+        std::make_shared<const std::string>(snapshot.document), state.voters()};
+    log_.reset(snapshot_.index, snapshot_.term);
     appliedJoint_ = false;
-    refreshVoters();
+    refreshConfiguration();
     auto w = DiskWrite();
     w.reset = w.hasSnapshot = true;
-    w.document = *snapshotDocument_;
+    w.document = *snapshot_.document;
     installSeq_ = write(w, now);
     counters_.add("snapshots_installed_total");
 }
--- a/src/consensus/transfer.cpp
+++ b/src/consensus/transfer.cpp
@@ -16,9 +16,6 @@
 
 namespace duneturn {
 
-// A receiver that never answered a chunk may run a program that reads whole snapshots only.
-constexpr int STALLS_BEFORE_WHOLE = 4;
-
 static auto chunkChecksum(const wire::SnapshotChunk& chunk) -> std::int64_t {
     auto seed = hash64(fmt::format("{}/{}/{}", chunk.lastIncludedIndex, chunk.size, chunk.offset));
     return std::int64_t(hash64(chunk.data, seed));
@@ -27,14 +24,14 @@
 auto Voter::sendSnapshot(const std::string& disk, Microseconds now) -> void {
     auto& transfer = transfers_[disk];
     // One that was begun goes on while the entries behind it are still at hand.
-    if (!transfer.document || transfer.lastIncludedIndex < logBase_) {
+    if (!transfer.document || transfer.lastIncludedIndex < log_.base()) {
         auto readsChunks = transfer.readsChunks;
         transfer = {};
         transfer.readsChunks = readsChunks;
-        transfer.lastIncludedIndex = snapshotIndex_;
-        transfer.lastIncludedTerm = snapshotTerm_;
-        transfer.document = snapshotDocument_;
-        transfer.digest = std::int64_t(hash64(*snapshotDocument_));
+        transfer.lastIncludedIndex = snapshot_.index;
+        transfer.lastIncludedTerm = snapshot_.term;
+        transfer.document = snapshot_.document;
+        transfer.digest = std::int64_t(hash64(*snapshot_.document));
         transfer.progressAt = now;
     }
     retryTransfer(disk, transfer, now);
@@ -61,9 +58,9 @@
 auto Voter::sendWholeSnapshot(const std::string& disk) -> void {
     auto snapshot = wire::InstallSnapshot();
     snapshot.term = term_;
-    snapshot.lastIncludedIndex = snapshotIndex_;
-    snapshot.lastIncludedTerm = snapshotTerm_;
-    snapshot.document = *snapshotDocument_;
+    snapshot.lastIncludedIndex = snapshot_.index;
+    snapshot.lastIncludedTerm = snapshot_.term;
+    snapshot.document = *snapshot_.document;
     snapshot.round = round_;
     auto message = envelope();
     message.__set_installSnapshot(snapshot);
--- a/src/consensus/voter.cpp
+++ b/src/consensus/voter.cpp
@@ -31,18 +31,16 @@
     term_ = state.term;
     vote_ = state.vote;
     commit_ = state.commit;
-    snapshotIndex_ = state.snapshotIndex;
-    snapshotTerm_ = state.snapshotTerm;
-    snapshotDocument_ = std::make_shared<const std::string>(state.snapshotDocument);
-    setLogBase(snapshotIndex_, snapshotTerm_);
-    log_ = state.log;
-    replicatedState_.load(*snapshotDocument_);
-    snapshotVoters_ = replicatedState_.voters();
-    applied_ = snapshotIndex_;
+    replicatedState_.load(state.snapshotDocument);
+    snapshot_ = {state.snapshotIndex, state.snapshotTerm,
+        std::make_shared<const std::string>(state.snapshotDocument), replicatedState_.voters()};
+    log_.reset(snapshot_.index, snapshot_.term);
+    for (auto& entry : state.log) log_.append(entry);
+    applied_ = snapshot_.index;
     synced_ = last();
-    commit_ = std::min(std::max(commit_, snapshotIndex_), last());
+    commit_ = std::min(std::max(commit_, snapshot_.index), last());
     role_->process(Initialized{}, counters_);
-    refreshVoters();
+    refreshConfiguration();
     applyUpTo(commit_, now);
     port_.voterApplied(replicatedState_, "", {});
 }
@@ -83,7 +81,7 @@
     auto heardLately = [&](const std::string& disk) {
         return disk == disk_ || (peers_[disk].heard && now - peers_[disk].heard < QUORUM_TIMEOUT);
     };
-    if (majority(heardLately)) quorumAt_ = now;
+    if (hasMajority(heardLately)) quorumAt_ = now;
     auto quorumLost = now - quorumAt_ > QUORUM_TIMEOUT;
     if (diskBad_ || quorumLost) {
         counters_.add(diskBad_ ? "leader_gave_up_disk_total" : "leader_lost_quorum_total");
--- a/src/consensus/voter.hpp
+++ b/src/consensus/voter.hpp
@@ -23,45 +23,16 @@
 #include "base/counters.hpp"
 #include "base/random.hpp"
 #include "base/time.hpp"
+#include "consensus/configuration.hpp"
 #include "consensus/disk.hpp"
+#include "consensus/limits.hpp"
+#include "consensus/replicated_log.hpp"
+#include "consensus/snapshot.hpp"
 #include "state/replicated_state.hpp"
 #include "wire_types.h"
 
 namespace duneturn {
 
-/// The kinds of log entries, as stored and sent; never renumbered.
-enum EntryKind : std::int32_t {
-    ENTRY_NOOP = 0,    // a new leader's first
-    ENTRY_ORDER = 1,   // a command of the replicated state
-    ENTRY_VOTERS = 2,  // the voters from here on
-    ENTRY_JOINT = 3,   // the voters before and after a change, of which both majorities count
-};
-
-constexpr Microseconds HEARTBEAT_INTERVAL = 100 * MILLISECOND;
-constexpr Microseconds ELECTION_TIMEOUT =
-    600 * MILLISECOND;  // the shortest; a draw of as much again is added
-constexpr Microseconds QUORUM_TIMEOUT =
-    1 * SECOND;  // a leader that hears no majority for this long steps down
-constexpr Microseconds WRITE_STALLED = 1 * SECOND;  // a write outstanding for this long makes a disk bad
-constexpr Microseconds DISK_PROBE_INTERVAL = 1 * SECOND;
-constexpr Microseconds BLANK_VOTER_INTERVAL =
-    300 * MILLISECOND;                             // between two tries to initialize a blank voter
-constexpr std::int64_t COMPACTION_ENTRIES = 256;   // applied entries before a snapshot is taken
-constexpr std::size_t COMPACTION_BYTES = 1 << 20;  // or their bytes, if the snapshot is not larger
-constexpr std::int64_t TAIL_ENTRIES = 256;         // kept in memory behind a snapshot, for members
-constexpr std::size_t TAIL_BYTES = 1 << 20;        // that are slightly behind
-constexpr std::size_t BATCH_ENTRIES = 64;
-constexpr std::size_t BATCH_BYTES = 64 * 1024;    // one entry may be larger
-constexpr std::size_t MAX_BATCHES_IN_FLIGHT = 2;  // to one member
-constexpr std::size_t CHUNK_BYTES = 64 * 1024;    // of a snapshot
-constexpr std::size_t MAX_CHUNKS_IN_FLIGHT = 4;   // to one member
-constexpr std::size_t MAX_SNAPSHOT_BYTES = 32 << 20;
-constexpr Microseconds RETRY_BASE = 400 * MILLISECOND;  // what is unanswered for this long, and for
-constexpr Microseconds RETRY_PER_BYTE = 4;              // its bytes at 2 Mbit/s, counts as lost
-constexpr int MAX_CATCH_UP_ROUNDS = 10;                 // of a learner, see addLearner()
-constexpr Microseconds LEARNER_RETRY = 5 * SECOND;      // after a learner that was too slow
-constexpr std::size_t MIN_VOTERS = 3;                   // a smaller set of voters is filled up
-
 struct VoterPort {
     virtual ~VoterPort() = default;
     virtual auto voterSend(const std::string& disk, wire::Envelope& e) -> void = 0;
@@ -72,9 +43,6 @@
     virtual auto voterRead(std::int64_t id, bool ok) -> void = 0;
 };
 
-/// Whether this program can read an entry; one that it can't is not taken into the log.
-auto entryKnown(const wire::Entry& e) -> bool;
-
 struct RoleMachine;
 
 class Voter {
@@ -128,14 +96,14 @@
     auto commit() const -> std::int64_t { return commit_; }
     /// The last index whose entry is in word().
     auto applied() const -> std::int64_t { return applied_; }
-    auto last() const -> std::int64_t { return logBase_ + std::int64_t(log_.size()); }
+    auto last() const -> std::int64_t { return log_.last(); }
     auto quorumAt() const -> Microseconds { return quorumAt_; }
     auto diskBad() const -> bool { return diskBad_; }
     /// The newest set in the log, committed or not.
-    auto voters() const -> const std::vector<VoterIdentity>& { return voters_; }
+    auto voters() const -> const std::vector<VoterIdentity>& { return configuration_.voters(); }
     /// While a change is under way, the voters before it; their majority is needed too.
-    auto outgoingVoters() const -> const std::vector<VoterIdentity>& { return outgoing_; }
-    auto joint() const -> bool { return !outgoing_.empty(); }
+    auto outgoingVoters() const -> const std::vector<VoterIdentity>& { return configuration_.outgoing(); }
+    auto joint() const -> bool { return configuration_.isJoint(); }
     auto logSize() const -> std::size_t { return log_.size(); }
 
     /// Deliberate faults for proving that oracles can fail; none is set outside tests.
@@ -205,10 +173,6 @@
     auto tickFollower(Microseconds now) -> void;
 
     // log.cpp
-    auto termAt(std::int64_t index) const -> std::int64_t;
-    auto at(std::int64_t index) const -> const wire::Entry& {
-        return log_[std::size_t(index - logBase_ - 1)];
-    }
     auto write(DiskWrite w, Microseconds now) -> std::int64_t;
     auto writeIfUnsaved(Microseconds now) -> std::int64_t;
     auto unsaved() const -> bool;
@@ -241,7 +205,6 @@
         const std::string& from, Peer& peer, const wire::AppendEntriesReply& reply, Microseconds now) -> void;
     auto sendAppends(Microseconds now) -> void;
     auto advanceCommit(Microseconds now) -> void;
-    auto majorityMatch(const std::vector<VoterIdentity>& voters) const -> std::int64_t;
     auto answerReads() -> void;
     auto applyUpTo(std::int64_t index, Microseconds now) -> void;
     auto applyEntry(const wire::Entry& e) -> void;
@@ -254,10 +217,12 @@
         -> void;
 
     // membership.cpp
-    auto refreshVoters() -> void;
-    auto isVoter(const std::string& disk) const -> bool;
-    auto majority(const std::function<bool(const std::string&)>& has) const -> bool;
-    auto members() const -> std::vector<std::string>;
+    auto refreshConfiguration() -> void;
+    auto isVoter(const std::string& disk) const -> bool { return configuration_.isVoter(disk); }
+    auto hasMajority(const std::function<bool(const std::string& disk)>& holds) const -> bool {
+        return configuration_.hasMajority(holds, quorumFaults());
+    }
+    auto quorumFaults() const -> QuorumFaults { return {broken.noQuorum, broken.newMajorityOnly}; }
     auto changeVoters(Microseconds now) -> void;
     auto removeReplaced(Microseconds now) -> bool;
     auto addLearner(Microseconds now) -> void;
@@ -267,8 +232,6 @@
     // snapshot.cpp
     auto compactionDue() const -> bool;
     auto compact(Microseconds now) -> void;
-    auto trimTail() -> void;
-    auto setLogBase(std::int64_t index, std::int64_t term) -> void;
     auto lacks(std::int64_t index, std::int64_t term) const -> bool;
     auto onSnapshot(const std::string& from, std::int64_t epoch, const wire::InstallSnapshot& snapshot,
         Microseconds now) -> void;
@@ -299,8 +262,8 @@
     Rng rng_;
     std::unique_ptr<RoleMachine> role_;
     std::string disk_, vote_, leader_;
-    std::shared_ptr<const std::string> snapshotDocument_ = std::make_shared<const std::string>();
-    std::int64_t epoch_ = 0, term_ = 0, commit_ = 0, applied_ = 0, snapshotIndex_ = 0, snapshotTerm_ = 0;
+    std::int64_t epoch_ = 0, term_ = 0, commit_ = 0, applied_ = 0;
+    Snapshot snapshot_;
     std::int64_t synced_ = 0;              // the last entry that this disk holds
     std::int64_t termStart_ = 0;           // this leader's first entry
     std::int64_t installSeq_ = 0;          // the write of a snapshot that was not reported yet
@@ -308,20 +271,19 @@
     std::int64_t writeEpoch_ = 0;          // see DiskWrite::epoch
     std::int64_t writtenTerm_ = -1;        // the term and vote of the newest write
     std::int64_t voteSeq_ = 0;             // the write of this candidate's own vote
-    std::int64_t configurationIndex_ = 0;  // the entry of the voters in force
+    std::int64_t configurationIndex_ = 0;  // the entry of the configuration in force
     std::string writtenVote_;
     bool owedReset_ = false, owedSnap_ = false;  // parts of failed writes, for the next one
     bool appliedJoint_ = false;                  // the newest applied configuration is a joint one
     std::int64_t seq_ = 0, round_ = 0;
-    std::int64_t logBase_ = 0, logBaseTerm_ = 0;  // the entry before the first in log_
-    std::vector<wire::Entry> log_;
+    ReplicatedLog log_;
     std::map<std::string, SnapshotTransfer> transfers_;
     SnapshotAssembly assembly_;
     std::map<std::string, Peer> peers_;
     std::set<std::string> votes_;
     std::vector<std::string> blankVoters_;
     std::vector<std::pair<std::string, std::string>> spares_;
-    std::vector<VoterIdentity> voters_, outgoing_, snapshotVoters_;
+    Configuration configuration_;  // the newest in the log, committed or not
     ReplicatedState replicatedState_, latestState_;
     Microseconds preVoteAt_ = 0, leadSince_ = 0, electionDue_ = 0, heardLeader_ = 0, quorumAt_ = 0,
                  heartbeatAt_ = 0, toldAt_ = 0, transferDue_ = 0, probeAt_ = 0;
