--- a/src/consensus/election.cpp
+++ b/src/consensus/election.cpp
@@ -12,8 +12,7 @@
 auto Voter::follow(Microseconds now) -> void {
     if (leads()) {
         logf("core: no longer leader in term {}", term_);
-        for (auto& r : reads_) port_.voterRead(r.id, false);
-        reads_.clear();
+        for (auto id : reads_.takeAll()) port_.voterRead(id, false);
     }
     if (role() != Role::Follower && !blank()) role_->process(LeaderSeen{}, counters_);
     restartElectionTimer(now);
@@ -69,7 +68,7 @@
     if (!role_->process(ElectionWon{}, counters_)) return;
     leader_ = disk_;
     quorumAt_ = leadSince_ = now;
-    peers_.clear();
+    progress_.clear();
     transfers_.clear();
     heartbeatAt_ = 0;
     round_++;
@@ -83,10 +82,10 @@
     if (!leads()) return false;
     auto best = std::string();
     for (auto& v : configuration_.voters()) {  // while a change is under way, only one who stays
-        if (v.disk == disk_ || now - peers_[v.disk].heard >= ELECTION_TIMEOUT) continue;
-        if (best.empty() || peers_[v.disk].match > peers_[best].match) best = v.disk;
+        if (v.disk == disk_ || now - progress_[v.disk].lastContact() >= ELECTION_TIMEOUT) continue;
+        if (best.empty() || progress_[v.disk].match() > progress_[best].match()) best = v.disk;
     }
-    if (best.empty() || peers_[best].match < synced_) return false;
+    if (best.empty() || progress_[best].match() < synced_) return false;
     auto message = envelope();
     auto timeoutNow = wire::TimeoutNow();
     timeoutNow.term = term_;
--- a/src/consensus/membership.cpp
+++ b/src/consensus/membership.cpp
@@ -100,8 +100,8 @@
 }
 
 auto Voter::lastContact(const std::string& disk) const -> Microseconds {
-    auto i = peers_.find(disk);
-    return i == peers_.end() ? 0 : i->second.heard;
+    auto progress = progress_.find(disk);
+    return progress == progress_.end() ? 0 : progress->second.lastContact();
 }
 
 // One change at a time, and none before an entry of this term is committed (the erratum of
@@ -138,44 +138,28 @@
         auto voters = configuration_.voters();
         auto held = std::find_if(voters.begin(), voters.end(), [s = seat](auto& v) { return v.node == s; });
         if (held == voters.end() && voters.size() >= MIN_VOTERS) continue;
-        auto& peer = peers_[disk];
-        if (now < peer.retryAt) continue;
-        if (peer.next == 0) peer.next = 1;
-        if (now - peer.sent >= HEARTBEAT_INTERVAL) sendAppend(disk, now);
-        if (!caughtUp(peer, now)) continue;
+        auto& progress = progress_[disk];
+        if (progress.catchUp().isPaused(now)) continue;
+        progress.start(1);
+        if (now - progress.lastSent() >= HEARTBEAT_INTERVAL) sendAppend(disk, now);
+        if (!caughtUp(progress, now)) continue;
         if (held == voters.end()) voters.push_back({seat, disk});
         else held->disk = disk;
         if (beginChange(voters, now)) return;
     }
 }
 
-// Raft, 4.2.1: replication to a learner goes in rounds, each of what the log held at its start.
-// One that ends within an election timeout shows that the learner keeps up with the changes.
-auto Voter::caughtUp(Peer& peer, Microseconds now) -> bool {
-    if (peer.match == 0 || peer.roundTarget == 0) {
-        if (peer.match > 0) {
-            peer.roundTarget = last();
-            peer.roundStart = now;
-        }
-        return false;
-    }
-    auto duration = now - peer.roundStart;
-    auto ended = peer.match >= peer.roundTarget;
-    if (ended && duration <= ELECTION_TIMEOUT) return true;
-    if (!ended && duration <= CATCH_UP_ROUND_LIMIT) return false;
-    peer.roundTarget = last();
-    peer.roundStart = now;
-    if (ended && ++peer.rounds < MAX_CATCH_UP_ROUNDS) return false;
-    counters_.add("learner_too_slow_total");
-    peer.roundTarget = peer.rounds = 0;
-    peer.retryAt = now + LEARNER_RETRY;
-    return false;
+// Whether a learner keeps up, so that it may vote.
+auto Voter::caughtUp(ReplicaProgress& progress, Microseconds now) -> bool {
+    auto verdict = progress.catchUp().update(progress.match(), last(), now);
+    if (verdict == CatchUp::Verdict::TooSlow) counters_.add("learner_too_slow_total");
+    return verdict == CatchUp::Verdict::CaughtUp;
 }
 
 // False if a member or newcomer that is heard runs a program without joint configurations.
 auto Voter::beginChange(std::vector<VoterIdentity> voters, Microseconds now) -> bool {
     auto unfit = [&](const std::string& disk) {
-        return disk != disk_ && peers_[disk].heard && !peers_[disk].knowsJoint;
+        return disk != disk_ && progress_[disk].lastContact() && !progress_[disk].knowsJoint();
     };
     auto disks = configuration_.disks();
     for (auto& v : voters) disks.push_back(v.disk);
--- a/src/consensus/replication.cpp
+++ b/src/consensus/replication.cpp
@@ -38,7 +38,7 @@
         port_.voterRead(id, false);
         return;
     }
-    reads_.push_back({id, ++round_, commit_});
+    reads_.add({id, ++round_, commit_});
     sendAppends(now);
     advanceCommit(now);
 }
@@ -49,51 +49,36 @@
 }
 
 auto Voter::sendAppend(const std::string& disk, Microseconds now) -> void {
-    auto& peer = peers_[disk];
-    if (peer.next == 0) peer.next = last() + 1;
-    peer.sent = now;
-    dropLostBatches(peer, now);
-    if (peer.next <= log_.base()) return sendSnapshot(disk, now);
-    auto before = peer.next;
+    auto& progress = progress_[disk];
+    progress.start(last() + 1);
+    progress.noteSent(now);
+    if (progress.dropLostBatches(now)) counters_.add("append_batches_resent_total");
+    if (progress.next() <= log_.base()) return sendSnapshot(disk, now);
+    auto before = progress.next();
     do {
-        before = peer.next;
-        if (peer.inFlight.empty()) peer.progressAt = now;
-        sendBatch(disk, peer);
-    } while (peer.next > before && peer.next <= last() && peer.inFlight.size() < MAX_BATCHES_IN_FLIGHT);
-}
-
-// What is unanswered for longer than a slow link needs is sent again.
-auto Voter::dropLostBatches(Peer& peer, Microseconds now) -> void {
-    auto bytes = std::size_t(0);
-    for (auto& batch : peer.inFlight) bytes += batch.bytes;
-    if (peer.inFlight.empty() || now - peer.progressAt < RETRY_BASE + Microseconds(bytes) * RETRY_PER_BYTE)
-        return;
-    peer.next = std::max(peer.match + 1, peer.inFlight.front().first);
-    peer.inFlight.clear();
-    counters_.add("append_batches_resent_total");
+        before = progress.next();
+        sendBatch(disk, progress, now);
+    } while (progress.next() > before && progress.next() <= last() && progress.hasRoom());
 }
 
 // One message: a batch of entries, or a heartbeat if there are none or enough are on their way.
-auto Voter::sendBatch(const std::string& disk, Peer& peer) -> void {
+auto Voter::sendBatch(const std::string& disk, ReplicaProgress& progress, Microseconds now) -> void {
     auto ask = wire::AppendEntries();
     ask.term = term_;
-    ask.prevLogIndex = peer.next - 1;
-    ask.prevLogTerm = log_.termAt(peer.next - 1);
+    ask.prevLogIndex = progress.next() - 1;
+    ask.prevLogTerm = log_.termAt(progress.next() - 1);
     ask.commit = commit_;
     ask.round = round_;
     auto bytes = std::size_t(0);
-    auto room = peer.inFlight.size() < MAX_BATCHES_IN_FLIGHT;
-    for (auto i = peer.next; room && i <= last() && ask.entries.size() < BATCH_ENTRIES; i++) {
+    auto room = progress.hasRoom();
+    for (auto i = progress.next(); room && i <= last() && ask.entries.size() < BATCH_ENTRIES; i++) {
         if (bytes > 0 && bytes + log_.at(i).body.size() > BATCH_BYTES) break;
         // One that reads no joint configuration would go on by the voters before it.
-        if (log_.at(i).kind == ENTRY_JOINT && !peer.knowsJoint) break;
+        if (log_.at(i).kind == ENTRY_JOINT && !progress.knowsJoint()) break;
         ask.entries.push_back(log_.at(i));
         bytes += log_.at(i).body.size();
     }
-    if (!ask.entries.empty()) {
-        peer.inFlight.push_back({peer.next, ask.entries.back().index, bytes});
-        peer.next = ask.entries.back().index + 1;
-    }
+    if (!ask.entries.empty()) progress.batchSent(ask.entries.back().index, bytes, now);
     auto message = envelope();
     message.__set_appendEntries(ask);
     port_.voterSend(disk, message);
@@ -103,8 +88,8 @@
     if (!leads()) return;
     auto matchOf = [&](const std::string& disk) {
         if (disk == disk_) return synced_;
-        auto peer = peers_.find(disk);
-        return peer == peers_.end() ? 0 : peer->second.match;
+        auto progress = progress_.find(disk);
+        return progress == progress_.end() ? 0 : progress->second.match();
     };
     auto held = configuration_.majorityIndex(matchOf, quorumFaults());
     // Entries of earlier terms are committed by one of this term (Raft, 3.6.2).
@@ -118,16 +103,13 @@
 }
 
 auto Voter::answerReads() -> void {
-    for (auto i = std::size_t(0); i < reads_.size();) {
-        auto r = reads_[i];
-        auto confirmed = [&](const std::string& disk) {
-            return disk == disk_ || peers_[disk].round >= r.round;
+    auto isConfirmed = [&](std::int64_t round) {
+        auto confirms = [&](const std::string& disk) {
+            return disk == disk_ || progress_[disk].confirmedRound() >= round;
         };
-        if (applied_ >= r.commit && (hasMajority(confirmed) || broken.skipReadQuorum)) {
-            reads_.erase(reads_.begin() + std::ptrdiff_t(i));
-            port_.voterRead(r.id, true);
-        } else i++;
-    }
+        return hasMajority(confirms) || broken.skipReadQuorum;
+    };
+    while (auto id = reads_.takeAnswerable(applied_, isConfirmed)) port_.voterRead(*id, true);
 }
 
 auto Voter::applyUpTo(std::int64_t index, Microseconds now) -> void {
@@ -250,34 +232,19 @@
         return;
     }
     if (!leads() || reply.term != term_) return;
-    if (!peers_.count(from)) return counters_.add("reply_of_stranger_total");
+    auto known = progress_.find(from);
+    if (known == progress_.end()) return counters_.add("reply_of_stranger_total");
     if (reply.match > last()) return refuse("reply_beyond_log_total", from);
-    auto& peer = peers_[from];
-    peer.heard = now;
-    peer.knowsJoint = peer.knowsJoint || reply.knowsJoint;
-    peer.round = std::max(peer.round, reply.round);
-    if (!reply.ok) return onRejected(from, peer, reply, now);
-    if (reply.match > peer.match) {
-        peer.match = reply.match;
-        peer.progressAt = now;
-    }
-    while (!peer.inFlight.empty() && peer.inFlight.front().last <= peer.match) peer.inFlight.pop_front();
-    peer.next = std::max(peer.next, peer.match + 1);
-    if (peer.next <= last() && peer.inFlight.size() < MAX_BATCHES_IN_FLIGHT) sendAppend(from, now);
-    advanceCommit(now);
-}
-
-auto Voter::onRejected(
-    const std::string& from, Peer& peer, const wire::AppendEntriesReply& reply, Microseconds now) -> void {
-    // What counts is the answer to the first unanswered batch: `next` has run ahead of it.
-    auto first = peer.inFlight.empty() ? peer.next : peer.inFlight.front().first;
-    auto stale = reply.prevLogIndex > 0 && reply.prevLogIndex != first - 1;
-    if (!stale) {
-        peer.inFlight.clear();
-        peer.next = std::max<std::int64_t>(1, std::min(first - 1, reply.rejectHint + 1));
-        peer.next = std::max(peer.next, peer.match + 1);
-        sendAppend(from, now);
-    }
+    auto& progress = known->second;
+    progress.noteReply(reply, now);
+    auto sendMore = false;
+    if (reply.ok) {
+        progress.acknowledge(reply.match, now);
+        sendMore = progress.next() <= last() && progress.hasRoom();
+    } else {
+        sendMore = progress.reject(reply);
+    }
+    if (sendMore) sendAppend(from, now);
     advanceCommit(now);
 }
 
--- a/src/consensus/transfer.cpp
+++ b/src/consensus/transfer.cpp
@@ -184,7 +184,8 @@
     if (reply.lastIncludedIndex != transfer.lastIncludedIndex || reply.digest != transfer.digest) return;
     auto received = std::size_t(std::max<std::int64_t>(0, reply.received));
     if (received > transfer.document->size()) return refuse("snapshot_reply_malformed_total", from);
-    if (auto peer = peers_.find(from); leads() && peer != peers_.end()) peer->second.heard = now;
+    if (auto progress = progress_.find(from); leads() && progress != progress_.end())
+        progress->second.noteContact(now);
     transfer.readsChunks = true;
     if (received > transfer.acked) {
         transfer.acked = received;
--- a/src/consensus/voter.cpp
+++ b/src/consensus/voter.cpp
@@ -79,7 +79,9 @@
 
 auto Voter::tickLeader(Microseconds now) -> void {
     auto heardLately = [&](const std::string& disk) {
-        return disk == disk_ || (peers_[disk].heard && now - peers_[disk].heard < QUORUM_TIMEOUT);
+        if (disk == disk_) return true;
+        auto lastContact = progress_[disk].lastContact();
+        return lastContact && now - lastContact < QUORUM_TIMEOUT;
     };
     if (hasMajority(heardLately)) quorumAt_ = now;
     auto quorumLost = now - quorumAt_ > QUORUM_TIMEOUT;
--- a/src/consensus/voter.hpp
+++ b/src/consensus/voter.hpp
@@ -26,6 +26,8 @@
 #include "consensus/configuration.hpp"
 #include "consensus/disk.hpp"
 #include "consensus/limits.hpp"
+#include "consensus/progress.hpp"
+#include "consensus/read_index.hpp"
 #include "consensus/replicated_log.hpp"
 #include "consensus/snapshot.hpp"
 #include "state/replicated_state.hpp"
@@ -120,22 +122,6 @@
     Broken broken;
 
   private:
-    /// What the leader knows of another member.
-    struct Peer {
-        std::int64_t next = 0, match = 0, round = 0;
-        Microseconds heard = 0, sent = 0;
-        struct Batch {
-            std::int64_t first, last;
-            std::size_t bytes;
-        };
-        std::deque<Batch> inFlight;   // entries that were sent and not answered
-        Microseconds progressAt = 0;  // when the first of them was sent, or one was answered
-        bool knowsJoint = false;      // said that it reads joint configurations
-        // A learner's current round: it ends when what the log held at its start is replicated.
-        std::int64_t roundTarget = 0;
-        Microseconds roundStart = 0, retryAt = 0;
-        int rounds = 0;
-    };
     struct PendingWrite {
         std::int64_t seq, last, lastTerm, commit, writeEpoch, term;
         Microseconds at;
@@ -161,10 +147,6 @@
         std::int64_t epoch = 0, lastIncludedIndex = 0, lastIncludedTerm = 0, size = 0, digest = 0;
         std::string data;
     };
-    struct PendingRead {
-        std::int64_t id, round, commit;
-    };
-
     // voter.cpp
     auto envelope() const -> wire::Envelope;
     auto restartElectionTimer(Microseconds now) -> void;
@@ -199,10 +181,7 @@
     // replication.cpp
     auto append(int kind, const std::string& body, Microseconds now) -> void;
     auto sendAppend(const std::string& disk, Microseconds now) -> void;
-    auto sendBatch(const std::string& disk, Peer& peer) -> void;
-    auto dropLostBatches(Peer& peer, Microseconds now) -> void;
-    auto onRejected(
-        const std::string& from, Peer& peer, const wire::AppendEntriesReply& reply, Microseconds now) -> void;
+    auto sendBatch(const std::string& disk, ReplicaProgress& progress, Microseconds now) -> void;
     auto sendAppends(Microseconds now) -> void;
     auto advanceCommit(Microseconds now) -> void;
     auto answerReads() -> void;
@@ -226,7 +205,7 @@
     auto changeVoters(Microseconds now) -> void;
     auto removeReplaced(Microseconds now) -> bool;
     auto addLearner(Microseconds now) -> void;
-    auto caughtUp(Peer& peer, Microseconds now) -> bool;
+    auto caughtUp(ReplicaProgress& progress, Microseconds now) -> bool;
     auto beginChange(std::vector<VoterIdentity> voters, Microseconds now) -> bool;
 
     // snapshot.cpp
@@ -279,7 +258,7 @@
     ReplicatedLog log_;
     std::map<std::string, SnapshotTransfer> transfers_;
     SnapshotAssembly assembly_;
-    std::map<std::string, Peer> peers_;
+    std::map<std::string, ReplicaProgress> progress_;  // of a leader, by disk
     std::set<std::string> votes_;
     std::vector<std::string> blankVoters_;
     std::vector<std::pair<std::string, std::string>> spares_;
@@ -289,7 +268,7 @@
                  heartbeatAt_ = 0, toldAt_ = 0, transferDue_ = 0, probeAt_ = 0;
     std::deque<PendingWrite> pendingWrites_;
     std::deque<DeferredMessage> deferred_;
-    std::vector<PendingRead> reads_;
+    ReadIndexQueue reads_;
     bool diskBad_ = false;
 };
 
