--- a/src/consensus/election.cpp
+++ b/src/consensus/election.cpp
@@ -119,7 +119,7 @@
     auto reply = wire::RequestVoteReply();
     reply.preVote = true;
     reply.granted = ask.term > term_ && logIsCurrent(ask) && candidateMayCount(ask) && !leaderStands
-        && !precedes && !diskBad_;
+        && !precedes && !diskBad();
     reply.term = reply.granted ? ask.term : term_;
     auto message = envelope();
     message.__set_requestVoteReply(reply);
@@ -132,7 +132,7 @@
     auto reply = wire::RequestVoteReply();
     adoptTerm(ask.term, now);
     auto unused = vote_.empty() || vote_ == from || broken.voteTwice;
-    auto sound = logIsCurrent(ask) && candidateMayCount(ask) && !diskBad_;
+    auto sound = logIsCurrent(ask) && candidateMayCount(ask) && !diskBad();
     if (ask.term == term_ && sound && unused && !leads()) {
         vote_ = from;
         reply.granted = true;
@@ -162,7 +162,7 @@
 
 auto Voter::onTakeOver(const std::string& from, const wire::TimeoutNow& message, Microseconds now) -> void {
     if (from != leader_) return refuse("transfer_refused_total", from);
-    if (message.term != term_ || role() != Role::Follower || !isVoter(disk_) || diskBad_) return;
+    if (message.term != term_ || role() != Role::Follower || !isVoter(disk_) || diskBad()) return;
     if (role_->process(LeadershipReceived{}, counters_)) campaign(false, true, now);
 }
 
--- a/src/consensus/log.cpp
+++ b/src/consensus/log.cpp
@@ -28,81 +28,48 @@
         if (e.index > base) state.log.push_back(std::move(e));
 }
 
-auto Voter::write(DiskWrite w, Microseconds now) -> std::int64_t {
-    w.seq = ++seq_;
-    w.writeEpoch = writeEpoch_;
-    if (cutNext_ >= 0 && (w.truncateFrom < 0 || w.truncateFrom > cutNext_)) w.truncateFrom = cutNext_;
-    cutNext_ = -1;
-    if (owedSnap_ && snapshot_.index > 0 && !w.hasSnapshot) {
-        w.hasSnapshot = true;
-        w.document = *snapshot_.document;
-    }
-    w.reset = w.reset || owedReset_;
-    owedReset_ = owedSnap_ = false;
-    writtenTerm_ = term_;
-    writtenVote_ = vote_;
-    w.meta.disk = disk_;
-    w.meta.epoch = epoch_;
-    w.meta.term = term_;
-    w.meta.vote = vote_;
-    w.meta.commit = commit_;
-    w.meta.snapshotIndex = snapshot_.index;
-    w.meta.snapshotTerm = snapshot_.term;
-    pendingWrites_.push_back(
-        {w.seq, last(), log_.lastTerm(), commit_, writeEpoch_, term_, now, w.reset, w.hasSnapshot});
+auto Voter::write(DiskWrite write, Microseconds now) -> std::int64_t {
+    write.meta.disk = disk_;
+    write.meta.epoch = epoch_;
+    write.meta.term = term_;
+    write.meta.vote = vote_;
+    write.meta.commit = commit_;
+    write.meta.snapshotIndex = snapshot_.index;
+    write.meta.snapshotTerm = snapshot_.term;
+    auto issued = writes_.issue(std::move(write), last(), log_.lastTerm(), *snapshot_.document, now);
     counters_.add("disk_writes_total");
-    port_.voterWrite(w);
-    return seq_;
-}
-
-// Whether the newest write lacks the term or vote, or something that a failed write was to bring.
-auto Voter::unsaved() const -> bool {
-    return writtenTerm_ != term_ || writtenVote_ != vote_ || owedReset_ || owedSnap_;
+    port_.voterWrite(issued);
+    return writes_.newest();
 }
 
 // The write that a promise of this term rests on.
-auto Voter::writeIfUnsaved(Microseconds now) -> std::int64_t { return unsaved() ? write({}, now) : seq_; }
-
-auto Voter::owe(const PendingWrite& w) -> void {
-    owedReset_ = owedReset_ || w.reset;
-    owedSnap_ = owedSnap_ || w.hasSnapshot;
+auto Voter::writeIfUnsaved(Microseconds now) -> std::int64_t {
+    return writes_.isUnsaved(term_, vote_) ? write({}, now) : writes_.newest();
 }
 
 // What must not be said before the disk holds what it rests on.
-auto Voter::sendAfter(std::int64_t seq, const std::string& to, wire::Envelope e) -> void {
-    if (broken.ackBeforeSync || pendingWrites_.empty() || seq < pendingWrites_.front().seq) {
-        port_.voterSend(to, e);
-        return;
-    }
-    deferred_.push_back({seq, to, std::move(e)});
+auto Voter::sendAfter(std::int64_t sequence, const std::string& to, wire::Envelope envelope) -> void {
+    if (broken.ackBeforeSync || writes_.isDone(sequence)) port_.voterSend(to, envelope);
+    else writes_.defer({sequence, to, std::move(envelope)});
 }
 
-auto Voter::diskDone(std::int64_t seq, bool ok, Microseconds now) -> void {
-    while (!pendingWrites_.empty() && pendingWrites_.front().seq <= seq) {
-        auto w = pendingWrites_.front();
-        pendingWrites_.pop_front();
-        if (w.seq != seq) continue;
-        if (!ok) return writeFailed(w, now);
-        writeSucceeded(w, now);
+auto Voter::diskDone(std::int64_t sequence, bool ok, Microseconds now) -> void {
+    if (auto write = writes_.complete(sequence)) {
+        if (!ok) return writeFailed(*write, now);
+        writeSucceeded(*write, now);
     }
     if (leads()) advanceCommit(now);
 }
 
-auto Voter::writeFailed(const PendingWrite& w, Microseconds now) -> void {
-    if (w.writeEpoch < writeEpoch_) return;  // one of those behind the failed one
-    writeEpoch_++;
-    if (!diskBad_) logf("disk: a write failed; orders are denied until one succeeds");
-    diskBad_ = true;
-    probeAt_ = now + DISK_PROBE_INTERVAL;
+auto Voter::writeFailed(const PendingWrite& write, Microseconds now) -> void {
+    auto wasBad = writes_.isDiskBad();
+    if (!writes_.noteFailure(write, !broken.ackUnsavedTerm, now)) return;
+    if (!wasBad) logf("disk: a write failed; orders are denied until one succeeds");
     counters_.add("disk_failed_total");
     // What this disk does not hold is not kept in memory either.
-    deferred_.clear();
-    owe(w);
-    for (auto& behind : pendingWrites_) owe(behind);  // none of them is taken either
-    if (!broken.ackUnsavedTerm) writtenTerm_ = -1;
     if (!blank() && last() > synced_ && synced_ >= snapshot_.index) {
         log_.truncateFrom(synced_ + 1);
-        cutNext_ = last() + 1;
+        writes_.truncateWithNextWrite(last() + 1);
         commit_ = std::min(commit_, last());
         rebuildHead();
         refreshConfiguration();
@@ -110,25 +77,21 @@
     if (leads()) follow(now);
 }
 
-auto Voter::writeSucceeded(const PendingWrite& w, Microseconds now) -> void {
-    if (diskBad_ && pendingWrites_.empty()) {
-        diskBad_ = false;
-        logf("disk: writes succeed again");
-    }
-    if (w.last > synced_ && w.last <= last() && log_.termAt(w.last) == w.lastTerm) synced_ = w.last;
-    while (!deferred_.empty() && deferred_.front().seq <= w.seq) {
-        auto message = std::move(deferred_.front());
-        deferred_.pop_front();
-        // A promise of an earlier term is stale by now; its receiver drops it, so it is spared.
-        if (message.envelope.epoch == epoch_) port_.voterSend(message.to, message.envelope);
+auto Voter::writeSucceeded(const PendingWrite& write, Microseconds now) -> void {
+    if (writes_.noteSuccess()) logf("disk: writes succeed again");
+    auto inLog = write.lastIndex <= last() && log_.termAt(write.lastIndex) == write.lastTerm;
+    if (write.lastIndex > synced_ && inLog) synced_ = write.lastIndex;
+    for (auto& message : writes_.takeReleased(write.sequence)) {
+        // A promise of an earlier epoch is stale by now; its receiver drops it, so it is spared.
+        if (message.envelope.epoch == epoch_) port_.voterSend(message.toDisk, message.envelope);
     }
-    if (installSeq_ && w.seq >= installSeq_) {
+    if (installSeq_ && write.sequence >= installSeq_) {
         installSeq_ = 0;
         if (!blank()) port_.voterApplied(replicatedState_, "", {});
     }
-    if (!blank()) applyUpTo(std::min(w.commit, commit_), now);
+    if (!blank()) applyUpTo(std::min(write.commit, commit_), now);
     // A candidate's own vote counts once its own disk holds it.
-    if (voteSeq_ && w.seq >= voteSeq_ && w.term == term_ && role() == Role::Candidate) {
+    if (voteSeq_ && write.sequence >= voteSeq_ && write.term == term_ && role() == Role::Candidate) {
         voteSeq_ = 0;
         votes_.insert(disk_);
         if (hasVotes()) becomeLeader(now);
--- a/src/consensus/membership.cpp
+++ b/src/consensus/membership.cpp
@@ -43,7 +43,7 @@
     if (leads()) follow(now);
     if (!blank()) role_->process(Erased{}, counters_);
     if (!role_->process(Initialized{}, counters_)) return;
-    deferred_.clear();
+    writes_.dropDeferred();
     leader_.clear();
     epoch_ = state.epoch;
     term_ = term;
@@ -78,7 +78,7 @@
     configuration_ = {};
     configurationIndex_ = 0;
     appliedJoint_ = false;
-    deferred_.clear();
+    writes_.dropDeferred();
     replicatedState_ = latestState_ = ReplicatedState();
     auto w = DiskWrite();
     w.reset = true;
@@ -109,7 +109,7 @@
 // is ended first.
 auto Voter::changeVoters(Microseconds now) -> void {
     auto mayChange = broken.changeBeforeNoop ? leads() : ready();
-    if (!mayChange || diskBad_ || configurationIndex_ > commit_) return;
+    if (!mayChange || diskBad() || configurationIndex_ > commit_) return;
     if (joint()) {
         auto final = Configuration(configuration_.voters());
         logf("core: the change of voters ends: {}", final.entryBody());
--- a/src/consensus/replication.cpp
+++ b/src/consensus/replication.cpp
@@ -28,7 +28,7 @@
 }
 
 auto Voter::propose(int kind, const std::string& body, Microseconds now) -> bool {
-    if (!leads() || diskBad_ || transferDue_ > now) return false;
+    if (!leads() || diskBad() || transferDue_ > now) return false;
     append(kind, body, now);
     return true;
 }
@@ -216,7 +216,7 @@
     }
     auto end = ask.prevLogIndex + std::int64_t(ask.entries.size());
     if (broken.truncateMatching && last() > end && end > snapshot_.index) {
-        cutNext_ = end + 1;
+        writes_.truncateWithNextWrite(end + 1);
         log_.truncateFrom(end + 1);
         synced_ = std::min(synced_, last());
     }
--- a/src/consensus/snapshot.cpp
+++ b/src/consensus/snapshot.cpp
@@ -55,7 +55,7 @@
     if (lacking && !checkSnapshot(from, epoch, snapshot, state)) return;
     if (other && !blank() && !leaveCluster(false, now)) return;
     if (blank()) {
-        if (diskBad_ || !role_->process(Initialized{}, counters_)) return;
+        if (diskBad() || !role_->process(Initialized{}, counters_)) return;
         epoch_ = epoch;
         vote_.clear();
         term_ = 0;
--- a/src/consensus/transfer.cpp
+++ b/src/consensus/transfer.cpp
@@ -112,7 +112,7 @@
         counters_.add("snapshot_chunk_old_term_total");
         return answerChunk(message, 0, true);
     }
-    if ((blank() && diskBad_) || (ours && leads() && chunk.term == term_)) return;
+    if ((blank() && diskBad()) || (ours && leads() && chunk.term == term_)) return;
     if (!ours) return assemble(message, now);
     if (!lacks(chunk.lastIncludedIndex, chunk.lastIncludedTerm)) {
         auto held = wire::InstallSnapshot();
--- a/src/consensus/voter.cpp
+++ b/src/consensus/voter.cpp
@@ -65,16 +65,11 @@
 }
 
 auto Voter::tickDisk(Microseconds now) -> void {
-    auto stalled = !pendingWrites_.empty() && now - pendingWrites_.front().at > WRITE_STALLED;
-    if (stalled && !diskBad_) {
-        diskBad_ = true;
+    if (writes_.detectStall(now)) {
         counters_.add("disk_stalled_total");
         logf("disk: a write has been under way for over {} us", WRITE_STALLED);
     }
-    if (diskBad_ && pendingWrites_.empty() && now >= probeAt_) {
-        probeAt_ = now + DISK_PROBE_INTERVAL;
-        write({}, now);
-    }
+    if (writes_.takeProbe(now)) write({}, now);
 }
 
 auto Voter::tickLeader(Microseconds now) -> void {
@@ -85,8 +80,8 @@
     };
     if (hasMajority(heardLately)) quorumAt_ = now;
     auto quorumLost = now - quorumAt_ > QUORUM_TIMEOUT;
-    if (diskBad_ || quorumLost) {
-        counters_.add(diskBad_ ? "leader_gave_up_disk_total" : "leader_lost_quorum_total");
+    if (diskBad() || quorumLost) {
+        counters_.add(diskBad() ? "leader_gave_up_disk_total" : "leader_lost_quorum_total");
         auto transferred = transferLeadership(now);
         follow(now);
         if (!transferred || quorumLost) leader_.clear();
@@ -102,7 +97,7 @@
 auto Voter::tickFollower(Microseconds now) -> void {
     initializeBlankVoters(now);
     if (now < electionDue_) return;
-    if (!isVoter(disk_) || diskBad_) electionDue_ = now + ELECTION_TIMEOUT;
+    if (!isVoter(disk_) || diskBad()) electionDue_ = now + ELECTION_TIMEOUT;
     else if (role_->process(ElectionTimeout{}, counters_)) campaign(true, false, now);
 }
 
--- a/src/consensus/voter.hpp
+++ b/src/consensus/voter.hpp
@@ -30,6 +30,7 @@
 #include "consensus/read_index.hpp"
 #include "consensus/replicated_log.hpp"
 #include "consensus/snapshot.hpp"
+#include "consensus/write_queue.hpp"
 #include "state/replicated_state.hpp"
 #include "wire_types.h"
 
@@ -58,7 +59,7 @@
     auto start(const DiskState& state, const std::string& newDiskId, Microseconds now) -> void;
     auto tick(Microseconds now) -> void;
     auto handle(const wire::Envelope& message, Microseconds now) -> void;
-    auto diskDone(std::int64_t seq, bool ok, Microseconds now) -> void;
+    auto diskDone(std::int64_t sequence, bool ok, Microseconds now) -> void;
     /// Begins a new cluster with this state on this disk alone, leaving any earlier one; the
     /// other voters are told of it.
     auto bootstrap(const ReplicatedState& state, std::int64_t term, Microseconds now) -> void;
@@ -100,7 +101,7 @@
     auto applied() const -> std::int64_t { return applied_; }
     auto last() const -> std::int64_t { return log_.last(); }
     auto quorumAt() const -> Microseconds { return quorumAt_; }
-    auto diskBad() const -> bool { return diskBad_; }
+    auto diskBad() const -> bool { return writes_.isDiskBad(); }
     /// The newest set in the log, committed or not.
     auto voters() const -> const std::vector<VoterIdentity>& { return configuration_.voters(); }
     /// While a change is under way, the voters before it; their majority is needed too.
@@ -122,17 +123,6 @@
     Broken broken;
 
   private:
-    struct PendingWrite {
-        std::int64_t seq, last, lastTerm, commit, writeEpoch, term;
-        Microseconds at;
-        bool reset, hasSnapshot;
-    };
-    /// A message that may leave only when a write is on disk.
-    struct DeferredMessage {
-        std::int64_t seq;
-        std::string to;
-        wire::Envelope envelope;
-    };
     /// A snapshot on its way to another member.
     struct SnapshotTransfer {
         std::int64_t lastIncludedIndex = 0, lastIncludedTerm = 0, digest = 0;
@@ -155,13 +145,11 @@
     auto tickFollower(Microseconds now) -> void;
 
     // log.cpp
-    auto write(DiskWrite w, Microseconds now) -> std::int64_t;
+    auto write(DiskWrite write, Microseconds now) -> std::int64_t;
     auto writeIfUnsaved(Microseconds now) -> std::int64_t;
-    auto unsaved() const -> bool;
-    auto owe(const PendingWrite& w) -> void;
-    auto sendAfter(std::int64_t seq, const std::string& to, wire::Envelope e) -> void;
-    auto writeFailed(const PendingWrite& w, Microseconds now) -> void;
-    auto writeSucceeded(const PendingWrite& w, Microseconds now) -> void;
+    auto sendAfter(std::int64_t sequence, const std::string& to, wire::Envelope envelope) -> void;
+    auto writeFailed(const PendingWrite& write, Microseconds now) -> void;
+    auto writeSucceeded(const PendingWrite& write, Microseconds now) -> void;
     auto rebuildHead() -> void;
 
     // election.cpp
@@ -246,15 +234,10 @@
     std::int64_t synced_ = 0;              // the last entry that this disk holds
     std::int64_t termStart_ = 0;           // this leader's first entry
     std::int64_t installSeq_ = 0;          // the write of a snapshot that was not reported yet
-    std::int64_t cutNext_ = -1;            // the next write drops the entries from here on
-    std::int64_t writeEpoch_ = 0;          // see DiskWrite::epoch
-    std::int64_t writtenTerm_ = -1;        // the term and vote of the newest write
     std::int64_t voteSeq_ = 0;             // the write of this candidate's own vote
     std::int64_t configurationIndex_ = 0;  // the entry of the configuration in force
-    std::string writtenVote_;
-    bool owedReset_ = false, owedSnap_ = false;  // parts of failed writes, for the next one
-    bool appliedJoint_ = false;                  // the newest applied configuration is a joint one
-    std::int64_t seq_ = 0, round_ = 0;
+    bool appliedJoint_ = false;            // the newest applied configuration is a joint one
+    std::int64_t round_ = 0;
     ReplicatedLog log_;
     std::map<std::string, SnapshotTransfer> transfers_;
     SnapshotAssembly assembly_;
@@ -265,11 +248,9 @@
     Configuration configuration_;  // the newest in the log, committed or not
     ReplicatedState replicatedState_, latestState_;
     Microseconds preVoteAt_ = 0, leadSince_ = 0, electionDue_ = 0, heardLeader_ = 0, quorumAt_ = 0,
-                 heartbeatAt_ = 0, toldAt_ = 0, transferDue_ = 0, probeAt_ = 0;
-    std::deque<PendingWrite> pendingWrites_;
-    std::deque<DeferredMessage> deferred_;
+                 heartbeatAt_ = 0, toldAt_ = 0, transferDue_ = 0;
+    WriteQueue writes_;
     ReadIndexQueue reads_;
-    bool diskBad_ = false;
 };
 
 }  // namespace duneturn
