--- a/src/consensus/election.cpp
+++ b/src/consensus/election.cpp
@@ -69,7 +69,7 @@
     leader_ = disk_;
     quorumAt_ = leadSince_ = now;
     progress_.clear();
-    transfers_.clear();
+    snapshotSenders_.clear();
     heartbeatAt_ = 0;
     round_++;
     logf("core: leader of reign {} term {}", epoch_, term_);
--- a/src/consensus/membership.cpp
+++ b/src/consensus/membership.cpp
@@ -51,7 +51,7 @@
     commit_ = applied_ = 1;
     snapshot_ = {1, term, std::make_shared<const std::string>(state.text()), state.voters()};
     log_.reset(snapshot_.index, snapshot_.term);
-    transfers_.clear();
+    snapshotSenders_.clear();
     replicatedState_ = latestState_ = state;
     appliedJoint_ = false;
     synced_ = 1;
@@ -72,7 +72,7 @@
     epoch_ = term_ = commit_ = applied_ = synced_ = 0;
     snapshot_ = {};
     log_.reset(0, 0);
-    transfers_.clear();
+    snapshotSenders_.clear();
     assembly_ = {};
     leader_.clear();
     configuration_ = {};
--- a/src/consensus/voter.hpp
+++ b/src/consensus/voter.hpp
@@ -30,6 +30,7 @@
 #include "consensus/read_index.hpp"
 #include "consensus/replicated_log.hpp"
 #include "consensus/snapshot.hpp"
+#include "consensus/snapshot_transfer.hpp"
 #include "consensus/write_queue.hpp"
 #include "state/replicated_state.hpp"
 #include "wire_types.h"
@@ -123,20 +124,6 @@
     Broken broken;
 
   private:
-    /// A snapshot on its way to another member.
-    struct SnapshotTransfer {
-        std::int64_t lastIncludedIndex = 0, lastIncludedTerm = 0, digest = 0;
-        std::shared_ptr<const std::string> document;
-        std::size_t acked = 0, sent = 0;  // bytes
-        Microseconds progressAt = 0;
-        int stalls = 0;            // retries since the last progress
-        bool readsChunks = false;  // the receiver has answered a chunk
-    };
-    /// The part of a snapshot that has come here.
-    struct SnapshotAssembly {
-        std::int64_t epoch = 0, lastIncludedIndex = 0, lastIncludedTerm = 0, size = 0, digest = 0;
-        std::string data;
-    };
     // voter.cpp
     auto envelope() const -> wire::Envelope;
     auto restartElectionTimer(Microseconds now) -> void;
@@ -213,11 +200,9 @@
     // transfer.cpp
     auto sendSnapshot(const std::string& disk, Microseconds now) -> void;
     auto sendWholeSnapshot(const std::string& disk) -> void;
-    auto sendChunk(const std::string& disk, SnapshotTransfer& transfer) -> void;
-    auto retryTransfer(const std::string& disk, SnapshotTransfer& transfer, Microseconds now) -> void;
+    auto sendChunk(const std::string& disk, wire::SnapshotChunk chunk) -> void;
     auto initializeBlankVoters(Microseconds now) -> void;
     auto onChunk(const wire::Envelope& message, Microseconds now) -> void;
-    auto chunkSound(const wire::SnapshotChunk& chunk) const -> bool;
     auto answerChunk(const wire::Envelope& message, std::size_t received, bool refused) -> void;
     auto assemble(const wire::Envelope& message, Microseconds now) -> void;
     auto onChunkReply(const std::string& from, const wire::SnapshotChunkReply& reply, Microseconds now)
@@ -239,7 +224,7 @@
     bool appliedJoint_ = false;            // the newest applied configuration is a joint one
     std::int64_t round_ = 0;
     ReplicatedLog log_;
-    std::map<std::string, SnapshotTransfer> transfers_;
+    std::map<std::string, SnapshotSender> snapshotSenders_;  // by the receiver's disk
     SnapshotAssembly assembly_;
     std::map<std::string, ReplicaProgress> progress_;  // of a leader, by disk
     std::set<std::string> votes_;
