--- a/src/consensus/disk.hpp
+++ b/src/consensus/disk.hpp
@@ -13,8 +13,13 @@
 /// What a voter's disk holds.
 struct DiskState {
     std::string disk;  // the voter's identity; empty before the first write
-    std::int64_t epoch = 0, term = 0, commit = 0, snapshotIndex = 0, snapshotTerm = 0;
-    std::string vote, snapshotDocument;
+    std::int64_t epoch = 0;
+    std::int64_t term = 0;
+    std::string vote;         // the disk that this one voted for in `term`; empty: none
+    std::int64_t commit = 0;  // the commit index when this was written; the cluster's may be higher
+    std::int64_t snapshotIndex = 0;
+    std::int64_t snapshotTerm = 0;
+    std::string snapshotDocument;
     std::vector<wire::Entry> log;  // from snapshotIndex + 1
 };
 
@@ -35,8 +40,8 @@
 /// failure: their entries would follow entries that are missing.
 struct DiskGate {
     std::int64_t failed = -1;
-    auto takes(const DiskWrite& w) const -> bool { return w.writeEpoch > failed; }
-    auto fail(const DiskWrite& w) -> void { failed = std::max(failed, w.writeEpoch); }
+    [[nodiscard]] auto takes(const DiskWrite& write) const -> bool { return write.writeEpoch > failed; }
+    auto fail(const DiskWrite& write) -> void { failed = std::max(failed, write.writeEpoch); }
 };
 
 /// Applies a write to a state, as a store must.
--- a/src/consensus/election.cpp
+++ b/src/consensus/election.cpp
@@ -1,4 +1,4 @@
-// Terms, pre-vote, votes and leadership transfer.
+// Terms, pre-vote, votes (3.4, 9.6) and leadership transfer (3.10).
 #include <cstdint>
 #include <string>
 
@@ -9,141 +9,157 @@
 
 namespace duneturn {
 
-auto Voter::follow(Microseconds now) -> void {
+auto Voter::becomeFollower(Microseconds now) -> void {
     if (leads()) {
         logf("core: no longer leader in term {}", term_);
         for (auto id : reads_.takeAll()) port_.voterRead(id, false);
     }
-    if (role() != Role::Follower && !blank()) role_->process(LeaderSeen{}, counters_);
+    if (role() != Role::Follower && !blank()) roles_->process(LeaderSeen{}, counters_);
     restartElectionTimer(now);
 }
 
 auto Voter::adoptTerm(std::int64_t term, Microseconds now) -> void {
     if (term <= term_) return;
     term_ = term;
-    vote_.clear();
-    leader_.clear();
-    follow(now);
+    votedFor_.clear();
+    leaderDisk_.clear();
+    becomeFollower(now);
 }
 
-auto Voter::hasVotes() const -> bool {
+auto Voter::hasElectionMajority() const -> bool {
     return hasMajority([&](auto& disk) { return votes_.count(disk) > 0; });
 }
 
-auto Voter::campaign(bool preVote, bool transferred, Microseconds now) -> void {
-    votes_.clear();
-    voteSeq_ = 0;
+auto Voter::voteRequest() const -> wire::RequestVote {
+    auto request = wire::RequestVote();
+    request.joint = true;
+    request.lastLogIndex = last();
+    request.lastLogTerm = log_.lastTerm();
+    return request;
+}
+
+// Asks whether a majority would vote for this one, before it disturbs the cluster by a higher term (9.6).
+auto Voter::beginPreVote(Microseconds now) -> void {
     restartElectionTimer(now);
-    auto ask = wire::RequestVote();
-    ask.preVote = preVote;
-    ask.leadershipTransfer = transferred;
-    ask.joint = true;
-    ask.lastLogIndex = last();
-    ask.lastLogTerm = log_.lastTerm();
-    ask.term = term_ + 1;
-    auto seq = std::int64_t(0);
-    if (preVote) {
-        preVoteAt_ = now;
-        votes_.insert(disk_);
-    } else {
-        term_++;
-        vote_ = disk_;
-        leader_.clear();
-        seq = voteSeq_ = write({}, now);
-        counters_.add("elections_total");
-    }
+    ownVoteWrite_ = 0;
+    preVoteStart_ = now;
+    votes_ = {disk_};
+    auto request = voteRequest();
+    request.preVote = true;
+    request.term = term_ + 1;
     auto message = envelope();
-    message.__set_requestVote(ask);
-    for (auto& disk : configuration_.disks()) {
-        if (disk == disk_) continue;
-        if (preVote) port_.voterSend(disk, message);
-        else sendAfter(seq, disk, message);
-    }
-    if (!preVote || !hasVotes()) return;
-    role_->process(PreVoteWon{}, counters_);
-    campaign(false, false, now);
+    message.__set_requestVote(request);
+    for (auto& disk : configuration_.disks())
+        if (disk != disk_) port_.voterSend(disk, message);
+    if (!hasElectionMajority()) return;
+    roles_->process(PreVoteWon{}, counters_);
+    beginElection(false, now);
+}
+
+auto Voter::beginElection(bool leadershipTransfer, Microseconds now) -> void {
+    restartElectionTimer(now);
+    votes_.clear();
+    term_++;
+    votedFor_ = disk_;
+    leaderDisk_.clear();
+    ownVoteWrite_ = write({}, now);
+    counters_.add("elections_total");
+    auto request = voteRequest();
+    request.leadershipTransfer = leadershipTransfer;
+    request.term = term_;
+    auto message = envelope();
+    message.__set_requestVote(request);
+    for (auto& disk : configuration_.disks())
+        if (disk != disk_) sendAfterWrite(ownVoteWrite_, disk, message);
 }
 
 auto Voter::becomeLeader(Microseconds now) -> void {
-    if (!role_->process(ElectionWon{}, counters_)) return;
-    leader_ = disk_;
-    quorumAt_ = leadSince_ = now;
+    if (!roles_->process(ElectionWon{}, counters_)) return;
+    leaderDisk_ = disk_;
+    lastQuorumContact_ = leaderSince_ = now;
     progress_.clear();
     snapshotSenders_.clear();
-    heartbeatAt_ = 0;
-    round_++;
+    lastHeartbeat_ = 0;
+    heartbeatRound_++;
     logf("core: leader of reign {} term {}", epoch_, term_);
     counters_.add("leader_won_total");
-    termStart_ = last() + 1;
+    firstIndexOfTerm_ = last() + 1;
     append(ENTRY_NOOP, "", now);
 }
 
 auto Voter::transferLeadership(Microseconds now) -> bool {
     if (!leads()) return false;
     auto best = std::string();
-    for (auto& v : configuration_.voters()) {  // while a change is under way, only one who stays
-        if (v.disk == disk_ || now - progress_[v.disk].lastContact() >= ELECTION_TIMEOUT) continue;
-        if (best.empty() || progress_[v.disk].match() > progress_[best].match()) best = v.disk;
+    for (auto& voter : configuration_.voters()) {  // while a change is under way, only one who stays
+        if (voter.disk == disk_) continue;
+        auto& progress = progress_[voter.disk];
+        if (now - progress.lastContact() >= ELECTION_TIMEOUT) continue;
+        if (best.empty() || progress.match() > progress_[best].match()) best = voter.disk;
     }
-    if (best.empty() || progress_[best].match() < synced_) return false;
+    if (best.empty() || progress_[best].match() < lastSynced_) return false;
     auto message = envelope();
     auto timeoutNow = wire::TimeoutNow();
     timeoutNow.term = term_;
     message.__set_timeoutNow(timeoutNow);
     port_.voterSend(best, message);
-    transferDue_ = now + ELECTION_TIMEOUT;
+    transferDeadline_ = now + ELECTION_TIMEOUT;
     counters_.add("handed_over_total");
     logf("core: the duty is handed to disk {}", best);
     return true;
 }
 
-auto Voter::logIsCurrent(const wire::RequestVote& ask) const -> bool {
+auto Voter::isUpToDate(const wire::RequestVote& request) const -> bool {
     auto lastTerm = log_.lastTerm();
-    return ask.lastLogTerm > lastTerm || (ask.lastLogTerm == lastTerm && ask.lastLogIndex >= last());
+    return request.lastLogTerm > lastTerm
+        || (request.lastLogTerm == lastTerm && request.lastLogIndex >= last());
 }
 
 // Whether a leader stands as far as this voter knows; then nobody else is voted for.
-auto Voter::hearsLeader(Microseconds now) const -> bool {
-    if (leads()) return now - quorumAt_ < QUORUM_TIMEOUT;
-    return !leader_.empty() && now - heardLeader_ < ELECTION_TIMEOUT;
+auto Voter::hasLiveLeader(Microseconds now) const -> bool {
+    if (leads()) return now - lastQuorumContact_ < QUORUM_TIMEOUT;
+    return !leaderDisk_.empty() && now - lastLeaderContact_ < ELECTION_TIMEOUT;
 }
 
 // A program that doesn't know joint configurations would count one majority only.
-auto Voter::candidateMayCount(const wire::RequestVote& ask) const -> bool { return !joint() || ask.joint; }
+auto Voter::candidateReadsConfiguration(const wire::RequestVote& request) const -> bool {
+    return !joint() || request.joint;
+}
 
-auto Voter::onPreVoteAsk(const std::string& from, const wire::RequestVote& ask, Microseconds now) -> void {
+auto Voter::onPreVoteRequest(const std::string& from, const wire::RequestVote& request, Microseconds now)
+    -> void {
     // Two that ask at the same time would split the vote: the lower identity gives way.
-    auto precedes = role() == Role::PreCandidate && now - preVoteAt_ < ELECTION_TIMEOUT / 2 && disk_ > from
-        && ask.lastLogTerm == log_.lastTerm() && ask.lastLogIndex == last();
-    auto leaderStands = !ask.leadershipTransfer && hearsLeader(now);
+    auto precedes = role() == Role::PreCandidate && now - preVoteStart_ < ELECTION_TIMEOUT / 2 && disk_ > from
+        && request.lastLogTerm == log_.lastTerm() && request.lastLogIndex == last();
+    auto leaderStands = !request.leadershipTransfer && hasLiveLeader(now);
     auto reply = wire::RequestVoteReply();
     reply.preVote = true;
-    reply.granted = ask.term > term_ && logIsCurrent(ask) && candidateMayCount(ask) && !leaderStands
-        && !precedes && !diskBad();
-    reply.term = reply.granted ? ask.term : term_;
+    reply.granted = request.term > term_ && isUpToDate(request) && candidateReadsConfiguration(request)
+        && !leaderStands && !precedes && !diskBad();
+    reply.term = reply.granted ? request.term : term_;
     auto message = envelope();
     message.__set_requestVoteReply(reply);
     port_.voterSend(from, message);
 }
 
-auto Voter::onVoteAsk(const std::string& from, const wire::RequestVote& ask, Microseconds now) -> void {
-    if (!ask.leadershipTransfer && hearsLeader(now) && ask.term > term_) return;
+auto Voter::onRequestVote(const std::string& from, const wire::RequestVote& request, Microseconds now)
+    -> void {
+    if (!request.leadershipTransfer && hasLiveLeader(now) && request.term > term_) return;
     auto message = envelope();
     auto reply = wire::RequestVoteReply();
-    adoptTerm(ask.term, now);
-    auto unused = vote_.empty() || vote_ == from || broken.voteTwice;
-    auto sound = logIsCurrent(ask) && candidateMayCount(ask) && !diskBad();
-    if (ask.term == term_ && sound && unused && !leads()) {
-        vote_ = from;
+    adoptTerm(request.term, now);
+    auto mayVote = votedFor_.empty() || votedFor_ == from || broken.voteTwice;
+    auto isFit = isUpToDate(request) && candidateReadsConfiguration(request);
+    if (request.term == term_ && isFit && mayVote && !leads() && !diskBad()) {
+        votedFor_ = from;
         reply.granted = true;
         restartElectionTimer(now);
     }
     reply.term = term_;
     message.__set_requestVoteReply(reply);
-    sendAfter(writeIfUnsaved(now), from, message);
+    sendAfterWrite(writeIfUnsaved(now), from, message);
 }
 
-auto Voter::onVoteReply(const std::string& from, const wire::RequestVoteReply& reply, Microseconds now)
+auto Voter::onRequestVoteReply(const std::string& from, const wire::RequestVoteReply& reply, Microseconds now)
     -> void {
     if (!reply.granted) {
         if (isVoter(from)) adoptTerm(reply.term, now);  // one that is no voter deposes nobody
@@ -151,19 +167,19 @@
     }
     if (reply.preVote && role() == Role::PreCandidate && reply.term == term_ + 1) {
         votes_.insert(from);
-        if (!hasVotes()) return;
-        role_->process(PreVoteWon{}, counters_);
-        campaign(false, false, now);
+        if (!hasElectionMajority()) return;
+        roles_->process(PreVoteWon{}, counters_);
+        beginElection(false, now);
     } else if (!reply.preVote && role() == Role::Candidate && reply.term == term_) {
         votes_.insert(from);
-        if (hasVotes()) becomeLeader(now);
+        if (hasElectionMajority()) becomeLeader(now);
     }
 }
 
-auto Voter::onTakeOver(const std::string& from, const wire::TimeoutNow& message, Microseconds now) -> void {
-    if (from != leader_) return refuse("transfer_refused_total", from);
+auto Voter::onTimeoutNow(const std::string& from, const wire::TimeoutNow& message, Microseconds now) -> void {
+    if (from != leaderDisk_) return rejectMessage("transfer_refused_total", from);
     if (message.term != term_ || role() != Role::Follower || !isVoter(disk_) || diskBad()) return;
-    if (role_->process(LeadershipReceived{}, counters_)) campaign(false, true, now);
+    if (roles_->process(LeadershipReceived{}, counters_)) beginElection(true, now);
 }
 
 }  // namespace duneturn
--- a/src/consensus/membership.cpp
+++ b/src/consensus/membership.cpp
@@ -1,4 +1,4 @@
-// Who votes: the voters that the log names, their replacement, founding and retiring.
+// Who votes: the configuration in force, its changes, the beginning of a cluster, and leaving one.
 #include <algorithm>
 #include <cstdint>
 #include <functional>
@@ -22,76 +22,77 @@
     configurationIndex_ = entry ? entry->index : snapshot_.index;
 }
 
-auto Voter::applyEntry(const wire::Entry& e) -> void {
-    if (e.kind == ENTRY_ORDER) {
-        auto d = rapidjson::Document();
-        auto outcome = replicatedState_.apply(e.body);
-        auto key = jsParse(e.body, d) ? jsStr(d, "key") : std::string();
+auto Voter::applyEntry(const wire::Entry& entry) -> void {
+    if (entry.kind == ENTRY_ORDER) {
+        auto document = rapidjson::Document();
+        auto outcome = replicatedState_.apply(entry.body);
+        auto key = jsParse(entry.body, document) ? jsStr(document, "key") : std::string();
         counters_.add("orders_applied_total");
         port_.voterApplied(replicatedState_, key, outcome);
-    } else if (e.kind == ENTRY_JOINT) {
+    } else if (entry.kind == ENTRY_JOINT) {
         appliedJoint_ = true;
-    } else if (e.kind == ENTRY_VOTERS) {
+    } else if (entry.kind == ENTRY_VOTERS) {
         appliedJoint_ = false;
-        replicatedState_.applyVoters(Configuration::ofEntry(e).voters());
+        replicatedState_.applyVoters(Configuration::ofEntry(entry).voters());
         port_.voterApplied(replicatedState_, "", {});
     }
 }
 
 auto Voter::bootstrap(const ReplicatedState& state, std::int64_t term, Microseconds now) -> void {
     // A disk of an earlier cluster leaves it with the same write.
-    if (leads()) follow(now);
-    if (!blank()) role_->process(Erased{}, counters_);
-    if (!role_->process(Initialized{}, counters_)) return;
+    if (leads()) becomeFollower(now);
+    if (!blank()) roles_->process(Erased{}, counters_);
+    if (!roles_->process(Initialized{}, counters_)) return;
     writes_.dropDeferred();
-    leader_.clear();
+    leaderDisk_.clear();
     epoch_ = state.epoch;
     term_ = term;
-    vote_.clear();
-    commit_ = applied_ = 1;
+    votedFor_.clear();
+    commitIndex_ = lastApplied_ = 1;
     snapshot_ = {1, term, std::make_shared<const std::string>(state.text()), state.voters()};
     log_.reset(snapshot_.index, snapshot_.term);
     snapshotSenders_.clear();
     replicatedState_ = latestState_ = state;
     appliedJoint_ = false;
-    synced_ = 1;
-    auto w = DiskWrite();
-    w.reset = w.hasSnapshot = true;
-    w.document = *snapshot_.document;
-    installSeq_ = write(w, now);
+    lastSynced_ = 1;
+    auto change = DiskWrite();
+    change.reset = change.hasSnapshot = true;
+    change.document = *snapshot_.document;
+    installWrite_ = write(std::move(change), now);
     refreshConfiguration();
-    electionDue_ = now + ELECTION_TIMEOUT;
+    electionDeadline_ = now + ELECTION_TIMEOUT;
     logf("core: reign {} begins on disk {} at generation {}", epoch_, disk_, state.version);
     counters_.add("reigns_begun_total");
 }
 
 auto Voter::leaveCluster(bool force, Microseconds now) -> bool {
-    if (leads() && force) follow(now);
-    if (blank() || leads() || (!force && !vote_.empty())) return false;
-    if (!role_->process(Erased{}, counters_)) return false;
-    epoch_ = term_ = commit_ = applied_ = synced_ = 0;
+    if (leads() && force) becomeFollower(now);
+    if (blank() || leads() || (!force && !votedFor_.empty())) return false;
+    if (!roles_->process(Erased{}, counters_)) return false;
+    epoch_ = term_ = commitIndex_ = lastApplied_ = lastSynced_ = 0;
     snapshot_ = {};
     log_.reset(0, 0);
     snapshotSenders_.clear();
     assembly_ = {};
-    leader_.clear();
+    leaderDisk_.clear();
     configuration_ = {};
     configurationIndex_ = 0;
     appliedJoint_ = false;
     writes_.dropDeferred();
     replicatedState_ = latestState_ = ReplicatedState();
-    auto w = DiskWrite();
-    w.reset = true;
-    write(w, now);
+    auto change = DiskWrite();
+    change.reset = true;
+    write(std::move(change), now);
     return true;
 }
 
-// A generation rises by at most one an entry, so one above what this log could reach is
+// A version rises by at most one an entry, so one above what this log could reach is
 // behind its end. A disk that this log counts as a voter and a later state does not was removed
-// since, and no leader has told it what came after: none can be counting on it. It takes a new
+// since, and no leader has sent it what came after: none can be counting on it. It takes a new
 // identity, so that what it once promised is never mixed up with what it promises next.
 auto Voter::retire(std::int64_t version, const std::string& newDiskId, Microseconds now) -> bool {
-    if (blank() || leads() || !isVoter(disk_) || version <= replicatedState_.version + (last() - applied_))
+    if (blank() || leads() || !isVoter(disk_)
+        || version <= replicatedState_.version + (last() - lastApplied_))
         return false;
     logf("core: disk {} was replaced; it is blank again, as {}", disk_, newDiskId);
     disk_ = newDiskId;
@@ -107,63 +108,65 @@
 // One change at a time, and none before an entry of this term is committed (the erratum of
 // single-server changes; it holds for joint ones too). A change that an earlier leader began
 // is ended first.
-auto Voter::changeVoters(Microseconds now) -> void {
+auto Voter::advanceConfigurationChange(Microseconds now) -> void {
     auto mayChange = broken.changeBeforeNoop ? leads() : ready();
-    if (!mayChange || diskBad() || configurationIndex_ > commit_) return;
+    if (!mayChange || diskBad() || configurationIndex_ > commitIndex_) return;
     if (joint()) {
         auto final = Configuration(configuration_.voters());
         logf("core: the change of voters ends: {}", final.entryBody());
         append(final.entryKind(), final.entryBody(), now);
         return;
     }
-    if (!removeReplaced(now)) addLearner(now);
+    if (!removeReplacedDisk(now)) promoteLearner(now);
 }
 
-// Two disks of one seat: the former procedure added the newer one behind the one it replaces.
-auto Voter::removeReplaced(Microseconds now) -> bool {
+// Two disks of one node: the former procedure added the newer one behind the one it replaces.
+auto Voter::removeReplacedDisk(Microseconds now) -> bool {
     auto voters = configuration_.voters();
     for (auto i = std::size_t(0); i < voters.size(); i++)
         for (auto j = i + 1; j < voters.size(); j++) {
             if (voters[i].node != voters[j].node) continue;
             voters.erase(voters.begin() + std::ptrdiff_t(i));
-            return beginChange(voters, now);
+            return beginConfigurationChange(voters, now);
         }
     return false;
 }
 
-// A disk that may take a seat is sent the log without a vote, and votes once it has caught up.
-auto Voter::addLearner(Microseconds now) -> void {
-    for (auto& [seat, disk] : spares_) {
+// A disk that may take the place of a voter's is sent the log without a vote, and votes once it has caught
+// up.
+auto Voter::promoteLearner(Microseconds now) -> void {
+    for (auto& [node, disk] : spareDisks_) {
         if (isVoter(disk)) continue;
         auto voters = configuration_.voters();
-        auto held = std::find_if(voters.begin(), voters.end(), [s = seat](auto& v) { return v.node == s; });
-        if (held == voters.end() && voters.size() >= MIN_VOTERS) continue;
+        auto isOfNode = [name = node](auto& voter) { return voter.node == name; };
+        auto replaced = std::find_if(voters.begin(), voters.end(), isOfNode);
+        if (replaced == voters.end() && voters.size() >= MIN_VOTERS) continue;
         auto& progress = progress_[disk];
         if (progress.catchUp().isPaused(now)) continue;
         progress.start(1);
-        if (now - progress.lastSent() >= HEARTBEAT_INTERVAL) sendAppend(disk, now);
-        if (!caughtUp(progress, now)) continue;
-        if (held == voters.end()) voters.push_back({seat, disk});
-        else held->disk = disk;
-        if (beginChange(voters, now)) return;
+        if (now - progress.lastSent() >= HEARTBEAT_INTERVAL) replicateTo(disk, now);
+        if (!hasCaughtUp(progress, now)) continue;
+        if (replaced == voters.end()) voters.push_back({node, disk});
+        else replaced->disk = disk;
+        if (beginConfigurationChange(voters, now)) return;
     }
 }
 
 // Whether a learner keeps up, so that it may vote.
-auto Voter::caughtUp(ReplicaProgress& progress, Microseconds now) -> bool {
+auto Voter::hasCaughtUp(ReplicaProgress& progress, Microseconds now) -> bool {
     auto verdict = progress.catchUp().update(progress.match(), last(), now);
     if (verdict == CatchUp::Verdict::TooSlow) counters_.add("learner_too_slow_total");
     return verdict == CatchUp::Verdict::CaughtUp;
 }
 
-// False if a member or newcomer that is heard runs a program without joint configurations.
-auto Voter::beginChange(std::vector<VoterIdentity> voters, Microseconds now) -> bool {
-    auto unfit = [&](const std::string& disk) {
+// False if a voter or newcomer that answers runs a program without joint configurations.
+auto Voter::beginConfigurationChange(std::vector<VoterIdentity> voters, Microseconds now) -> bool {
+    auto readsNoJoint = [&](const std::string& disk) {
         return disk != disk_ && progress_[disk].lastContact() && !progress_[disk].knowsJoint();
     };
     auto disks = configuration_.disks();
-    for (auto& v : voters) disks.push_back(v.disk);
-    if (std::any_of(disks.begin(), disks.end(), unfit)) {
+    for (auto& voter : voters) disks.push_back(voter.disk);
+    if (std::any_of(disks.begin(), disks.end(), readsNoJoint)) {
         counters_.add("change_waits_for_upgrade_total");
         return false;
     }
--- a/src/consensus/replication.cpp
+++ b/src/consensus/replication.cpp
@@ -3,32 +3,33 @@
 #include <cstdint>
 #include <functional>
 #include <string>
-#include <vector>
+#include <utility>
 
 #include "base/log.hpp"
 #include "base/time.hpp"
+#include "consensus/invariant.hpp"
 #include "consensus/role.hpp"
 #include "consensus/voter.hpp"
 
 namespace duneturn {
 
 auto Voter::append(int kind, const std::string& body, Microseconds now) -> void {
-    auto e = wire::Entry();
-    e.term = term_;
-    e.index = last() + 1;
-    e.kind = kind;
-    e.body = body;
-    log_.append(e);
-    if (isConfigurationEntry(e)) refreshConfiguration();
+    auto entry = wire::Entry();
+    entry.term = term_;
+    entry.index = last() + 1;
+    entry.kind = kind;
+    entry.body = body;
+    log_.append(entry);
+    if (isConfigurationEntry(entry)) refreshConfiguration();
     if (kind == ENTRY_ORDER) latestState_.apply(body);
-    auto w = DiskWrite();
-    w.entries.push_back(e);
-    write(w, now);
-    sendAppends(now);
+    auto change = DiskWrite();
+    change.entries.push_back(std::move(entry));
+    write(std::move(change), now);
+    replicateToAll(now);
 }
 
 auto Voter::propose(int kind, const std::string& body, Microseconds now) -> bool {
-    if (!leads() || diskBad() || transferDue_ > now) return false;
+    if (!leads() || diskBad() || transferDeadline_ > now) return false;
     append(kind, body, now);
     return true;
 }
@@ -38,17 +39,17 @@
         port_.voterRead(id, false);
         return;
     }
-    reads_.add({id, ++round_, commit_});
-    sendAppends(now);
+    reads_.add({id, ++heartbeatRound_, commitIndex_});
+    replicateToAll(now);
     advanceCommit(now);
 }
 
-auto Voter::sendAppends(Microseconds now) -> void {
+auto Voter::replicateToAll(Microseconds now) -> void {
     for (auto& disk : configuration_.disks())
-        if (disk != disk_) sendAppend(disk, now);
+        if (disk != disk_) replicateTo(disk, now);
 }
 
-auto Voter::sendAppend(const std::string& disk, Microseconds now) -> void {
+auto Voter::replicateTo(const std::string& disk, Microseconds now) -> void {
     auto& progress = progress_[disk];
     progress.start(last() + 1);
     progress.noteSent(now);
@@ -57,47 +58,49 @@
     auto before = progress.next();
     do {
         before = progress.next();
-        sendBatch(disk, progress, now);
+        sendAppendEntries(disk, progress, now);
     } while (progress.next() > before && progress.next() <= last() && progress.hasRoom());
 }
 
 // One message: a batch of entries, or a heartbeat if there are none or enough are on their way.
-auto Voter::sendBatch(const std::string& disk, ReplicaProgress& progress, Microseconds now) -> void {
-    auto ask = wire::AppendEntries();
-    ask.term = term_;
-    ask.prevLogIndex = progress.next() - 1;
-    ask.prevLogTerm = log_.termAt(progress.next() - 1);
-    ask.commit = commit_;
-    ask.round = round_;
+auto Voter::sendAppendEntries(const std::string& disk, ReplicaProgress& progress, Microseconds now) -> void {
+    auto request = wire::AppendEntries();
+    request.term = term_;
+    request.prevLogIndex = progress.next() - 1;
+    request.prevLogTerm = log_.termAt(progress.next() - 1);
+    request.commit = commitIndex_;
+    request.round = heartbeatRound_;
     auto bytes = std::size_t(0);
     auto room = progress.hasRoom();
-    for (auto i = progress.next(); room && i <= last() && ask.entries.size() < BATCH_ENTRIES; i++) {
-        if (bytes > 0 && bytes + log_.at(i).body.size() > BATCH_BYTES) break;
+    for (auto index = progress.next(); room && index <= last(); index++) {
+        auto& entry = log_.at(index);
+        if (request.entries.size() >= BATCH_ENTRIES) break;
+        if (bytes > 0 && bytes + entry.body.size() > BATCH_BYTES) break;
         // One that reads no joint configuration would go on by the voters before it.
-        if (log_.at(i).kind == ENTRY_JOINT && !progress.knowsJoint()) break;
-        ask.entries.push_back(log_.at(i));
-        bytes += log_.at(i).body.size();
+        if (entry.kind == ENTRY_JOINT && !progress.knowsJoint()) break;
+        request.entries.push_back(entry);
+        bytes += entry.body.size();
     }
-    if (!ask.entries.empty()) progress.batchSent(ask.entries.back().index, bytes, now);
+    if (!request.entries.empty()) progress.batchSent(request.entries.back().index, bytes, now);
     auto message = envelope();
-    message.__set_appendEntries(ask);
+    message.__set_appendEntries(request);
     port_.voterSend(disk, message);
 }
 
 auto Voter::advanceCommit(Microseconds now) -> void {
     if (!leads()) return;
     auto matchOf = [&](const std::string& disk) {
-        if (disk == disk_) return synced_;
+        if (disk == disk_) return lastSynced_;
         auto progress = progress_.find(disk);
         return progress == progress_.end() ? 0 : progress->second.match();
     };
     auto held = configuration_.majorityIndex(matchOf, quorumFaults());
     // Entries of earlier terms are committed by one of this term (Raft, 3.6.2).
     auto mayCount = log_.termAt(held) == term_ || broken.commitOldTerm;
-    if (held > commit_ && mayCount) {
-        commit_ = held;
+    if (held > commitIndex_ && mayCount) {
+        commitIndex_ = held;
         write({}, now);
-        sendAppends(now);
+        replicateToAll(now);
     }
     answerReads();
 }
@@ -109,123 +112,128 @@
         };
         return hasMajority(confirms) || broken.skipReadQuorum;
     };
-    while (auto id = reads_.takeAnswerable(applied_, isConfirmed)) port_.voterRead(*id, true);
+    while (auto id = reads_.takeAnswerable(lastApplied_, isConfirmed)) port_.voterRead(*id, true);
 }
 
-auto Voter::applyUpTo(std::int64_t index, Microseconds now) -> void {
-    auto any = applied_ < index && applied_ < last();
-    while (applied_ < index && applied_ < last()) {
-        applied_++;
-        applyEntry(log_.at(applied_));
+auto Voter::applyCommitted(std::int64_t index, Microseconds now) -> void {
+    auto any = lastApplied_ < index && lastApplied_ < last();
+    while (lastApplied_ < index && lastApplied_ < last()) {
+        lastApplied_++;
+        applyEntry(log_.at(lastApplied_));
     }
     if (!any) return;
-    if (applied_ == last()) latestState_ = replicatedState_;
-    if (leads() && !isVoter(disk_) && applied_ == last()) {
+    if (lastApplied_ == last()) latestState_ = replicatedState_;
+    if (leads() && !isVoter(disk_) && lastApplied_ == last()) {
         transferLeadership(now);
-        follow(now);
+        becomeFollower(now);
     }
-    if (compactionDue()) compact(now);
+    if (isCompactionDue()) compact(now);
 }
 
 // A message that no sound member sends in this state.
-auto Voter::refuse(const char* counter, const std::string& from) -> void {
+auto Voter::rejectMessage(const char* counter, const std::string& from) -> void {
     counters_.add(counter);
     logf("core: a message of disk {} was refused ({})", from, counter);
 }
 
-// Whether entries follow each other without a gap, in rising terms, and can be read here.
-auto Voter::wellFormed(const wire::AppendEntries& ask) const -> bool {
-    if (ask.prevLogIndex < 0 || ask.commit < 0) return false;
-    auto index = ask.prevLogIndex;
-    auto term = ask.prevLogTerm;
-    for (auto& e : ask.entries) {
-        if (e.index != ++index || e.term < term || e.term > ask.term) return false;
-        if (!entryKnown(e)) return false;
-        term = e.term;
+// Whether entries becomeFollower each other without a gap, in rising terms, and can be read here.
+auto Voter::isWellFormed(const wire::AppendEntries& request) const -> bool {
+    if (request.prevLogIndex < 0 || request.commit < 0) return false;
+    auto index = request.prevLogIndex;
+    auto term = request.prevLogTerm;
+    for (auto& entry : request.entries) {
+        if (entry.index != ++index || entry.term < term || entry.term > request.term) return false;
+        if (!entryKnown(entry)) return false;
+        term = entry.term;
     }
     return true;
 }
 
-auto Voter::contradictsCommitted(const wire::AppendEntries& ask) const -> bool {
+auto Voter::contradictsCommitted(const wire::AppendEntries& request) const -> bool {
     auto contradicts = [&](std::int64_t index, std::int64_t term) {
-        return index >= snapshot_.index && index <= commit_ && log_.termAt(index) != term;
+        return index >= snapshot_.index && index <= commitIndex_ && log_.termAt(index) != term;
     };
-    if (contradicts(ask.prevLogIndex, ask.prevLogTerm)) return true;
-    return std::any_of(
-        ask.entries.begin(), ask.entries.end(), [&](auto& e) { return contradicts(e.index, e.term); });
+    if (contradicts(request.prevLogIndex, request.prevLogTerm)) return true;
+    return std::any_of(request.entries.begin(), request.entries.end(),
+        [&](auto& entry) { return contradicts(entry.index, entry.term); });
 }
 
-auto Voter::onAppendAsk(const std::string& from, const wire::AppendEntries& ask, Microseconds now) -> void {
+auto Voter::onAppendEntries(const std::string& from, const wire::AppendEntries& request, Microseconds now)
+    -> void {
     auto reply = wire::AppendEntriesReply();
     auto message = envelope();
-    if (ask.term < term_) {
+    if (request.term < term_) {
         reply.term = term_;
         message.__set_appendEntriesReply(reply);
         port_.voterSend(from, message);
         return;
     }
-    if (!wellFormed(ask)) return refuse("append_malformed_total", from);
-    auto otherLeader = ask.term == term_ && !leader_.empty() && leader_ != from;
-    if (otherLeader && !broken.voteTwice) return refuse("append_second_leader_total", from);
-    if (contradictsCommitted(ask) && !broken.truncateCommitted)
-        return refuse("append_contradicts_committed_total", from);
-    adoptTerm(ask.term, now);
-    if (role() != Role::Follower) follow(now);
-    leader_ = from;
-    heardLeader_ = now;
+    if (!isWellFormed(request)) return rejectMessage("append_malformed_total", from);
+    auto otherLeader = request.term == term_ && !leaderDisk_.empty() && leaderDisk_ != from;
+    if (otherLeader && !broken.voteTwice) return rejectMessage("append_second_leader_total", from);
+    if (contradictsCommitted(request) && !broken.truncateCommitted)
+        return rejectMessage("append_contradicts_committed_total", from);
+    adoptTerm(request.term, now);
+    if (role() != Role::Follower) becomeFollower(now);
+    leaderDisk_ = from;
+    lastLeaderContact_ = now;
     restartElectionTimer(now);
     reply.term = term_;
-    reply.round = ask.round;
+    reply.round = request.round;
     reply.knowsJoint = true;
-    if (ask.prevLogIndex > last()
-        || (ask.prevLogIndex >= snapshot_.index && log_.termAt(ask.prevLogIndex) != ask.prevLogTerm)) {
-        reply.prevLogIndex = ask.prevLogIndex;
-        reply.rejectHint = std::min(last(), ask.prevLogIndex - 1);
+    if (request.prevLogIndex > last()
+        || (request.prevLogIndex >= snapshot_.index
+            && log_.termAt(request.prevLogIndex) != request.prevLogTerm)) {
+        reply.prevLogIndex = request.prevLogIndex;
+        reply.rejectHint = std::min(last(), request.prevLogIndex - 1);
         message.__set_appendEntriesReply(reply);
-        sendAfter(writeIfUnsaved(now), from, message);
+        sendAfterWrite(writeIfUnsaved(now), from, message);
         return;
     }
-    auto w = storeEntries(ask);
-    auto match = ask.prevLogIndex + std::int64_t(ask.entries.size());
-    auto commit = std::min(ask.commit, match);
-    auto rises = commit > commit_;
-    if (rises) commit_ = commit;
-    if (!w.entries.empty()) {
+    auto change = storeEntries(request);
+    auto match = request.prevLogIndex + std::int64_t(request.entries.size());
+    auto commit = std::min(request.commit, match);
+    auto rises = commit > commitIndex_;
+    if (rises) commitIndex_ = commit;
+    if (!change.entries.empty()) {
         refreshConfiguration();
-        rebuildHead();
+        rebuildLatestState();
     }
     reply.ok = true;
     reply.match = match;
     message.__set_appendEntriesReply(reply);
-    auto seq = rises || !w.entries.empty() ? write(w, now) : writeIfUnsaved(now);
-    sendAfter(seq, from, message);
+    auto sequence = rises || !change.entries.empty() ? write(std::move(change), now) : writeIfUnsaved(now);
+    sendAfterWrite(sequence, from, message);
 }
 
-// Adds what the log lacks; an entry of another term at the same index replaces all from there on.
-auto Voter::storeEntries(const wire::AppendEntries& ask) -> DiskWrite {
-    auto w = DiskWrite();
-    for (auto& e : ask.entries) {
-        if (e.index <= snapshot_.index || (e.index <= last() && log_.termAt(e.index) == e.term)) continue;
-        if (e.index <= last()) {
-            if (w.truncateFrom < 0) w.truncateFrom = e.index;
-            log_.truncateFrom(e.index);
-            synced_ = std::min(synced_, last());
+// Adds what the log isBehind; an entry of another term at the same index replaces all from there on.
+auto Voter::storeEntries(const wire::AppendEntries& request) -> DiskWrite {
+    auto change = DiskWrite();
+    for (auto& entry : request.entries) {
+        auto index = entry.index;
+        if (index <= snapshot_.index || (index <= last() && log_.termAt(index) == entry.term)) continue;
+        if (index <= last()) {
+            INVARIANT(index > commitIndex_ || !isSound());
+            if (change.truncateFrom < 0) change.truncateFrom = index;
+            log_.truncateFrom(index);
+            lastSynced_ = std::min(lastSynced_, last());
         }
-        log_.append(e);
-        w.entries.push_back(e);
+        INVARIANT(entry.term >= log_.lastTerm() || !isSound());
+        log_.append(entry);
+        change.entries.push_back(entry);
     }
-    auto end = ask.prevLogIndex + std::int64_t(ask.entries.size());
+    auto end = request.prevLogIndex + std::int64_t(request.entries.size());
     if (broken.truncateMatching && last() > end && end > snapshot_.index) {
         writes_.truncateWithNextWrite(end + 1);
         log_.truncateFrom(end + 1);
-        synced_ = std::min(synced_, last());
+        lastSynced_ = std::min(lastSynced_, last());
     }
-    return w;
+    return change;
 }
 
-auto Voter::onAppendReply(const std::string& from, const wire::AppendEntriesReply& reply, Microseconds now)
-    -> void {
-    if (reply.ok) endTransfer(from, reply.match);
+auto Voter::onAppendEntriesReply(
+    const std::string& from, const wire::AppendEntriesReply& reply, Microseconds now) -> void {
+    if (reply.ok) endSnapshotTransfer(from, reply.match);
     if (reply.term > term_) {
         // One that is no voter deposes nobody.
         if (isVoter(from)) adoptTerm(reply.term, now);
@@ -234,7 +242,7 @@
     if (!leads() || reply.term != term_) return;
     auto known = progress_.find(from);
     if (known == progress_.end()) return counters_.add("reply_of_stranger_total");
-    if (reply.match > last()) return refuse("reply_beyond_log_total", from);
+    if (reply.match > last()) return rejectMessage("reply_beyond_log_total", from);
     auto& progress = known->second;
     progress.noteReply(reply, now);
     auto sendMore = false;
@@ -244,7 +252,7 @@
     } else {
         sendMore = progress.reject(reply);
     }
-    if (sendMore) sendAppend(from, now);
+    if (sendMore) replicateTo(from, now);
     advanceCommit(now);
 }
 
--- a/src/consensus/voter.cpp
+++ b/src/consensus/voter.cpp
@@ -9,19 +9,20 @@
 #include "base/log.hpp"
 #include "base/time.hpp"
 #include "base/version.hpp"
+#include "consensus/invariant.hpp"
 #include "consensus/role.hpp"
 
 namespace duneturn {
 
 Voter::Voter(VoterPort& port, Counters& counters, std::uint64_t seed)
-    : port_(port), counters_(counters), rng_{seed}, role_(std::make_unique<RoleMachine>()) {}
+    : port_(port), counters_(counters), random_{seed}, roles_(std::make_unique<RoleMachine>()) {}
 Voter::~Voter() = default;
 
-auto Voter::role() const -> Role { return Role(role_->machine.current_state()[0]); }
+auto Voter::role() const -> Role { return Role(roles_->machine.current_state()[0]); }
 
 auto Voter::start(const DiskState& state, const std::string& newDiskId, Microseconds now) -> void {
     disk_ = state.disk.empty() ? newDiskId : state.disk;
-    heardLeader_ = now;
+    lastLeaderContact_ = now;
     restartElectionTimer(now);
     if (state.disk.empty() || state.snapshotIndex == 0) {
         write({}, now);  // the identity is synced before anyone relies on it
@@ -29,39 +30,53 @@
     }
     epoch_ = state.epoch;
     term_ = state.term;
-    vote_ = state.vote;
-    commit_ = state.commit;
+    votedFor_ = state.vote;
+    commitIndex_ = state.commit;
     replicatedState_.load(state.snapshotDocument);
     snapshot_ = {state.snapshotIndex, state.snapshotTerm,
         std::make_shared<const std::string>(state.snapshotDocument), replicatedState_.voters()};
     log_.reset(snapshot_.index, snapshot_.term);
     for (auto& entry : state.log) log_.append(entry);
-    applied_ = snapshot_.index;
-    synced_ = last();
-    commit_ = std::min(std::max(commit_, snapshot_.index), last());
-    role_->process(Initialized{}, counters_);
+    lastApplied_ = snapshot_.index;
+    lastSynced_ = last();
+    commitIndex_ = std::min(std::max(commitIndex_, snapshot_.index), last());
+    roles_->process(Initialized{}, counters_);
     refreshConfiguration();
-    applyUpTo(commit_, now);
+    applyCommitted(commitIndex_, now);
     port_.voterApplied(replicatedState_, "", {});
 }
 
 auto Voter::envelope() const -> wire::Envelope {
-    auto e = wire::Envelope();
-    e.wire = WIRE;
-    e.disk = disk_;
-    e.epoch = epoch_;
-    return e;
+    auto message = wire::Envelope();
+    message.wire = WIRE;
+    message.disk = disk_;
+    message.epoch = epoch_;
+    return message;
 }
 
 auto Voter::restartElectionTimer(Microseconds now) -> void {
-    electionDue_ = now + ELECTION_TIMEOUT + Microseconds(rng_.below(ELECTION_TIMEOUT));
+    electionDeadline_ = now + ELECTION_TIMEOUT + Microseconds(random_.below(ELECTION_TIMEOUT));
+}
+
+auto Voter::checkInvariants() const -> void {
+    if (!isSound()) return;
+    INVARIANT(lastApplied_ <= commitIndex_);
+    INVARIANT(commitIndex_ <= last());
+    INVARIANT(snapshot_.index <= lastApplied_);
+    INVARIANT(log_.base() <= snapshot_.index);
+    INVARIANT(log_.termAt(snapshot_.index) == snapshot_.term);
+    INVARIANT(log_.lastTerm() <= term_);
+    INVARIANT(lastSynced_ <= last());
+    INVARIANT(configurationIndex_ <= last());
 }
 
 auto Voter::tick(Microseconds now) -> void {
     tickDisk(now);
-    if (blank()) return;
-    if (leads()) tickLeader(now);
-    else tickFollower(now);
+    if (!blank()) {
+        if (leads()) tickLeader(now);
+        else tickFollower(now);
+    }
+    checkInvariants();
 }
 
 auto Voter::tickDisk(Microseconds now) -> void {
@@ -73,56 +88,61 @@
 }
 
 auto Voter::tickLeader(Microseconds now) -> void {
-    auto heardLately = [&](const std::string& disk) {
+    auto hasContact = [&](const std::string& disk) {
         if (disk == disk_) return true;
         auto lastContact = progress_[disk].lastContact();
         return lastContact && now - lastContact < QUORUM_TIMEOUT;
     };
-    if (hasMajority(heardLately)) quorumAt_ = now;
-    auto quorumLost = now - quorumAt_ > QUORUM_TIMEOUT;
+    if (hasMajority(hasContact)) lastQuorumContact_ = now;
+    auto quorumLost = now - lastQuorumContact_ > QUORUM_TIMEOUT;
     if (diskBad() || quorumLost) {
         counters_.add(diskBad() ? "leader_gave_up_disk_total" : "leader_lost_quorum_total");
         auto transferred = transferLeadership(now);
-        follow(now);
-        if (!transferred || quorumLost) leader_.clear();
+        becomeFollower(now);
+        if (!transferred || quorumLost) leaderDisk_.clear();
         return;
     }
-    if (now - heartbeatAt_ >= HEARTBEAT_INTERVAL) {
-        heartbeatAt_ = now;
-        sendAppends(now);
+    if (now - lastHeartbeat_ >= HEARTBEAT_INTERVAL) {
+        lastHeartbeat_ = now;
+        replicateToAll(now);
     }
-    changeVoters(now);
+    advanceConfigurationChange(now);
 }
 
 auto Voter::tickFollower(Microseconds now) -> void {
     initializeBlankVoters(now);
-    if (now < electionDue_) return;
-    if (!isVoter(disk_) || diskBad()) electionDue_ = now + ELECTION_TIMEOUT;
-    else if (role_->process(ElectionTimeout{}, counters_)) campaign(true, false, now);
+    if (now < electionDeadline_) return;
+    if (!isVoter(disk_) || diskBad()) electionDeadline_ = now + ELECTION_TIMEOUT;
+    else if (roles_->process(ElectionTimeout{}, counters_)) beginPreVote(now);
 }
 
 auto Voter::handle(const wire::Envelope& message, Microseconds now) -> void {
     if (message.disk == disk_) return;
-    auto hasSnapshot = message.__isset.installSnapshot || message.__isset.snapshotChunk;
-    // A disk that its cluster no longer counts on may be told of a newer one.
-    auto newer = message.epoch > epoch_ && vote_.empty();
-    if (message.epoch != epoch_ && !(hasSnapshot && (blank() || newer))) {
+    auto carriesSnapshot = message.__isset.installSnapshot || message.__isset.snapshotChunk;
+    // A disk that its cluster no longer counts on may learn of a newer one.
+    auto isNewer = message.epoch > epoch_ && votedFor_.empty();
+    if (message.epoch != epoch_ && !(carriesSnapshot && (blank() || isNewer))) {
         counters_.add("other_reign_dropped_total");
         return;
     }
+    dispatch(message, now);
+    checkInvariants();
+}
+
+auto Voter::dispatch(const wire::Envelope& message, Microseconds now) -> void {
     if (message.__isset.installSnapshot)
-        return onSnapshot(message.disk, message.epoch, message.installSnapshot, now);
-    if (message.__isset.snapshotChunk) return onChunk(message, now);
+        return onInstallSnapshot(message.disk, message.epoch, message.installSnapshot, now);
+    if (message.__isset.snapshotChunk) return onSnapshotChunk(message, now);
     if (blank()) return;
     auto& from = message.disk;
     if (message.__isset.requestVote && message.requestVote.preVote)
-        onPreVoteAsk(from, message.requestVote, now);
-    else if (message.__isset.requestVote) onVoteAsk(from, message.requestVote, now);
-    else if (message.__isset.requestVoteReply) onVoteReply(from, message.requestVoteReply, now);
-    else if (message.__isset.timeoutNow) onTakeOver(from, message.timeoutNow, now);
-    else if (message.__isset.appendEntries) onAppendAsk(from, message.appendEntries, now);
-    else if (message.__isset.appendEntriesReply) onAppendReply(from, message.appendEntriesReply, now);
-    else if (message.__isset.snapshotChunkReply) onChunkReply(from, message.snapshotChunkReply, now);
+        onPreVoteRequest(from, message.requestVote, now);
+    else if (message.__isset.requestVote) onRequestVote(from, message.requestVote, now);
+    else if (message.__isset.requestVoteReply) onRequestVoteReply(from, message.requestVoteReply, now);
+    else if (message.__isset.timeoutNow) onTimeoutNow(from, message.timeoutNow, now);
+    else if (message.__isset.appendEntries) onAppendEntries(from, message.appendEntries, now);
+    else if (message.__isset.appendEntriesReply) onAppendEntriesReply(from, message.appendEntriesReply, now);
+    else if (message.__isset.snapshotChunkReply) onSnapshotChunkReply(from, message.snapshotChunkReply, now);
 }
 
 }  // namespace duneturn
--- a/src/consensus/voter.hpp
+++ b/src/consensus/voter.hpp
@@ -1,20 +1,29 @@
 #pragma once
-// One member of the replicated log (Raft: Ongaro, "Consensus: Bridging Theory and Practice",
-// 2014, with pre-vote, check-quorum, ReadIndex and leadership transfer). Logic only: the disk
-// and the network are behind VoterPort, so that the simulator and the tests drive this code.
+// One replica of the replicated log (Raft: Ongaro, "Consensus: Bridging Theory and Practice", 2014; the
+// sections named in this folder are its), with pre-vote, check-quorum, ReadIndex, leadership transfer,
+// learners and joint consensus. Logic only: the disk and the network are behind VoterPort, so that the
+// simulator, the model checker and the tests drive the code that runs.
 //
-//   voter.cpp        construction, clock, dispatch of messages
-//   log.cpp          entries, writes to disk, what waits for a write
-//   election.cpp     pre-vote, votes, terms, leadership transfer
-//   replication.cpp  appending, commit, reads, applying
-//   membership.cpp   voters, replacement, founding and retiring
-//   snapshot.cpp     compaction, installing a snapshot
-//   transfer.cpp     sending a snapshot in chunks, and putting them together
+// A replica is a disk, and is known by the identity of that disk. Voter holds the parts together, passes
+// each message to its handler and each write to the disk. The parts, which know nothing of each other:
+//
+//   configuration.hpp      who votes, and what is a majority
+//   replicated_log.hpp     the entries in memory
+//   snapshot.hpp           what stands in place of the entries before them
+//   write_queue.hpp        writes under way, and messages that must wait for them
+//   progress.hpp           what a leader knows of another replica
+//   read_index.hpp         reads that wait for a majority
+//   snapshot_transfer.hpp  snapshots on their way
+//   role.hpp               roles and their transitions
+//   limits.hpp             times and sizes
+//
+// Voter's own functions: voter.cpp (start, clock, dispatch), log.cpp (writes), election.cpp,
+// replication.cpp, membership.cpp, snapshot.cpp, transfer.cpp (snapshots in chunks).
 #include <cstdint>
-#include <deque>
 #include <functional>
 #include <map>
 #include <memory>
+#include <optional>
 #include <set>
 #include <string>
 #include <utility>
@@ -37,82 +46,111 @@
 
 namespace duneturn {
 
+/// What a voter needs of its surroundings: a network, a disk, and one that uses the state.
 struct VoterPort {
     virtual ~VoterPort() = default;
-    virtual auto voterSend(const std::string& disk, wire::Envelope& e) -> void = 0;
-    virtual auto voterWrite(const DiskWrite& w) -> void = 0;
-    /// The state machine advanced to `w`, which this disk holds; `key` and `o` are set when the
+    /// Sends a message to the replica with this disk; it may be lost. The callee may complete `message`.
+    virtual auto voterSend(const std::string& disk, wire::Envelope& message) -> void = 0;
+    /// Begins a write; Voter::diskDone reports its end. Writes are performed in their order.
+    virtual auto voterWrite(const DiskWrite& write) -> void = 0;
+    /// The state machine advanced to `state`, which this disk holds; `key` and `outcome` are set when the
     /// entry was a command.
-    virtual auto voterApplied(const ReplicatedState& w, const std::string& key, const Outcome& o) -> void = 0;
+    virtual auto voterApplied(const ReplicatedState& state, const std::string& key, const Outcome& outcome)
+        -> void = 0;
+    /// Answers Voter::read: `ok` if this was the leader after the question came, and the state has what
+    /// was committed then.
     virtual auto voterRead(std::int64_t id, bool ok) -> void = 0;
 };
 
 struct RoleMachine;
 
+/// One replica. Not thread-safe; `now` is a clock that never goes back (bootNow()).
 class Voter {
   public:
-    enum class Role { Blank, Follower, PreCandidate, Candidate, Leader };
+    enum class Role {
+        Blank,  // belongs to no cluster
+        Follower,
+        PreCandidate,
+        Candidate,
+        Leader,
+    };
 
     Voter(VoterPort& port, Counters& counters, std::uint64_t seed);
     ~Voter();
 
-    /// Starts from what the disk holds; an empty state makes a blank voter with the identity `fresh`.
+    /// Starts from what the disk holds; an empty state makes a blank voter with the identity `newDiskId`.
     auto start(const DiskState& state, const std::string& newDiskId, Microseconds now) -> void;
+    /// To be called often, at least each 50 ms; timers are checked here only.
     auto tick(Microseconds now) -> void;
+    /// Takes a message of another replica.
     auto handle(const wire::Envelope& message, Microseconds now) -> void;
+    /// The write `sequence` (DiskWrite::seq) is on disk, or has failed. To be called in their order.
     auto diskDone(std::int64_t sequence, bool ok, Microseconds now) -> void;
     /// Begins a new cluster with this state on this disk alone, leaving any earlier one; the
     /// other voters are told of it.
     auto bootstrap(const ReplicatedState& state, std::int64_t term, Microseconds now) -> void;
-    /// Appends a command to the log; false unless this is the leader.
+    /// Appends a command (an EntryKind and its body) to the log. False, and nothing is appended, unless
+    /// this leads, its disk works and no transfer of leadership is under way.
     auto propose(int kind, const std::string& body, Microseconds now) -> bool;
-    /// Asks whether this is still the leader; answered through voterRead.
+    /// Asks whether this is still the leader; answered through voterRead with this id.
     auto read(std::int64_t id, Microseconds now) -> void;
-    /// Spare disks that could take a seat (seat, disk).
+    /// Spare disks that could take the place of a voter's, as (node, disk).
     auto setSpareDisks(const std::vector<std::pair<std::string, std::string>>& spares) -> void {
-        spares_ = spares;
+        spareDisks_ = spares;
     }
     /// Voters' disks that say they are blank.
     auto setBlankVoters(const std::vector<std::string>& disks) -> void { blankVoters_ = disks; }
-    /// Transfers leadership to the voter that is furthest along; for a planned stop.
+    /// Transfers leadership to the voter that is furthest along; for a planned stop. False if there is
+    /// none that has all that this disk has.
     auto transferLeadership(Microseconds now) -> bool;
     /// Leaves a cluster that never had a vote from this disk, or any if `force`.
     auto leaveCluster(bool force, Microseconds now) -> bool;
-    /// A committed state of this cluster, of generation `gen`, names the voters without this disk.
-    /// If that is behind all this log holds, the disk becomes a blank one, under the identity `fresh`.
+    /// A committed state of this cluster, of this version, names the voters without this disk.
+    /// If that is behind all this log holds, the disk becomes a blank one with the identity `newDiskId`.
     auto retire(std::int64_t version, const std::string& newDiskId, Microseconds now) -> bool;
     /// When this leader last heard of a disk; 0 if never.
     auto lastContact(const std::string& disk) const -> Microseconds;
-    auto leadSince() const -> Microseconds { return leadSince_; }
+    /// Since when this leads; of a former leader, when its last term as such began.
+    auto leadSince() const -> Microseconds { return leaderSince_; }
 
     auto role() const -> Role;
     auto blank() const -> bool { return role() == Role::Blank; }
     auto leads() const -> bool { return role() == Role::Leader; }
     /// Leads, and has applied an entry of its own term.
-    auto ready() const -> bool { return leads() && applied_ >= termStart_; }
+    auto ready() const -> bool { return leads() && lastApplied_ >= firstIndexOfTerm_; }
+    /// The identity of this disk.
     auto disk() const -> const std::string& { return disk_; }
     auto term() const -> std::int64_t { return term_; }
+    /// Of the cluster: a new one that replaces a lost one has a higher epoch.
     auto epoch() const -> std::int64_t { return epoch_; }
-    auto leader() const -> const std::string& { return leader_; }
+    /// The disk of the leader of this term; empty if it isn't known.
+    auto leader() const -> const std::string& { return leaderDisk_; }
+    /// The state after the entry applied().
     auto replicatedState() const -> const ReplicatedState& { return replicatedState_; }
     /// The state with everything that is in the log, committed or not.
     auto latestState() const -> const ReplicatedState& { return latestState_; }
-    auto commit() const -> std::int64_t { return commit_; }
-    /// The last index whose entry is in word().
-    auto applied() const -> std::int64_t { return applied_; }
+    /// The index of the last entry that is known to be committed.
+    auto commit() const -> std::int64_t { return commitIndex_; }
+    auto applied() const -> std::int64_t { return lastApplied_; }
+    /// The index of the last entry in the log.
     auto last() const -> std::int64_t { return log_.last(); }
-    auto quorumAt() const -> Microseconds { return quorumAt_; }
+    /// When this leader last had contact to a majority.
+    auto quorumAt() const -> Microseconds { return lastQuorumContact_; }
+    /// Whether the disk has failed or stalled, and has not worked since.
     auto diskBad() const -> bool { return writes_.isDiskBad(); }
     /// The newest set in the log, committed or not.
     auto voters() const -> const std::vector<VoterIdentity>& { return configuration_.voters(); }
     /// While a change is under way, the voters before it; their majority is needed too.
     auto outgoingVoters() const -> const std::vector<VoterIdentity>& { return configuration_.outgoing(); }
     auto joint() const -> bool { return configuration_.isJoint(); }
+    /// How many entries are held in memory.
     auto logSize() const -> std::size_t { return log_.size(); }
 
     /// Deliberate faults for proving that oracles can fail; none is set outside tests.
     struct Broken {
-        bool ackBeforeSync = false, voteTwice = false, noQuorum = false;
+        bool ackBeforeSync = false;      // messages don't wait for the writes that they rest on
+        bool voteTwice = false;          // a second vote in a term, and a second leader of one
+        bool noQuorum = false;           // one voter counts as a majority
         bool newMajorityOnly = false;    // a joint configuration without its old majority
         bool truncateCommitted = false;  // committed entries give way to conflicting ones
         bool ackUnsavedTerm = false;     // after a failed write its term counts as saved
@@ -120,12 +158,17 @@
         bool skipReadQuorum = false;     // a read is answered without a round of heartbeats
         bool changeBeforeNoop = false;   // voters change before an entry of the own term is committed
         bool truncateMatching = false;   // an append drops what stands behind it, though it matches
+        auto operator==(const Broken&) const -> bool = default;
     };
     Broken broken;
 
   private:
     // voter.cpp
     auto envelope() const -> wire::Envelope;
+    /// What holds between two inputs, whatever they were; not with faults that tests bring in.
+    auto checkInvariants() const -> void;
+    auto isSound() const -> bool { return broken == Broken(); }
+    auto dispatch(const wire::Envelope& message, Microseconds now) -> void;
     auto restartElectionTimer(Microseconds now) -> void;
     auto tickDisk(Microseconds now) -> void;
     auto tickLeader(Microseconds now) -> void;
@@ -134,41 +177,48 @@
     // log.cpp
     auto write(DiskWrite write, Microseconds now) -> std::int64_t;
     auto writeIfUnsaved(Microseconds now) -> std::int64_t;
-    auto sendAfter(std::int64_t sequence, const std::string& to, wire::Envelope envelope) -> void;
+    auto sendAfterWrite(std::int64_t sequence, const std::string& to, wire::Envelope envelope) -> void;
     auto writeFailed(const PendingWrite& write, Microseconds now) -> void;
     auto writeSucceeded(const PendingWrite& write, Microseconds now) -> void;
-    auto rebuildHead() -> void;
+    auto rebuildLatestState() -> void;
 
     // election.cpp
-    auto follow(Microseconds now) -> void;
+    auto becomeFollower(Microseconds now) -> void;
     auto adoptTerm(std::int64_t term, Microseconds now) -> void;
-    auto campaign(bool preVote, bool transferred, Microseconds now) -> void;
+    auto beginPreVote(Microseconds now) -> void;
+    /// `leadershipTransfer`: the leader of this term asked for it, so that voters needn't wait for it to
+    /// fail.
+    auto beginElection(bool leadershipTransfer, Microseconds now) -> void;
+    auto voteRequest() const -> wire::RequestVote;
     auto becomeLeader(Microseconds now) -> void;
-    auto hasVotes() const -> bool;
-    auto logIsCurrent(const wire::RequestVote& ask) const -> bool;
-    auto hearsLeader(Microseconds now) const -> bool;
-    auto onPreVoteAsk(const std::string& from, const wire::RequestVote& ask, Microseconds now) -> void;
-    auto onVoteAsk(const std::string& from, const wire::RequestVote& ask, Microseconds now) -> void;
-    auto onVoteReply(const std::string& from, const wire::RequestVoteReply& reply, Microseconds now) -> void;
-    auto onTakeOver(const std::string& from, const wire::TimeoutNow& message, Microseconds now) -> void;
-    auto candidateMayCount(const wire::RequestVote& ask) const -> bool;
+    auto hasElectionMajority() const -> bool;
+    auto isUpToDate(const wire::RequestVote& request) const -> bool;
+    auto hasLiveLeader(Microseconds now) const -> bool;
+    auto onPreVoteRequest(const std::string& from, const wire::RequestVote& request, Microseconds now)
+        -> void;
+    auto onRequestVote(const std::string& from, const wire::RequestVote& request, Microseconds now) -> void;
+    auto onRequestVoteReply(const std::string& from, const wire::RequestVoteReply& reply, Microseconds now)
+        -> void;
+    auto onTimeoutNow(const std::string& from, const wire::TimeoutNow& message, Microseconds now) -> void;
+    auto candidateReadsConfiguration(const wire::RequestVote& request) const -> bool;
 
     // replication.cpp
     auto append(int kind, const std::string& body, Microseconds now) -> void;
-    auto sendAppend(const std::string& disk, Microseconds now) -> void;
-    auto sendBatch(const std::string& disk, ReplicaProgress& progress, Microseconds now) -> void;
-    auto sendAppends(Microseconds now) -> void;
+    auto replicateTo(const std::string& disk, Microseconds now) -> void;
+    auto sendAppendEntries(const std::string& disk, ReplicaProgress& progress, Microseconds now) -> void;
+    auto replicateToAll(Microseconds now) -> void;
     auto advanceCommit(Microseconds now) -> void;
     auto answerReads() -> void;
-    auto applyUpTo(std::int64_t index, Microseconds now) -> void;
-    auto applyEntry(const wire::Entry& e) -> void;
-    auto onAppendAsk(const std::string& from, const wire::AppendEntries& ask, Microseconds now) -> void;
-    auto wellFormed(const wire::AppendEntries& ask) const -> bool;
-    auto contradictsCommitted(const wire::AppendEntries& ask) const -> bool;
-    auto refuse(const char* counter, const std::string& from) -> void;
-    auto storeEntries(const wire::AppendEntries& ask) -> DiskWrite;
-    auto onAppendReply(const std::string& from, const wire::AppendEntriesReply& reply, Microseconds now)
+    auto applyCommitted(std::int64_t index, Microseconds now) -> void;
+    auto applyEntry(const wire::Entry& entry) -> void;
+    auto onAppendEntries(const std::string& from, const wire::AppendEntries& request, Microseconds now)
         -> void;
+    auto isWellFormed(const wire::AppendEntries& request) const -> bool;
+    auto contradictsCommitted(const wire::AppendEntries& request) const -> bool;
+    auto rejectMessage(const char* counter, const std::string& from) -> void;
+    auto storeEntries(const wire::AppendEntries& request) -> DiskWrite;
+    auto onAppendEntriesReply(
+        const std::string& from, const wire::AppendEntriesReply& reply, Microseconds now) -> void;
 
     // membership.cpp
     auto refreshConfiguration() -> void;
@@ -177,22 +227,22 @@
         return configuration_.hasMajority(holds, quorumFaults());
     }
     auto quorumFaults() const -> QuorumFaults { return {broken.noQuorum, broken.newMajorityOnly}; }
-    auto changeVoters(Microseconds now) -> void;
-    auto removeReplaced(Microseconds now) -> bool;
-    auto addLearner(Microseconds now) -> void;
-    auto caughtUp(ReplicaProgress& progress, Microseconds now) -> bool;
-    auto beginChange(std::vector<VoterIdentity> voters, Microseconds now) -> bool;
+    auto advanceConfigurationChange(Microseconds now) -> void;
+    auto removeReplacedDisk(Microseconds now) -> bool;
+    auto promoteLearner(Microseconds now) -> void;
+    auto hasCaughtUp(ReplicaProgress& progress, Microseconds now) -> bool;
+    auto beginConfigurationChange(std::vector<VoterIdentity> voters, Microseconds now) -> bool;
 
     // snapshot.cpp
-    auto compactionDue() const -> bool;
+    auto isCompactionDue() const -> bool;
     auto compact(Microseconds now) -> void;
-    auto lacks(std::int64_t index, std::int64_t term) const -> bool;
-    auto onSnapshot(const std::string& from, std::int64_t epoch, const wire::InstallSnapshot& snapshot,
+    auto isBehind(std::int64_t index, std::int64_t term) const -> bool;
+    auto onInstallSnapshot(const std::string& from, std::int64_t epoch, const wire::InstallSnapshot& snapshot,
         Microseconds now) -> void;
-    auto checkSnapshot(const std::string& from, std::int64_t epoch, const wire::InstallSnapshot& snapshot,
-        ReplicatedState& state) -> bool;
-    auto hearSender(std::int64_t term, Microseconds now) -> void;
-    auto answerInstalled(const std::string& to, const wire::InstallSnapshot& snapshot, Microseconds now)
+    static auto loadSnapshot(std::int64_t epoch, const wire::InstallSnapshot& snapshot)
+        -> std::optional<ReplicatedState>;
+    auto followLeader(std::int64_t term, Microseconds now) -> void;
+    auto replyInstalled(const std::string& to, std::int64_t index, std::int64_t round, Microseconds now)
         -> void;
     auto installSnapshot(
         const wire::InstallSnapshot& snapshot, const ReplicatedState& state, Microseconds now) -> void;
@@ -202,40 +252,64 @@
     auto sendWholeSnapshot(const std::string& disk) -> void;
     auto sendChunk(const std::string& disk, wire::SnapshotChunk chunk) -> void;
     auto initializeBlankVoters(Microseconds now) -> void;
-    auto onChunk(const wire::Envelope& message, Microseconds now) -> void;
-    auto answerChunk(const wire::Envelope& message, std::size_t received, bool refused) -> void;
-    auto assemble(const wire::Envelope& message, Microseconds now) -> void;
-    auto onChunkReply(const std::string& from, const wire::SnapshotChunkReply& reply, Microseconds now)
-        -> void;
-    auto endTransfer(const std::string& disk, std::int64_t match) -> void;
+    auto onSnapshotChunk(const wire::Envelope& message, Microseconds now) -> void;
+    auto replyToChunk(const wire::Envelope& message, std::size_t received, bool refused) -> void;
+    auto assembleSnapshot(const wire::Envelope& message, Microseconds now) -> void;
+    auto onSnapshotChunkReply(
+        const std::string& from, const wire::SnapshotChunkReply& reply, Microseconds now) -> void;
+    auto endSnapshotTransfer(const std::string& disk, std::int64_t match) -> void;
 
     VoterPort& port_;
     Counters& counters_;
-    Rng rng_;
-    std::unique_ptr<RoleMachine> role_;
-    std::string disk_, vote_, leader_;
-    std::int64_t epoch_ = 0, term_ = 0, commit_ = 0, applied_ = 0;
+    Rng random_;
+    std::unique_ptr<RoleMachine> roles_;
+
+    // What the disk holds beside the log, or will once the newest write is done.
+    std::string disk_;  // its identity
+    std::int64_t epoch_ = 0;
+    std::int64_t term_ = 0;
+    std::string votedFor_;  // in this term; empty: nobody
+    std::int64_t commitIndex_ = 0;
     Snapshot snapshot_;
-    std::int64_t synced_ = 0;              // the last entry that this disk holds
-    std::int64_t termStart_ = 0;           // this leader's first entry
-    std::int64_t installSeq_ = 0;          // the write of a snapshot that was not reported yet
-    std::int64_t voteSeq_ = 0;             // the write of this candidate's own vote
-    std::int64_t configurationIndex_ = 0;  // the entry of the configuration in force
-    bool appliedJoint_ = false;            // the newest applied configuration is a joint one
-    std::int64_t round_ = 0;
     ReplicatedLog log_;
-    std::map<std::string, SnapshotSender> snapshotSenders_;  // by the receiver's disk
-    SnapshotAssembly assembly_;
-    std::map<std::string, ReplicaProgress> progress_;  // of a leader, by disk
-    std::set<std::string> votes_;
-    std::vector<std::string> blankVoters_;
-    std::vector<std::pair<std::string, std::string>> spares_;
-    Configuration configuration_;  // the newest in the log, committed or not
-    ReplicatedState replicatedState_, latestState_;
-    Microseconds preVoteAt_ = 0, leadSince_ = 0, electionDue_ = 0, heardLeader_ = 0, quorumAt_ = 0,
-                 heartbeatAt_ = 0, toldAt_ = 0, transferDue_ = 0;
     WriteQueue writes_;
+    std::int64_t lastSynced_ = 0;    // the last entry that is on this disk
+    std::int64_t installWrite_ = 0;  // the write of a snapshot from elsewhere; 0 once it is on disk
+
+    // The state machine.
+    std::int64_t lastApplied_ = 0;
+    bool appliedJoint_ = false;  // the newest applied configuration is a joint one
+    ReplicatedState replicatedState_;
+    ReplicatedState latestState_;
+
+    // The configuration in force: the newest in the log, committed or not (4.1).
+    Configuration configuration_;
+    std::int64_t configurationIndex_ = 0;  // its entry
+    std::vector<std::pair<std::string, std::string>> spareDisks_;
+    std::vector<std::string> blankVoters_;
+    Microseconds lastBlankVoterTry_ = 0;
+
+    // Elections.
+    std::string leaderDisk_;  // of this term; empty: not known
+    Microseconds lastLeaderContact_ = 0;
+    Microseconds electionDeadline_ = 0;
+    Microseconds preVoteStart_ = 0;
+    std::set<std::string> votes_;    // disks that granted this candidate their vote
+    std::int64_t ownVoteWrite_ = 0;  // the write of this candidate's own vote; 0 once it counts
+
+    // Of a leader.
+    std::map<std::string, ReplicaProgress> progress_;  // by disk
     ReadIndexQueue reads_;
+    std::int64_t firstIndexOfTerm_ = 0;
+    std::int64_t heartbeatRound_ = 0;  // see ReadIndexQueue
+    Microseconds leaderSince_ = 0;
+    Microseconds lastQuorumContact_ = 0;
+    Microseconds lastHeartbeat_ = 0;
+    Microseconds transferDeadline_ = 0;  // until then nothing is appended
+
+    // Snapshots under way; a follower too sends them, to blank voters.
+    std::map<std::string, SnapshotSender> snapshotSenders_;  // by the receiver's disk
+    SnapshotAssembly assembly_;
 };
 
 }  // namespace duneturn
