--- a/src/consensus/election.cpp
+++ b/src/consensus/election.cpp
@@ -11,7 +11,7 @@
 
 auto Voter::becomeFollower(Microseconds now) -> void {
     if (leads()) {
-        logf("core: no longer leader in term {}", term_);
+        logEvent("leader_stepped_down", "term={}", term_);
         for (auto id : reads_.takeAll()) port_.voterRead(id, false);
     }
     if (role() != Role::Follower && !blank()) roles_->process(LeaderSeen{}, counters_);
@@ -81,7 +81,7 @@
     snapshotSenders_.clear();
     lastHeartbeat_ = 0;
     heartbeatRound_++;
-    logf("core: leader of reign {} term {}", epoch_, term_);
+    logEvent("leader_elected", "epoch={} term={}", epoch_, term_);
     counters_.add("leader_won_total");
     firstIndexOfTerm_ = last() + 1;
     append(ENTRY_NOOP, "", now);
@@ -104,7 +104,7 @@
     port_.voterSend(best, message);
     transferDeadline_ = now + ELECTION_TIMEOUT;
     counters_.add("handed_over_total");
-    logf("core: the duty is handed to disk {}", best);
+    logEvent("leadership_transferred", "to_disk={}", best);
     return true;
 }
 
@@ -127,7 +127,7 @@
 
 auto Voter::onPreVoteRequest(const std::string& from, const wire::RequestVote& request, Microseconds now)
     -> void {
-    // Two that ask at the same time would split the vote: the lower identity gives way.
+    // Two candidates at the same time would split the vote: the lower identity gives way.
     auto precedes = role() == Role::PreCandidate && now - preVoteStart_ < ELECTION_TIMEOUT / 2 && disk_ > from
         && request.lastLogTerm == log_.lastTerm() && request.lastLogIndex == last();
     auto leaderStands = !request.leadershipTransfer && hasLiveLeader(now);
--- a/src/consensus/log.cpp
+++ b/src/consensus/log.cpp
@@ -29,7 +29,7 @@
     return writes_.isUnsaved(term_, votedFor_) ? write({}, now) : writes_.newest();
 }
 
-// What must not be said before the disk holds what it rests on.
+// Sends what must not leave before the disk holds what it rests on.
 auto Voter::sendAfterWrite(std::int64_t sequence, const std::string& to, wire::Envelope envelope) -> void {
     if (broken.ackBeforeSync || writes_.isDone(sequence)) port_.voterSend(to, envelope);
     else writes_.defer({sequence, to, std::move(envelope)});
@@ -50,7 +50,7 @@
 auto Voter::writeFailed(const PendingWrite& write, Microseconds now) -> void {
     auto wasBad = writes_.isDiskBad();
     if (!writes_.noteFailure(write, !broken.ackUnsavedTerm, now)) return;
-    if (!wasBad) logf("disk: a write failed; orders are denied until one succeeds");
+    if (!wasBad) logEvent("disk_write_failed", "disk={}", disk_);
     counters_.add("disk_failed_total");
     // What this disk does not hold is not kept in memory either.
     if (!blank() && last() > lastSynced_ && lastSynced_ >= snapshot_.index) {
@@ -64,7 +64,7 @@
 }
 
 auto Voter::writeSucceeded(const PendingWrite& write, Microseconds now) -> void {
-    if (writes_.noteSuccess()) logf("disk: writes succeed again");
+    if (writes_.noteSuccess()) logEvent("disk_writes_again", "disk={}", disk_);
     auto inLog = write.lastIndex <= last() && log_.termAt(write.lastIndex) == write.lastTerm;
     if (write.lastIndex > lastSynced_ && inLog) lastSynced_ = write.lastIndex;
     for (auto& message : writes_.takeReleased(write.sequence)) {
--- a/src/consensus/membership.cpp
+++ b/src/consensus/membership.cpp
@@ -61,7 +61,7 @@
     installWrite_ = write(std::move(change), now);
     refreshConfiguration();
     electionDeadline_ = now + ELECTION_TIMEOUT;
-    logf("core: reign {} begins on disk {} at generation {}", epoch_, disk_, state.version);
+    logEvent("cluster_begun", "epoch={} disk={} version={}", epoch_, disk_, state.version);
     counters_.add("reigns_begun_total");
 }
 
@@ -94,7 +94,7 @@
     if (blank() || leads() || !isVoter(disk_)
         || version <= replicatedState_.version + (last() - lastApplied_))
         return false;
-    logf("core: disk {} was replaced; it is blank again, as {}", disk_, newDiskId);
+    logEvent("disk_retired", "disk={} new_disk={}", disk_, newDiskId);
     disk_ = newDiskId;
     counters_.add("retired_total");
     return leaveCluster(true, now);
@@ -113,7 +113,7 @@
     if (!mayChange || diskBad() || configurationIndex_ > commitIndex_) return;
     if (joint()) {
         auto final = Configuration(configuration_.voters());
-        logf("core: the change of voters ends: {}", final.entryBody());
+        logEvent("voters_change_ends", "voters={}", final.entryBody());
         append(final.entryKind(), final.entryBody(), now);
         return;
     }
@@ -170,7 +170,8 @@
         counters_.add("change_waits_for_upgrade_total");
         return false;
     }
-    logf("core: the voters change: from {} to {}", votersText(configuration_.voters()), votersText(voters));
+    logEvent(
+        "voters_change_begins", "from={} to={}", votersText(configuration_.voters()), votersText(voters));
     auto joint = Configuration::joint(configuration_.voters(), std::move(voters));
     append(joint.entryKind(), joint.entryBody(), now);
     return true;
--- a/src/consensus/progress.hpp
+++ b/src/consensus/progress.hpp
@@ -42,11 +42,11 @@
     [[nodiscard]] auto match() const -> std::int64_t { return match_; }
     /// The newest round of heartbeats that the replica answered (ReadIndex).
     [[nodiscard]] auto confirmedRound() const -> std::int64_t { return confirmedRound_; }
-    /// When the replica was heard last; 0 if never.
+    /// When the replica was last heard from; 0 if never.
     [[nodiscard]] auto lastContact() const -> Microseconds { return lastContact_; }
     /// When something was sent to it last.
     [[nodiscard]] auto lastSent() const -> Microseconds { return lastSent_; }
-    /// Whether it has said that it reads joint configurations.
+    /// Whether it has stated that it reads joint configurations.
     [[nodiscard]] auto knowsJoint() const -> bool { return knowsJoint_; }
     /// Whether another batch may be sent before one is answered.
     [[nodiscard]] auto hasRoom() const -> bool;
--- a/src/consensus/replication.cpp
+++ b/src/consensus/replication.cpp
@@ -133,7 +133,7 @@
 // A message that no sound member sends in this state.
 auto Voter::rejectMessage(const char* counter, const std::string& from) -> void {
     counters_.add(counter);
-    logf("core: a message of disk {} was refused ({})", from, counter);
+    logEvent("message_rejected", "from_disk={} reason={}", from, counter);
 }
 
 // Whether entries becomeFollower each other without a gap, in rising terms, and can be read here.
--- a/src/consensus/role.hpp
+++ b/src/consensus/role.hpp
@@ -13,11 +13,11 @@
 
 struct Initialized {};         // a snapshot reached this disk
 struct Erased {};              // what the disk held is given up
-struct ElectionTimeout {};     // no leader was heard for an election timeout
+struct ElectionTimeout {};     // no contact to a leader for an election timeout
 struct PreVoteWon {};          // a majority would vote for this one
 struct ElectionWon {};         // a majority did
-struct LeadershipReceived {};  // the leader named this one its successor
-struct LeaderSeen {};          // a leader or a higher term was heard
+struct LeadershipReceived {};  // the leader transferred its leadership
+struct LeaderSeen {};          // a message of a leader or of a higher term
 
 struct RoleTable : msm::front::state_machine_def<RoleTable> {
     struct Blank : msm::front::state<> {};
--- a/src/consensus/snapshot_transfer.cpp
+++ b/src/consensus/snapshot_transfer.cpp
@@ -56,7 +56,7 @@
     auto complete = acknowledged_ == document_->size();
     if (unanswered == 0 && !complete) return Retry::None;
     if (now - progressAt_ < RETRY_BASE + Microseconds(unanswered) * RETRY_PER_BYTE) return Retry::None;
-    // All of it is there but the word that it was installed: the last chunk asks for that.
+    // All was received, and that it was installed is not known: the last chunk again asks for that.
     if (complete) acknowledged_ -= std::min(CHUNK_BYTES, acknowledged_);
     sent_ = acknowledged_;
     progressAt_ = now;
--- a/src/consensus/voter.cpp
+++ b/src/consensus/voter.cpp
@@ -82,7 +82,7 @@
 auto Voter::tickDisk(Microseconds now) -> void {
     if (writes_.detectStall(now)) {
         counters_.add("disk_stalled_total");
-        logf("disk: a write has been under way for over {} us", WRITE_STALLED);
+        logEvent("disk_write_stalled", "disk={} limit_us={}", disk_, WRITE_STALLED);
     }
     if (writes_.takeProbe(now)) write({}, now);
 }
--- a/src/consensus/voter.hpp
+++ b/src/consensus/voter.hpp
@@ -87,7 +87,7 @@
     /// The write `sequence` (DiskWrite::seq) is on disk, or has failed. To be called in their order.
     auto diskDone(std::int64_t sequence, bool ok, Microseconds now) -> void;
     /// Begins a new cluster with this state on this disk alone, leaving any earlier one; the
-    /// other voters are told of it.
+    /// other voters are sent it as a snapshot.
     auto bootstrap(const ReplicatedState& state, std::int64_t term, Microseconds now) -> void;
     /// Appends a command (an EntryKind and its body) to the log. False, and nothing is appended, unless
     /// this leads, its disk works and no transfer of leadership is under way.
@@ -108,7 +108,7 @@
     /// A committed state of this cluster, of this version, names the voters without this disk.
     /// If that is behind all this log holds, the disk becomes a blank one with the identity `newDiskId`.
     auto retire(std::int64_t version, const std::string& newDiskId, Microseconds now) -> bool;
-    /// When this leader last heard of a disk; 0 if never.
+    /// When this leader last heard from a disk; 0 if never.
     auto lastContact(const std::string& disk) const -> Microseconds;
     /// Since when this leads; of a former leader, when its last term as such began.
     auto leadSince() const -> Microseconds { return leaderSince_; }
