--- a/src/modelcheck/invariants.cpp
+++ b/src/modelcheck/invariants.cpp
@@ -123,9 +123,9 @@
     if (seen().commit < before().commit && !step.writeFailed)
         fail(fmt::format(
             "commit index: {} went from {} back to {}", seen().disk, before().commit, seen().commit));
-    if (seen().generation < before().generation)
+    if (seen().version < before().version)
         fail(fmt::format("commit index: {} went from applied generation {} back to {}", seen().disk,
-            before().generation, seen().generation));
+            before().version, seen().version));
 }
 
 // An entry known to be committed is never dropped.
@@ -140,10 +140,10 @@
 // All voters go through the same states.
 auto Check::applied() -> void {
     for (auto& state : node().applied) {
-        if (state.generation == 0) continue;
-        if (remember(&History::applied, state.generation, state.digest) != state.digest)
+        if (state.version == 0) continue;
+        if (remember(&History::applied, state.version, state.digest) != state.digest)
             fail(fmt::format("state machine safety: {} applied another state as generation {}", seen().disk,
-                state.generation));
+                state.version));
     }
 }
 
--- a/src/modelcheck/invariants.hpp
+++ b/src/modelcheck/invariants.hpp
@@ -19,7 +19,7 @@
     std::map<std::int64_t, std::string> leaders;                        // term -> disk
     std::map<std::pair<std::string, std::int64_t>, std::string> votes;  // (disk, term) -> candidate
     std::map<std::int64_t, EntryView> committed;                        // index -> entry
-    std::map<std::int64_t, std::uint64_t> applied;                      // generation -> digest of the state
+    std::map<std::int64_t, std::uint64_t> applied;                      // version -> digest of the state
     std::map<std::uint32_t, std::uint32_t> reads;                       // open read -> orders it must show
     std::map<std::string, std::uint32_t> wiped;                         // lost disk -> orders it held
     std::uint32_t acknowledged = 0;                                     // bit set of order numbers
--- a/src/modelcheck/model.cpp
+++ b/src/modelcheck/model.cpp
@@ -25,7 +25,7 @@
         ActionName{ActionKind::Sync, "sync"}, ActionName{ActionKind::FailWrite, "fail-write"},
         ActionName{ActionKind::Timeout, "timeout"}, ActionName{ActionKind::Heartbeat, "heartbeat"},
         ActionName{ActionKind::Propose, "propose"}, ActionName{ActionKind::Read, "read"},
-        ActionName{ActionKind::HandOver, "hand-over"}, ActionName{ActionKind::Offer, "offer"},
+        ActionName{ActionKind::TransferLeadership, "hand-over"}, ActionName{ActionKind::OfferSpare, "offer"},
         ActionName{ActionKind::Restart, "restart"}, ActionName{ActionKind::Wipe, "wipe"},
         ActionName{ActionKind::Retire, "retire"}, ActionName{ActionKind::Delay, "delay"}};
 
@@ -39,8 +39,8 @@
     case ActionKind::Heartbeat: return Bounded::Heartbeat;
     case ActionKind::Propose: return Bounded::Proposal;
     case ActionKind::Read: return Bounded::Read;
-    case ActionKind::HandOver: return Bounded::HandOver;
-    case ActionKind::Offer: return Bounded::Offer;
+    case ActionKind::TransferLeadership: return Bounded::TransferLeadership;
+    case ActionKind::OfferSpare: return Bounded::OfferSpare;
     case ActionKind::Restart: return Bounded::Restart;
     case ActionKind::Wipe: return Bounded::Wipe;
     case ActionKind::Retire: return Bounded::Retire;
@@ -49,7 +49,7 @@
     return std::nullopt;
 }
 
-auto seatName(std::size_t seat) -> std::string { return fmt::format("seat-{}", seat); }
+auto nodeName(std::size_t node) -> std::string { return fmt::format("seat-{}", node); }
 auto diskName(std::size_t replica) -> std::string { return fmt::format("d{}", replica); }
 
 auto linkIndex(std::size_t from, std::size_t to) -> std::size_t { return from * REPLICAS + to; }
@@ -105,37 +105,37 @@
 }
 
 auto encode(const ClusterState& state) -> std::vector<std::uint32_t> {
-    auto words = std::vector<std::uint32_t>(state.replicas.begin(), state.replicas.end());
-    words.push_back(state.history);
+    auto encoded = std::vector<std::uint32_t>(state.replicas.begin(), state.replicas.end());
+    encoded.push_back(state.history);
     for (auto i = std::size_t(0); i < BOUNDED_KINDS; i += 4)
-        words.push_back(std::uint32_t(state.left[i]) | std::uint32_t(state.left[i + 1]) << 8
+        encoded.push_back(std::uint32_t(state.left[i]) | std::uint32_t(state.left[i + 1]) << 8
             | std::uint32_t(state.left[i + 2]) << 16 | std::uint32_t(state.left[i + 3]) << 24);
     auto lagging = std::uint32_t(0);
     for (auto i = std::size_t(0); i < REPLICAS; i++) lagging |= std::uint32_t(state.lagging[i]) << i;
-    words.push_back(lagging);
+    encoded.push_back(lagging);
     for (auto i = std::size_t(0); i < state.links.size(); i++) {
         if (state.links[i].empty()) continue;
-        words.push_back(std::uint32_t(i << 8 | state.links[i].size()));
-        words.insert(words.end(), state.links[i].begin(), state.links[i].end());
+        encoded.push_back(std::uint32_t(i << 8 | state.links[i].size()));
+        encoded.insert(encoded.end(), state.links[i].begin(), state.links[i].end());
     }
-    return words;
+    return encoded;
 }
 
-auto decode(const std::vector<std::uint32_t>& words) -> ClusterState {
+auto decode(const std::vector<std::uint32_t>& encoded) -> ClusterState {
     auto state = ClusterState();
     auto at = std::size_t(0);
-    for (auto& replica : state.replicas) replica = words[at++];
-    state.history = words[at++];
+    for (auto& replica : state.replicas) replica = encoded[at++];
+    state.history = encoded[at++];
     for (auto i = std::size_t(0); i < BOUNDED_KINDS; i++)
-        state.left[i] = std::uint8_t(words[at + i / 4] >> (i % 4 * 8));
+        state.left[i] = std::uint8_t(encoded[at + i / 4] >> (i % 4 * 8));
     at += BOUNDED_KINDS / 4;
-    for (auto i = std::size_t(0); i < REPLICAS; i++) state.lagging[i] = words[at] >> i & 1;
+    for (auto i = std::size_t(0); i < REPLICAS; i++) state.lagging[i] = encoded[at] >> i & 1;
     at++;
-    while (at < words.size()) {
-        auto link = words[at] >> 8;
-        auto length = words[at] & 255;
+    while (at < encoded.size()) {
+        auto link = encoded[at] >> 8;
+        auto length = encoded[at] & 255;
         at++;
-        auto begin = words.begin() + std::ptrdiff_t(at);
+        auto begin = encoded.begin() + std::ptrdiff_t(at);
         state.links[link].assign(begin, begin + std::ptrdiff_t(length));
         at += length;
     }
@@ -150,9 +150,9 @@
     auto state = ClusterState();
     state.left = limit_;
     auto voters = std::vector<VoterIdentity>();
-    for (auto i = std::size_t(0); i < VOTERS; i++) voters.push_back({seatName(i), diskName(i)});
+    for (auto i = std::size_t(0); i < VOTERS; i++) voters.push_back({nodeName(i), diskName(i)});
     for (auto i = std::size_t(0); i < VOTERS; i++)
-        state.replicas[i] = graph_.boot(foundedDisk(voters, diskName(i)), "");
+        state.replicas[i] = graph_.boot(bootstrappedDisk(voters, diskName(i)), "");
     auto spare = graph_.boot(DiskState(), diskName(VOTERS));
     state.replicas[VOTERS] = graph_.step(spare, {InputKind::WriteSynced, 0, "", ""});
     return state;
@@ -209,16 +209,16 @@
     auto leads = replica.role == Voter::Role::Leader;
     if (leads || contains(replica.newestVoters, replica.disk))
         actions.push_back({ActionKind::Timeout, i, 0, 0});
-    if (retireGeneration(state, i) > 0) actions.push_back({ActionKind::Retire, i, 0, 0});
+    if (retireVersion(state, i) > 0) actions.push_back({ActionKind::Retire, i, 0, 0});
     if (!leads) return;
     actions.push_back({ActionKind::Heartbeat, i, 0, 0});
     actions.push_back({ActionKind::Propose, i, 0, 0});
     actions.push_back({ActionKind::Read, i, 0, 0});
-    actions.push_back({ActionKind::HandOver, i, 0, 0});
-    for (auto seat = std::uint8_t(0); seat < VOTERS; seat++)
+    actions.push_back({ActionKind::TransferLeadership, i, 0, 0});
+    for (auto node = std::uint8_t(0); node < VOTERS; node++)
         for (auto spare = std::uint8_t(0); spare < REPLICAS; spare++)
             if (seen(state, spare).role == Voter::Role::Blank)
-                actions.push_back({ActionKind::Offer, i, seat, spare});
+                actions.push_back({ActionKind::OfferSpare, i, node, spare});
 }
 
 auto Model::addFaults(const ClusterState& state, std::uint8_t i, std::vector<Action>& actions) const -> void {
@@ -229,14 +229,14 @@
     if (options_.eagerDisks && !state.lagging[i]) actions.push_back({ActionKind::Delay, i, 0, 0});
 }
 
-// The generation of a state that another replica has applied and that leaves this disk out.
-auto Model::retireGeneration(const ClusterState& state, std::size_t replica) const -> std::int64_t {
+// The version of a state that another replica has applied and that leaves this disk out.
+auto Model::retireVersion(const ClusterState& state, std::size_t replica) const -> std::int64_t {
     auto newest = std::int64_t(0);
     for (auto i = std::size_t(0); i < REPLICAS; i++) {
         auto& other = seen(state, i);
         if (i == replica || other.role == Voter::Role::Blank) continue;
         if (!contains(other.appliedVoters, seen(state, replica).disk))
-            newest = std::max(newest, other.generation);
+            newest = std::max(newest, other.version);
     }
     return newest;
 }
@@ -252,7 +252,7 @@
 
 auto Model::perform(ClusterState& state, const Action& action) -> std::string {
     auto i = std::size_t(action.replica);
-    auto fresh = [&] {
+    auto newDiskId = [&] {
         auto lives = 1 + spent(state, Bounded::Wipe) + spent(state, Bounded::Retire);
         return fmt::format("d{}-{}", i, lives);
     };
@@ -278,18 +278,19 @@
         state.history = monitor_.readBegins(state.history, read);
         return run(state, i, {InputKind::Read, read, "", ""});
     }
-    case ActionKind::HandOver: return run(state, i, {InputKind::HandOver, 0, "", ""});
-    case ActionKind::Offer:
-        return run(state, i, {InputKind::Offer, 0, seatName(action.peer), seen(state, action.position).disk});
+    case ActionKind::TransferLeadership: return run(state, i, {InputKind::TransferLeadership, 0, "", ""});
+    case ActionKind::OfferSpare:
+        return run(
+            state, i, {InputKind::OfferSpare, 0, nodeName(action.peer), seen(state, action.position).disk});
     case ActionKind::Restart:
         state.lagging[i] = false;
         return reboot(state, i, graph_.restart(state.replicas[i], action.position));
     case ActionKind::Wipe:
         state.history = monitor_.diskLost(state.history, seen(state, i));
         state.lagging[i] = false;
-        return reboot(state, i, graph_.boot(DiskState(), fresh()));
+        return reboot(state, i, graph_.boot(DiskState(), newDiskId()));
     case ActionKind::Retire:
-        return run(state, i, {InputKind::Retire, std::uint32_t(retireGeneration(state, i)), "", fresh()});
+        return run(state, i, {InputKind::Retire, std::uint32_t(retireVersion(state, i)), "", newDiskId()});
     case ActionKind::Delay: state.lagging[i] = true; return "";
     }
     return "";
--- a/src/modelcheck/model.hpp
+++ b/src/modelcheck/model.hpp
@@ -23,8 +23,8 @@
     Heartbeat,
     Proposal,
     Read,
-    HandOver,
-    Offer,
+    TransferLeadership,
+    OfferSpare,
     Loss,
     FailedWrite,
     Restart,
@@ -48,8 +48,8 @@
     Heartbeat,
     Propose,
     Read,
-    HandOver,
-    Offer,
+    TransferLeadership,
+    OfferSpare,
     Restart,
     Wipe,
     Retire,
@@ -57,7 +57,7 @@
 };
 
 /// One transition. `replica` is who it happens to; `peer` and `position` depend on the kind:
-/// sender and place in the link's queue; seat and spare replica; pending writes that survive.
+/// sender and place in the link's queue; node and spare replica; pending writes that survive.
 struct Action {
     ActionKind kind = ActionKind::Deliver;
     std::uint8_t replica = 0, peer = 0, position = 0;
@@ -86,13 +86,13 @@
 
 /// A state as a flat sequence, for hashing and for the frontier of the search.
 auto encode(const ClusterState& state) -> std::vector<std::uint32_t>;
-auto decode(const std::vector<std::uint32_t>& words) -> ClusterState;
+auto decode(const std::vector<std::uint32_t>& encoded) -> ClusterState;
 
 class Model {
   public:
     explicit Model(const ModelOptions& options);
 
-    /// Three voters that hold a founded cluster and a blank spare.
+    /// Three voters that hold a bootstrapped cluster and a blank spare.
     auto initial() -> ClusterState;
     /// Ends a scenario: what it spent is counted, and the search has the whole budget.
     auto beginSearch(ClusterState& state) -> void;
@@ -115,7 +115,7 @@
     auto route(ClusterState& state, std::size_t replica) -> void;
     auto perform(ClusterState& state, const Action& action) -> std::string;
     auto syncAll(ClusterState& state, std::size_t replica) -> std::string;
-    auto retireGeneration(const ClusterState& state, std::size_t replica) const -> std::int64_t;
+    auto retireVersion(const ClusterState& state, std::size_t replica) const -> std::int64_t;
     auto addDeliveries(const ClusterState& state, std::vector<Action>& actions) const -> void;
     auto addLocal(const ClusterState& state, std::uint8_t replica, std::vector<Action>& actions) const
         -> void;
--- a/src/modelcheck/replica.cpp
+++ b/src/modelcheck/replica.cpp
@@ -10,6 +10,7 @@
 #include "base/hash.hpp"
 #include "base/json.hpp"
 #include "base/time.hpp"
+#include "consensus/configuration.hpp"
 
 namespace duneturn::modelcheck {
 
@@ -22,9 +23,6 @@
 constexpr Microseconds QUORUM_STEP = 1300 * MILLISECOND;     // longer than a leader waits for a quorum
 constexpr std::uint64_t VOTER_SEED = 1;
 constexpr std::uint32_t MAX_ORDERS = 8;
-constexpr std::int32_t VOTERS_ENTRY = 2;
-constexpr std::int32_t JOINT_VOTERS_ENTRY = 3;
-constexpr std::int32_t ORDER_ENTRY = 1;
 
 auto orderKey(std::uint32_t number) -> std::string { return fmt::format("order-{}", number); }
 
@@ -32,14 +30,11 @@
     return hash64(entry.body, hash64(fmt::format("{} {}", entry.term, entry.kind)));
 }
 
-auto isMembership(const wire::Entry& entry) -> bool {
-    return entry.kind == VOTERS_ENTRY || entry.kind == JOINT_VOTERS_ENTRY;
-}
-
 auto viewOf(const DiskState& state) -> LogView {
     auto view = LogView();
     view.snapshotIndex = state.snapshotIndex;
-    for (auto& entry : state.log) view.entries.push_back({entry.term, digestOf(entry), isMembership(entry)});
+    for (auto& entry : state.log)
+        view.entries.push_back({entry.term, digestOf(entry), isConfigurationEntry(entry)});
     return view;
 }
 
@@ -50,7 +45,7 @@
         auto quoted = jsQuote(orderKey(number));
         auto holds = state.snapshotDocument.find(quoted) != std::string::npos;
         for (auto& entry : state.log)
-            holds = holds || (entry.kind == ORDER_ENTRY && entry.body.find(quoted) != std::string::npos);
+            holds = holds || (entry.kind == ENTRY_ORDER && entry.body.find(quoted) != std::string::npos);
         if (holds) found |= 1u << number;
     }
     return found;
@@ -58,7 +53,7 @@
 
 auto disksOf(const std::vector<VoterIdentity>& initialVoters) -> std::vector<std::string> {
     auto disks = std::vector<std::string>();
-    for (auto& seat : initialVoters) disks.push_back(seat.disk);
+    for (auto& voter : initialVoters) disks.push_back(voter.disk);
     return disks;
 }
 
@@ -76,10 +71,10 @@
     return true;
 }
 
-Replica::Replica(const DiskState& state, const std::string& freshDisk, Voter::Broken broken)
+Replica::Replica(const DiskState& state, const std::string& newDiskId, Voter::Broken broken)
     : durable_(state), now_(BOOT_TIME), voter_(*this, counters_, VOTER_SEED) {
     voter_.broken = broken;
-    voter_.start(state, freshDisk, now_);
+    voter_.start(state, newDiskId, now_);
 }
 
 auto Replica::takeOutput() -> StepOutput {
@@ -101,12 +96,12 @@
         break;
     case InputKind::Propose: propose(input.number); break;
     case InputKind::Read: voter_.read(input.number, now_); break;
-    case InputKind::Offer:
-        voter_.setSpareDisks({{input.seat, input.disk}});
+    case InputKind::OfferSpare:
+        voter_.setSpareDisks({{input.node, input.disk}});
         now_ += HEARTBEAT_STEP;
         voter_.tick(now_);
         break;
-    case InputKind::HandOver: voter_.transferLeadership(now_); break;
+    case InputKind::TransferLeadership: voter_.transferLeadership(now_); break;
     case InputKind::Retire: voter_.retire(input.number, input.disk, now_); break;
     case InputKind::Deliver: voter_.handle(*input.message, now_); break;
     case InputKind::WriteSynced: finishWrite(true); break;
@@ -138,7 +133,7 @@
 auto Replica::propose(std::uint32_t number) -> void {
     auto body = orderPrepare(voter_.latestState(), "empty", orderKey(number),
         fmt::format("{{\"district\":\"zone-{}\"}}", number), 0);
-    if (body) voter_.propose(ORDER_ENTRY, *body, now_);
+    if (body) voter_.propose(ENTRY_ORDER, *body, now_);
 }
 
 auto Replica::voterSend(const std::string& disk, wire::Envelope& envelope) -> void {
@@ -176,7 +171,7 @@
     seen.ready = voter_.ready();
     seen.term = voter_.term();
     seen.commit = voter_.commit();
-    seen.generation = voter_.replicatedState().version;
+    seen.version = voter_.replicatedState().version;
     for (auto number = 0u; number < MAX_ORDERS; number++)
         if (voter_.replicatedState().outcome(orderKey(number)).status == 200)
             seen.ordersApplied |= 1u << number;
@@ -189,16 +184,16 @@
     return seen;
 }
 
-auto foundedDisk(const std::vector<VoterIdentity>& voters, const std::string& disk) -> DiskState {
-    auto founded = ReplicatedState();
-    founded.bootstrap({"node"}, voters);
+auto bootstrappedDisk(const std::vector<VoterIdentity>& voters, const std::string& disk) -> DiskState {
+    auto bootstrapped = ReplicatedState();
+    bootstrapped.bootstrap({"node"}, voters);
     auto state = DiskState();
     state.disk = disk;
-    state.epoch = founded.epoch;
+    state.epoch = bootstrapped.epoch;
     state.term = 1;
     state.commit = state.snapshotIndex = 1;
     state.snapshotTerm = 1;
-    state.snapshotDocument = founded.text();
+    state.snapshotDocument = bootstrapped.text();
     return state;
 }
 
--- a/src/modelcheck/replica.hpp
+++ b/src/modelcheck/replica.hpp
@@ -24,8 +24,8 @@
     Heartbeat,        // a leader's clock moves on by one heartbeat interval
     Propose,
     Read,
-    Offer,  // a spare disk may take a seat
-    HandOver,
+    OfferSpare,  // a spare disk may take the place of a voter's
+    TransferLeadership,
     Retire,  // a later committed state names the voters without this disk
     Deliver,
     WriteSynced,
@@ -35,8 +35,8 @@
 /// One input; the fields that its kind doesn't use stay at their defaults.
 struct Input {
     InputKind kind = InputKind::Deliver;
-    std::uint32_t number = 0;                 // order, read or generation
-    std::string seat, disk;                   // Offer; Retire: the fresh identity
+    std::uint32_t number = 0;                 // order, read or version
+    std::string node, disk;                   // OfferSpare; Retire: the new identity
     const wire::Envelope* message = nullptr;  // Deliver
 };
 
@@ -47,7 +47,7 @@
 
 /// A state that the voter reported as applied.
 struct AppliedState {
-    std::int64_t generation = 0;
+    std::int64_t version = 0;
     std::uint64_t digest = 0;
 };
 
@@ -90,7 +90,7 @@
     std::string disk;
     Voter::Role role = Voter::Role::Blank;
     bool ready = false;
-    std::int64_t term = 0, commit = 0, generation = 0;
+    std::int64_t term = 0, commit = 0, version = 0;
     std::uint32_t ordersApplied = 0;  // bit sets of order numbers
     std::uint32_t ordersDurable = 0;
     LogView durable;  // what the disk holds
@@ -101,7 +101,7 @@
 
 class Replica : VoterPort {
   public:
-    Replica(const DiskState& state, const std::string& freshDisk, Voter::Broken broken);
+    Replica(const DiskState& state, const std::string& newDiskId, Voter::Broken broken);
 
     /// Performs one input and returns what it did.
     auto step(const Input& input) -> StepOutput;
@@ -130,7 +130,7 @@
     Voter voter_;
 };
 
-/// The disk of a voter of a new cluster with the voters given, as (seat, disk).
-auto foundedDisk(const std::vector<VoterIdentity>& voters, const std::string& disk) -> DiskState;
+/// The disk of a voter of a new cluster with the voters given, as (node, disk).
+auto bootstrappedDisk(const std::vector<VoterIdentity>& voters, const std::string& disk) -> DiskState;
 
 }  // namespace duneturn::modelcheck
--- a/src/modelcheck/replica_graph.cpp
+++ b/src/modelcheck/replica_graph.cpp
@@ -31,13 +31,13 @@
 
 }  // namespace
 
-auto ReplicaGraph::boot(const DiskState& disk, const std::string& freshDisk) -> ReplicaId {
-    auto key = serialized(disk) + "\n" + freshDisk;
+auto ReplicaGraph::boot(const DiskState& disk, const std::string& newDiskId) -> ReplicaId {
+    auto key = serialized(disk) + "\n" + newDiskId;
     auto [place, isNew] = boots_.emplace(key, ReplicaId(nodes_.size()));
     if (!isNew) return place->second;
     auto id = place->second;
-    starts_[id] = {disk, freshDisk};
-    auto replica = std::make_unique<Replica>(disk, freshDisk, broken_);
+    starts_[id] = {disk, newDiskId};
+    auto replica = std::make_unique<Replica>(disk, newDiskId, broken_);
     auto start = ReplicaNode();
     start.parent = id;
     add(std::move(start), replica->takeOutput(), *replica);
@@ -91,7 +91,7 @@
     auto input = Input();
     input.kind = key.kind;
     input.number = key.number;
-    input.seat = key.seat;
+    input.node = key.node;
     input.disk = key.disk;
     if (key.kind == InputKind::Deliver) input.message = &messages_[key.number];
     return input;
@@ -103,7 +103,7 @@
     auto at = id;
     for (; nodes_[at].parent != at; at = nodes_[at].parent) path.push_back(at);
     auto& start = starts_.at(at);
-    auto replica = std::make_unique<Replica>(start.disk, start.freshDisk, broken_);
+    auto replica = std::make_unique<Replica>(start.disk, start.newDiskId, broken_);
     replica->takeOutput();
     std::reverse(path.begin(), path.end());
     for (auto step : path) replica->step(inputOf(nodes_[step].input));
--- a/src/modelcheck/replica_graph.hpp
+++ b/src/modelcheck/replica_graph.hpp
@@ -21,8 +21,8 @@
 /// One (state, input) pair's input, in a form that can be a key.
 struct InputKey {
     InputKind kind = InputKind::Deliver;
-    std::uint32_t number = 0;  // order, read, generation or MessageId
-    std::string seat, disk;
+    std::uint32_t number = 0;  // order, read, version or MessageId
+    std::string node, disk;
     auto operator<=>(const InputKey&) const = default;
 };
 
@@ -47,7 +47,7 @@
     explicit ReplicaGraph(Voter::Broken broken) : broken_(broken) {}
 
     /// The state of a replica that starts from this disk.
-    auto boot(const DiskState& disk, const std::string& freshDisk) -> ReplicaId;
+    auto boot(const DiskState& disk, const std::string& newDiskId) -> ReplicaId;
     auto step(ReplicaId from, const InputKey& input) -> ReplicaId;
     /// The start after a loss of power that the first `kept` pending writes survived.
     auto restart(ReplicaId id, std::size_t kept) -> ReplicaId;
@@ -58,7 +58,7 @@
   private:
     struct Start {
         DiskState disk;
-        std::string freshDisk;
+        std::string newDiskId;
     };
     auto add(ReplicaNode node, StepOutput output, const Replica& replica) -> ReplicaId;
     auto internMessage(const wire::Envelope& envelope) -> MessageId;
