--- a/tests/platform_simulator_test.cpp
+++ b/tests/platform_simulator_test.cpp
@@ -19,6 +19,7 @@
     double perMinute;
     int seeds;  // within which it must be seen
     Str rule;
+    bool large = false;
 };
 
 auto seen(const Variant& variant) -> bool {
@@ -29,6 +30,7 @@
         options.faults = variant.faults;
         options.perMinute = variant.perMinute;
         options.broken = variant.name;
+        options.large = variant.large;
         for (auto& violation : play(options).violations)
             if (violation.starts_with(variant.rule)) return true;
     }
@@ -52,6 +54,18 @@
     }
 }
 
+// A quiet day of 72 nodes on which no request on the probe's route was drawn for node-0-12 within the last
+// span.
+TEST(PlatformDays, everyNodeOfALargeFleetIsAskedAtTheEnd) {
+    auto options = PlatformDayOptions();
+    options.large = true;
+    options.seed = 3;
+    options.perMinute = 0;
+    options.duration = 2 * SEC;
+    options.closing = false;
+    CHECK_EQ(Str(), firstViolation(play(options)));
+}
+
 // A voter that led with an uncommitted entry is behind a new leader under steady orders; afterwards the
 // majority depends on it.
 TEST(PlatformDays, memberWithAnOldEntryCatchesUp) {
@@ -105,6 +119,8 @@
         {"other-answer", {"kill-core"}, 6, 1, "no answer reaches another caller"},
         {"unfenced-evacuation", {"kill-core"}, 6, 4, "a withdrawn evacuation stays withdrawn"},
         {"ignore-evacuation", {"kill-core"}, 6, 2, "nothing reaches an evacuated zone"},
+        {"serves-nobody", {"kill-core"}, 6, 1, "every node serves at the day's end"},
+        {"serves-nobody", {"kill-core"}, 6, 1, "every node serves at the day's end", true},
     };
     for (auto& variant : variants)
         CPPUNIT_ASSERT_MESSAGE(variant.name + " was not seen by: " + variant.rule, seen(variant));
