--- a/tests/operator_history_test.cpp
+++ b/tests/operator_history_test.cpp
@@ -126,4 +126,22 @@
     CHECK(history.breaks("accepted orders form one chain of versions"));
 }
 
+// Orders on one service: 2, which 5 followed at 15, and 9, which was refused.
+TEST(OperatorHistory, ordersOfServiceThatIsUsedAgain) {
+    auto history = History();
+    history.put(0, 2, 200).service = 1;
+    history.put(2, 5, 200).service = 2;
+    history.put(2, 9, 412).service = 1;
+    history.put(5, 10, 200).service = 3;
+    auto numbers = [&](Us leftBefore) {
+        auto found = std::vector<std::int64_t>();
+        for (auto order : ordersOfService(history.orders, 1, leftBefore)) found.push_back(order->number);
+        return found;
+    };
+    CHECK(numbers(10) == std::vector<std::int64_t>({2, 9}));  // a node out of touch since 10 may go by 2
+    CHECK(numbers(20) == std::vector<std::int64_t>({9}));
+    CHECK(numbers(40).empty());
+    CHECK(ordersOfService(history.orders, 4, 0).empty());
+}
+
 }  // namespace dt::sim
--- a/tests/platform_simulator_test.cpp
+++ b/tests/platform_simulator_test.cpp
@@ -121,6 +121,13 @@
         {"ignore-evacuation", {"kill-core"}, 6, 2, "nothing reaches an evacuated zone"},
         {"serves-nobody", {"kill-core"}, 6, 1, "every node serves at the day's end"},
         {"serves-nobody", {"kill-core"}, 6, 1, "every node serves at the day's end", true},
+        {"refuse-applied", {"kill-core"}, 6, 3,
+            "a refused or invalid order never comes into force: a client's request"},
+        {"refuse-applied", {"kill-core"}, 6, 3,
+            "a refused or invalid order never comes into force: a client's request", true},
+        {"ignore-change", {"kill-core"}, 6, 1, "an acknowledged configuration is obeyed in time", true},
+        {"old-word", {"node-cut", "core-isolated", "freeze-node"}, 40, 1,
+            "a node never goes back within a life", true},
     };
     for (auto& variant : variants)
         CPPUNIT_ASSERT_MESSAGE(variant.name + " was not seen by: " + variant.rule, seen(variant));
