--- a/src/state/replicated_state.cpp
+++ b/src/state/replicated_state.cpp
@@ -4,7 +4,6 @@
 #include <cstdint>
 #include <string>
 #include <string_view>
-#include <unordered_set>
 #include <utility>
 #include <vector>
 
@@ -14,155 +13,11 @@
 #include "base/json.hpp"
 #include "base/time.hpp"
 #include "state/accepted_changes.hpp"
+#include "state/configuration_validation.hpp"
 #include "state/evacuations.hpp"
 
 namespace duneturn {
 
-// Of one mapping; "pool" or "pools", as configCheck sees to.
-static constexpr auto ROUTE_SCHEMA = R"({"type":"object","additionalProperties":false,
-   "required":["name","path"],
-   "properties":{
-    "name":{"type":"string","pattern":"^[A-Za-z0-9_.-]+$"},
-    "host":{"type":"string","minLength":1,"maxLength":255},
-    "method":{"type":"string","enum":["GET","POST","PUT","*"]},
-    "path":{"type":"string","pattern":"^/"},
-    "pool":{"type":"string","minLength":1},
-    "pools":{"type":"array","minItems":1,"maxItems":64,"items":{"type":"object","additionalProperties":false,
-      "required":["pool","share"],"properties":{
-      "pool":{"type":"string","minLength":1},"share":{"type":"integer","minimum":0,"maximum":1000000000}}}},
-    "model":{"type":"string"},
-    "stream":{"type":"boolean"},"Resumable":{"type":"boolean"},"repeatable":{"type":"boolean"},
-    "MaxTries":{"type":"integer","minimum":1,"maximum":64},
-    "home":{"type":"string","minLength":1},
-    "homes":{"type":"array","maxItems":64,"items":{"type":"string","minLength":1}},
-    "spill":{"type":"array","items":{"type":"string"}},
-    "spillAt":{"type":"number","minimum":0,"maximum":10},
-    "urgency":{"type":"integer","minimum":0,"maximum":9},
-    "deadlineUs":{"type":"integer","minimum":1000,"maximum":3600000000},
-    "aimUs":{"type":"integer","minimum":0,"maximum":3600000000},
-    "gapUs":{"type":"integer","minimum":0,"maximum":3600000000},
-    "idleUs":{"type":"integer","minimum":1000,"maximum":3600000000},
-    "queue":{"type":"integer","minimum":0,"maximum":100000},
-    "queueUs":{"type":"integer","minimum":0,"maximum":600000000},
-    "affinity":{"type":"integer","minimum":0,"maximum":1048576}
-   }})";
-// All but the mappings, which are checked one by one.
-static constexpr auto CONFIG = R"({
- "type":"object","additionalProperties":false,"required":["mappings"],
- "properties":{
-  "name":{"type":"string"},
-  "models":{"type":"object","additionalProperties":{"type":"object","additionalProperties":false,"properties":{
-    "migrationLimit":{"type":"integer","minimum":0,"maximum":16},
-    "maxSequence":{"type":"integer","minimum":1,"maximum":1048576}}}},
-  "budget":{"type":"object","additionalProperties":false,"properties":{
-    "share":{"type":"number","minimum":0,"maximum":1},"cap":{"type":"integer","minimum":1,"maximum":10000},
-    "slack":{"type":"number","minimum":0,"maximum":1000000}}},
-  "ramp":{"type":"object","additionalProperties":false,"properties":{
-    "overUs":{"type":"integer","minimum":0,"maximum":600000000},"first":{"type":"integer","minimum":1,"maximum":1000}}},
-  "pools":{"type":"object","additionalProperties":{"type":"object","additionalProperties":false,"properties":{
-    "maxConns":{"type":"integer","minimum":0,"maximum":1000000},
-    "coldUs":{"type":"integer","minimum":0,"maximum":3600000000},
-    "coldRate":{"type":"number","minimum":0,"maximum":1000000000},
-    "slots":{"type":"integer","minimum":0,"maximum":1000000},
-    "kvTokens":{"type":"integer","minimum":0,"maximum":1000000000000},
-    "stride":{"type":"integer","minimum":0,"maximum":1000000},
-    "engine":{"type":"boolean"}}}},
-  "limits":{"type":"object","additionalProperties":false,"properties":{
-    "headerBytes":{"type":"integer","minimum":0},"bodyBytes":{"type":"integer","minimum":0},
-    "headerReadUs":{"type":"integer","minimum":0},"idleUs":{"type":"integer","minimum":0}}},
-  "cold":{"type":"object","additionalProperties":false,"properties":{
-    "overrun":{"type":"number","minimum":0,"maximum":1000},"slack":{"type":"number","minimum":0,"maximum":1000000}}},
-  "origin":{"type":"object","additionalProperties":false,"properties":{
-    "number":{"type":"integer"},"text":{"type":"string"}}},
-  "mappings":{"type":"array","maxItems":20000}}})";
-
-// Whether `v` is sound, by a schema read once: to name every fault jsCheck builds a schema for
-// each value, which a configuration of thousands of mappings has no time for.
-static auto sound(const rapidjson::Value& v, const rapidjson::SchemaDocument& sd) -> bool {
-    auto sv = rapidjson::SchemaValidator(sd);
-    return v.Accept(sv);
-}
-static auto schemaOf(const char* s) -> rapidjson::SchemaDocument {
-    auto d = rapidjson::Document();
-    jsParse(s, d);
-    return rapidjson::SchemaDocument(d);
-}
-static auto lower(std::string s) -> std::string {
-    for (auto& c : s) c = char(std::tolower(c));
-    return s;
-}
-
-auto configCheck(const rapidjson::Value& v) -> std::vector<Fault> {
-    static const auto one = schemaOf(ROUTE_SCHEMA);
-    constexpr auto MANY = std::size_t(32);  // of a document that breaks more no more are named
-    auto f = std::vector<Fault>();
-    if (!v.IsObject() || !v.HasMember("mappings") || !v["mappings"].IsArray()) return jsCheck(v, CONFIG);
-    auto rest = rapidjson::Document();
-    rest.SetObject();
-    auto& al = rest.GetAllocator();
-    for (auto& m : v.GetObject())  // long texts and lists are looked at where they stand
-        if (std::string_view n = m.name.GetString(); n != "mappings" && n != "origin")
-            rest.AddMember(rapidjson::Value(m.name, al), rapidjson::Value(m.value, al), al);
-    auto none = rapidjson::Value(rapidjson::kArrayType);
-    auto& ms = v["mappings"];
-    rest.AddMember("mappings", none, al);
-    f = jsCheck(rest, CONFIG);
-    if (f.size() > MANY) f.resize(MANY);
-    if (ms.Size() > 20000) f.push_back({"/mappings", "breaks \"maxItems\": 20000"});
-    if (v.HasMember("origin")) {
-        auto& o = v["origin"];
-        if (!o.IsObject()) f.push_back({"/origin", "breaks \"type\": \"object\""});
-        else
-            for (auto& m : o.GetObject()) {
-                auto n = std::string(m.name.GetString(), m.name.GetStringLength());
-                if (n == "number" ? !m.value.IsInt64() : n == "text" && !m.value.IsString())
-                    f.push_back({"/origin/" + n, "breaks \"type\""});
-                else if (n != "number" && n != "text") f.push_back({"/origin/" + n, "unknown field"});
-            }
-    }
-    for (auto i = 0u; i < ms.Size() && f.size() < MANY; i++)
-        if (!sound(ms[i], one))
-            for (auto& x : jsCheck(ms[i], ROUTE_SCHEMA))
-                f.push_back({fmt::format("/mappings/{}{}", i, x.path == "/" ? "" : x.path), x.why});
-    if (!f.empty()) return f;
-    auto names = std::unordered_set<std::string>(), places = std::unordered_set<std::string>();
-    auto at = [](unsigned i, std::string_view k) { return fmt::format("/mappings/{}/{}", i, k); };
-    auto known = [&](const std::string& p) { return !v.HasMember("pools") || v["pools"].HasMember(p); };
-    for (auto i = 0u; i < ms.Size() && f.size() < MANY; i++) {
-        auto n = jsStr(ms[i], "name"), m = jsStr(ms[i], "model");
-        if (!names.insert(n).second) f.push_back({at(i, "name"), "named twice: " + n});
-        if (!m.empty() && !(v.HasMember("models") && v["models"].HasMember(m)))
-            f.push_back({at(i, "model"), "no such model under /models: " + m});
-        if (jsBool(ms[i], "Resumable") && !jsBool(ms[i], "stream"))
-            f.push_back({at(i, "Resumable"), "only a stream can be resumed"});
-        if (jsBool(ms[i], "repeatable") && jsBool(ms[i], "stream"))
-            f.push_back({at(i, "repeatable"), "of a stream it is Resumable that says so"});
-        if ((ms[i].HasMember("home") || ms[i].HasMember("homes")) && ms[i].HasMember("spill"))
-            f.push_back({at(i, "spill"), "a mapping with a home never spills"});
-        if (ms[i].HasMember("home") && ms[i].HasMember("homes"))
-            f.push_back({at(i, "homes"), "home or homes, not both"});
-        if (ms[i].HasMember("pool") == ms[i].HasMember("pools"))
-            f.push_back({at(i, "pool"), ms[i].HasMember("pool") ? "pool or pools, not both" : "missing"});
-        if (ms[i].HasMember("pool") && !known(jsStr(ms[i], "pool")))
-            f.push_back({at(i, "pool"), "no such pool under /pools: " + jsStr(ms[i], "pool")});
-        if (ms[i].HasMember("pools")) {
-            auto sum = std::int64_t(0);
-            for (auto& p : ms[i]["pools"].GetArray()) {
-                sum += jsInt(p, "share");
-                if (!known(jsStr(p, "pool")))
-                    f.push_back({at(i, "pools"), "no such pool under /pools: " + jsStr(p, "pool")});
-            }
-            if (sum <= 0) f.push_back({at(i, "pools"), "the shares sum to 0"});
-        }
-        if (auto h = lower(jsStr(ms[i], "host")); !h.empty()) {
-            auto p = jsStr(ms[i], "path");
-            if (!places.insert(h + " " + jsStr(ms[i], "method", "POST") + " " + p).second)
-                f.push_back({at(i, "path"), "another mapping has this host and path"});
-        }
-    }
-    return f;
-}
-
 auto bodyOf(std::initializer_list<std::pair<const char*, std::string>> kv) -> std::string {
     auto o = std::string("{");
     for (auto& [k, v] : kv) o += fmt::format("{}{}:{}", o.size() > 1 ? "," : "", jsQuote(k), v);
@@ -405,7 +260,8 @@
     } else if (op == "config") {
         if (!m.HasMember("config")) f.push_back({path + "/config", "missing"});
         else
-            for (auto& x : configCheck(m["config"])) f.push_back({path + "/config" + x.path, x.why});
+            for (auto& x : validateConfiguration(m["config"]))
+                f.push_back({path + "/config" + x.path, x.why});
     } else f.push_back({path + "/op", "wants empty, give-back or config"});
     (void)w;
 }
@@ -439,7 +295,8 @@
                 c.CopyFrom(w.config(), al);
                 jsMerge(c, b["patch"], al);
             } else c.CopyFrom(b["config"], al);
-            for (auto& x : configCheck(c)) f.push_back({"/config" + (x.path == "/" ? "" : x.path), x.why});
+            for (auto& x : validateConfiguration(c))
+                f.push_back({"/config" + (x.path == "/" ? "" : x.path), x.why});
             o.AddMember("base", jsInt(b, "base"), al);  // a Val would be moved out of b
             o.AddMember("config", c, al);
             // A patch laid on another generation than it names must lose, not win by chance.
--- a/src/state/replicated_state.hpp
+++ b/src/state/replicated_state.hpp
@@ -85,7 +85,5 @@
 /// lays merge patches onto the word. Gives the entry's text, or the denial.
 auto orderPrepare(const ReplicatedState& w, const std::string& op, const std::string& key,
     const std::string& body, Microseconds wall) -> tl::expected<std::string, OrderRefusal>;
-/// Every fault of a whole configuration.
-auto configCheck(const rapidjson::Value& v) -> std::vector<Fault>;
 
 }  // namespace duneturn
