--- a/src/routing/edge.hpp
+++ b/src/routing/edge.hpp
@@ -104,7 +104,7 @@
     };
     Table<Host> hosts;  // by name in lower case; "" for mappings of any host
 };
-/// The rules of a configuration that configCheck found sound.
+/// The rules of a configuration that validateConfiguration found valid.
 auto compile(const rapidjson::Value& config, std::int64_t configVersion) -> Rules;
 
 struct Event {
--- a/src/sim/scale_fleet.cpp
+++ b/src/sim/scale_fleet.cpp
@@ -18,6 +18,7 @@
 #include "base/hash.hpp"
 #include "base/json.hpp"
 #include "base/time.hpp"
+#include "state/configuration_validation.hpp"
 #include "state/replicated_state.hpp"
 
 namespace duneturn::scale {
@@ -359,7 +360,7 @@
         auto text = configurationFor(tenants);
         auto document = rapidjson::Document();
         jsParse(text, document);
-        if (!configCheck(document).empty()) continue;
+        if (!validateConfiguration(document).empty()) continue;
         point.counts["tenants"] = tenants;
         return text;
     }
--- a/src/sim/simulate.cpp
+++ b/src/sim/simulate.cpp
@@ -22,6 +22,7 @@
 #include "base/settings.hpp"
 #include "base/time.hpp"
 #include "sim/world.hpp"
+#include "state/configuration_validation.hpp"
 
 namespace duneturn {
 
@@ -897,7 +898,7 @@
     auto d1 = rapidjson::Document(), d2 = rapidjson::Document(), d3 = rapidjson::Document();
     if (!t1 || !jsParse(*t1, d1) || !d1.IsObject() || !d1.HasMember("servers"))
         return op.example + "/servers.json: no listing";
-    if (!t2 || !jsParse(*t2, d2) || !configCheck(d2).empty())
+    if (!t2 || !jsParse(*t2, d2) || !validateConfiguration(d2).empty())
         return op.example + "/config.json: no sound configuration";
     if (!t3 || !jsParse(*t3, d3) || !d3.IsObject() || !d3.HasMember("kinds"))
         return op.example + "/day.json: no day";
--- a/tests/platform/platform_config_test.cpp
+++ b/tests/platform/platform_config_test.cpp
@@ -14,6 +14,7 @@
 #include "base/json.hpp"
 #include "base/random.hpp"
 #include "platform.hpp"
+#include "state/configuration_validation.hpp"
 #include "state/replicated_state.hpp"
 #include "test.hpp"
 
@@ -44,7 +45,7 @@
     CHECK(bool(t));
     CHECK_EQ(std::int64_t(7), t->number);
     auto c = parsed(t->config);
-    for (auto& f : configCheck(c)) CPPUNIT_FAIL(f.path + ": " + f.why);
+    for (auto& f : validateConfiguration(c)) CPPUNIT_FAIL(f.path + ": " + f.why);
     CHECK_EQ(DOCUMENT, originOf(c).text);
     CHECK_EQ(std::int64_t(7), originOf(c).number);
     auto& ms = c["mappings"];
@@ -91,7 +92,7 @@
     auto t = translate(s, 0, BOUNDS);
     CHECK(bool(t));
     auto c = parsed(t->config);
-    for (auto& f : configCheck(c)) CPPUNIT_FAIL(f.path + ": " + f.why);
+    for (auto& f : validateConfiguration(c)) CPPUNIT_FAIL(f.path + ": " + f.why);
     CHECK_EQ(std::int64_t(16), jsInt(c["models"]["m"], "migrationLimit"));
     CHECK_EQ(std::int64_t(1048576), jsInt(c["models"]["m"], "maxSequence"));
     CHECK_EQ(std::string(R"([{"pool":"desk","share":1000000},{"pool":"map","share":1}])"),
@@ -115,7 +116,7 @@
     auto t = translate(s, 0, BOUNDS);
     CHECK(bool(t));
     auto c = parsed(t->config);
-    for (auto& f : configCheck(c)) CPPUNIT_FAIL(f.path + ": " + f.why);
+    for (auto& f : validateConfiguration(c)) CPPUNIT_FAIL(f.path + ": " + f.why);
     // Of an unknown kind nothing is run twice.
     CHECK(!c["mappings"][2].HasMember("repeatable"));
     CHECK_EQ(std::int64_t(1), jsInt(c["mappings"][2], "MaxTries"));
@@ -235,7 +236,7 @@
         }
         good++;
         auto c = parsed(t->config);
-        for (auto& f : configCheck(c)) CPPUNIT_FAIL(f.path + ": " + f.why + " in " + s);
+        for (auto& f : validateConfiguration(c)) CPPUNIT_FAIL(f.path + ": " + f.why + " in " + s);
         CHECK_EQ(s, originOf(c).text);
         CHECK_EQ(t->number, originOf(c).number);
     }
--- a/tests/routing/edge_platform_test.cpp
+++ b/tests/routing/edge_platform_test.cpp
@@ -13,6 +13,7 @@
 #include "base/random.hpp"
 #include "base/time.hpp"
 #include "routing/edge_fixture.hpp"
+#include "state/configuration_validation.hpp"
 
 namespace duneturn {
 namespace {
@@ -229,7 +230,7 @@
         auto d = rapidjson::Document();
         CHECK(jsParse(s, d));
         auto o = std::string();
-        for (auto& f : configCheck(d)) o += f.path + " ";
+        for (auto& f : validateConfiguration(d)) o += f.path + " ";
         return o;
     };
     auto m = [](const std::string& more) {
@@ -273,7 +274,7 @@
     auto ru = Rules();
     for (auto k = 0; k < 5; k++) {
         auto a = clock();
-        CHECK(configCheck(d).empty());
+        CHECK(validateConfiguration(d).empty());
         ru = compile(d, 1);
         best = std::min(best, double(clock() - a) / CLOCKS_PER_SEC);
     }
