--- a/tests/consensus/consensus_fixture.hpp
+++ b/tests/consensus/consensus_fixture.hpp
@@ -124,8 +124,11 @@
         auto state = ReplicatedState();
         state.bootstrap({"n"}, initialVoters);
         if (!name.empty()) {
-            auto& al = state.d.GetAllocator();
-            state.d["config"].AddMember("name", rapidjson::Value(name, al), al);
+            auto document = rapidjson::Document();
+            CHECK(jsParse(state.text(), document));
+            auto& allocator = document.GetAllocator();
+            document["config"].AddMember("name", rapidjson::Value(name, allocator), allocator);
+            CHECK(state.load(js(document)));
         }
         at(disks[0]).bootstrap(state, 1, now);
         run(10 * SECOND);
--- a/tests/platform/platform_adapter_test.cpp
+++ b/tests/platform/platform_adapter_test.cpp
@@ -376,7 +376,7 @@
     CHECK_EQ(200u, s.put(document(4), "3"));
     CHECK_EQ(412u, s.put(document(4, 200), "3"));
     CHECK_EQ(412u, s.put(document(most + 9), fmt::to_string(most)));
-    CHECK_EQ(std::int64_t(3), AcceptedChanges::forgottenVersion(s.sh.w.d["acceptedChanges"]));
+    CHECK_EQ(std::int64_t(3), ChangeState::parse(StateQuery::change("").answer(s.sh.w))->forgottenVersion);
 }
 
 TEST(PlatformAdapter, readyAndResolve) {
--- a/tests/routing/edge_platform_test.cpp
+++ b/tests/routing/edge_platform_test.cpp
@@ -287,7 +287,9 @@
     auto p = orderPrepare(w, "config", "k", "{\"base\":0,\"config\":" + t + "}", 1);
     CHECK(bool(p));
     CHECK_EQ(200, w.apply(*p).status);
-    CHECK(js(w.d["outcomes"]).size() < 200);
+    auto document = rapidjson::Document();
+    CHECK(jsParse(w.text(), document));
+    CHECK(js(document["outcomes"]).size() < 200);
     CHECK_EQ(200, w.apply(*p).status);  // the same key again
     CHECK_EQ(std::int64_t(1), w.configVersion());
 }
