--- a/tests/checks.sh
+++ b/tests/checks.sh
@@ -132,6 +132,44 @@
   done
 }
 
+# A list of withdrawn words: two of them, one other meaning, no words left, and the given lines.
+word_list() {
+  printf 'word reigns? -> epoch\nword pool -> service\nallow thread pool\n' >scripts/withdrawn-words.txt
+  [ $# -eq 0 ] || printf '%s\n' "$@" >>scripts/withdrawn-words.txt
+}
+
+test_withdrawn_words() {
+  good_tree
+  mkdir docs
+  word_list
+  printf '// The "reign" of the stored format.\nauto text = R"(reign\nreign)";\nasio::thread_pool workers;\n' >src/base/sound.cpp
+  printf 'The key `reign` stays.\n\n    curl reign\n\n```\nreign\n```\n' >docs/page.md
+  track
+  passes "strings, code spans and other meanings" scripts/check-words.sh
+  printf "auto quote = '\"'; // of a reign\n" >src/base/sound.cpp
+  fails "a word in a comment behind a quote" "src/base/sound.cpp:1: reign" scripts/check-words.sh
+  printf 'auto text = R"(\n\n)";\nauto theReign = 1;\n' >src/base/sound.cpp
+  fails "a part of a name behind a text of several lines" "src/base/sound.cpp:4: reign" scripts/check-words.sh
+  printf 'auto server_pool = 1;\n' >src/base/sound.cpp
+  fails "a part of a name with underscores" "src/base/sound.cpp:1: pool" scripts/check-words.sh
+  printf 'auto whole = 1;\n' >src/base/sound.cpp
+  printf '# Page\n\nTwo `codes` and Reigns.\n' >docs/page.md
+  fails "a word of a page" "docs/page.md:3: reigns" scripts/check-words.sh
+  word_list 'exempt docs/page.md'
+  passes "an exempted file" scripts/check-words.sh
+  word_list 'left 1 docs'
+  passes "a word that may be left" scripts/check-words.sh
+  printf 'A reign.\n' >>docs/page.md
+  fails "a folder that grew" "docs has 2 withdrawn words, 1 are allowed" scripts/check-words.sh
+  printf 'A reign.\n' >platform/names.cpp
+  scripts/check-words.sh --write-list
+  passes "the list written anew" scripts/check-words.sh
+  echo '# Page' >docs/page.md
+  fails "a listed folder without words" "docs has no withdrawn words" scripts/check-words.sh
+  : >scripts/withdrawn-words.txt
+  fails "a list without words" "names no words" scripts/check-words.sh
+}
+
 test_lint() {
   good_tree
   compile_commands
@@ -233,6 +271,7 @@
 test_conflict_markers
 test_file_sizes
 test_platform_names
+test_withdrawn_words
 test_lint
 test_function_sizes
 test_known_red
