--- a/tests/checks.sh
+++ b/tests/checks.sh
@@ -170,6 +170,33 @@
   fails "a list without words" "names no words" scripts/check-words.sh
 }
 
+test_docs() {
+  good_tree
+  mkdir docs
+  printf 'auto run() -> void {\n    logEvent(\n        "leader_elected", "term={}", 1);\n' >src/base/sound.cpp
+  printf '    counters_.add("queued_total");\n    counters_.set("ready", 1);\n}\n' >>src/base/sound.cpp
+  printf '## Log events\n\n| event | meaning |\n| --- | --- |\n| `leader_elected` | it leads |\n\n' >docs/operators.md
+  printf '## Counters\n\n| `queued_total`, `ready` | load |\n' >>docs/operators.md
+  printf 'TEST(Suite, named) {\n' >tests/one_test.cpp
+  printf 'See `src/base/*.cpp`, `Base::run` and `Suite.named`.\n' >README.md
+  track
+  passes "pages that agree with the tree" scripts/check-docs.sh
+  sed -i 's/leader_elected/leader_found/' src/base/sound.cpp
+  fails "an event that is not listed" "log event leader_found is missing" scripts/check-docs.sh
+  fails "a listed event that nothing logs" "leader_elected is no log event" scripts/check-docs.sh
+  sed -i 's/leader_found/leader_elected/; s/"ready"/"steady"/' src/base/sound.cpp
+  fails "a gauge that is not listed" "counter steady is missing" scripts/check-docs.sh
+  sed -i 's/"steady"/"ready"/; s/queued_total/rejected_total/' src/base/sound.cpp
+  fails "a counter that is not listed" "counter rejected_total is missing" scripts/check-docs.sh
+  sed -i 's/rejected_total/queued_total/' src/base/sound.cpp
+  echo 'See `src/base/gone.cpp`.' >README.md
+  fails "a path that is not there" "README.md names src/base/gone.cpp" scripts/check-docs.sh
+  echo 'See `Base::stop`.' >README.md
+  fails "a member that is not there" "README.md names Base::stop" scripts/check-docs.sh
+  echo 'See `Suite.other`.' >README.md
+  fails "a test that is not there" "README.md names the test Suite.other" scripts/check-docs.sh
+}
+
 test_lint() {
   good_tree
   compile_commands
@@ -272,6 +299,7 @@
 test_file_sizes
 test_platform_names
 test_withdrawn_words
+test_docs
 test_lint
 test_function_sizes
 test_known_red
