--- a/tests/platform/platform_adapter_test.cpp
+++ b/tests/platform/platform_adapter_test.cpp
@@ -1,4 +1,4 @@
-// The platform's interfaces over a shell whose word is the product's own.
+// The platform's interfaces over a stand-in shell with a replicated state of its own.
 #include <cstdint>
 #include <functional>
 #include <map>
@@ -15,7 +15,11 @@
 #include "base/random.hpp"
 #include "base/settings.hpp"
 #include "base/time.hpp"
-#include "platform.hpp"
+#include "configuration.hpp"
+#include "document.hpp"
+#include "patch.hpp"
+#include "platform_adapter.hpp"
+#include "platform_settings.hpp"
 #include "state/accepted_changes.hpp"
 #include "state/replicated_state.hpp"
 #include "test.hpp"
@@ -32,54 +36,56 @@
 }
 
 struct FakeShell : Shell {
-    ReplicatedState w;
-    Settings st;
-    bool up = true, ok = true, hidden = false;
-    bool unfenced = false;  // a deliberate fault: evacuations don't name what they rest on
-    int status = 0;         // what orders answer instead of doing anything
-    std::function<void()> before;
+    ReplicatedState state;
+    Settings nodeSettings;
+    bool majorityReachable = true;
+    bool nodeReady = true;
+    bool outcomeLost = false;           // orders are carried out, and their answers lost
+    bool unfenced = false;              // a deliberate fault: evacuations don't name what they rest on
+    int orderStatus = 0;                // what orders answer instead of doing anything
+    std::function<void()> beforeOrder;  // happens once, between the adapter's reading and its order
     std::map<std::string, std::pair<unsigned, std::string>> pages;
-    std::vector<std::string> asked, lists, keys;
-    std::string places = R"({"nodes":[]})";
+    std::vector<std::string> fetched, lists, keys;
+    std::string nodes = R"({"nodes":[]})";
 
-    FakeShell() { w.bootstrap({"n1"}, {{"n1", "d1"}}); }
-    auto order(const std::string& op, const std::string& key, const std::string& body)
+    FakeShell() { state.bootstrap({"n1"}, {{"n1", "d1"}}); }
+    auto order(const std::string& operation, const std::string& key, const std::string& body)
         -> asio::awaitable<Outcome> override {
-        auto f = std::move(before);
-        before = nullptr;
-        if (f) f();
+        auto before = std::move(beforeOrder);
+        beforeOrder = nullptr;
+        if (before) before();
         keys.push_back(key);
-        if (status) co_return Outcome{status, "{}"};
-        // Without the fence each try has a key of its own, as it once had.
-        auto once = unfenced ? fmt::format("{}-{}", key, keys.size()) : key;
-        if (auto o = w.accepted(once); o.status) co_return o;
-        auto p = orderPrepare(w, op, once, unfenced ? withoutRevision(body) : body, 1000);
-        auto o = p ? w.apply(*p) : p.error();
-        if (hidden) co_return Outcome{504, "{}"};
-        co_return o;
+        if (orderStatus) co_return Outcome{orderStatus, "{}"};
+        // Without the fence each attempt has a key of its own, as it once had.
+        auto usedKey = unfenced ? fmt::format("{}-{}", key, keys.size()) : key;
+        if (auto known = state.accepted(usedKey); known.status) co_return known;
+        auto entry = orderPrepare(state, operation, usedKey, unfenced ? withoutRevision(body) : body, 1000);
+        auto outcome = entry ? state.apply(*entry) : entry.error();
+        if (outcomeLost) co_return Outcome{504, "{}"};
+        co_return outcome;
     }
     auto readState(const StateQuery& query) -> asio::awaitable<Outcome> override {
-        if (!up) co_return Outcome{503, "{}"};
-        co_return Outcome{200, query.answer(w)};
+        if (!majorityReachable) co_return Outcome{503, "{}"};
+        co_return Outcome{200, query.answer(state)};
     }
     auto list(const std::string& body) -> asio::awaitable<Outcome> override {
         lists.push_back(body);
         co_return Outcome{200, "{}"};
     }
-    auto where(const std::string&, const std::string&) -> std::string override { return places; }
-    auto ready() -> bool override { return ok; }
+    auto where(const std::string&, const std::string&) -> std::string override { return nodes; }
+    auto ready() -> bool override { return nodeReady; }
     auto duty() -> bool override { return true; }
-    auto replicatedState() -> std::string override { return w.text(); }
-    auto fetch(const std::string& addr, const std::string& target, Microseconds)
+    auto replicatedState() -> std::string override { return state.text(); }
+    auto fetch(const std::string& address, const std::string& target, Microseconds)
         -> asio::awaitable<tl::expected<Res, CallError>> override {
-        asked.push_back(addr + target);
-        auto i = pages.find(target);
-        if (i == pages.end()) co_return tl::make_unexpected(CallError{"silent"});
-        auto r = Res(http::status(i->second.first), 11);
-        r.body() = i->second.second;
-        co_return r;
+        fetched.push_back(address + target);
+        auto page = pages.find(target);
+        if (page == pages.end()) co_return tl::make_unexpected(CallError{"silent"});
+        auto response = Res(http::status(page->second.first), 11);
+        response.body() = page->second.second;
+        co_return response;
     }
-    auto settings() -> const Settings& override { return st; }
+    auto settings() -> const Settings& override { return nodeSettings; }
 };
 
 template <class T>
@@ -97,7 +103,7 @@
 
 auto given() -> PlatformSettings {
     auto p = PlatformSettings();
-    p.st.node = "n1";
+    p.node.node = "n1";
     p.readiness = "10.0.0.1:3";
     p.control = "10.0.0.1:1";
     p.directory = "10.0.0.1:2";
@@ -107,15 +113,15 @@
 }
 
 struct Site {
-    FakeShell sh;
-    PlatformAdapter ad{given(), ""};
+    FakeShell shell;
+    PlatformAdapter adapter{given(), ""};
 
     auto ask(http::verb m, const std::string& target, const std::string& body = "",
         const std::string& base = "", std::string at = "10.0.0.1:1") -> Res {
         auto q = Req(m, target, 11);
         q.body() = body;
         if (!base.empty()) q.set("If-Match", base);
-        return wait(ad.serve(at, q, sh));
+        return wait(adapter.serve(at, q, shell));
     }
     auto put(const std::string& body, const std::string& base) -> unsigned {
         return ask(http::verb::put, "/v1/config", body, base).result_int();
@@ -135,109 +141,109 @@
 }  // namespace
 
 TEST(PlatformAdapter, aConfigurationIsTakenAndReadBack) {
-    auto s = Site();
-    CHECK_EQ(404u, s.ask(http::verb::get, "/v1/config").result_int());
+    auto site = Site();
+    CHECK_EQ(404u, site.ask(http::verb::get, "/v1/config").result_int());
     auto one = document(3, 100, R"(, "Unknown" : [ 1.0e1 ])");
-    CHECK_EQ(200u, s.put(one, "0"));
-    CHECK_EQ(one, s.held());
-    CHECK_EQ(std::int64_t(1), s.sh.w.configVersion());
+    CHECK_EQ(200u, site.put(one, "0"));
+    CHECK_EQ(one, site.held());
+    CHECK_EQ(std::int64_t(1), site.shell.state.configVersion());
     // Again, unchanged, also later and to any node: it has been taken.
-    CHECK_EQ(200u, s.put(one, "0"));
-    CHECK_EQ(200u, s.put(document(8), "3"));
-    CHECK_EQ(200u, s.put(one, "0"));
-    CHECK_EQ(200u, s.put(document(8), "3"));
-    CHECK_EQ(std::int64_t(2), s.sh.w.configVersion());
-    CHECK_EQ(document(8), s.held());
+    CHECK_EQ(200u, site.put(one, "0"));
+    CHECK_EQ(200u, site.put(document(8), "3"));
+    CHECK_EQ(200u, site.put(one, "0"));
+    CHECK_EQ(200u, site.put(document(8), "3"));
+    CHECK_EQ(std::int64_t(2), site.shell.state.configVersion());
+    CHECK_EQ(document(8), site.held());
     // Another on the same version has lost, and stays so.
-    CHECK_EQ(412u, s.put(document(8, 200), "3"));
-    CHECK_EQ(412u, s.put(document(9), "3"));
-    CHECK_EQ(412u, s.put(document(9), "0"));
-    CHECK_EQ(412u, s.put(document(9), "9"));
-    CHECK_EQ(200u, s.put(document(9), "8"));
+    CHECK_EQ(412u, site.put(document(8, 200), "3"));
+    CHECK_EQ(412u, site.put(document(9), "3"));
+    CHECK_EQ(412u, site.put(document(9), "0"));
+    CHECK_EQ(412u, site.put(document(9), "9"));
+    CHECK_EQ(200u, site.put(document(9), "8"));
 }
 
 TEST(PlatformAdapter, theOrderOfChecks) {
-    auto s = Site();
-    CHECK_EQ(200u, s.put(document(5), "0"));
-    CHECK_EQ(400u, s.put("{", "5"));
-    CHECK_EQ(400u, s.put("{", "4"));
-    CHECK_EQ(400u, s.put("[]", "5"));
-    CHECK_EQ(428u, s.put(document(6), ""));
+    auto site = Site();
+    CHECK_EQ(200u, site.put(document(5), "0"));
+    CHECK_EQ(400u, site.put("{", "5"));
+    CHECK_EQ(400u, site.put("{", "4"));
+    CHECK_EQ(400u, site.put("[]", "5"));
+    CHECK_EQ(428u, site.put(document(6), ""));
     for (auto b : {"x", "\"5\"", "-5", "5 5", "5.0", "99999999999999999999"})
-        CHECK_EQ(400u, s.put(document(6), b));
-    CHECK_EQ(412u, s.put(document(6, 0), "4"));
-    CHECK_EQ(400u, s.put(document(6, 0), "5"));
-    CHECK_EQ(400u, s.put(document(5, 200), "5"));
-    CHECK_EQ(400u, s.put(document(4), "5"));
-    CHECK_EQ(document(5), s.held());
-    CHECK_EQ(std::int64_t(1), s.sh.w.configVersion());
+        CHECK_EQ(400u, site.put(document(6), b));
+    CHECK_EQ(412u, site.put(document(6, 0), "4"));
+    CHECK_EQ(400u, site.put(document(6, 0), "5"));
+    CHECK_EQ(400u, site.put(document(5, 200), "5"));
+    CHECK_EQ(400u, site.put(document(4), "5"));
+    CHECK_EQ(document(5), site.held());
+    CHECK_EQ(std::int64_t(1), site.shell.state.configVersion());
 }
 
 TEST(PlatformAdapter, patchesOnTheSameTerms) {
-    auto s = Site();
-    CHECK_EQ(200u, s.put(document(5), "0"));
+    auto site = Site();
+    CHECK_EQ(200u, site.put(document(5), "0"));
     auto p = std::string(
         R"({"ConfigVersion":7,"Upsert":{"Routes":[{"Name":"q","Hostname":"h","PathPrefix":"/q/","DeadlineMs":5,"Backend":"b"}]}})");
-    CHECK_EQ(200u, s.patch(p, "5"));
-    auto seven = s.held();
-    CHECK_EQ(*patched(document(5), *readWhole(p)), seven);
-    CHECK_EQ(200u, s.patch(p, "5"));
-    CHECK_EQ(412u, s.patch(R"({"ConfigVersion":7})", "5"));
-    CHECK_EQ(400u, s.patch(R"({"ConfigVersion":7})", "7"));
-    CHECK_EQ(400u, s.patch(R"({"ConfigVersion":9,"Remove":{"Backends":["b"]}})", "7"));
-    CHECK_EQ(400u, s.patch(R"({"ConfigVersion":9,"Upsert":{"Routes":[{"Name":"z"}]}})", "7"));
-    CHECK_EQ(seven, s.held());
-    CHECK_EQ(200u, s.patch(R"({"ConfigVersion":9,"Remove":{"Routes":["q"]}})", "7"));
-    CHECK_EQ(200u, s.patch(p, "5"));  // taken once, whatever came after
-    CHECK_EQ(std::int64_t(3), s.sh.w.configVersion());
+    CHECK_EQ(200u, site.patch(p, "5"));
+    auto seven = site.held();
+    CHECK_EQ(*applyPatch(document(5), *readDocument(p)), seven);
+    CHECK_EQ(200u, site.patch(p, "5"));
+    CHECK_EQ(412u, site.patch(R"({"ConfigVersion":7})", "5"));
+    CHECK_EQ(400u, site.patch(R"({"ConfigVersion":7})", "7"));
+    CHECK_EQ(400u, site.patch(R"({"ConfigVersion":9,"Remove":{"Backends":["b"]}})", "7"));
+    CHECK_EQ(400u, site.patch(R"({"ConfigVersion":9,"Upsert":{"Routes":[{"Name":"z"}]}})", "7"));
+    CHECK_EQ(seven, site.held());
+    CHECK_EQ(200u, site.patch(R"({"ConfigVersion":9,"Remove":{"Routes":["q"]}})", "7"));
+    CHECK_EQ(200u, site.patch(p, "5"));  // taken once, whatever came after
+    CHECK_EQ(std::int64_t(3), site.shell.state.configVersion());
     // The same body as a whole configuration is another call.
-    CHECK_EQ(412u, s.put(p, "5"));
+    CHECK_EQ(412u, site.put(p, "5"));
 }
 
 // Another operator's change comes between the reading and the order.
 TEST(PlatformAdapter, oneOfTwoWins) {
-    auto s = Site();
-    CHECK_EQ(200u, s.put(document(5), "0"));
-    s.sh.before = [&] { CHECK_EQ(200u, s.put(document(6, 300), "5")); };
-    CHECK_EQ(412u, s.put(document(6, 200), "5"));
-    CHECK_EQ(document(6, 300), s.held());
-    // The same call, sent twice at once to two nodes: both are told that it was taken.
-    s.sh.before = [&] { CHECK_EQ(200u, s.put(document(7), "6")); };
-    CHECK_EQ(200u, s.put(document(7), "6"));
-    CHECK_EQ(std::int64_t(3), s.sh.w.configVersion());
+    auto site = Site();
+    CHECK_EQ(200u, site.put(document(5), "0"));
+    site.shell.beforeOrder = [&] { CHECK_EQ(200u, site.put(document(6, 300), "5")); };
+    CHECK_EQ(412u, site.put(document(6, 200), "5"));
+    CHECK_EQ(document(6, 300), site.held());
+    // The same call, sent twice at once to two nodes: both learn that it was accepted.
+    site.shell.beforeOrder = [&] { CHECK_EQ(200u, site.put(document(7), "6")); };
+    CHECK_EQ(200u, site.put(document(7), "6"));
+    CHECK_EQ(std::int64_t(3), site.shell.state.configVersion());
     // The product's own operators changed something that leaves the document as it was.
     auto merge = [&] {
-        auto p = orderPrepare(s.sh.w, "merge", "m",
-            fmt::format(R"({{"base":{},"patch":{{"name":"n"}}}})", s.sh.w.configVersion()), 0);
-        CHECK_EQ(200, s.sh.w.apply(*p).status);
+        auto p = orderPrepare(site.shell.state, "merge", "m",
+            fmt::format(R"({{"base":{},"patch":{{"name":"n"}}}})", site.shell.state.configVersion()), 0);
+        CHECK_EQ(200, site.shell.state.apply(*p).status);
     };
-    s.sh.before = merge;
-    CHECK_EQ(200u, s.put(document(8), "7"));
-    CHECK_EQ(document(8), s.held());
+    site.shell.beforeOrder = merge;
+    CHECK_EQ(200u, site.put(document(8), "7"));
+    CHECK_EQ(document(8), site.held());
 }
 
 // Without a clear answer it is sent again, and is in force once.
 TEST(PlatformAdapter, anUnclearOutcome) {
-    auto s = Site();
-    s.sh.hidden = true;
-    auto r = s.ask(http::verb::put, "/v1/config", document(2), "0");
+    auto site = Site();
+    site.shell.outcomeLost = true;
+    auto r = site.ask(http::verb::put, "/v1/config", document(2), "0");
     CHECK_EQ(503u, r.result_int());
     CHECK_EQ(std::string("0.3"), std::string(r["Retry-After"]));
-    CHECK_EQ(200u, s.put(document(2), "0"));
-    CHECK_EQ(std::size_t(1), s.sh.keys.size());
-    s.sh.hidden = false;
-    for (auto st : {503, 504, 421}) {
-        s.sh.status = st;
-        CHECK_EQ(503u, s.put(document(4), "2"));
-        CHECK_EQ(503u, s.ask(http::verb::post, "/v1/evacuation/x").result_int());
+    CHECK_EQ(200u, site.put(document(2), "0"));
+    CHECK_EQ(std::size_t(1), site.shell.keys.size());
+    site.shell.outcomeLost = false;
+    for (auto status : {503, 504, 421}) {
+        site.shell.orderStatus = status;
+        CHECK_EQ(503u, site.put(document(4), "2"));
+        CHECK_EQ(503u, site.ask(http::verb::post, "/v1/evacuation/x").result_int());
     }
-    s.sh.status = 422;
-    CHECK_EQ(400u, s.put(document(4), "2"));
-    s.sh.status = 0;
-    s.sh.up = false;
-    CHECK_EQ(503u, s.put(document(4), "2"));
-    CHECK_EQ(503u, s.ask(http::verb::get, "/v1/config").result_int());
-    CHECK_EQ(400u, s.put("{", "2"));
+    site.shell.orderStatus = 422;
+    CHECK_EQ(400u, site.put(document(4), "2"));
+    site.shell.orderStatus = 0;
+    site.shell.majorityReachable = false;
+    CHECK_EQ(503u, site.put(document(4), "2"));
+    CHECK_EQ(503u, site.ask(http::verb::get, "/v1/config").result_int());
+    CHECK_EQ(400u, site.put("{", "2"));
 }
 
 // Whatever calls come in whatever order, from operators that repeat what they are not sure of: a
@@ -246,7 +252,7 @@
 TEST(PlatformAdapter, fuzzOperators) {
     for (auto seed = 1; seed <= 40; seed++) {
         auto r = Rng{std::uint64_t(seed)};
-        auto s = Site();
+        auto site = Site();
         struct Call {
             std::string body;
             std::int64_t base;
@@ -263,20 +269,20 @@
                 c.body = document(int(n), int(r.below(4)) * 100);
                 open.push_back(c);
             }
-            s.sh.hidden = r.chance(0.3);
-            s.sh.status = r.chance(0.2) ? 503 : 0;
-            auto st = s.put(c.body, fmt::to_string(c.base));
-            s.sh.hidden = false;
-            auto is = originOf(s.sh.w.config());
+            site.shell.outcomeLost = r.chance(0.3);
+            site.shell.orderStatus = r.chance(0.2) ? 503 : 0;
+            auto status = site.put(c.body, fmt::to_string(c.base));
+            site.shell.outcomeLost = false;
+            auto is = originOf(site.shell.state.config());
             if (is.text != was.text) {
                 CHECK_EQ(was.number, c.base);
                 CHECK(is.number > was.number);
                 CHECK_EQ(c.body, is.text);
                 CHECK(c.body.find("\"DeadlineMs\":0,") == std::string::npos);
-                CHECK(st == 200 || st == 503);
+                CHECK(status == 200 || status == 503);
                 taken.insert(c.body);
             }
-            if (st == 200) CHECK(taken.count(c.body));
+            if (status == 200) CHECK(taken.count(c.body));
             was = is;
         }
         CHECK(was.number > 0);
@@ -284,151 +290,151 @@
 }
 
 TEST(PlatformAdapter, evacuations) {
-    auto s = Site();
-    CHECK_EQ(200u, s.ask(http::verb::post, "/v1/evacuation/x").result_int());
-    CHECK(s.sh.w.evacuated("x"));
+    auto site = Site();
+    CHECK_EQ(200u, site.ask(http::verb::post, "/v1/evacuation/x").result_int());
+    CHECK(site.shell.state.evacuated("x"));
     // One that finds the zone as wanted is acknowledged and changes nothing.
-    auto before = s.sh.w.text();
-    CHECK_EQ(200u, s.ask(http::verb::post, "/v1/evacuation/x").result_int());
-    CHECK_EQ(before, s.sh.w.text());
-    CHECK_EQ(std::size_t(1), s.sh.keys.size());
-    CHECK_EQ(200u, s.ask(http::verb::delete_, "/v1/evacuation/x").result_int());
-    CHECK(!s.sh.w.evacuated("x"));
-    CHECK_EQ(200u, s.ask(http::verb::post, "/v1/evacuation/two%20words?a=b").result_int());
-    CHECK(s.sh.w.evacuated("two words"));
-    CHECK_EQ(404u, s.ask(http::verb::post, "/v1/evacuation/nowhere").result_int());
-    CHECK_EQ(404u, s.ask(http::verb::post, "/v1/evacuation/").result_int());
-    auto r = s.ask(http::verb::put, "/v1/evacuation/x");
+    auto before = site.shell.state.text();
+    CHECK_EQ(200u, site.ask(http::verb::post, "/v1/evacuation/x").result_int());
+    CHECK_EQ(before, site.shell.state.text());
+    CHECK_EQ(std::size_t(1), site.shell.keys.size());
+    CHECK_EQ(200u, site.ask(http::verb::delete_, "/v1/evacuation/x").result_int());
+    CHECK(!site.shell.state.evacuated("x"));
+    CHECK_EQ(200u, site.ask(http::verb::post, "/v1/evacuation/two%20words?a=b").result_int());
+    CHECK(site.shell.state.evacuated("two words"));
+    CHECK_EQ(404u, site.ask(http::verb::post, "/v1/evacuation/nowhere").result_int());
+    CHECK_EQ(404u, site.ask(http::verb::post, "/v1/evacuation/").result_int());
+    auto r = site.ask(http::verb::put, "/v1/evacuation/x");
     CHECK_EQ(405u, r.result_int());
     CHECK_EQ(std::string("POST, DELETE"), std::string(r["Allow"]));
     // Each order that was laid has a key of its own.
-    CHECK_EQ(std::size_t(3), s.sh.keys.size());
-    CHECK_EQ(std::size_t(3), std::set<std::string>(s.sh.keys.begin(), s.sh.keys.end()).size());
-    CHECK_EQ(200u, s.ask(http::verb::post, "/v1/evacuation/x").result_int());
-    CHECK_EQ(std::size_t(4), std::set<std::string>(s.sh.keys.begin(), s.sh.keys.end()).size());
-    s.sh.up = false;
-    CHECK_EQ(503u, s.ask(http::verb::post, "/v1/evacuation/x").result_int());
+    CHECK_EQ(std::size_t(3), site.shell.keys.size());
+    CHECK_EQ(std::size_t(3), std::set<std::string>(site.shell.keys.begin(), site.shell.keys.end()).size());
+    CHECK_EQ(200u, site.ask(http::verb::post, "/v1/evacuation/x").result_int());
+    CHECK_EQ(std::size_t(4), std::set<std::string>(site.shell.keys.begin(), site.shell.keys.end()).size());
+    site.shell.majorityReachable = false;
+    CHECK_EQ(503u, site.ask(http::verb::post, "/v1/evacuation/x").result_int());
 }
 
 // An evacuation is held up on its way to the log; meanwhile it is sent again, acknowledged and
-// withdrawn, and `others` orders follow. Tells how it ends, and whether the zone is empty then.
+// withdrawn, and `others` orders follow. Gives its answer, and whether the zone is evacuated then.
 static auto heldUpEvacuation(bool unfenced, int others) -> std::pair<unsigned, bool> {
-    auto s = Site();
-    s.sh.unfenced = unfenced;
+    auto site = Site();
+    site.shell.unfenced = unfenced;
     auto zone = std::string("/v1/evacuation/x");
-    s.sh.before = [&] {
-        CHECK_EQ(200u, s.ask(http::verb::post, zone).result_int());
-        CHECK_EQ(200u, s.ask(http::verb::delete_, zone).result_int());
+    site.shell.beforeOrder = [&] {
+        CHECK_EQ(200u, site.ask(http::verb::post, zone).result_int());
+        CHECK_EQ(200u, site.ask(http::verb::delete_, zone).result_int());
         for (auto i = 0; i < others; i++) {
             auto verb = i % 2 ? http::verb::delete_ : http::verb::post;
-            CHECK_EQ(200u, s.ask(verb, "/v1/evacuation/two%20words").result_int());
+            CHECK_EQ(200u, site.ask(verb, "/v1/evacuation/two%20words").result_int());
         }
     };
-    auto status = s.ask(http::verb::post, zone).result_int();
-    return {status, s.sh.w.evacuated("x")};
+    auto status = site.ask(http::verb::post, zone).result_int();
+    return {status, site.shell.state.evacuated("x")};
 }
 TEST(PlatformAdapter, heldUpEvacuationsAreFenced) {
     // The order that was acknowledged while this call waited is its own: known by its key.
     CHECK(heldUpEvacuation(false, 0) == std::pair(200u, false));
-    // And where the key is forgotten the zone's revision tells.
+    // And where the key is forgotten the zone's revision decides.
     CHECK(heldUpEvacuation(false, 300) == std::pair(503u, false));
     CHECK(heldUpEvacuation(true, 0).second);
     CHECK(heldUpEvacuation(true, 300).second);
     // Superseded by one that wants the same: acknowledged.
-    auto s = Site();
+    auto site = Site();
     auto zone = std::string("/v1/evacuation/x");
-    s.sh.before = [&] { CHECK_EQ(200u, s.ask(http::verb::post, zone).result_int()); };
-    CHECK_EQ(200u, s.ask(http::verb::post, zone).result_int());
-    CHECK(s.sh.w.evacuated("x"));
+    site.shell.beforeOrder = [&] { CHECK_EQ(200u, site.ask(http::verb::post, zone).result_int()); };
+    CHECK_EQ(200u, site.ask(http::verb::post, zone).result_int());
+    CHECK(site.shell.state.evacuated("x"));
 }
 
 // What was acknowledged is acknowledged again, whatever other orders, refusals and changes came since.
 TEST(PlatformAdapter, acknowledgedChangesOutliveOtherOrders) {
-    auto s = Site();
-    CHECK_EQ(200u, s.put(document(3), "0"));
+    auto site = Site();
+    CHECK_EQ(200u, site.put(document(3), "0"));
     for (auto i = 0; i < 400; i++) {
         auto verb = i % 2 ? http::verb::delete_ : http::verb::post;
-        CHECK_EQ(200u, s.ask(verb, "/v1/evacuation/x").result_int());
-        CHECK_EQ(412u, s.put(document(4, i + 200), "0"));
+        CHECK_EQ(200u, site.ask(verb, "/v1/evacuation/x").result_int());
+        CHECK_EQ(412u, site.put(document(4, i + 200), "0"));
     }
-    CHECK_EQ(200u, s.put(document(3), "0"));
+    CHECK_EQ(200u, site.put(document(3), "0"));
     auto last = std::int64_t(3);
     for (auto n = 4; n < 300; n++) {
-        CHECK_EQ(200u, s.put(document(n), fmt::to_string(last)));
+        CHECK_EQ(200u, site.put(document(n), fmt::to_string(last)));
         last = n;
     }
-    CHECK_EQ(200u, s.put(document(3), "0"));
-    for (auto n = 4; n < 300; n += 37) CHECK_EQ(200u, s.put(document(n), fmt::to_string(n - 1)));
+    CHECK_EQ(200u, site.put(document(3), "0"));
+    for (auto n = 4; n < 300; n += 37) CHECK_EQ(200u, site.put(document(n), fmt::to_string(n - 1)));
     auto loaded = ReplicatedState();
-    CHECK(loaded.load(s.sh.w.text()));
-    s.sh.w = loaded;
-    CHECK_EQ(200u, s.put(document(3), "0"));
+    CHECK(loaded.load(site.shell.state.text()));
+    site.shell.state = loaded;
+    CHECK_EQ(200u, site.put(document(3), "0"));
 }
 
 // Beyond what the memory holds the outcome is not known; it is no refusal.
 TEST(PlatformAdapter, forgottenChangesAreNotRefused) {
-    auto s = Site();
+    auto site = Site();
     auto most = int(AcceptedChanges::CAPACITY);
-    for (auto n = 1; n <= most + 3; n++) CHECK_EQ(200u, s.put(document(n), fmt::to_string(n - 1)));
+    for (auto n = 1; n <= most + 3; n++) CHECK_EQ(200u, site.put(document(n), fmt::to_string(n - 1)));
     // The changes that made 1 to 3 are forgotten.
-    CHECK_EQ(503u, s.put(document(1), "0"));
-    CHECK_EQ(503u, s.put(document(3), "2"));
-    CHECK_EQ(200u, s.put(document(4), "3"));
-    CHECK_EQ(412u, s.put(document(4, 200), "3"));
-    CHECK_EQ(412u, s.put(document(most + 9), fmt::to_string(most)));
-    CHECK_EQ(std::int64_t(3), AcceptedChanges::forgottenVersion(s.sh.w.d["acceptedChanges"]));
+    CHECK_EQ(503u, site.put(document(1), "0"));
+    CHECK_EQ(503u, site.put(document(3), "2"));
+    CHECK_EQ(200u, site.put(document(4), "3"));
+    CHECK_EQ(412u, site.put(document(4, 200), "3"));
+    CHECK_EQ(412u, site.put(document(most + 9), fmt::to_string(most)));
+    CHECK_EQ(std::int64_t(3), AcceptedChanges::forgottenVersion(site.shell.state.d["acceptedChanges"]));
 }
 
 TEST(PlatformAdapter, readyAndResolve) {
-    auto s = Site();
-    CHECK_EQ(200u, s.ask(http::verb::get, "/v1/ready", "", "", "10.0.0.1:3").result_int());
-    s.sh.ok = false;
-    CHECK_EQ(503u, s.ask(http::verb::get, "/v1/ready", "", "", "10.0.0.1:3").result_int());
+    auto site = Site();
+    CHECK_EQ(200u, site.ask(http::verb::get, "/v1/ready", "", "", "10.0.0.1:3").result_int());
+    site.shell.nodeReady = false;
+    CHECK_EQ(503u, site.ask(http::verb::get, "/v1/ready", "", "", "10.0.0.1:3").result_int());
     auto q = std::string("/v1/resolve?Name=h&Region=p&Zone=x");
-    CHECK_EQ(503u, s.ask(http::verb::get, q, "", "", "10.0.0.1:2").result_int());
-    s.sh.places = R"({"nodes":[{"node":"n","address":"10.0.0.1:7","region":"p","district":"x"}]})";
+    CHECK_EQ(503u, site.ask(http::verb::get, q, "", "", "10.0.0.1:2").result_int());
+    site.shell.nodes = R"({"nodes":[{"node":"n","address":"10.0.0.1:7","region":"p","district":"x"}]})";
     CHECK_EQ(std::string(R"({"Addresses":["10.0.0.1:7"],"TtlS":2})"),
-        s.ask(http::verb::get, q, "", "", "10.0.0.1:2").body());
-    CHECK_EQ(405u, s.ask(http::verb::post, q, "", "", "10.0.0.1:2").result_int());
+        site.ask(http::verb::get, q, "", "", "10.0.0.1:2").body());
+    CHECK_EQ(405u, site.ask(http::verb::post, q, "", "", "10.0.0.1:2").result_int());
     // Each at its own address only.
     for (auto at : {"10.0.0.1:1", "10.0.0.1:2"})
-        CHECK_EQ(404u, s.ask(http::verb::get, "/v1/ready", "", "", at).result_int());
-    CHECK_EQ(404u, s.ask(http::verb::get, "/v1/config", "", "", "10.0.0.1:2").result_int());
-    CHECK_EQ(404u, s.ask(http::verb::get, "/", "", "").result_int());
-    CHECK_EQ(405u, s.ask(http::verb::delete_, "/v1/config").result_int());
+        CHECK_EQ(404u, site.ask(http::verb::get, "/v1/ready", "", "", at).result_int());
+    CHECK_EQ(404u, site.ask(http::verb::get, "/v1/config", "", "", "10.0.0.1:2").result_int());
+    CHECK_EQ(404u, site.ask(http::verb::get, "/", "", "").result_int());
+    CHECK_EQ(405u, site.ask(http::verb::delete_, "/v1/config").result_int());
 }
 
 // The list comes whole or not at all.
 TEST(PlatformAdapter, pullsAllPagesOrNothing) {
-    using P = PlatformAdapter::Pulled;
-    auto s = Site();
+    using Result = PlatformAdapter::PullResult;
+    auto site = Site();
     auto page = [](const std::string& id, const std::string& state, const std::string& next) {
         return std::pair(200u,
             fmt::format(
                 R"({{"Instances":[{{"InstanceId":"{}","Backend":"b","Address":"10.0.1.1:1","Zone":"x","State":"{}"}}],"NextToken":{}}})",
                 id, state, next.empty() ? "null" : jsQuote(next)));
     };
-    s.sh.pages["/instances"] = page("i1", "ready", "a/b");
-    CHECK(wait(s.ad.pull(s.sh)) == P::Nothing);
-    CHECK_EQ(std::string("10.9.0.1:9/instances?PageToken=a%2Fb"), s.sh.asked.back());
-    CHECK(s.sh.lists.empty());
-    s.sh.pages["/instances?PageToken=a%2Fb"] = page("i2", "ready", "");
-    CHECK(wait(s.ad.pull(s.sh)) == P::News);
-    CHECK(s.sh.lists.back().find("\"i1\"") != std::string::npos
-        && s.sh.lists.back().find("\"i2\"") != std::string::npos);
-    CHECK(wait(s.ad.pull(s.sh)) == P::Same);
-    CHECK_EQ(std::size_t(2), s.sh.lists.size());
-    s.sh.pages["/instances?PageToken=a%2Fb"] = page("i2", "draining", "");
-    CHECK(wait(s.ad.pull(s.sh)) == P::News);
-    CHECK(s.sh.lists.back().find("leaving") != std::string::npos);
-    s.sh.pages["/instances?PageToken=a%2Fb"] = {429u, "{}"};
-    CHECK(wait(s.ad.pull(s.sh)) == P::Nothing);
-    s.sh.pages["/instances?PageToken=a%2Fb"] = {200u, R"({"Instances":[{"Instan)"};
-    CHECK(wait(s.ad.pull(s.sh)) == P::Nothing);
+    site.shell.pages["/instances"] = page("i1", "ready", "a/b");
+    CHECK(wait(site.adapter.pull(site.shell)) == Result::Failed);
+    CHECK_EQ(std::string("10.9.0.1:9/instances?PageToken=a%2Fb"), site.shell.fetched.back());
+    CHECK(site.shell.lists.empty());
+    site.shell.pages["/instances?PageToken=a%2Fb"] = page("i2", "ready", "");
+    CHECK(wait(site.adapter.pull(site.shell)) == Result::Changed);
+    CHECK(site.shell.lists.back().find("\"i1\"") != std::string::npos
+        && site.shell.lists.back().find("\"i2\"") != std::string::npos);
+    CHECK(wait(site.adapter.pull(site.shell)) == Result::Unchanged);
+    CHECK_EQ(std::size_t(2), site.shell.lists.size());
+    site.shell.pages["/instances?PageToken=a%2Fb"] = page("i2", "draining", "");
+    CHECK(wait(site.adapter.pull(site.shell)) == Result::Changed);
+    CHECK(site.shell.lists.back().find("leaving") != std::string::npos);
+    site.shell.pages["/instances?PageToken=a%2Fb"] = {429u, "{}"};
+    CHECK(wait(site.adapter.pull(site.shell)) == Result::Failed);
+    site.shell.pages["/instances?PageToken=a%2Fb"] = {200u, R"({"Instances":[{"Instan)"};
+    CHECK(wait(site.adapter.pull(site.shell)) == Result::Failed);
     // Pages without end are no list.
-    s.sh.pages["/instances?PageToken=a%2Fb"] = page("i2", "ready", "a/b");
-    CHECK(wait(s.ad.pull(s.sh)) == P::Nothing);
-    CHECK_EQ(std::size_t(3), s.sh.lists.size());
+    site.shell.pages["/instances?PageToken=a%2Fb"] = page("i2", "ready", "a/b");
+    CHECK(wait(site.adapter.pull(site.shell)) == Result::Failed);
+    CHECK_EQ(std::size_t(3), site.shell.lists.size());
 }
 
 }  // namespace duneturn::platform
--- a/tests/platform/platform_config_test.cpp
+++ b/tests/platform/platform_config_test.cpp
@@ -1,5 +1,4 @@
-// The platform's documents: what is invalid, what a patch makes of them, and what the product
-// is told.
+// The platform's documents: what is invalid, what a patch makes of them, and what the product gets.
 #include <algorithm>
 #include <cmath>
 #include <cstdint>
@@ -13,7 +12,11 @@
 
 #include "base/json.hpp"
 #include "base/random.hpp"
-#include "platform.hpp"
+#include "configuration.hpp"
+#include "directory.hpp"
+#include "document.hpp"
+#include "patch.hpp"
+#include "server_list.hpp"
 #include "state/replicated_state.hpp"
 #include "test.hpp"
 
@@ -40,10 +43,10 @@
 }
 
 TEST(PlatformConfig, theProductsWords) {
-    auto t = translate(DOCUMENT, 5, BOUNDS);
+    auto t = translateConfiguration(DOCUMENT, 5, BOUNDS);
     CHECK(bool(t));
     CHECK_EQ(std::int64_t(7), t->number);
-    auto c = parsed(t->config);
+    auto c = parsed(t->text);
     for (auto& f : configCheck(c)) CPPUNIT_FAIL(f.path + ": " + f.why);
     CHECK_EQ(DOCUMENT, originOf(c).text);
     CHECK_EQ(std::int64_t(7), originOf(c).number);
@@ -88,19 +91,19 @@
     s = replaced(s, "\"Share\":10", "\"Share\":1e-12");
     s = replaced(s, "\"MaxConns\":390", "\"MaxConns\":18446744073709551615");
     s = replaced(s, "\"IdleMs\":15000", "\"IdleMs\":1e300");
-    auto t = translate(s, 0, BOUNDS);
+    auto t = translateConfiguration(s, 0, BOUNDS);
     CHECK(bool(t));
-    auto c = parsed(t->config);
+    auto c = parsed(t->text);
     for (auto& f : configCheck(c)) CPPUNIT_FAIL(f.path + ": " + f.why);
     CHECK_EQ(std::int64_t(16), jsInt(c["models"]["m"], "migrationLimit"));
     CHECK_EQ(std::int64_t(1048576), jsInt(c["models"]["m"], "maxSequence"));
     CHECK_EQ(std::string(R"([{"pool":"desk","share":1000000},{"pool":"map","share":1}])"),
         js(c["mappings"][0]["pools"]));
-    // Where several pools hold a model, the least memory bounds it.
+    // Where several services hold a model, the least memory bounds it.
     s = replaced(DOCUMENT, R"({"Name":"map",)",
         R"({"Name":"map","Engine":{"KvCapacity":1000,"Models":[{"Name":"m"}]},)");
-    CHECK_EQ(
-        std::int64_t(1000), jsInt(parsed(translate(s, 0, BOUNDS)->config)["models"]["m"], "maxSequence"));
+    CHECK_EQ(std::int64_t(1000),
+        jsInt(parsed(translateConfiguration(s, 0, BOUNDS)->text)["models"]["m"], "maxSequence"));
 }
 
 TEST(PlatformConfig, whatIsAbsentOrNull) {
@@ -112,9 +115,9 @@
         ",\"Limits\":{\"MaxHeaderBytes\":16384,\"MaxBodyBytes\":4194304,\"HeaderReadMs\":3000,\"IdleMs\":"
         "15000}",
         "");
-    auto t = translate(s, 0, BOUNDS);
+    auto t = translateConfiguration(s, 0, BOUNDS);
     CHECK(bool(t));
-    auto c = parsed(t->config);
+    auto c = parsed(t->text);
     for (auto& f : configCheck(c)) CPPUNIT_FAIL(f.path + ": " + f.why);
     // Of an unknown kind nothing is run twice.
     CHECK(!c["mappings"][2].HasMember("repeatable"));
@@ -183,32 +186,33 @@
     for (auto& c : cases) {
         auto s = replaced(DOCUMENT, c.from, c.to);
         if (c.where.empty() && c.to == "\"Share\":0") {  // 10 is left
-            CHECK(bool(translate(s, 5, BOUNDS)));
+            CHECK(bool(translateConfiguration(s, 5, BOUNDS)));
             continue;
         }
-        auto t = translate(s, 5, BOUNDS);
+        auto t = translateConfiguration(s, 5, BOUNDS);
         CPPUNIT_ASSERT_MESSAGE(c.to.substr(0, 100), !t);
         auto all = std::string();
-        for (auto& f : t.error()) all += f.path + ": " + f.why + "\n";
+        for (auto& f : t.error().faults) all += f.path + ": " + f.why + "\n";
         CPPUNIT_ASSERT_MESSAGE(c.where + " in " + all,
-            std::any_of(
-                t.error().begin(), t.error().end(), [&](auto& f) { return f.path.starts_with(c.where); }));
+            std::any_of(t.error().faults.begin(), t.error().faults.end(),
+                [&](auto& f) { return f.path.starts_with(c.where); }));
     }
-    for (auto s : {"", " ", "null", "7", "[]", "{}", "\"x\""}) CHECK(!translate(s, 0, BOUNDS));
+    for (auto s : {"", " ", "null", "7", "[]", "{}", "\"x\""}) CHECK(!translateConfiguration(s, 0, BOUNDS));
     // Hosts are the same whatever their case, prefixes are not.
-    CHECK(!translate(replaced(replaced(DOCUMENT, "\"PathPrefix\":\"/pufi/\"", "\"PathPrefix\":\"/lohu/\""),
-                         "Ficu95", "FICU95"),
+    CHECK(!translateConfiguration(
+        replaced(
+            replaced(DOCUMENT, "\"PathPrefix\":\"/pufi/\"", "\"PathPrefix\":\"/lohu/\""), "Ficu95", "FICU95"),
         5, BOUNDS));
-    CHECK(bool(translate(replaced(DOCUMENT, "/pufi/", "/LOHU/"), 5, BOUNDS)));
+    CHECK(bool(translateConfiguration(replaced(DOCUMENT, "/pufi/", "/LOHU/"), 5, BOUNDS)));
 }
 
 // A document that was cut short is invalid, wherever.
 TEST(PlatformConfig, cutShortAnywhere) {
     auto s = DOCUMENT + " \n";
     for (auto i = std::size_t(0); i <= s.size(); i++) {
-        auto t = translate(std::string_view(s).substr(0, i), 0, BOUNDS);
+        auto t = translateConfiguration(std::string_view(s).substr(0, i), 0, BOUNDS);
         CHECK_EQ(i >= DOCUMENT.size(), bool(t));
-        if (t) CHECK_EQ(s.substr(0, i), originOf(parsed(t->config)).text);
+        if (t) CHECK_EQ(s.substr(0, i), originOf(parsed(t->text)).text);
     }
 }
 
@@ -228,13 +232,13 @@
             else if (r.chance(0.5)) s.replace(at, r.below(6), p);
             else s.erase(at, 1 + r.below(20));
         }
-        auto t = translate(s, 0, BOUNDS);
+        auto t = translateConfiguration(s, 0, BOUNDS);
         if (!t) {
-            CHECK(!t.error().empty());
+            CHECK(!t.error().faults.empty());
             continue;
         }
         good++;
-        auto c = parsed(t->config);
+        auto c = parsed(t->text);
         for (auto& f : configCheck(c)) CPPUNIT_FAIL(f.path + ": " + f.why + " in " + s);
         CHECK_EQ(s, originOf(c).text);
         CHECK_EQ(t->number, originOf(c).number);
@@ -248,7 +252,7 @@
     for (auto i = 0; i < 200; i++) {
         auto next = now + 1 + std::int64_t(r.below(1000000));
         auto at = [&](std::int64_t n) {
-            return translate(
+            return translateConfiguration(
                 replaced(DOCUMENT, "\"ConfigVersion\":7", fmt::format("\"ConfigVersion\":{}", n)), now,
                 BOUNDS);
         };
@@ -272,11 +276,12 @@
 
 // The work grows with the document and no faster.
 TEST(PlatformConfig, twentyThousandRoutes) {
-    auto a = translate(many(10000), 0, BOUNDS), b = translate(many(20000), 0, BOUNDS);
+    auto a = translateConfiguration(many(10000), 0, BOUNDS),
+         b = translateConfiguration(many(20000), 0, BOUNDS);
     CHECK(a && b);
     CHECK(b->steps <= 2 * a->steps);
     CHECK(b->steps <= 3 * 20050);
-    CHECK(!translate(many(20001), 0, BOUNDS));
+    CHECK(!translateConfiguration(many(20001), 0, BOUNDS));
 }
 
 // ---- patches
@@ -284,7 +289,7 @@
 TEST(PlatformConfig, patchReplacesAddsAndRemoves) {
     auto p = parsed(
         R"({"ConfigVersion":9,"Limits":{"IdleMs":1},"Upsert":{"Routes":[{"Name":"r-9","X":1},{"Name":"r-2","Y":0.1}],"Tenants":[{"Name":"t"}]},"Remove":{"Routes":["r-1","never"],"Nothing":["n"]}})");
-    auto s = patched(
+    auto s = applyPatch(
         R"({"Routes":[{"Name":"r-1"},{"Name":"r-2","Old":2},{"Name":"r-3","f":3.0,"g":0.1,"h":1e+22,"i":-9223372036854775808}],"Backends":[],"ConfigVersion":7,"Z":"ü\n"})",
         p);
     CHECK(bool(s));
@@ -294,10 +299,10 @@
         *s);
     // Where a list's place holds one thing, it is replaced whole.
     CHECK_EQ(std::string(R"({"Limits":{"b":2},"ConfigVersion":2})"),
-        *patched(R"({"Limits":{"a":1}})", parsed(R"({"ConfigVersion":2,"Upsert":{"Limits":{"b":2}}})")));
+        *applyPatch(R"({"Limits":{"a":1}})", parsed(R"({"ConfigVersion":2,"Upsert":{"Limits":{"b":2}}})")));
     // With nothing there yet, a patch may bring all.
     CHECK_EQ(std::string(R"({"ConfigVersion":2,"Routes":[{"Name":"a"}]})"),
-        *patched("", parsed(R"({"ConfigVersion":2,"Upsert":{"Routes":[{"Name":"a"}]}})")));
+        *applyPatch("", parsed(R"({"ConfigVersion":2,"Upsert":{"Routes":[{"Name":"a"}]}})")));
 }
 
 TEST(PlatformConfig, patchThatIsNone) {
@@ -311,12 +316,12 @@
              R"({"ConfigVersion":9,"Remove":{"Routes":"r-1"}})",
              R"({"ConfigVersion":9,"Remove":{"Routes":[7]}})", R"({"ConfigVersion":9,"Remove":["r-1"]})",
              R"({"ConfigVersion":9,"Limits":7})"}) {
-        auto s = patched(DOCUMENT, parsed(p));
-        CPPUNIT_ASSERT_MESSAGE(p, !s && !s.error().empty());
+        auto s = applyPatch(DOCUMENT, parsed(p));
+        CPPUNIT_ASSERT_MESSAGE(p, !s && !s.error().faults.empty());
     }
     // One may leave a document that is invalid: a service that routes name is gone.
-    auto s = patched(DOCUMENT, parsed(R"({"ConfigVersion":9,"Remove":{"Backends":["map"]}})"));
-    CHECK(s && !translate(*s, 7, BOUNDS));
+    auto s = applyPatch(DOCUMENT, parsed(R"({"ConfigVersion":9,"Remove":{"Backends":["map"]}})"));
+    CHECK(s && !translateConfiguration(*s, 7, BOUNDS));
 }
 
 // Against a plain reading: lists of names with a number each.
@@ -368,7 +373,7 @@
                 down += fmt::format("{}\"{}\":[{}]", down.empty() ? "" : ",", k, names);
         }
         auto p = fmt::format(R"({{"ConfigVersion":{},"Remove":{{{}}},"Upsert":{{{}}}}})", round, down, up);
-        auto s = patched(text, parsed(p));
+        auto s = applyPatch(text, parsed(p));
         CHECK(bool(s));
         text = *s;
         CHECK_EQ(whole(round, now), text);
@@ -378,33 +383,33 @@
 // ---- the list of servers, the directory
 
 TEST(PlatformConfig, theListOfServers) {
-    auto is = Instances();
-    auto next = page(
+    auto list = ServerList();
+    auto next = readServerPage(
         R"({"Instances":[{"Backend":"desk","Address":"10.128.0.9:8080","Zone":"lhr-hall","ConfigVersion":"v1","Slots":64,"State":"ready","ColdLeftMs":1500,"Phase":"mixed","Models":[{"Name":"m","ConfigVersion":4,"Adapters":[]}],"InstanceId":"i-1"},{"Backend":"map","Address":"10.128.0.10:8080","Zone":"elsewhere","State":"draining","InstanceId":"i-2"}],"NextToken":"p-50"})",
-        is);
+        list);
     CHECK_EQ(std::string("p-50"), *next);
-    CHECK_EQ(std::string(), *page(R"({"Instances":[],"NextToken":null})", is));
-    CHECK_EQ(std::string(), *page(R"({"Instances":[]})", is));
+    CHECK_EQ(std::string(), *readServerPage(R"({"Instances":[],"NextToken":null})", list));
+    CHECK_EQ(std::string(), *readServerPage(R"({"Instances":[]})", list));
     CHECK_EQ(
         std::string(
             R"({"servers":[{"name":"i-1","address":"10.128.0.9:8080","region":"punjab","district":"lhr-hall","pool":"desk","weights":"4","slots":64,"state":"up","coldUs":1500000},{"name":"i-2","address":"10.128.0.10:8080","region":"","district":"elsewhere","pool":"map","weights":"","slots":8,"state":"leaving","coldUs":0}]})"),
-        listing(is, {{"lhr-hall", "punjab"}}));
-    auto o = is["i-1"];
-    o.cold = 0;
-    CHECK(o.same(is["i-1"]));
+        productServerList(list, {{"lhr-hall", "punjab"}}));
+    auto o = list.servers["i-1"];
+    o.coldFor = 0;
+    CHECK(o.sameAs(list.servers["i-1"]));
     o.leaving = true;
-    CHECK(!o.same(is["i-1"]));
+    CHECK(!o.sameAs(list.servers["i-1"]));
     for (auto s :
         {"", "{}", "[]", R"({"Instances":{}})", R"({"Instances":[7]})", R"({"Instances":[],"NextToken":7})",
             R"({"Instances":[{"Backend":"b","Address":"10.0.0.1:1","Zone":"z"}]})",
             R"({"Instances":[{"Backend":"b","Address":"host:1","InstanceId":"i"}]})",
             R"({"Instances":[{"Address":"10.0.0.1:1","InstanceId":"i"}]})",
             R"({"Instances":[],"Instances":[]})"})
-        CPPUNIT_ASSERT_MESSAGE(s, !page(s, is));
-    CHECK(bool(page(
+        CPPUNIT_ASSERT_MESSAGE(s, !readServerPage(s, list));
+    CHECK(bool(readServerPage(
         R"({"Instances":[{"Backend":"b","Address":"10.0.0.1:1","InstanceId":"i","Models":[7],"Slots":-4}]})",
-        is)));
-    CHECK_EQ(std::int64_t(1), is["i"].slots);
+        list)));
+    CHECK_EQ(std::int64_t(1), list.servers["i"].slots);
 }
 
 TEST(PlatformConfig, nearNodesFirst) {
@@ -414,9 +419,9 @@
     };
     auto all = node("a", "p", "x") + "," + node("b", "p", "y") + "," + node("c", "s", "z");
     auto got = [&](const std::string& nodes, const std::string& region, const std::string& zone,
-                   Spread s = {}) {
+                   DirectorySpread s = {}) {
         auto o = std::string();
-        for (auto& a : addresses("{\"nodes\":[" + nodes + "]}", region, zone, s)) o += a;
+        for (auto& a : nearestAddresses("{\"nodes\":[" + nodes + "]}", {region, zone}, s)) o += a;
         return o;
     };
     CHECK_EQ(std::string("ab"), got(all, "p", "x"));  // one in its zone is too few
@@ -428,7 +433,7 @@
     CHECK_EQ(std::string("a"), got(all, "p", "x", {1, 1, 64}));
     CHECK_EQ(std::string("ab"), got(all, "q", "w", {2, 1, 2}));
     CHECK_EQ(std::string(), got("", "p", "x"));
-    CHECK(addresses("no", "p", "x", {}).empty());
+    CHECK(nearestAddresses("no", {"p", "x"}).empty());
 }
 
 }  // namespace duneturn::platform
--- a/tests/platform/platform_settings_test.cpp
+++ b/tests/platform/platform_settings_test.cpp
@@ -8,7 +8,8 @@
 #include "base/random.hpp"
 #include "base/settings.hpp"
 #include "base/time.hpp"
-#include "platform.hpp"
+#include "platform_adapter.hpp"
+#include "platform_settings.hpp"
 #include "test.hpp"
 
 namespace duneturn::platform {
@@ -57,49 +58,49 @@
 }
 
 TEST(PlatformSettings, allIsTranslated) {
-    auto p = settingsParse(SETTINGS);
+    auto p = parsePlatformSettings(SETTINGS);
     CHECK(bool(p));
-    CHECK_EQ(std::string("edge-lhr-hall-1"), p->st.node);
-    CHECK_EQ(std::string("lhr-hall"), p->st.zone);
-    CHECK_EQ(std::string("punjab"), p->st.region);
-    CHECK_EQ(std::string("10.1.0.13:8161"), p->st.clientAddress);
-    CHECK_EQ(std::string("10.1.0.13:7720"), p->st.peer);
-    CHECK_EQ(std::string("10.1.0.13:7735"), p->st.operatorAddress);
-    CHECK_EQ(std::size_t(2), p->st.seeds.size());
-    CHECK_EQ(std::string("10.2.0.30:7720"), p->st.seeds[1]);
-    CHECK_EQ(std::string("/data/node"), p->st.data);
-    CHECK(p->st.gossip && p->st.bootstrap && p->st.serveOn && !p->st.probes);
-    CHECK_EQ(500 * MILLISECOND, p->st.heartbeat);
-    CHECK(p->st.roster.empty() && p->st.initialVoters.empty());
+    CHECK_EQ(std::string("edge-lhr-hall-1"), p->node.node);
+    CHECK_EQ(std::string("lhr-hall"), p->node.zone);
+    CHECK_EQ(std::string("punjab"), p->node.region);
+    CHECK_EQ(std::string("10.1.0.13:8161"), p->node.clientAddress);
+    CHECK_EQ(std::string("10.1.0.13:7720"), p->node.peer);
+    CHECK_EQ(std::string("10.1.0.13:7735"), p->node.operatorAddress);
+    CHECK_EQ(std::size_t(2), p->node.seeds.size());
+    CHECK_EQ(std::string("10.2.0.30:7720"), p->node.seeds[1]);
+    CHECK_EQ(std::string("/data/node"), p->node.data);
+    CHECK(p->node.gossip && p->node.bootstrap && p->node.serveOn && !p->node.probes);
+    CHECK_EQ(500 * MILLISECOND, p->node.heartbeat);
+    CHECK(p->node.roster.empty() && p->node.initialVoters.empty());
     CHECK_EQ(std::string("10.1.0.13:8167"), p->readiness);
     CHECK_EQ(std::string("10.200.0.79:8169"), p->api);
     CHECK_EQ(std::string("sindh"), p->zones.at("khi-hall"));
     CHECK_EQ(8 * SECOND, p->grace);
-    CHECK_EQ(1.5, p->ttl);
+    CHECK_EQ(1.5, p->directoryTtl);
     CHECK_EQ(0.2, p->bounds.retryRatio);
     CHECK_EQ(5.0, p->bounds.coldSlack);
 }
 
 // One of several addresses that are equal is listened at once.
 TEST(PlatformSettings, equalAddressesAreOne) {
-    auto a = PlatformAdapter(*settingsParse(SETTINGS), "");
+    auto a = PlatformAdapter(*parsePlatformSettings(SETTINGS), "");
     CHECK_EQ(std::size_t(2), a.listens.size());
     CHECK(a.dialect.clientNamesRequests && a.dialect.passHeaders && !a.dialect.doneEvent);
 }
 
 TEST(PlatformSettings, aCoreIsACountedMachineWithADisk) {
-    CHECK_EQ(std::string(), settingsParse(with("DataPath", ""))->st.data);
-    CHECK_EQ(std::string(), settingsParse(with("DataPath", "DataPath = \"\""))->st.data);
-    CHECK_EQ(std::string(), settingsParse(with("QuorumMember", "QuorumMember = false"))->st.data);
-    CHECK(!settingsParse(with("Bootstrap", ""))->st.bootstrap);
+    CHECK_EQ(std::string(), parsePlatformSettings(with("DataPath", ""))->node.data);
+    CHECK_EQ(std::string(), parsePlatformSettings(with("DataPath", "DataPath = \"\""))->node.data);
+    CHECK_EQ(std::string(), parsePlatformSettings(with("QuorumMember", "QuorumMember = false"))->node.data);
+    CHECK(!parsePlatformSettings(with("Bootstrap", ""))->node.bootstrap);
 }
 
 TEST(PlatformSettings, whatIsNotServedMayBeAbsent) {
     for (auto k : {"Readiness", "Control", "Directory", "GraceS", "ColdSlack", "RatePerS", "ttl_max_s"})
-        CHECK(bool(settingsParse(with(k, ""))));
+        CHECK(bool(parsePlatformSettings(with(k, ""))));
     // One internal port only: none is left for the product's own operators.
     CHECK_EQ(std::string(),
-        settingsParse(with("InternalPorts", "InternalPorts = [7720, 7720]"))->st.operatorAddress);
+        parsePlatformSettings(with("InternalPorts", "InternalPorts = [7720, 7720]"))->node.operatorAddress);
 }
 
 TEST(PlatformSettings, everyFaultIsNamed) {
@@ -125,22 +126,22 @@
         {"ColdSlack", "ColdSlack = true", "/Bounds/ColdSlack"}, {"Address", "", "/PlatformApi/Address"},
         {"RatePerS", "RatePerS = 0", "/PlatformApi/RatePerS"}, {"Region", "Region = ", "line "}};
     for (auto& c : cases) {
-        auto p = settingsParse(with(c.begins, c.line));
+        auto p = parsePlatformSettings(with(c.begins, c.line));
         CPPUNIT_ASSERT_MESSAGE(c.line, !p);
-        CPPUNIT_ASSERT_MESSAGE(c.path, std::any_of(p.error().begin(), p.error().end(), [&](auto& f) {
-            return f.path.starts_with(c.path);
-        }));
+        CPPUNIT_ASSERT_MESSAGE(c.path,
+            std::any_of(p.error().faults.begin(), p.error().faults.end(),
+                [&](auto& f) { return f.path.starts_with(c.path); }));
     }
-    auto all = settingsParse("NodeName = 1\nBootstrap = 2\n[Bounds]\nGraceS = false");
+    auto all = parsePlatformSettings("NodeName = 1\nBootstrap = 2\n[Bounds]\nGraceS = false");
     CHECK(!all);
     auto paths = std::string();
-    for (auto& f : all.error()) paths += f.path + " ";
+    for (auto& f : all.error().faults) paths += f.path + " ";
     CHECK_EQ(
         std::string(
             "/NodeName /Zone /Region /Ip /InternalPorts /SeedAddrs /Bootstrap /BindAddrs /BindAddrs/Front "
             "/Zones /Bounds/GraceS /PlatformApi /PlatformApi/Address "),
         paths);
-    CHECK(!settingsRead("/nowhere/at/all"));
+    CHECK(!readPlatformSettings("/nowhere/at/all"));
 }
 
 // Whatever the bytes, a file is either sound or its faults are named.
@@ -150,9 +151,9 @@
         auto s = SETTINGS;
         for (auto k = r.below(4); k-- > 0;) s[r.below(s.size())] = char(r.below(256));
         if (r.chance(0.3)) s.resize(r.below(s.size()));
-        auto p = settingsParse(s);
-        if (!p) CHECK(!p.error().empty() && !p.error()[0].why.empty());
-        else CHECK(!p->st.seeds.empty() && bool(addrParse(p->st.peer)) && bool(addrParse(p->api)));
+        auto p = parsePlatformSettings(s);
+        if (!p) CHECK(!p.error().faults.empty() && !p.error().faults[0].why.empty());
+        else CHECK(!p->node.seeds.empty() && bool(addrParse(p->node.peer)) && bool(addrParse(p->api)));
     }
 }
 
