--- a/src/state/configuration_schema.cpp
+++ b/src/state/configuration_schema.cpp
@@ -63,7 +63,7 @@
 
 auto compileSchema(const char* schema) -> rapidjson::SchemaDocument {
     auto document = rapidjson::Document();
-    jsParse(schema, document);
+    parseJson(schema, document);
     return rapidjson::SchemaDocument(document);
 }
 
--- a/src/state/configuration_validation.cpp
+++ b/src/state/configuration_validation.cpp
@@ -61,13 +61,14 @@
 }
 
 /// Each route by its schema. The compiled schema only says whether a route is valid; to name every fault
-/// jsCheck compiles a schema for each value, which a configuration of thousands of routes has no time for.
+/// checkSchema compiles a schema for each value, which a configuration of thousands of routes has no time
+/// for.
 auto checkRouteSchemas(const rapidjson::Value& routes, std::vector<Fault>& faults) -> void {
     static const auto compiled = compileSchema(ROUTE_SCHEMA);
     for (auto i = 0U; i < routes.Size() && faults.size() < MAX_FAULTS; i++) {
         auto validator = rapidjson::SchemaValidator(compiled);
         if (routes[i].Accept(validator)) continue;
-        for (auto& fault : jsCheck(routes[i], ROUTE_SCHEMA)) {
+        for (auto& fault : checkSchema(routes[i], ROUTE_SCHEMA)) {
             auto path = fault.path == "/" ? "" : fault.path;
             faults.push_back({fmt::format("/mappings/{}{}", i, path), fault.why});
         }
@@ -75,7 +76,7 @@
 }
 
 auto checkSchemas(const rapidjson::Value& configuration) -> std::vector<Fault> {
-    auto faults = jsCheck(shortMembers(configuration), CONFIGURATION_SCHEMA);
+    auto faults = checkSchema(shortMembers(configuration), CONFIGURATION_SCHEMA);
     if (faults.size() > MAX_FAULTS) faults.resize(MAX_FAULTS);
     auto& routes = configuration[ROUTES];
     if (routes.Size() > MAX_ROUTES)
@@ -109,18 +110,18 @@
     }
 
     auto checkNames(const rapidjson::Value& route) -> void {
-        auto name = jsStr(route, "name");
+        auto name = jsonString(route, "name");
         if (!names_.insert(name).second) fault("name", "named twice: " + name);
-        auto model = jsStr(route, "model");
-        auto models = jsMember(configuration_, "models");
+        auto model = jsonString(route, "model");
+        auto models = jsonMember(configuration_, "models");
         if (!model.empty() && !(models && models->HasMember(model)))
             fault("model", "no such model under /models: " + model);
     }
 
     auto checkStream(const rapidjson::Value& route) -> void {
-        auto stream = jsBool(route, "stream");
-        if (jsBool(route, "Resumable") && !stream) fault("Resumable", "only a stream can be resumed");
-        if (jsBool(route, "repeatable") && stream)
+        auto stream = jsonBool(route, "stream");
+        if (jsonBool(route, "Resumable") && !stream) fault("Resumable", "only a stream can be resumed");
+        if (jsonBool(route, "repeatable") && stream)
             fault("repeatable", "of a stream it is Resumable that says so");
     }
 
@@ -136,27 +137,28 @@
         auto hasPool = route.HasMember("pool");
         auto hasPools = route.HasMember("pools");
         if (hasPool == hasPools) fault("pool", hasPool ? "pool or pools, not both" : "missing");
-        if (hasPool) checkPoolExists("pool", jsStr(route, "pool"));
+        if (hasPool) checkPoolExists("pool", jsonString(route, "pool"));
         if (!hasPools) return;
         auto sum = std::int64_t(0);
         for (auto& part : route["pools"].GetArray()) {
-            sum += jsInt(part, "share");
-            checkPoolExists("pools", jsStr(part, "pool"));
+            sum += jsonInteger(part, "share");
+            checkPoolExists("pools", jsonString(part, "pool"));
         }
         if (sum <= 0) fault("pools", "the shares sum to 0");
     }
 
     auto checkPoolExists(std::string_view member, const std::string& pool) -> void {
-        auto pools = jsMember(configuration_, "pools");
+        auto pools = jsonMember(configuration_, "pools");
         if (pools && !pools->HasMember(pool)) fault(member, "no such pool under /pools: " + pool);
     }
 
     /// No two routes take the same host, method and path. Those without a host are told apart by name.
     auto checkPlace(const rapidjson::Value& route) -> void {
-        auto host = jsStr(route, "host");
+        auto host = jsonString(route, "host");
         if (host.empty()) return;
         for (auto& letter : host) letter = char(std::tolower(letter));
-        auto place = fmt::format("{} {} {}", host, jsStr(route, "method", "POST"), jsStr(route, "path"));
+        auto place =
+            fmt::format("{} {} {}", host, jsonString(route, "method", "POST"), jsonString(route, "path"));
         if (!places_.insert(place).second) fault("path", "another mapping has this host and path");
     }
 
@@ -170,8 +172,8 @@
 }  // namespace
 
 auto validateConfiguration(const rapidjson::Value& configuration) -> std::vector<Fault> {
-    auto routes = jsMember(configuration, ROUTES);
-    if (!routes || !routes->IsArray()) return jsCheck(configuration, CONFIGURATION_SCHEMA);
+    auto routes = jsonMember(configuration, ROUTES);
+    if (!routes || !routes->IsArray()) return checkSchema(configuration, CONFIGURATION_SCHEMA);
     auto faults = checkSchemas(configuration);
     if (faults.empty()) RouteRules(configuration, faults).check();
     return faults;
--- a/tests/consensus/consensus_fixture.hpp
+++ b/tests/consensus/consensus_fixture.hpp
@@ -70,7 +70,7 @@
         }
     };
 
-    Rng random{1};
+    RandomSource random{1};
     Microseconds now = SECOND;
     Voter::Broken broken;
     bool record = false;
@@ -125,10 +125,10 @@
         state.bootstrap({"n"}, initialVoters);
         if (!name.empty()) {
             auto document = rapidjson::Document();
-            CHECK(jsParse(state.text(), document));
+            CHECK(parseJson(state.text(), document));
             auto& allocator = document.GetAllocator();
             document["config"].AddMember("name", rapidjson::Value(name, allocator), allocator);
-            CHECK(state.load(js(document)));
+            CHECK(state.load(jsonText(document)));
         }
         at(disks[0]).bootstrap(state, 1, now);
         run(10 * SECOND);
--- a/tests/platform/platform_adapter_test.cpp
+++ b/tests/platform/platform_adapter_test.cpp
@@ -30,9 +30,9 @@
 
 auto withoutRevision(const std::string& body) -> std::string {
     auto d = rapidjson::Document();
-    jsParse(body, d);
+    parseJson(body, d);
     d.RemoveMember("revision");
-    return js(d);
+    return jsonText(d);
 }
 
 struct FakeShell : Shell {
@@ -77,11 +77,11 @@
     auto duty() -> bool override { return true; }
     auto replicatedState() -> std::string override { return state.text(); }
     auto fetch(const std::string& address, const std::string& target, Microseconds)
-        -> asio::awaitable<tl::expected<Res, CallError>> override {
+        -> asio::awaitable<tl::expected<HttpResponse, CallError>> override {
         fetched.push_back(address + target);
         auto page = pages.find(target);
         if (page == pages.end()) co_return tl::make_unexpected(CallError{"silent"});
-        auto response = Res(http::status(page->second.first), 11);
+        auto response = HttpResponse(http::status(page->second.first), 11);
         response.body() = page->second.second;
         co_return response;
     }
@@ -117,8 +117,8 @@
     PlatformAdapter adapter{given(), ""};
 
     auto ask(http::verb m, const std::string& target, const std::string& body = "",
-        const std::string& base = "", std::string at = "10.0.0.1:1") -> Res {
-        auto q = Req(m, target, 11);
+        const std::string& base = "", std::string at = "10.0.0.1:1") -> HttpResponse {
+        auto q = HttpRequest(m, target, 11);
         q.body() = body;
         if (!base.empty()) q.set("If-Match", base);
         return wait(adapter.serve(at, q, shell));
@@ -251,7 +251,7 @@
 // force once.
 TEST(PlatformAdapter, fuzzOperators) {
     for (auto seed = 1; seed <= 40; seed++) {
-        auto r = Rng{std::uint64_t(seed)};
+        auto r = RandomSource{std::uint64_t(seed)};
         auto site = Site();
         struct Call {
             std::string body;
@@ -413,7 +413,7 @@
         return std::pair(200u,
             fmt::format(
                 R"({{"Instances":[{{"InstanceId":"{}","Backend":"b","Address":"10.0.1.1:1","Zone":"x","State":"{}"}}],"NextToken":{}}})",
-                id, state, next.empty() ? "null" : jsQuote(next)));
+                id, state, next.empty() ? "null" : jsonQuote(next)));
     };
     site.shell.pages["/instances"] = page("i1", "ready", "a/b");
     CHECK(wait(site.adapter.pull(site.shell)) == Result::Failed);
