--- a/src/base/address.cpp
+++ b/src/base/address.cpp
@@ -10,7 +10,7 @@
 
 namespace duneturn {
 
-auto addrParse(std::string_view s) -> tl::expected<Addr, std::string> {
+auto parseAddress(std::string_view s) -> tl::expected<Address, std::string> {
     constexpr auto MOST_DIGITS = std::size_t(5);
     constexpr auto MOST_PORT = 65535;
     auto colon = s.rfind(':');
@@ -25,7 +25,7 @@
     auto number = digits ? std::stoi(port) : 0;
     if (number < 1 || number > MOST_PORT)
         return tl::make_unexpected(std::string("wants a port from 1 to 65535"));
-    return Addr{ip, std::uint16_t(number)};
+    return Address{ip, std::uint16_t(number)};
 }
 
 }  // namespace duneturn
--- a/src/base/address.hpp
+++ b/src/base/address.hpp
@@ -9,11 +9,11 @@
 namespace duneturn {
 
 /// Where a process listens.
-struct Addr {
+struct Address {
     std::string ip;
     std::uint16_t port = 0;
 };
 /// Reads "IP:PORT", numbers only; the error says what is wrong.
-auto addrParse(std::string_view text) -> tl::expected<Addr, std::string>;
+auto parseAddress(std::string_view text) -> tl::expected<Address, std::string>;
 
 }  // namespace duneturn
--- a/src/base/file.cpp
+++ b/src/base/file.cpp
@@ -10,7 +10,7 @@
 
 namespace duneturn {
 
-auto fileRead(const std::string& p) -> tl::expected<std::string, std::string> {
+auto readFile(const std::string& p) -> tl::expected<std::string, std::string> {
     auto file = std::ifstream(p, std::ios::binary);
     if (!file) return tl::make_unexpected(fmt::format("{}: cannot be read", p));
     auto text = std::stringstream();
--- a/src/base/file.hpp
+++ b/src/base/file.hpp
@@ -7,6 +7,6 @@
 namespace duneturn {
 
 /// What the file at `path` holds; the error names the file and the cause.
-auto fileRead(const std::string& path) -> tl::expected<std::string, std::string>;
+auto readFile(const std::string& path) -> tl::expected<std::string, std::string>;
 
 }  // namespace duneturn
--- a/src/base/hash.cpp
+++ b/src/base/hash.cpp
@@ -11,6 +11,8 @@
     return XXH3_64bits_withSeed(s.data(), s.size(), seed);
 }
 
-auto rank(std::string_view key, std::string_view name) -> std::uint64_t { return hash64(name, hash64(key)); }
+auto rendezvousRank(std::string_view key, std::string_view name) -> std::uint64_t {
+    return hash64(name, hash64(key));
+}
 
 }  // namespace duneturn
--- a/src/base/json.cpp
+++ b/src/base/json.cpp
@@ -14,20 +14,20 @@
 
 static constexpr auto MOST_DEPTH = 64;  // of nested objects and lists
 
-auto jsMember(const rapidjson::Value& v, const char* k) -> const rapidjson::Value* {
+auto jsonMember(const rapidjson::Value& v, const char* k) -> const rapidjson::Value* {
     if (!v.IsObject()) return nullptr;
     auto found = v.FindMember(k);
     return found == v.MemberEnd() ? nullptr : &found->value;
 }
 
-auto js(const rapidjson::Value& v) -> std::string {
+auto jsonText(const rapidjson::Value& v) -> std::string {
     auto b = rapidjson::StringBuffer();
     auto w = rapidjson::Writer<rapidjson::StringBuffer>(b);
     v.Accept(w);
     return {b.GetString(), b.GetSize()};
 }
 
-auto jsPretty(const rapidjson::Value& v) -> std::string {
+auto jsonPrettyText(const rapidjson::Value& v) -> std::string {
     auto b = rapidjson::StringBuffer();
     auto w = rapidjson::PrettyWriter<rapidjson::StringBuffer>(b);
     w.SetIndent(' ', 2);
@@ -36,38 +36,38 @@
     return {b.GetString(), b.GetSize()};
 }
 
-auto jsStr(const rapidjson::Value& v, const char* k, std::string_view d) -> std::string {
-    auto p = jsMember(v, k);
+auto jsonString(const rapidjson::Value& v, const char* k, std::string_view d) -> std::string {
+    auto p = jsonMember(v, k);
     return p && p->IsString() ? std::string(p->GetString(), p->GetStringLength()) : std::string(d);
 }
 
-auto jsInt(const rapidjson::Value& v, const char* k, std::int64_t d) -> std::int64_t {
-    auto p = jsMember(v, k);
+auto jsonInteger(const rapidjson::Value& v, const char* k, std::int64_t d) -> std::int64_t {
+    auto p = jsonMember(v, k);
     return p && p->IsInt64() ? p->GetInt64() : d;
 }
 
-auto jsNum(const rapidjson::Value& v, const char* k, double d) -> double {
-    auto p = jsMember(v, k);
+auto jsonNumber(const rapidjson::Value& v, const char* k, double d) -> double {
+    auto p = jsonMember(v, k);
     return p && p->IsNumber() ? p->GetDouble() : d;
 }
 
-auto jsBool(const rapidjson::Value& v, const char* k, bool d) -> bool {
-    auto p = jsMember(v, k);
+auto jsonBool(const rapidjson::Value& v, const char* k, bool d) -> bool {
+    auto p = jsonMember(v, k);
     return p && p->IsBool() ? p->GetBool() : d;
 }
 
-auto jsList(const rapidjson::Value& v, const char* k) -> std::vector<std::string> {
+auto jsonStrings(const rapidjson::Value& v, const char* k) -> std::vector<std::string> {
     auto o = std::vector<std::string>();
-    auto p = jsMember(v, k);
+    auto p = jsonMember(v, k);
     if (p && p->IsArray())
         for (auto& e : p->GetArray())
             if (e.IsString()) o.emplace_back(e.GetString(), e.GetStringLength());
     return o;
 }
 
-auto jsQuote(std::string_view s) -> std::string {
+auto jsonQuote(std::string_view s) -> std::string {
     auto v = rapidjson::Value(rapidjson::StringRef(s.data(), s.size()));
-    return js(v);
+    return jsonText(v);
 }
 
 // The depth is bounded before the recursive parts (schema, merge, writer) see the document.
@@ -87,13 +87,14 @@
     return false;
 }
 
-auto jsParse(std::string_view s, rapidjson::Document& d) -> bool {
+auto parseJson(std::string_view s, rapidjson::Document& d) -> bool {
     if (nestsTooDeep(s)) return false;
     d.Parse<rapidjson::kParseIterativeFlag | rapidjson::kParseValidateEncodingFlag>(s.data(), s.size());
     return !d.HasParseError();
 }
 
-auto jsMerge(rapidjson::Value& t, const rapidjson::Value& p, rapidjson::Document::AllocatorType& al) -> void {
+auto applyMergePatch(rapidjson::Value& t, const rapidjson::Value& p, rapidjson::Document::AllocatorType& al)
+    -> void {
     if (!p.IsObject()) {
         t.CopyFrom(p, al);
         return;
@@ -109,7 +110,7 @@
             t.AddMember(rapidjson::Value(m.name, al), rapidjson::Value(), al);
             i = t.FindMember(m.name);
         }
-        jsMerge(i->value, m.value, al);
+        applyMergePatch(i->value, m.value, al);
     }
 }
 
--- a/src/base/json_schema.cpp
+++ b/src/base/json_schema.cpp
@@ -17,26 +17,27 @@
 
 auto checkMembers(const rapidjson::Value& object, const rapidjson::Value& schema, const std::string& path,
     std::vector<Fault>& faults) -> void {
-    auto properties = jsMember(schema, "properties");
-    auto others = jsMember(schema, "additionalProperties");
+    auto properties = jsonMember(schema, "properties");
+    auto others = jsonMember(schema, "additionalProperties");
     for (auto& member : object.GetObject()) {
         auto name = std::string(member.name.GetString(), member.name.GetStringLength());
         auto memberPath = fmt::format("{}/{}", path, name);
-        auto own = properties ? jsMember(*properties, name.c_str()) : nullptr;
+        auto own = properties ? jsonMember(*properties, name.c_str()) : nullptr;
         if (own) checkNode(member.value, *own, memberPath, faults);
         else if (others && others->IsObject()) checkNode(member.value, *others, memberPath, faults);
         else if (others && others->IsBool() && !others->GetBool())
             faults.push_back({memberPath, "unknown field"});
     }
-    auto required = jsMember(schema, "required");
+    auto required = jsonMember(schema, "required");
     if (!required || !required->IsArray()) return;
     for (auto& name : required->GetArray())
-        if (!jsMember(object, name.GetString())) faults.push_back({path + "/" + name.GetString(), "missing"});
+        if (!jsonMember(object, name.GetString()))
+            faults.push_back({path + "/" + name.GetString(), "missing"});
 }
 
 auto checkItems(const rapidjson::Value& list, const rapidjson::Value& schema, const std::string& path,
     std::vector<Fault>& faults) -> void {
-    auto items = jsMember(schema, "items");
+    auto items = jsonMember(schema, "items");
     if (!items || !items->IsObject()) return;
     for (auto i = 0u; i < list.Size(); i++) checkNode(list[i], *items, fmt::format("{}/{}", path, i), faults);
 }
@@ -58,9 +59,9 @@
     auto validator = rapidjson::SchemaValidator(document);
     if (value.Accept(validator)) return;
     auto keyword = validator.GetInvalidSchemaKeyword();
-    auto limit = keyword ? jsMember(schema, keyword) : nullptr;
+    auto limit = keyword ? jsonMember(schema, keyword) : nullptr;
     faults.push_back({path.empty() ? "/" : path,
-        fmt::format("breaks \"{}\"{}", keyword ? keyword : "schema", limit ? ": " + js(*limit) : "")});
+        fmt::format("breaks \"{}\"{}", keyword ? keyword : "schema", limit ? ": " + jsonText(*limit) : "")});
 }
 
 auto checkNode(const rapidjson::Value& value, const rapidjson::Value& schema, const std::string& path,
@@ -72,9 +73,9 @@
 
 }  // namespace
 
-auto jsCheck(const rapidjson::Value& v, const char* schema) -> std::vector<Fault> {
+auto checkSchema(const rapidjson::Value& v, const char* schema) -> std::vector<Fault> {
     auto parsed = rapidjson::Document();
-    if (!jsParse(schema, parsed)) return {{"/", "the schema itself is malformed"}};
+    if (!parseJson(schema, parsed)) return {{"/", "the schema itself is malformed"}};
     auto faults = std::vector<Fault>();
     checkNode(v, parsed, "", faults);
     return faults;
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -13,13 +13,13 @@
 
 static auto muted = false;
 
-auto logMute(bool on) -> void { muted = on; }
+auto muteLog(bool on) -> void { muted = on; }
 
 auto logLine(std::string_view s) -> void {
     if (muted) return;
     static std::mutex mutex;
     auto lock = std::lock_guard(mutex);
-    fmt::print(stderr, "{} {}\n", wallText(wallNow()), s);
+    fmt::print(stderr, "{} {}\n", formatWallTime(wallNow()), s);
 }
 
 }  // namespace duneturn
--- a/src/base/log.hpp
+++ b/src/base/log.hpp
@@ -10,7 +10,7 @@
 /// A line for a change of state, to standard error.
 auto logLine(std::string_view line) -> void;
 /// No lines; for runs over virtual time, which keep their own trace.
-auto logMute(bool on) -> void;
+auto muteLog(bool on) -> void;
 /// A structured line: the event's fixed name (snake_case), then its fields, each "key={}". The names are
 /// listed in docs/operators.md.
 template <class... A>
--- a/src/base/random.hpp
+++ b/src/base/random.hpp
@@ -5,7 +5,7 @@
 namespace duneturn {
 
 /// Deterministic numbers from a seed (splitmix64).
-struct Rng {
+struct RandomSource {
     std::uint64_t s;
     auto next() -> std::uint64_t;
     /// A number from 0 to `n` - 1; 0 if `n` is 0.
--- a/src/base/settings.cpp
+++ b/src/base/settings.cpp
@@ -47,9 +47,9 @@
     -> tl::expected<void, SettingsError> {
     document.SetObject();
     if (file.empty()) return {};
-    auto text = fileRead(file);
+    auto text = readFile(file);
     if (!text) return oneFault("--settings", text.error());
-    if (!jsParse(*text, document)) {
+    if (!parseJson(*text, document)) {
         auto why = document.HasParseError() ? rapidjson::GetParseError_En(document.GetParseError())
                                             : "nested too deep";
         return oneFault(
@@ -88,14 +88,14 @@
 
 auto checkAddresses(const rapidjson::Value& document, std::vector<Fault>& faults) -> void {
     for (auto name : {"peer", "sender", "operator"}) {
-        auto member = jsMember(document, name);
+        auto member = jsonMember(document, name);
         if (!member || !member->IsString()) continue;
-        if (auto addr = addrParse(member->GetString()); !addr)
+        if (auto addr = parseAddress(member->GetString()); !addr)
             faults.push_back({std::string("/") + name, addr.error()});
     }
     auto number = 0;
-    for (auto& seed : jsList(document, "seeds")) {
-        if (auto addr = addrParse(seed); !addr)
+    for (auto& seed : jsonStrings(document, "seeds")) {
+        if (auto addr = parseAddress(seed); !addr)
             faults.push_back({fmt::format("/seeds/{}", number), addr.error()});
         number++;
     }
@@ -103,21 +103,21 @@
 
 auto settingsOf(const rapidjson::Value& document) -> Settings {
     auto settings = Settings();
-    settings.node = jsStr(document, "node");
-    settings.zone = jsStr(document, "district");
-    settings.region = jsStr(document, "region");
-    settings.peer = jsStr(document, "peer");
-    settings.clientAddress = jsStr(document, "sender");
-    settings.operatorAddress = jsStr(document, "operator");
-    settings.data = jsStr(document, "data");
-    settings.seeds = jsList(document, "seeds");
-    settings.roster = jsList(document, "roster");
-    settings.initialVoters = jsList(document, "seats");
-    settings.gossip = jsStr(document, "membership") == "learnt";
-    settings.bootstrap = jsBool(document, "bootstrap");
-    settings.serveOn = jsStr(document, "outOfTouch") == "serve";
-    settings.probes = jsBool(document, "probes", true);
-    settings.heartbeat = jsInt(document, "beatUs");
+    settings.node = jsonString(document, "node");
+    settings.zone = jsonString(document, "district");
+    settings.region = jsonString(document, "region");
+    settings.peer = jsonString(document, "peer");
+    settings.clientAddress = jsonString(document, "sender");
+    settings.operatorAddress = jsonString(document, "operator");
+    settings.data = jsonString(document, "data");
+    settings.seeds = jsonStrings(document, "seeds");
+    settings.roster = jsonStrings(document, "roster");
+    settings.initialVoters = jsonStrings(document, "seats");
+    settings.gossip = jsonString(document, "membership") == "learnt";
+    settings.bootstrap = jsonBool(document, "bootstrap");
+    settings.serveOn = jsonString(document, "outOfTouch") == "serve";
+    settings.probes = jsonBool(document, "probes", true);
+    settings.heartbeat = jsonInteger(document, "beatUs");
     return settings;
 }
 
@@ -138,12 +138,12 @@
 
 }  // namespace
 
-auto settingsRead(const std::string& file, const std::map<std::string, std::string>& over)
+auto readSettings(const std::string& file, const std::map<std::string, std::string>& over)
     -> tl::expected<Settings, SettingsError> {
     auto document = rapidjson::Document();
     if (auto read = readDocument(file, document); !read) return tl::make_unexpected(read.error());
     layFlagsOver(over, document);
-    auto faults = jsCheck(document, SETTINGS_SCHEMA);
+    auto faults = checkSchema(document, SETTINGS_SCHEMA);
     checkAddresses(document, faults);
     auto settings = settingsOf(document);
     settings.file = file;
--- a/src/base/settings.hpp
+++ b/src/base/settings.hpp
@@ -26,7 +26,7 @@
     std::vector<Fault> faults;
 };
 /// The settings file with the flags laid over it, checked whole.
-auto settingsRead(const std::string& file, const std::map<std::string, std::string>& over)
+auto readSettings(const std::string& file, const std::map<std::string, std::string>& over)
     -> tl::expected<Settings, SettingsError>;
 
 }  // namespace duneturn
--- a/src/base/time.cpp
+++ b/src/base/time.cpp
@@ -19,7 +19,7 @@
 
 auto wallNow() -> Microseconds { return readClock(CLOCK_REALTIME); }
 
-auto wallText(Microseconds t) -> std::string {
+auto formatWallTime(Microseconds t) -> std::string {
     auto seconds = time_t(t / SECOND);
     auto calendar = tm();
     gmtime_r(&seconds, &calendar);
@@ -27,7 +27,7 @@
         calendar.tm_mday, calendar.tm_hour, calendar.tm_min, calendar.tm_sec);
 }
 
-auto wallParse(const std::string& s) -> Microseconds {
+auto parseWallTime(const std::string& s) -> Microseconds {
     auto calendar = tm();
     auto end = strptime(s.c_str(), "%Y-%m-%dT%H:%M:%SZ", &calendar);
     if (!end || *end) return -1;
--- a/src/base/time.hpp
+++ b/src/base/time.hpp
@@ -17,8 +17,8 @@
 /// The calendar's time since 1970 in UTC.
 auto wallNow() -> Microseconds;
 /// Calendar time as RFC 3339 in UTC, to the second.
-auto wallText(Microseconds time) -> std::string;
-/// The time that `text` of wallText's form names; -1 if it has another form.
-auto wallParse(const std::string& text) -> Microseconds;
+auto formatWallTime(Microseconds time) -> std::string;
+/// The time that `text` of formatWallTime's form names; -1 if it has another form.
+auto parseWallTime(const std::string& text) -> Microseconds;
 
 }  // namespace duneturn
--- a/src/cli/compare.cpp
+++ b/src/cli/compare.cpp
@@ -38,8 +38,8 @@
 auto compareLists(const rapidjson::Value& first, const rapidjson::Value& second, const char* list,
     const char* id, const Names& members, std::vector<Difference>& differences) -> void {
     auto pairs = std::map<std::string, std::pair<const rapidjson::Value*, const rapidjson::Value*>>();
-    for (auto& item : first[list].GetArray()) pairs[jsStr(item, id)].first = &item;
-    for (auto& item : second[list].GetArray()) pairs[jsStr(item, id)].second = &item;
+    for (auto& item : first[list].GetArray()) pairs[jsonString(item, id)].first = &item;
+    for (auto& item : second[list].GetArray()) pairs[jsonString(item, id)].second = &item;
     for (auto& [name, pair] : pairs) {
         auto path = fmt::format("{}/{}/", list, name);
         auto [left, right] = pair;
@@ -61,7 +61,7 @@
 
 auto askBeliefs(const std::string& node, rapidjson::Document& beliefs) -> bool {
     auto answer = call(node, "GET", "/v1/beliefs", "", {}, ANSWER_LIMIT);
-    if (answer && jsParse(answer->body(), beliefs)) return true;
+    if (answer && parseJson(answer->body(), beliefs)) return true;
     fmt::print(stderr, "duneturn compare: {}\n", answer ? node + ": not JSON" : answer.error().why);
     return false;
 }
@@ -70,16 +70,16 @@
     auto list = std::string();
     for (auto& difference : differences) {
         if (!list.empty()) list += ",";
-        list += bodyOf({{"what", jsQuote(difference.path)}, {"a", jsQuote(difference.first)},
-            {"b", jsQuote(difference.second)}});
+        list += bodyOf({{"what", jsonQuote(difference.path)}, {"a", jsonQuote(difference.first)},
+            {"b", jsonQuote(difference.second)}});
     }
     fmt::print("{{\"differences\":[{}]}}\n", list);
 }
 
 auto printText(const rapidjson::Value& first, const rapidjson::Value& second,
     const std::vector<Difference>& differences) -> void {
-    fmt::print("{} and {}: {} nodes, {} servers, {} differences\n", jsStr(first, "node"),
-        jsStr(second, "node"), first["nodes"].Size(), first["servers"].Size(), differences.size());
+    fmt::print("{} and {}: {} nodes, {} servers, {} differences\n", jsonString(first, "node"),
+        jsonString(second, "node"), first["nodes"].Size(), first["servers"].Size(), differences.size());
     for (auto& difference : differences)
         fmt::print("  {:<36} {:<28} {}\n", difference.path, difference.first, difference.second);
 }
--- a/src/cli/ctl.cpp
+++ b/src/cli/ctl.cpp
@@ -64,8 +64,8 @@
     auto apply() -> int { return putConfig("PUT", "config"); }
     auto change() -> int { return putConfig("PATCH", "patch"); }
     auto plan() -> int;
-    auto evacuate() -> int { return order(words_[0], bodyOf({{"district", jsQuote(words_[1])}})); }
-    auto cancel() -> int { return order("cancel", bodyOf({{"move", jsQuote(words_[1])}})); }
+    auto evacuate() -> int { return order(words_[0], bodyOf({{"district", jsonQuote(words_[1])}})); }
+    auto cancel() -> int { return order("cancel", bodyOf({{"move", jsonQuote(words_[1])}})); }
     auto book() -> int;
     auto rescue() -> int;
     auto roster() -> int;
@@ -85,7 +85,7 @@
     auto putConfig(const std::string& method, const char* member) -> int;
     auto readDocument(const std::string& file, rapidjson::Document& document)
         -> tl::expected<void, std::string>;
-    auto show(const rapidjson::Value& value) -> void { fmt::print("{}\n", jsPretty(value)); }
+    auto show(const rapidjson::Value& value) -> void { fmt::print("{}\n", jsonPrettyText(value)); }
     auto showRows(const char* list, const std::vector<const char*>& columns) -> void;
     auto showBeliefs(const char* list, const std::vector<const char*>& columns) -> int;
     auto showDecision(const rapidjson::Value& decision) -> void;
@@ -121,7 +121,7 @@
     }
     auto status = int(reply->result_int());
     exit_ = exitCode(status);
-    if (!jsParse(reply->body(), answer_)) {
+    if (!parseJson(reply->body(), answer_)) {
         fmt::print(stderr, "duneturn ctl: the node's reply is not JSON (status {})\n", status);
         exit_ = UNREACHED;
         return false;
@@ -131,14 +131,14 @@
 }
 
 auto CtlCommand::printRefusal(const std::string& key, int status) -> void {
-    fmt::print(stderr, "duneturn ctl: {} ({}){}\n", jsStr(answer_, "error", "denied"), status,
+    fmt::print(stderr, "duneturn ctl: {} ({}){}\n", jsonString(answer_, "error", "denied"), status,
         exit_ == UNKNOWN ? "; look it up with: order " + key : "");
     if (!answer_.IsObject()) return;
     if (answer_.HasMember("faults"))
         for (auto& fault : answer_["faults"].GetArray())
-            fmt::print(stderr, "  {}: {}\n", jsStr(fault, "path"), jsStr(fault, "why"));
+            fmt::print(stderr, "  {}: {}\n", jsonString(fault, "path"), jsonString(fault, "why"));
     if (answer_.HasMember("configGeneration"))
-        fmt::print(stderr, "  the newest generation is {}\n", jsInt(answer_, "configGeneration"));
+        fmt::print(stderr, "  the newest generation is {}\n", jsonInteger(answer_, "configGeneration"));
 }
 
 auto CtlCommand::showAnswer(const std::string& method, const std::string& path, const std::string& body)
@@ -153,9 +153,9 @@
 
 auto CtlCommand::readDocument(const std::string& file, rapidjson::Document& document)
     -> tl::expected<void, std::string> {
-    auto text = fileRead(file);
+    auto text = readFile(file);
     if (!text) return tl::make_unexpected(text.error());
-    if (!jsParse(*text, document)) return tl::make_unexpected(file + ": not JSON");
+    if (!parseJson(*text, document)) return tl::make_unexpected(file + ": not JSON");
     return {};
 }
 
@@ -205,9 +205,10 @@
     auto base = options_.base;
     if (base < 0) {
         if (!get("/v1/config")) return exit_ == UNKNOWN ? int(UNREACHED) : exit_;
-        base = jsInt(answer_, "generation");
+        base = jsonInteger(answer_, "generation");
     }
-    return showAnswer(method, "/v1/config", bodyOf({{"base", fmt::to_string(base)}, {member, js(document)}}));
+    return showAnswer(
+        method, "/v1/config", bodyOf({{"base", fmt::to_string(base)}, {member, jsonText(document)}}));
 }
 
 auto CtlCommand::plan() -> int {
@@ -218,13 +219,14 @@
     }
     for (auto& booked : answer_["plan"].GetArray()) {
         auto& move = booked["move"];
-        auto fired = jsInt(booked, "fired");
-        fmt::print("{:<8}{}  {:<10}{} {}{}\n", jsStr(booked, "id"), wallText(jsInt(booked, "at")),
-            jsStr(booked, "state"), jsStr(move, "op"), jsStr(move, "district"),
-            fired ? "  fired " + wallText(fired) : "");
+        auto fired = jsonInteger(booked, "fired");
+        fmt::print("{:<8}{}  {:<10}{} {}{}\n", jsonString(booked, "id"),
+            formatWallTime(jsonInteger(booked, "at")), jsonString(booked, "state"), jsonString(move, "op"),
+            jsonString(move, "district"), fired ? "  fired " + formatWallTime(fired) : "");
     }
     for (auto& evacuated : answer_["empties"].GetObject())
-        fmt::print("emptied {} since {}\n", evacuated.name.GetString(), wallText(evacuated.value.GetInt64()));
+        fmt::print(
+            "emptied {} since {}\n", evacuated.name.GetString(), formatWallTime(evacuated.value.GetInt64()));
     return exit_;
 }
 
@@ -232,13 +234,13 @@
     auto& time = words_[1];
     auto& operation = words_[2];
     auto& subject = words_[3];
-    auto move = bodyOf({{"op", jsQuote(operation)}, {"district", jsQuote(subject)}});
+    auto move = bodyOf({{"op", jsonQuote(operation)}, {"district", jsonQuote(subject)}});
     if (operation == "apply") {
         auto document = rapidjson::Document();
         if (auto read = readDocument(subject, document); !read) return wrongUse(read.error());
-        move = bodyOf({{"op", "\"config\""}, {"config", js(document)}});
+        move = bodyOf({{"op", "\"config\""}, {"config", jsonText(document)}});
     }
-    return order("book", bodyOf({{"at", jsQuote(time)}, {"move", move}}));
+    return order("book", bodyOf({{"at", jsonQuote(time)}, {"move", move}}));
 }
 
 auto CtlCommand::rescue() -> int {
@@ -250,18 +252,18 @@
 auto CtlCommand::roster() -> int {
     auto add = words_[1] == "add";
     if (!add && words_[1] != "remove") return wrongUse("roster wants add or remove, not " + words_[1]);
-    return order("roster", bodyOf({{"node", jsQuote(words_[2])}, {"add", add ? "true" : "false"}}));
+    return order("roster", bodyOf({{"node", jsonQuote(words_[2])}, {"add", add ? "true" : "false"}}));
 }
 
 // The nodes that the asked one knows alive; with --here it alone.
 auto CtlCommand::aliveNodes() -> std::vector<NodeAddress> {
     auto alive = std::vector<NodeAddress>();
     if (!get("/v1/beliefs")) return alive;
-    auto self = jsStr(answer_, "node");
+    auto self = jsonString(answer_, "node");
     for (auto& node : answer_["nodes"].GetArray()) {
-        auto name = jsStr(node, "node");
-        if (jsBool(node, "alive") && (!options_.here || name == self))
-            alive.push_back({name, jsStr(node, "operator")});
+        auto name = jsonString(node, "node");
+        if (jsonBool(node, "alive") && (!options_.here || name == self))
+            alive.push_back({name, jsonString(node, "operator")});
     }
     return alive;
 }
@@ -304,15 +306,16 @@
     if (exit_ || !ask(node, "GET", "/v1/exchanges/" + words_[1])) return exit_;
     if (options_.json) show(answer_);
     else {
-        fmt::print("{} ({})\n", jsStr(answer_, "exchange"), jsStr(answer_, "mapping"));
+        fmt::print("{} ({})\n", jsonString(answer_, "exchange"), jsonString(answer_, "mapping"));
         for (auto& step : answer_["steps"].GetArray()) fmt::print("  {}\n", step.GetString());
     }
     return exit_;
 }
 
 auto CtlCommand::showDecision(const rapidjson::Value& decision) -> void {
-    if (options_.json) return fmt::print("{}\n", js(decision));
-    fmt::print("{} {} {}\n", jsStr(decision, "exchange"), jsStr(decision, "mapping"), jsStr(decision, "end"));
+    if (options_.json) return fmt::print("{}\n", jsonText(decision));
+    fmt::print("{} {} {}\n", jsonString(decision, "exchange"), jsonString(decision, "mapping"),
+        jsonString(decision, "end"));
     for (auto& step : decision["steps"].GetArray()) fmt::print("  {}\n", step.GetString());
 }
 
@@ -325,7 +328,7 @@
             if (!ask(node.address, "GET", fmt::format("/v1/decisions?after={}", last))) continue;
             reached = true;
             for (auto& decision : answer_["decisions"].GetArray()) {
-                last = jsInt(decision, "seq");
+                last = jsonInteger(decision, "seq");
                 showDecision(decision);
             }
         }
@@ -363,7 +366,7 @@
 
 auto CtlCommand::run() -> int {
     if (words_.empty()) return wrongUse("a command is missing; see duneturn ctl --help");
-    if (auto address = addrParse(options_.node); !address) return wrongUse("--node: " + address.error());
+    if (auto address = parseAddress(options_.node); !address) return wrongUse("--node: " + address.error());
     auto following = words_.size() - 1;
     for (auto& entry : entries())
         if (words_[0] == entry.name && following == entry.words) return (this->*entry.run)();
--- a/src/cli/table.cpp
+++ b/src/cli/table.cpp
@@ -27,7 +27,7 @@
 
 auto cellText(const rapidjson::Value& value) -> std::string {
     if (value.IsString()) return value.GetString();
-    return value.IsNull() ? "-" : js(value);
+    return value.IsNull() ? "-" : jsonText(value);
 }
 
 auto tableText(const rapidjson::Value& rows, const std::vector<const char*>& columns) -> std::string {
--- a/src/consensus/membership.cpp
+++ b/src/consensus/membership.cpp
@@ -21,15 +21,16 @@
 static auto votersParse(const std::string& body) -> std::vector<VoterIdentity> {
     auto voters = std::vector<VoterIdentity>();
     auto d = rapidjson::Document();
-    if (!jsParse(body, d) || !d.IsArray()) return voters;
-    for (auto& v : d.GetArray()) voters.push_back({jsStr(v, "seat"), jsStr(v, "disk")});
+    if (!parseJson(body, d) || !d.IsArray()) return voters;
+    for (auto& v : d.GetArray()) voters.push_back({jsonString(v, "seat"), jsonString(v, "disk")});
     return voters;
 }
 
 static auto votersText(const std::vector<VoterIdentity>& voters) -> std::string {
     auto list = std::string();
     for (auto& v : voters)
-        list += (list.empty() ? "" : ",") + bodyOf({{"seat", jsQuote(v.node)}, {"disk", jsQuote(v.disk)}});
+        list +=
+            (list.empty() ? "" : ",") + bodyOf({{"seat", jsonQuote(v.node)}, {"disk", jsonQuote(v.disk)}});
     return "[" + list + "]";
 }
 
@@ -44,8 +45,8 @@
 
 static auto jointParse(const std::string& body) -> JointVoters {
     auto d = rapidjson::Document();
-    if (!jsParse(body, d) || !d.IsObject() || !d.HasMember("before") || !d.HasMember("after")) return {};
-    return {votersParse(js(d["before"])), votersParse(js(d["after"]))};
+    if (!parseJson(body, d) || !d.IsObject() || !d.HasMember("before") || !d.HasMember("after")) return {};
+    return {votersParse(jsonText(d["before"])), votersParse(jsonText(d["after"]))};
 }
 
 auto entryKnown(const wire::Entry& e) -> bool {
@@ -102,7 +103,7 @@
     if (e.kind == ENTRY_ORDER) {
         auto d = rapidjson::Document();
         auto outcome = replicatedState_.apply(e.body);
-        auto key = jsParse(e.body, d) ? jsStr(d, "key") : std::string();
+        auto key = parseJson(e.body, d) ? jsonString(d, "key") : std::string();
         counters_.add("orders_applied_total");
         port_.voterApplied(replicatedState_, key, outcome);
     } else if (e.kind == ENTRY_JOINT) {
--- a/src/consensus/voter.hpp
+++ b/src/consensus/voter.hpp
@@ -296,7 +296,7 @@
 
     VoterPort& port_;
     Counters& counters_;
-    Rng rng_;
+    RandomSource rng_;
     std::unique_ptr<RoleMachine> role_;
     std::string disk_, vote_, leader_;
     std::shared_ptr<const std::string> snapDoc_ = std::make_shared<const std::string>();
--- a/src/control/order_client.cpp
+++ b/src/control/order_client.cpp
@@ -25,7 +25,7 @@
 
 auto OrderClient::order(std::int64_t id, const std::string& op, const std::string& key,
     const std::string& body, Microseconds now) -> void {
-    auto text = bodyOf({{"op", jsQuote(op)}, {"key", jsQuote(key)}, {"body", jsQuote(body)}});
+    auto text = bodyOf({{"op", jsonQuote(op)}, {"key", jsonQuote(key)}, {"body", jsonQuote(body)}});
     start(id, text, false, ORDER_TIMEOUT, now);
 }
 
--- a/src/control/order_service.cpp
+++ b/src/control/order_service.cpp
@@ -13,9 +13,9 @@
 
 namespace order_answer {
 
-auto notLeader() -> Outcome { return {NOT_LEADER, bodyOf({{"error", jsQuote("not the leader")}})}; }
-auto notLogged(std::string_view why) -> Outcome { return {503, bodyOf({{"error", jsQuote(why)}})}; }
-auto readUnconfirmed(std::string_view why) -> Outcome { return {503, bodyOf({{"error", jsQuote(why)}})}; }
+auto notLeader() -> Outcome { return {NOT_LEADER, bodyOf({{"error", jsonQuote("not the leader")}})}; }
+auto notLogged(std::string_view why) -> Outcome { return {503, bodyOf({{"error", jsonQuote(why)}})}; }
+auto readUnconfirmed(std::string_view why) -> Outcome { return {503, bodyOf({{"error", jsonQuote(why)}})}; }
 
 }  // namespace order_answer
 
@@ -23,8 +23,8 @@
 
 auto OrderService::parse(const std::string& text) -> OrderText {
     auto document = rapidjson::Document();
-    if (!jsParse(text, document) || !document.IsObject()) return {};
-    return {jsStr(document, "op"), jsStr(document, "key"), jsStr(document, "body")};
+    if (!parseJson(text, document) || !document.IsObject()) return {};
+    return {jsonString(document, "op"), jsonString(document, "key"), jsonString(document, "body")};
 }
 
 // One of an earlier term may have been dropped from the log, and would be waited for in vain.
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -249,21 +249,21 @@
         return node->replicatedState().text();
     }
     auto fetch(const std::string& addr, const std::string& target, Microseconds limit)
-        -> awaitable<tl::expected<Res, CallError>> override {
+        -> awaitable<tl::expected<HttpResponse, CallError>> override {
         return duneturn::fetch(addr, "GET", target, "", {}, limit);
     }
     auto settings() -> const Settings& override { return op.st; }
 
     // ---- peers
     auto tell(const wire::Envelope& e) -> void override {
-        auto z = e.__isset.compressed ? decompressed(e) : std::nullopt;
+        auto z = e.__isset.compressed ? decompressEnvelope(e) : std::nullopt;
         auto l = std::lock_guard(mu_);
         if (e.__isset.compressed && !z) return ct_.add("peer_decompress_failed_total");
         node->handle(z ? *z : e, bootNow());
         auto k = node->rows().find(e.node);
         if (k == node->rows().end()) return;
         auto l2 = std::lock_guard(qmu_);
-        if (e.wire >= COMPRESSING) compressing_.insert(k->second.record.peer);
+        if (e.wire >= COMPRESSION_WIRE_VERSION) compressing_.insert(k->second.record.peer);
         else compressing_.erase(k->second.record.peer);
     }
 
@@ -282,10 +282,10 @@
     auto probeRun(std::string server, std::string addr) -> awaitable<void>;
     auto listen(Listen& at) -> awaitable<void>;
     auto session(tcp::socket s, Listen& at) -> awaitable<void>;
-    auto request(beast::tcp_stream& s, beast::flat_buffer& b, const Req& q, Microseconds arrived)
+    auto request(beast::tcp_stream& s, beast::flat_buffer& b, const HttpRequest& q, Microseconds arrived)
         -> awaitable<bool>;
-    auto operate(const Req& q, Shell& sh) -> awaitable<Res>;
-    auto adapted(const std::string& at, const Req& q, Shell& sh) -> awaitable<Res>;
+    auto operate(const HttpRequest& q, Shell& sh) -> awaitable<HttpResponse>;
+    auto adapted(const std::string& at, const HttpRequest& q, Shell& sh) -> awaitable<HttpResponse>;
     auto duties() -> awaitable<void>;
     auto await(std::function<void(std::int64_t)> f, RequestWatch* watch = nullptr) -> awaitable<Outcome>;
     auto callerGone(RequestWatch& watch) -> void;
@@ -306,7 +306,7 @@
     std::unique_ptr<Edge> edge;
     std::map<std::string, std::unique_ptr<PeerChannel>> outs_;
     std::set<std::string> compressing_;  // peers that read compressed envelopes
-    Compressor compressor_;
+    EnvelopeCompressor compressor_;
     std::deque<DiskWrite> dq_;
     std::string book_;  // to be written; empty if nothing is
     std::condition_variable dcv_;
@@ -315,8 +315,8 @@
     std::atomic<std::int64_t> keys_ = 0;
     std::map<std::pair<std::int64_t, int>, std::shared_ptr<Up>> ups_;
     std::map<std::int64_t, std::shared_ptr<Down>> downs_;
-    KeptConnections<std::shared_ptr<beast::tcp_stream>> kept_{
-        [](auto& s) { return quietSocket(s->socket().native_handle()); }};
+    ConnectionPool<std::shared_ptr<beast::tcp_stream>> kept_{
+        [](auto& s) { return isSocketQuiet(s->socket().native_handle()); }};
     std::set<std::shared_ptr<beast::tcp_stream>> idle_;  // senders' connections between requests
     Limits lim_;
     std::map<std::string, std::int64_t> conns_;  // the most that a pool's servers accept
@@ -352,7 +352,7 @@
     auto duty() -> bool override { return daemon.duty(); }
     auto replicatedState() -> std::string override { return daemon.replicatedState(); }
     auto fetch(const std::string& addr, const std::string& target, Microseconds limit)
-        -> awaitable<tl::expected<Res, CallError>> override {
+        -> awaitable<tl::expected<HttpResponse, CallError>> override {
         return daemon.fetch(addr, target, limit);
     }
     auto settings() -> const Settings& override { return daemon.settings(); }
@@ -364,10 +364,10 @@
 // Makes this a core by what its disk holds.
 auto Daemon::coreStart(const DiskState& s) -> void {
     auto ps = std::vector<std::string>();
-    if (auto t = fileRead(op.st.data + "/peers")) {
+    if (auto t = readFile(op.st.data + "/peers")) {
         auto in = std::stringstream(*t);
         for (auto a = std::string(); std::getline(in, a);)
-            if (addrParse(a)) ps.push_back(a);
+            if (parseAddress(a)) ps.push_back(a);
     }
     auto rd = std::random_device();
     auto seed = (std::uint64_t(rd()) << 32) ^ rd();
@@ -447,7 +447,7 @@
 
 // A connection on which nothing has come before the first byte is written; false if there is none.
 auto Daemon::connectServer(std::int64_t x, int a, const std::string& addr, Up& u) -> awaitable<bool> {
-    if (u.kept && quietSocket(u.s->socket().native_handle())) co_return true;
+    if (u.kept && isSocketQuiet(u.s->socket().native_handle())) co_return true;
     if (u.kept) {  // it ended, or brought bytes that nobody asked for, since it was taken
         auto l = std::lock_guard(mu_);
         if (u.dropped) co_return false;
@@ -458,8 +458,8 @@
     s->expires_after(std::chrono::microseconds(CONNECT));
     auto [ec] = co_await s->async_connect(endpoint(addr), quiet);
     s->expires_never();  // the logic watches the time
-    if (!ec && quietSocket(s->socket().native_handle())) {
-        socketSet(s->socket().native_handle(), UNHEARD_SERVER);
+    if (!ec && isSocketQuiet(s->socket().native_handle())) {
+        configureSocket(s->socket().native_handle(), UNHEARD_SERVER);
         co_return true;
     }
     auto l = std::lock_guard(mu_);
@@ -550,22 +550,22 @@
     try {
         s.expires_after(std::chrono::milliseconds(900));
         co_await s.async_connect(endpoint(addr), use_awaitable);
-        auto q = Req(http::verb::get, "/load", 11);
+        auto q = HttpRequest(http::verb::get, "/load", 11);
         q.set(http::field::host, addr);
         q.keep_alive(false);
         co_await http::async_write(s, q, use_awaitable);
         auto b = beast::flat_buffer(64 * 1024);
-        auto r = Res();
+        auto r = HttpResponse();
         co_await http::async_read(s, b, r, use_awaitable);
         auto j = rapidjson::Document();
-        if (r.result_int() == 200 && jsParse(r.body(), j) && j.IsObject()) {
+        if (r.result_int() == 200 && parseJson(r.body(), j) && j.IsObject()) {
             ok = true;
-            d.prefill = std::int32_t(jsInt(j, "prefill"));
-            d.decode = std::int32_t(jsInt(j, "decode"));
-            d.slots = std::int32_t(jsInt(j, "slots"));
-            d.boot = jsInt(j, "boot");
-            d.up = jsInt(j, "upUs");
-            d.cold = jsBool(j, "cold");
+            d.prefill = std::int32_t(jsonInteger(j, "prefill"));
+            d.decode = std::int32_t(jsonInteger(j, "decode"));
+            d.slots = std::int32_t(jsonInteger(j, "slots"));
+            d.boot = jsonInteger(j, "boot");
+            d.up = jsonInteger(j, "upUs");
+            d.cold = jsonBool(j, "cold");
         }
     } catch (const boost::system::system_error& e) {
         refused = e.code() == asio::error::connection_refused;
@@ -577,7 +577,7 @@
 // ---- towards the senders
 
 // A reply's head. What the logic gives is kept as it is, less what concerns one connection.
-static auto headText(const Req& q, int status, const Headers& h, bool keep, Microseconds idle)
+static auto headText(const HttpRequest& q, int status, const Headers& h, bool keep, Microseconds idle)
     -> std::string {
     auto t =
         fmt::format("HTTP/1.1 {} {}\r\n", status, std::string(http::obsolete_reason(http::status(status))));
@@ -586,7 +586,8 @@
         if (beast::iequals(k, "Connection")) names += (names.empty() ? "" : ",") + v;
     auto head = q.method() == http::verb::head;
     for (auto& [k, v] : h)
-        if (!hopByHop(k, names) || (head && beast::iequals(k, "Content-Length"))) t += k + ": " + v + "\r\n";
+        if (!isHopByHopHeader(k, names) || (head && beast::iequals(k, "Content-Length")))
+            t += k + ": " + v + "\r\n";
     if (!keep) t += "Connection: close\r\n";
     else if (q.version() == 10) t += "Connection: keep-alive\r\n";
     // A second less than what is kept to, so that a request and the close do not cross.
@@ -594,7 +595,7 @@
     return t;
 }
 
-auto Daemon::request(beast::tcp_stream& s, beast::flat_buffer& b, const Req& q, Microseconds arrived)
+auto Daemon::request(beast::tcp_stream& s, beast::flat_buffer& b, const HttpRequest& q, Microseconds arrived)
     -> awaitable<bool> {
     auto ex = co_await asio::this_coro::executor;
     auto tm = std::make_shared<asio::steady_timer>(ex);
@@ -605,7 +606,7 @@
     for (auto& f : q) {
         // What concerns this connection only is not passed on, nor what its Connection names.
         auto k = std::string_view(f.name_string().data(), f.name_string().size());
-        if (!hopByHop(k, hop)) h.emplace_back(std::string(k), std::string(f.value()));
+        if (!isHopByHopHeader(k, hop)) h.emplace_back(std::string(k), std::string(f.value()));
     }
     auto id = std::int64_t(0);
     auto d = std::shared_ptr<Down>();
@@ -740,7 +741,7 @@
     auto b = beast::flat_buffer(64u << 20);
     auto ec = beast::error_code();
     std::size_t n = 0;
-    socketSet(s.socket().native_handle(), UNHEARD_CLIENT);
+    configureSocket(s.socket().native_handle(), UNHEARD_CLIENT);
     sessions_++;
     while (true) {
         auto lim = Limits();
@@ -771,7 +772,7 @@
         s.expires_after(std::chrono::microseconds(lim.headerRead));
         std::tie(ec, n) = co_await http::async_read_header(s, b, p, quiet);
         auto deny = [&](http::status st, std::string why) -> awaitable<void> {
-            auto r = Res(st, 11);
+            auto r = HttpResponse(st, 11);
             r.set(http::field::content_type, "application/json");
             if (auto k = ad ? ad->dialect.notExecuted : std::string("X-Not-Executed"); !k.empty())
                 r.set(k, "true");
@@ -830,7 +831,7 @@
             if (!co_await request(s, b, q, arrived)) break;
             continue;
         }
-        auto r = Res();
+        auto r = HttpResponse();
         auto watch = std::make_shared<RequestWatch>(
             s.socket(), bootNow(), [this](RequestWatch& gone) { callerGone(gone); });
         watch->start();
@@ -894,13 +895,13 @@
     return "";
 }
 
-auto Daemon::adapted(const std::string& at, const Req& q, Shell& sh) -> awaitable<Res> {
+auto Daemon::adapted(const std::string& at, const HttpRequest& q, Shell& sh) -> awaitable<HttpResponse> {
     try {
         co_return co_await ad->serve(at, q, sh);
     } catch (const std::exception& e) {
         logf("adapter: {}: {}", clip(std::string(q.target())), e.what());
     }
-    co_return Res(http::status::internal_server_error, 11);
+    co_return HttpResponse(http::status::internal_server_error, 11);
 }
 
 auto Daemon::duties() -> awaitable<void> {
@@ -981,8 +982,8 @@
     return "";
 }
 
-auto Daemon::operate(const Req& q, Shell& sh) -> awaitable<Res> {
-    auto r = Res(http::status::ok, 11);
+auto Daemon::operate(const HttpRequest& q, Shell& sh) -> awaitable<HttpResponse> {
+    auto r = HttpResponse(http::status::ok, 11);
     r.set(http::field::content_type, "application/json");
     auto target = std::string(q.target());
     auto path = target.substr(0, target.find('?'));
@@ -1041,8 +1042,8 @@
             w.load(o.body);
             auto g = fmt::to_string(w.version);
             if (path == "/v1/config")
-                o.body =
-                    bodyOf({{"generation", fmt::to_string(w.configVersion())}, {"config", js(w.config())}});
+                o.body = bodyOf(
+                    {{"generation", fmt::to_string(w.configVersion())}, {"config", jsonText(w.config())}});
             else if (path == "/v1/plan")
                 o.body =
                     bodyOf({{"generation", g}, {"plan", w.planText()}, {"empties", w.evacuationsText()}});
@@ -1053,8 +1054,8 @@
                         bodyOf({{"known", "true"}, {"status", fmt::to_string(x.status)}, {"body", x.body}});
                 else
                     o = {404,
-                        bodyOf(
-                            {{"known", "false"}, {"error", jsQuote("no order of this key is in the log")}})};
+                        bodyOf({{"known", "false"},
+                            {"error", jsonQuote("no order of this key is in the log")}})};
             }
         }
         set(o);
@@ -1066,12 +1067,12 @@
         set(co_await ordered(path.substr(11)));
     } else if (path == "/v1/rescue" && q.method() == http::verb::post) {
         auto j = rapidjson::Document();
-        if (!jsParse(q.body(), j)) set({400, errorBody({{"/", "malformed JSON"}})});
-        else if (!j.IsObject() || !jsInt(j, "reign") || !jsInt(j, "generation"))
+        if (!parseJson(q.body(), j)) set({400, errorBody({{"/", "malformed JSON"}})});
+        else if (!j.IsObject() || !jsonInteger(j, "reign") || !jsonInteger(j, "generation"))
             set({422, errorBody({{"/", "wants the reign and generation that this node holds"}})});
         else {
             auto l = std::lock_guard(mu_);
-            set(node->rescue(jsInt(j, "reign"), jsInt(j, "generation"), bootNow()));
+            set(node->rescue(jsonInteger(j, "reign"), jsonInteger(j, "generation"), bootNow()));
         }
     } else if (path == "/v1/platform/servers" && q.method() == http::verb::put) {
         set(co_await list(q.body()));
@@ -1081,9 +1082,9 @@
         auto j = rapidjson::Document();
         auto rev = std::int64_t(0);
         if (!q.body().empty()) {
-            if (!jsParse(q.body(), j) || !j.IsObject())
+            if (!parseJson(q.body(), j) || !j.IsObject())
                 co_return set({400, errorBody({{"/", "malformed JSON"}})}), r;
-            rev = jsInt(j, "revision");
+            rev = jsonInteger(j, "revision");
         }
         set(co_await await([&](std::int64_t id) { node->mark(id, n, rev, bootNow()); }));
     } else {
@@ -1104,7 +1105,7 @@
         conns_.clear();
         if (w.config().IsObject() && w.config().HasMember("pools") && w.config()["pools"].IsObject())
             for (auto& p : w.config()["pools"].GetObject())
-                if (p.value.IsObject()) conns_[p.name.GetString()] = jsInt(p.value, "maxConns");
+                if (p.value.IsObject()) conns_[p.name.GetString()] = jsonInteger(p.value, "maxConns");
         limitVersion_ = w.version;
         limitEpoch_ = w.epoch;
     }
@@ -1244,11 +1245,11 @@
         fmt::print(stderr, "duneturn: cannot listen: {}\n", why);
         return 1;
     }
-    auto pa = *addrParse(op.st.peer);
+    auto pa = *parseAddress(op.st.peer);
     auto ss = std::make_shared<tt::transport::TServerSocket>(pa.ip, pa.port);
     ss->setRecvTimeout(45000);  // longer than a peer's own thread stays idle
     ss->setSendTimeout(2000);
-    ss->setAcceptCallback([](int fd) { socketSet(fd, 2 * SECOND); });
+    ss->setAcceptCallback([](int fd) { configureSocket(fd, 2 * SECOND); });
     auto conf = std::make_shared<tt::TConfiguration>(8 << 20, 8 << 20, 64);
     struct Framed : tt::transport::TFramedTransportFactory {
         std::shared_ptr<tt::TConfiguration> c;
--- a/src/daemon/shell.hpp
+++ b/src/daemon/shell.hpp
@@ -32,7 +32,7 @@
     virtual auto replicatedState() -> std::string = 0;
     /// A GET of another process.
     virtual auto fetch(const std::string& addr, const std::string& target, Microseconds limit)
-        -> asio::awaitable<tl::expected<Res, CallError>> = 0;
+        -> asio::awaitable<tl::expected<HttpResponse, CallError>> = 0;
     virtual auto settings() -> const Settings& = 0;
 };
 
@@ -42,7 +42,8 @@
     Dialect dialect;
     std::vector<std::string> listens;  // further addresses, HTTP
     /// A call at `at`, one of `listens`; what it throws is answered with 500.
-    virtual auto serve(const std::string& at, const Req& q, Shell& sh) -> asio::awaitable<Res> = 0;
+    virtual auto serve(const std::string& at, const HttpRequest& q, Shell& sh)
+        -> asio::awaitable<HttpResponse> = 0;
     /// Begun once; runs as long as the process.
     virtual auto duties(Shell& sh) -> asio::awaitable<void> = 0;
     /// The settings file has changed (SIGHUP).
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -130,7 +130,7 @@
         auto i = gflags::CommandLineFlagInfo();
         if (gflags::GetCommandLineFlagInfo(k, &i) && !i.is_default) over[k] = i.current_value;
     }
-    auto s = settingsRead(FLAGS_settings, over);
+    auto s = readSettings(FLAGS_settings, over);
     auto fs = s ? std::vector<Fault>() : s.error().faults;
     if (s && core && s->data.empty()) fs.push_back({"/data", "missing: a core wants a data folder"});
     if (s && core && s->initialVoters.empty())
@@ -238,7 +238,7 @@
     }
     if (role == "fake-server" || role == "fake-platform")
         if (!FLAGS_listen.empty() || role == "fake-server")
-            if (auto a = addrParse(FLAGS_listen); !a) {
+            if (auto a = parseAddress(FLAGS_listen); !a) {
                 fmt::print(stderr, "duneturn {}: --listen: {}\n", role, a.error());
                 return 2;
             }
--- a/src/membership/node.cpp
+++ b/src/membership/node.cpp
@@ -122,7 +122,7 @@
     auto ns = aliveNodes(now);
     if (root.empty()) {
         for (auto& n : ns)
-            if (root.empty() || rank("root", n) > rank("root", root)) root = n;
+            if (root.empty() || rendezvousRank("root", n) > rendezvousRank("root", root)) root = n;
     }
     auto by = std::map<std::string, std::vector<std::string>>();
     for (auto& n : ns) by[row(n)->zone].push_back(n);
@@ -132,7 +132,7 @@
             if ((a == root) != (b == root)) return a == root;
             // One that still calls itself leader beside a newer one has not been heard since.
             if (st_.gossip && row(a)->leader != row(b)->leader) return row(b)->leader;
-            return rank(key, a) > rank(key, b);
+            return rendezvousRank(key, a) > rendezvousRank(key, b);
         });
         for (auto i = std::size_t(0); i < v.size(); i++) {
             if (v[i] == root) continue;
@@ -211,8 +211,8 @@
         // The few that rendezvous hashing names for this node.
         auto ns = aliveNodes(now);
         ns.erase(std::remove(ns.begin(), ns.end(), me_.node), ns.end());
-        std::sort(
-            ns.begin(), ns.end(), [&](auto& a, auto& b) { return rank(me_.node, a) > rank(me_.node, b); });
+        std::sort(ns.begin(), ns.end(),
+            [&](auto& a, auto& b) { return rendezvousRank(me_.node, a) > rendezvousRank(me_.node, b); });
         for (auto i = std::size_t(0); i < ns.size() && i < 3; i++) to.insert(ns[i]);
         for (auto& [n, k] : rows_)
             if (voterDisks_.count(k.record.disk)) to.insert(n);
@@ -583,7 +583,7 @@
 }
 auto Node::lateBody() const -> Outcome {
     return {409,
-        bodyOf({{"error", jsQuote("a newer listing or mark is known")},
+        bodyOf({{"error", jsonQuote("a newer listing or mark is known")},
             {"revision", fmt::to_string(listTop())}})};
 }
 
@@ -598,42 +598,42 @@
         "state":{"type":"string","enum":["up","leaving"]},"incarnation":{"type":"integer"},
         "coldUs":{"type":"integer","minimum":0}}}}}})";
     auto d = rapidjson::Document();
-    if (!jsParse(body, d)) return po_.done(id, {400, errorBody({{"/", "malformed JSON"}})});
-    auto f = jsCheck(d, LISTING);
+    if (!parseJson(body, d)) return po_.done(id, {400, errorBody({{"/", "malformed JSON"}})});
+    auto f = checkSchema(d, LISTING);
     if (f.empty()) {
         auto i = 0;
         for (auto& s : d["servers"].GetArray()) {
-            if (auto a = addrParse(jsStr(s, "address")); !a)
+            if (auto a = parseAddress(jsonString(s, "address")); !a)
                 f.push_back({fmt::format("/servers/{}/address", i), a.error()});
             i++;
         }
     }
     if (!f.empty()) return po_.done(id, {422, errorBody(f)});
     if (st_.gossip) return gossipList(id, d, now);
-    auto g = listNo(jsInt(d, "revision"));
+    auto g = listNo(jsonInteger(d, "revision"));
     if (g < 0) return po_.done(id, lateBody());
     auto has = std::set<std::string>();
     auto w = Wait{id, {}, now + 3 * SECOND, {}};
     for (auto& v : d["servers"].GetArray()) {
-        auto n = jsStr(v, "name");
+        auto n = jsonString(v, "name");
         has.insert(n);
         auto& s = servers_[n];
-        auto inc = jsInt(v, "incarnation");
+        auto inc = jsonInteger(v, "incarnation");
         auto was = s.listing.state;
         if (s.listing.server.empty() || s.listing.inc != inc || s.listing.state == GONE)
             s.first = now, s.seen = 0;
         s.listing.server = n;
-        s.listing.address = jsStr(v, "address");
-        s.listing.region = jsStr(v, "region");
-        s.listing.zone = jsStr(v, "district");
-        s.listing.serviceName = jsStr(v, "pool");
-        s.listing.weights = jsStr(v, "weights");
-        s.listing.slots = std::int32_t(jsInt(v, "slots", 8));
-        s.listing.state = jsStr(v, "state", "up") == "up" ? UP : LEAVING;
+        s.listing.address = jsonString(v, "address");
+        s.listing.region = jsonString(v, "region");
+        s.listing.zone = jsonString(v, "district");
+        s.listing.serviceName = jsonString(v, "pool");
+        s.listing.weights = jsonString(v, "weights");
+        s.listing.slots = std::int32_t(jsonInteger(v, "slots", 8));
+        s.listing.state = jsonString(v, "state", "up") == "up" ? UP : LEAVING;
         s.listing.inc = inc;
         s.listing.revision = g;
         s.told = now;
-        s.coldTill = v.HasMember("coldUs") ? now + jsInt(v, "coldUs") : 0;
+        s.coldTill = v.HasMember("coldUs") ? now + jsonInteger(v, "coldUs") : 0;
         if (s.listing.state == LEAVING && was != LEAVING) {
             auto m = wire::DrainMark();
             m.server = n;
@@ -765,7 +765,7 @@
         for (auto& [n, s] : servers_) {
             if (s.listing.state == GONE || s.listing.address.empty()) continue;
             auto k = 0;
-            for (auto& x : ns) k += rank(n, x) > rank(n, me_.node);
+            for (auto& x : ns) k += rendezvousRank(n, x) > rendezvousRank(n, me_.node);
             if (k < 2) po_.probe(n, s.listing.address);
         }
     }
@@ -835,7 +835,7 @@
         if (at <= m) {
             firedAt_ = now;
             auto o =
-                orderPrepare(vt_->latestState(), "fire", "fire-" + id, bodyOf({{"move", jsQuote(id)}}), m);
+                orderPrepare(vt_->latestState(), "fire", "fire-" + id, bodyOf({{"move", jsonQuote(id)}}), m);
             if (o && vt_->propose(1, *o, now)) {
                 logf("plan: move {} fires", id);
                 ct_.add("moves_fired_total");
@@ -956,7 +956,7 @@
     auto no = [&](const std::string& why) {
         ct_.add("rescues_denied_total");
         return Outcome{409,
-            bodyOf({{"error", jsQuote(why)}, {"reign", fmt::to_string(newest().epoch)},
+            bodyOf({{"error", jsonQuote(why)}, {"reign", fmt::to_string(newest().epoch)},
                 {"generation", fmt::to_string(newest().version)}})};
     };
     if (!vt_) return no("no disk here; give this to a core, which takes the newest word it hears of");
@@ -985,7 +985,7 @@
         bodyOf({{"reign", fmt::to_string(vt_->replicatedState().epoch)},
             {"generation", fmt::to_string(vt_->replicatedState().version)},
             {"mayBeLost",
-                jsQuote(
+                jsonQuote(
                     fmt::format("orders acknowledged after generation {} of reign {}", version, epoch))}})};
 }
 
@@ -1045,13 +1045,13 @@
     auto ns = std::string(), ss = std::string();
     auto put = [&](const wire::NodeRecord& r, Microseconds age, Microseconds t0) {
         ns += (ns.empty() ? "" : ",")
-            + bodyOf({{"node", jsQuote(r.node)}, {"boot", fmt::to_string(r.boot)},
-                {"district", jsQuote(r.zone)}, {"region", jsQuote(r.region)}, {"peer", jsQuote(r.peer)},
-                {"sender", jsQuote(r.clientAddress)}, {"operator", jsQuote(r.operatorAddress)},
+            + bodyOf({{"node", jsonQuote(r.node)}, {"boot", fmt::to_string(r.boot)},
+                {"district", jsonQuote(r.zone)}, {"region", jsonQuote(r.region)}, {"peer", jsonQuote(r.peer)},
+                {"sender", jsonQuote(r.clientAddress)}, {"operator", jsonQuote(r.operatorAddress)},
                 {"alive", age < alive_ ? "true" : "false"}, {"ageUs", fmt::to_string(age)},
                 {"provenUs", t0 ? fmt::to_string(now - t0) : "null"}, {"reign", fmt::to_string(r.epoch)},
                 {"generation", fmt::to_string(r.stateVersion)}, {"settled", r.settled ? "true" : "false"},
-                {"ready", r.ready ? "true" : "false"}, {"disk", jsQuote(r.disk)},
+                {"ready", r.ready ? "true" : "false"}, {"disk", jsonQuote(r.disk)},
                 {"blank", r.blank ? "true" : "false"}, {"leader", r.leader ? "true" : "false"},
                 {"credit", fmt::to_string(r.credit)}});
     };
@@ -1061,40 +1061,40 @@
         auto l = s.seen && now - s.seen < SEEN
             ? bodyOf({{"prefill", fmt::to_string(s.load.prefill)}, {"decode", fmt::to_string(s.load.decode)},
                 {"slots", fmt::to_string(s.load.slots)}, {"dark", s.load.dark ? "true" : "false"},
-                {"watcher", jsQuote(s.load.watcher)}, {"ageUs", fmt::to_string(now - s.seen)}})
+                {"watcher", jsonQuote(s.load.watcher)}, {"ageUs", fmt::to_string(now - s.seen)}})
             : std::string("null");
         ss += (ss.empty() ? "" : ",")
-            + bodyOf({{"server", jsQuote(n)}, {"address", jsQuote(s.listing.address)},
-                {"region", jsQuote(s.listing.region)}, {"district", jsQuote(s.listing.zone)},
-                {"pool", jsQuote(s.listing.serviceName)}, {"weights", jsQuote(s.listing.weights)},
-                {"state", jsQuote(stateName(s.listing.state))},
+            + bodyOf({{"server", jsonQuote(n)}, {"address", jsonQuote(s.listing.address)},
+                {"region", jsonQuote(s.listing.region)}, {"district", jsonQuote(s.listing.zone)},
+                {"pool", jsonQuote(s.listing.serviceName)}, {"weights", jsonQuote(s.listing.weights)},
+                {"state", jsonQuote(stateName(s.listing.state))},
                 {"generation", fmt::to_string(s.listing.revision)}, {"toldUs", fmt::to_string(now - s.told)},
                 {"occupancy", l}});
     }
     auto t = tree(now);
     auto tr = std::string();
-    for (auto& [k, u] : t.up) tr += fmt::format("{}{}:{}", tr.empty() ? "" : ",", jsQuote(k), jsQuote(u));
-    return bodyOf({{"node", jsQuote(me_.node)}, {"reign", fmt::to_string(replicatedState_.epoch)},
+    for (auto& [k, u] : t.up) tr += fmt::format("{}{}:{}", tr.empty() ? "" : ",", jsonQuote(k), jsonQuote(u));
+    return bodyOf({{"node", jsonQuote(me_.node)}, {"reign", fmt::to_string(replicatedState_.epoch)},
         {"generation", fmt::to_string(replicatedState_.version)},
         {"configGeneration", fmt::to_string(replicatedState_.configVersion())},
-        {"wordHash", jsQuote(fmt::format("{:016x}", hash64(replicatedState_.text())))},
-        {"fresh", withinLease(now) ? "true" : "false"}, {"leader", jsQuote(leaderNode(now))},
+        {"wordHash", jsonQuote(fmt::format("{:016x}", hash64(replicatedState_.text())))},
+        {"fresh", withinLease(now) ? "true" : "false"}, {"leader", jsonQuote(leaderNode(now))},
         {"empties", replicatedState_.evacuationsText()}, {"nodes", "[" + ns + "]"},
         {"servers", "[" + ss + "]"}, {"relays", "{" + tr + "}"}});
 }
 
 auto Node::status(Microseconds now) -> std::string {
     return bodyOf(
-        {{"node", jsQuote(me_.node)}, {"version", jsQuote(VERSION)}, {"district", jsQuote(me_.zone)},
-            {"region", jsQuote(me_.region)}, {"ready", ready(now) ? "true" : "false"},
+        {{"node", jsonQuote(me_.node)}, {"version", jsonQuote(VERSION)}, {"district", jsonQuote(me_.zone)},
+            {"region", jsonQuote(me_.region)}, {"ready", ready(now) ? "true" : "false"},
             {"fresh", withinLease(now) ? "true" : "false"}, {"settled", me_.settled ? "true" : "false"},
-            {"leader", jsQuote(leaderNode(now))}, {"reign", fmt::to_string(replicatedState_.epoch)},
+            {"leader", jsonQuote(leaderNode(now))}, {"reign", fmt::to_string(replicatedState_.epoch)},
             {"generation", fmt::to_string(replicatedState_.version)},
             {"configGeneration", fmt::to_string(replicatedState_.configVersion())},
             {"nodesAlive", fmt::to_string(aliveNodes(now).size())},
             {"roster", fmt::to_string(roster_.size())}, {"servers", fmt::to_string(servers_.size())},
             {"role",
-                jsQuote(!vt_           ? "edge"
+                jsonQuote(!vt_         ? "edge"
                         : vt_->leads() ? "core, leader"
                         : vt_->blank() ? "core, blank"
                                        : "core, follower")}});
@@ -1121,13 +1121,14 @@
                 if (now - k.at < lim) see(k.record);
     auto key = rg + "/" + zone + fmt::to_string(now / SECOND);  // callers are spread
     std::sort(v.begin(), v.end(), [&](auto& a, auto& b) {
-        return a.first != b.first ? a.first < b.first : rank(key, a.second->node) > rank(key, b.second->node);
+        return a.first != b.first ? a.first < b.first
+                                  : rendezvousRank(key, a.second->node) > rendezvousRank(key, b.second->node);
     });
     auto o = std::string();
     for (auto& [d, r] : v)
         o += (o.empty() ? "" : ",")
-            + bodyOf({{"node", jsQuote(r->node)}, {"address", jsQuote(r->clientAddress)},
-                {"region", jsQuote(r->region)}, {"district", jsQuote(r->zone)}});
+            + bodyOf({{"node", jsonQuote(r->node)}, {"address", jsonQuote(r->clientAddress)},
+                {"region", jsonQuote(r->region)}, {"district", jsonQuote(r->zone)}});
     return "{\"nodes\":[" + o + "]}";
 }
 
@@ -1422,25 +1423,25 @@
 auto Node::gossipList(std::int64_t id, const rapidjson::Document& d, Microseconds now) -> void {
     // One that was superseded meanwhile may hold a listing older than what the others have.
     if (!duty(now) || (vt_ && vt_->leads() && vt_->term() < (listNo_ >> 34)))
-        return po_.done(id, {409, bodyOf({{"error", jsQuote("another node does this duty now")}})});
+        return po_.done(id, {409, bodyOf({{"error", jsonQuote("another node does this duty now")}})});
     auto g = std::int64_t(0);
     auto no = [&] { return g ? g : g = raiseList(now); };
     auto has = std::set<std::string>();
     for (auto& v : d["servers"].GetArray()) {
-        auto n = jsStr(v, "name");
+        auto n = jsonString(v, "name");
         has.insert(n);
         auto& s = servers_[n];
         auto l = s.listing;
         l.server = n;
-        l.address = jsStr(v, "address");
-        l.region = jsStr(v, "region");
-        l.zone = jsStr(v, "district");
-        l.serviceName = jsStr(v, "pool");
-        l.weights = jsStr(v, "weights");
-        l.slots = std::int32_t(jsInt(v, "slots", 8));
-        l.state = jsStr(v, "state", "up") == "up" ? UP : LEAVING;
-        l.inc = jsInt(v, "incarnation");
-        auto cold = jsInt(v, "coldUs") > 0 ? now + jsInt(v, "coldUs") : 0;
+        l.address = jsonString(v, "address");
+        l.region = jsonString(v, "region");
+        l.zone = jsonString(v, "district");
+        l.serviceName = jsonString(v, "pool");
+        l.weights = jsonString(v, "weights");
+        l.slots = std::int32_t(jsonInteger(v, "slots", 8));
+        l.state = jsonString(v, "state", "up") == "up" ? UP : LEAVING;
+        l.inc = jsonInteger(v, "incarnation");
+        auto cold = jsonInteger(v, "coldUs") > 0 ? now + jsonInteger(v, "coldUs") : 0;
         auto was = s.coldTill > now ? s.coldTill : 0;
         auto same = l == s.listing && std::abs(cold - was) < SECOND;
         s.told = now;
--- a/src/membership/node.hpp
+++ b/src/membership/node.hpp
@@ -224,7 +224,7 @@
     Settings st_;
     NodePort& po_;
     Counters& ct_;
-    Rng rng_;
+    RandomSource rng_;
     wire::NodeRecord me_;
     std::map<std::string, Known> rows_;
     std::map<std::string, Server> servers_;
--- a/src/modelcheck/replica.cpp
+++ b/src/modelcheck/replica.cpp
@@ -47,7 +47,7 @@
 auto ordersIn(const DiskState& state) -> std::uint32_t {
     auto found = std::uint32_t(0);
     for (auto number = 0u; number < MAX_ORDERS; number++) {
-        auto quoted = jsQuote(orderKey(number));
+        auto quoted = jsonQuote(orderKey(number));
         auto holds = state.snapDoc.find(quoted) != std::string::npos;
         for (auto& entry : state.log)
             holds = holds || (entry.kind == ORDER_ENTRY && entry.body.find(quoted) != std::string::npos);
--- a/src/modelcheck/search.cpp
+++ b/src/modelcheck/search.cpp
@@ -280,7 +280,7 @@
 
 auto randomWalks(const SearchOptions& options) -> SearchResult {
     auto result = SearchResult();
-    auto random = Rng{options.seed};
+    auto random = RandomSource{options.seed};
     for (auto walk = std::size_t(0); walk < options.walks; walk++) {
         auto model = Model(options.model);  // anew, so that memory stays bounded
         auto scenario = enter(model, options.scenario);
@@ -404,7 +404,7 @@
 }
 
 auto replayFile(const std::string& file) -> int {
-    auto text = fileRead(file);
+    auto text = readFile(file);
     auto parsed = text ? traceParse(*text) : tl::make_unexpected(text.error());
     auto fault = parsed ? validate(parsed->options) : parsed.error();
     if (!fault.empty()) {
@@ -420,7 +420,7 @@
 }  // namespace
 
 auto checkMain(const SearchOptions& options, const std::string& traceFile) -> int {
-    logMute(true);
+    muteLog(true);
     if (!traceFile.empty()) return replayFile(traceFile);
     if (auto fault = validate(options); !fault.empty()) {
         fmt::print(stderr, "duneturn check: {}\n", fault);
--- a/src/net/answer_reader.cpp
+++ b/src/net/answer_reader.cpp
@@ -102,7 +102,7 @@
         return;
     }
     if (how == ConnectionEnd::Reset) return fail(AttemptEvent::ConnectionReset, "the connection was reset");
-    if (auto ec = replyEnds(*parser_); ec || !headKnown_)
+    if (auto ec = finishAtClose(*parser_); ec || !headKnown_)
         return fail(AttemptEvent::ConnectionClosed, "closed before the answer was whole");
     surplus_ = true;
     finish();
--- a/src/net/answer_reader.hpp
+++ b/src/net/answer_reader.hpp
@@ -78,7 +78,7 @@
     AnswerOptions options_;
     std::unique_ptr<Parser> parser_;
     beast::flat_buffer buffer_;
-    EventSplit events_;
+    EventStreamSplitter events_;
     std::vector<AnswerPart> parts_;
     int status_ = 0;
     Headers headers_;
--- a/src/net/compress.cpp
+++ b/src/net/compress.cpp
@@ -26,12 +26,12 @@
     return std::make_shared<tt::TConfiguration>(int(LONGEST), int(LONGEST), 64);
 }
 
-auto Compressor::operator()(const wire::Envelope& e) -> std::optional<wire::Envelope> {
+auto EnvelopeCompressor::operator()(const wire::Envelope& e) -> std::optional<wire::Envelope> {
     auto n = e.replicatedState.doc.size() + e.orderRequest.body.size() + e.orderReply.body.size()
         + e.installSnapshot.doc.size();
     if (e.__isset.appendEntries)
         for (auto& x : e.appendEntries.entries) n += x.body.size();
-    if (n < COMPRESS_FROM || n > LONGEST / 2 || e.__isset.compressed) return {};
+    if (n < COMPRESSION_MIN_BYTES || n > LONGEST / 2 || e.__isset.compressed) return {};
     auto m = std::make_shared<Memory>(longest());
     auto p = Compact(m);
     e.write(&p);
@@ -57,7 +57,7 @@
     return o;
 }
 
-auto decompressed(const wire::Envelope& e) -> std::optional<wire::Envelope> {
+auto decompressEnvelope(const wire::Envelope& e) -> std::optional<wire::Envelope> {
     auto s = z_stream();
     auto in = e.compressed;
     s.next_in = reinterpret_cast<Bytef*>(in.data());
--- a/src/net/compress.hpp
+++ b/src/net/compress.hpp
@@ -11,12 +11,12 @@
 namespace duneturn {
 
 /// The wire version from which on a process reads compressed envelopes.
-constexpr std::int32_t COMPRESSING = 2;
+constexpr std::int32_t COMPRESSION_WIRE_VERSION = 2;
 /// Envelopes that are smaller go as they are.
-constexpr std::size_t COMPRESS_FROM = 4096;
+constexpr std::size_t COMPRESSION_MIN_BYTES = 4096;
 
 /// Compresses what is told. What was told last is kept: a word goes to several peers alike.
-class Compressor {
+class EnvelopeCompressor {
   public:
     /// The same envelope with its content in `compressed`; nullopt if it is not worth that.
     auto operator()(const wire::Envelope& e) -> std::optional<wire::Envelope>;
@@ -29,6 +29,6 @@
 };
 
 /// What a compressed envelope holds; nullopt if that cannot be read or is longer than 32 MiB.
-auto decompressed(const wire::Envelope& e) -> std::optional<wire::Envelope>;
+auto decompressEnvelope(const wire::Envelope& e) -> std::optional<wire::Envelope>;
 
 }  // namespace duneturn
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -18,7 +18,7 @@
 
 namespace duneturn {
 
-auto replyEnds(http::response_parser<http::string_body>& p) -> beast::error_code {
+auto finishAtClose(http::response_parser<http::string_body>& p) -> beast::error_code {
     auto ec = beast::error_code();
     if (!p.got_some()) return http::error::end_of_stream;  // Beast would call nothing at all a reply
     p.put_eof(ec);
@@ -31,7 +31,7 @@
     auto head = method + " " + target + " HTTP/1.1\r\n";
     auto hasHost = false;
     for (auto& [name, value] : headers) {
-        if (hopByHop(name, "")) continue;
+        if (isHopByHopHeader(name, "")) continue;
         hasHost = hasHost || beast::iequals(name, "Host");
         head += name + ": " + value + "\r\n";
     }
@@ -42,7 +42,7 @@
     return head + "\r\n";
 }
 
-auto EventSplit::next(Event& e) -> bool {
+auto EventStreamSplitter::next(Event& e) -> bool {
     // An event ends at an empty line; lines end with LF or CRLF.
     auto p = std::size_t(0);
     while (true) {
@@ -76,12 +76,12 @@
 }
 
 auto endpoint(const std::string& addr) -> tcp::endpoint {
-    auto a = addrParse(addr);
+    auto a = parseAddress(addr);
     if (!a) return {};
     return {asio::ip::make_address(a->ip), a->port};
 }
 
-auto socketSet(int fd, Microseconds unheard) -> void {
+auto configureSocket(int fd, Microseconds unheard) -> void {
     auto set = [&](int level, int what, int v) { ::setsockopt(fd, level, what, &v, sizeof v); };
     set(IPPROTO_TCP, TCP_NODELAY, 1);
     set(IPPROTO_TCP, TCP_USER_TIMEOUT, int(unheard / MILLISECOND));
@@ -96,7 +96,7 @@
     if (!c.IsObject() || !c.HasMember("limits") || !c["limits"].IsObject()) return l;
     auto& v = c["limits"];
     auto take = [&](const char* k, std::int64_t d) {
-        auto n = jsInt(v, k, d);
+        auto n = jsonInteger(v, k, d);
         return n > 0 ? n : d;
     };
     l.headerBytes = std::size_t(take("headerBytes", std::int64_t(l.headerBytes)));
@@ -106,7 +106,7 @@
     return l;
 }
 
-auto hopByHop(std::string_view n, std::string_view connection) -> bool {
+auto isHopByHopHeader(std::string_view n, std::string_view connection) -> bool {
     auto is = [&](std::string_view x) { return beast::iequals(n, x); };
     if (is("Connection") || is("Keep-Alive") || is("Transfer-Encoding") || is("Content-Length") || is("TE")
         || is("Trailer") || is("Upgrade") || is("Proxy-Connection") || is("Proxy-Authorization")
@@ -149,8 +149,8 @@
     return std::min<std::size_t>(4, std::size_t(maxConns) / (4 * std::max<std::size_t>(1, nodes)));
 }
 
-auto Pool::put(const std::string& key, std::int64_t id, Microseconds till, Microseconds now, std::size_t most)
-    -> std::vector<std::int64_t> {
+auto IdleConnections::put(const std::string& key, std::int64_t id, Microseconds till, Microseconds now,
+    std::size_t most) -> std::vector<std::int64_t> {
     auto out = std::vector<std::int64_t>();
     most = std::min(most, perServer);
     if (till <= now || !most) return {id};
@@ -169,7 +169,7 @@
     n_++;
     return out;
 }
-auto Pool::take(const std::string& key, Microseconds now) -> std::int64_t {
+auto IdleConnections::take(const std::string& key, Microseconds now) -> std::int64_t {
     auto i = m_.find(key);
     if (i == m_.end() || i->second.back().till <= now) return -1;  // expire() closes it
     auto id = i->second.back().id;
@@ -178,7 +178,7 @@
     if (i->second.empty()) m_.erase(i);
     return id;
 }
-auto Pool::expire(Microseconds now) -> std::vector<std::int64_t> {
+auto IdleConnections::expire(Microseconds now) -> std::vector<std::int64_t> {
     auto out = std::vector<std::int64_t>();
     for (auto i = m_.begin(); i != m_.end();) {
         std::erase_if(i->second, [&](auto& c) {
@@ -201,15 +201,15 @@
 }
 
 auto fetch(std::string addr, std::string method, std::string path, std::string body, Headers h,
-    Microseconds limit) -> asio::awaitable<tl::expected<Res, CallError>> {
-    auto a = addrParse(addr);
+    Microseconds limit) -> asio::awaitable<tl::expected<HttpResponse, CallError>> {
+    auto a = parseAddress(addr);
     if (!a) co_return tl::make_unexpected(CallError{addr + ": " + a.error()});
     try {
         auto s = beast::tcp_stream(co_await asio::this_coro::executor);
         s.expires_after(std::chrono::microseconds(limit));
         co_await s.async_connect(endpoint(addr), asio::use_awaitable);
-        socketSet(s.socket().native_handle(), 2 * SECOND);
-        auto q = Req(http::string_to_verb(method), path, 11);
+        configureSocket(s.socket().native_handle(), 2 * SECOND);
+        auto q = HttpRequest(http::string_to_verb(method), path, 11);
         q.set(http::field::host, addr);
         for (auto& [k, v] : h) q.set(k, v);
         if (!body.empty()) q.set(http::field::content_type, "application/json");
@@ -228,9 +228,9 @@
 }
 
 auto call(const std::string& addr, const std::string& method, const std::string& path,
-    const std::string& body, const Headers& h, Microseconds limit) -> tl::expected<Res, CallError> {
+    const std::string& body, const Headers& h, Microseconds limit) -> tl::expected<HttpResponse, CallError> {
     auto io = asio::io_context();
-    auto out = tl::expected<Res, CallError>(tl::make_unexpected(CallError{"no reply from " + addr}));
+    auto out = tl::expected<HttpResponse, CallError>(tl::make_unexpected(CallError{"no reply from " + addr}));
     asio::co_spawn(
         io, [&]() -> asio::awaitable<void> { out = co_await fetch(addr, method, path, body, h, limit); },
         asio::detached);
--- a/src/net/http.hpp
+++ b/src/net/http.hpp
@@ -21,11 +21,11 @@
 namespace beast = boost::beast;
 namespace http = beast::http;
 using tcp = asio::ip::tcp;
-using Req = http::request<http::string_body>;
-using Res = http::response<http::string_body>;
+using HttpRequest = http::request<http::string_body>;
+using HttpResponse = http::response<http::string_body>;
 
 /// Splits a text/event-stream into its events, whatever the pieces it comes in.
-struct EventSplit {
+struct EventStreamSplitter {
     std::string buf;
     std::size_t limit = 256 * 1024;
     auto feed(std::string_view s) -> void { buf += s; }
@@ -43,14 +43,14 @@
 auto limitsOf(const rapidjson::Value& config) -> Limits;
 
 /// Whether a header concerns one connection only; `connection` is the Connection header's value.
-auto hopByHop(std::string_view name, std::string_view connection) -> bool;
+auto isHopByHopHeader(std::string_view name, std::string_view connection) -> bool;
 /// The seconds of a Keep-Alive header's timeout; -1 if it names none.
 auto keepAliveSeconds(std::string_view value) -> std::int64_t;
 /// How long a connection may be kept idle after a reply with these headers; 0: not at all.
 auto keepFor(const Headers& h) -> Microseconds;
 
 /// Which idle connections to servers are kept. Bookkeeping only: they are numbers here.
-struct Pool {
+struct IdleConnections {
     std::size_t perServer = 4, all = 512;
     /// Keeps connection `id` to `key` until `till`, of at most `most` there; those given back
     /// must be closed.
@@ -90,21 +90,21 @@
     std::size_t bodySize, const std::string& address, bool keepAlive) -> std::string;
 
 /// A server's connection has ended: no error if the reply is whole.
-auto replyEnds(http::response_parser<http::string_body>& p) -> beast::error_code;
+auto finishAtClose(http::response_parser<http::string_body>& p) -> beast::error_code;
 
 struct CallError {
     std::string why;
 };
 /// One call of another process.
 auto fetch(std::string addr, std::string method, std::string path, std::string body, Headers h,
-    Microseconds limit) -> asio::awaitable<tl::expected<Res, CallError>>;
+    Microseconds limit) -> asio::awaitable<tl::expected<HttpResponse, CallError>>;
 /// The same, blocking; for the command line.
 auto call(const std::string& addr, const std::string& method, const std::string& path,
-    const std::string& body, const Headers& h, Microseconds limit) -> tl::expected<Res, CallError>;
+    const std::string& body, const Headers& h, Microseconds limit) -> tl::expected<HttpResponse, CallError>;
 
 auto endpoint(const std::string& addr) -> tcp::endpoint;
 /// No delay, and limits on how long a peer may be without a sign of life, since a machine
 /// without power says nothing: `unheard` while sent bytes are unacknowledged, else probes.
-auto socketSet(int fd, Microseconds unheard) -> void;
+auto configureSocket(int fd, Microseconds unheard) -> void;
 
 }  // namespace duneturn
--- a/src/net/kept_connections.hpp
+++ b/src/net/kept_connections.hpp
@@ -14,12 +14,12 @@
 
 /// Keeps idle connections by server. `Connection` is a handle; dropping it closes the connection.
 template <class Connection>
-class KeptConnections {
+class ConnectionPool {
   public:
     /// Whether nothing waits to be read on a connection, not even its end.
     using IsQuiet = std::function<bool(const Connection&)>;
 
-    explicit KeptConnections(IsQuiet isQuiet) : isQuiet_(std::move(isQuiet)) {}
+    explicit ConnectionPool(IsQuiet isQuiet) : isQuiet_(std::move(isQuiet)) {}
 
     /// Keeps a connection to `server` for `life`, of at most `most` to that server. One that is not
     /// quiet is closed: bytes that nobody asked for would be taken for the next request's answer.
@@ -50,7 +50,7 @@
 
   private:
     IsQuiet isQuiet_;
-    Pool pool_;
+    IdleConnections pool_;
     std::map<std::int64_t, Connection> connections_;  // by their number in pool_
     std::int64_t lastId_ = 0;
 };
--- a/src/net/peer_sender.cpp
+++ b/src/net/peer_sender.cpp
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-PeerChannel::Connection::Connection(const Addr& addr)
+PeerChannel::Connection::Connection(const Address& addr)
     : socket(std::make_shared<transport::TSocket>(
         addr.ip, addr.port, std::make_shared<apache::thrift::TConfiguration>())),
       transport(std::make_shared<transport::TFramedTransport>(socket)),
@@ -44,12 +44,12 @@
 // After a pause: what is written to a connection that the peer has closed is lost.
 auto PeerChannel::Connection::usable(Microseconds now) -> bool {
     if (!transport->isOpen()) return false;
-    return now - lastSent <= PAUSE || quietSocket(socket->getSocketFD());
+    return now - lastSent <= PAUSE || isSocketQuiet(socket->getSocketFD());
 }
 
 auto PeerChannel::Connection::open() -> void {
     transport->open();
-    socketSet(socket->getSocketFD(), UNHEARD_PEER);
+    configureSocket(socket->getSocketFD(), UNHEARD_PEER);
 }
 
 auto PeerChannel::Connection::close() -> void {
@@ -62,7 +62,7 @@
 }
 
 PeerChannel::PeerChannel(
-    std::string addr, Counters& counters, std::mutex& countersMutex, Compressor& compressor)
+    std::string addr, Counters& counters, std::mutex& countersMutex, EnvelopeCompressor& compressor)
     : addr_(std::move(addr)),
       counters_(counters),
       countersMutex_(countersMutex),
@@ -113,7 +113,7 @@
 }
 
 auto PeerChannel::run() -> void {
-    auto addr = addrParse(addr_);
+    auto addr = parseAddress(addr_);
     if (!addr) return;
     auto connection = Connection(*addr);
     auto retryAt = Microseconds(0);
--- a/src/net/peer_sender.hpp
+++ b/src/net/peer_sender.hpp
@@ -24,7 +24,8 @@
 class PeerChannel {
   public:
     /// Starts the thread. `counters` are guarded by `countersMutex`.
-    PeerChannel(std::string addr, Counters& counters, std::mutex& countersMutex, Compressor& compressor);
+    PeerChannel(
+        std::string addr, Counters& counters, std::mutex& countersMutex, EnvelopeCompressor& compressor);
     /// Ends the thread, at the latest when a write under way has timed out.
     ~PeerChannel();
     PeerChannel(const PeerChannel&) = delete;
@@ -44,7 +45,7 @@
     };
     /// The connection, opened when it is first needed and closed by any error.
     struct Connection {
-        explicit Connection(const Addr& addr);
+        explicit Connection(const Address& addr);
         auto open() -> void;
         auto close() -> void;
         auto usable(Microseconds now) -> bool;
@@ -63,7 +64,7 @@
     const std::string addr_;
     Counters& counters_;
     std::mutex& countersMutex_;
-    Compressor& compressor_;
+    EnvelopeCompressor& compressor_;
     std::atomic<bool> compress_ = false;
     std::mutex mutex_;
     std::condition_variable changed_;
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -6,7 +6,7 @@
 
 namespace duneturn {
 
-auto quietSocket(int descriptor) -> bool {
+auto isSocketQuiet(int descriptor) -> bool {
     auto byte = char();
     auto received = ::recv(descriptor, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
     return received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
--- a/src/net/socket.hpp
+++ b/src/net/socket.hpp
@@ -4,6 +4,6 @@
 namespace duneturn {
 
 /// Whether nothing waits to be read on a socket, not even the other side's end. Does not block.
-auto quietSocket(int descriptor) -> bool;
+auto isSocketQuiet(int descriptor) -> bool;
 
 }  // namespace duneturn
--- a/src/routing/cold_ramp.cpp
+++ b/src/routing/cold_ramp.cpp
@@ -31,7 +31,7 @@
     auto cap = int(ru_.rampFirst + (slots - ru_.rampFirst) * double(up) / double(ru_.rampOver));
     auto ns = n_.aliveNodes(now);
     auto k = 0;
-    for (auto& n : ns) k += rank(name, n) > rank(name, n_.me().node);
+    for (auto& n : ns) k += rendezvousRank(name, n) > rendezvousRank(name, n_.me().node);
     return cap / int(ns.size()) + (k < cap % int(ns.size()));
 }
 
@@ -57,7 +57,7 @@
     auto most = 0.8 * ((ru_.coldOverrun - 0.9) * pr.coldRate + ru_.coldSlack);
     auto k = std::min(nodes(), std::size_t(std::max(1.0, most)));
     auto before = std::size_t(0);
-    for (auto& [n, r] : n_.rows()) before += rank(name, n) > rank(name, n_.me().node);
+    for (auto& [n, r] : n_.rows()) before += rendezvousRank(name, n) > rendezvousRank(name, n_.me().node);
     if (before >= k) return false;
     auto& f = fit_[name];
     f.coldLeft =
--- a/src/routing/edge.cpp
+++ b/src/routing/edge.cpp
@@ -140,7 +140,7 @@
             auto mine = true;
             for (auto& [o, q] : n_.rows())
                 if (o != n && now - q.at < ALIVE && q.record.credit > 8 * ONE
-                    && rank(n, o) > rank(n, n_.me().node))
+                    && rendezvousRank(n, o) > rendezvousRank(n, n_.me().node))
                     mine = false;
             if (!mine) continue;
             credit_ -= 2 * ONE;
--- a/src/routing/edge.hpp
+++ b/src/routing/edge.hpp
@@ -363,7 +363,7 @@
     Node& n_;
     EdgePort& po_;
     Counters& ct_;
-    Rng rng_;
+    RandomSource rng_;
     Dialect di_;
     Rules ru_;
     std::int64_t next_ = 0, credit_ = 0, decision_ = 0, rulesRevision_ = 0;
--- a/src/routing/endings.cpp
+++ b/src/routing/endings.cpp
@@ -29,7 +29,7 @@
     else if (x.headSent) {
         po_.part(x.id,
             fmt::format("event: failed\ndata: {}\n\n",
-                bodyOf({{"error", jsQuote(why)}, {"lastEventId", fmt::to_string(x.last)},
+                bodyOf({{"error", jsonQuote(why)}, {"lastEventId", fmt::to_string(x.last)},
                     {"retryAfter", "1"}})));
         po_.end(x.id, broken.cutLooksWhole);
     } else {
@@ -41,8 +41,8 @@
                     : "1");
         if (!mayHaveRun) h.emplace_back(di_.notExecuted, "true");
         po_.reply(x.id, status, h,
-            bodyOf({{"error", jsQuote(why)}, {"executed", mayHaveRun ? "\"unknown\"" : "false"},
-                {"exchange", jsQuote(x.exid)}}));
+            bodyOf({{"error", jsonQuote(why)}, {"executed", mayHaveRun ? "\"unknown\"" : "false"},
+                {"exchange", jsonQuote(x.exid)}}));
     }
     tally(x, x.headSent ? "cut" : mayHaveRun ? "failed" : "denied");
     finish(x, "failed: " + why, now);
@@ -60,10 +60,10 @@
     if (broken.badStep) turn(x, ct_, PhaseEvent::Loss);
     note(x, fmt::format("+{} us {}", now - x.born, how));
     auto t = std::string();
-    for (auto& l : x.trace) t += (t.empty() ? "" : ",") + jsQuote(l);
+    for (auto& l : x.trace) t += (t.empty() ? "" : ",") + jsonQuote(l);
     past_.push_back({++decision_, x.id, x.exid,
-        bodyOf({{"seq", fmt::to_string(decision_)}, {"exchange", jsQuote(x.exid)},
-            {"mapping", jsQuote(x.m.name)}, {"end", jsQuote(how)}, {"steps", "[" + t + "]"}})});
+        bodyOf({{"seq", fmt::to_string(decision_)}, {"exchange", jsonQuote(x.exid)},
+            {"mapping", jsonQuote(x.m.name)}, {"end", jsonQuote(how)}, {"steps", "[" + t + "]"}})});
     if (past_.size() > 1024) past_.erase(past_.begin(), past_.begin() + 512);
     gone_.push_back(x.id);
 }
--- a/src/routing/inspection.cpp
+++ b/src/routing/inspection.cpp
@@ -29,10 +29,10 @@
 auto liveOne(const Request& x, Microseconds now, bool steps) -> std::string {
     auto t = std::string();
     if (steps)
-        for (auto& l : x.trace) t += (t.empty() ? "" : ",") + jsQuote(l);
-    return bodyOf({{"id", fmt::to_string(x.id)}, {"exchange", jsQuote(x.exid)},
-        {"mapping", jsQuote(x.m.name)}, {"phase", jsQuote(phaseName(x.phase()))},
-        {"server", jsQuote(x.server)}, {"ageUs", fmt::to_string(now - x.born)},
+        for (auto& l : x.trace) t += (t.empty() ? "" : ",") + jsonQuote(l);
+    return bodyOf({{"id", fmt::to_string(x.id)}, {"exchange", jsonQuote(x.exid)},
+        {"mapping", jsonQuote(x.m.name)}, {"phase", jsonQuote(phaseName(x.phase()))},
+        {"server", jsonQuote(x.server)}, {"ageUs", fmt::to_string(now - x.born)},
         {"sends", fmt::to_string(x.tries)}, {"migrationsLeft", fmt::to_string(x.left())},
         {"lastEventId", fmt::to_string(x.last)}, {"steps", "[" + t + "]"}});
 }
--- a/src/routing/rules.cpp
+++ b/src/routing/rules.cpp
@@ -23,61 +23,61 @@
         static const auto none = rapidjson::Value(rapidjson::kObjectType);
         return v.IsObject() && v.HasMember(k) ? v[k] : none;
     };
-    r.share = jsNum(sub(c, "budget"), "share", r.share);
-    r.cap = jsInt(sub(c, "budget"), "cap", r.cap);
-    r.slack = jsNum(sub(c, "budget"), "slack", r.slack);
-    r.rampOver = jsInt(sub(c, "ramp"), "overUs", r.rampOver);
-    r.rampFirst = int(jsInt(sub(c, "ramp"), "first", r.rampFirst));
-    r.coldOverrun = jsNum(sub(c, "cold"), "overrun", r.coldOverrun);
-    r.coldSlack = jsNum(sub(c, "cold"), "slack", r.coldSlack);
+    r.share = jsonNumber(sub(c, "budget"), "share", r.share);
+    r.cap = jsonInteger(sub(c, "budget"), "cap", r.cap);
+    r.slack = jsonNumber(sub(c, "budget"), "slack", r.slack);
+    r.rampOver = jsonInteger(sub(c, "ramp"), "overUs", r.rampOver);
+    r.rampFirst = int(jsonInteger(sub(c, "ramp"), "first", r.rampFirst));
+    r.coldOverrun = jsonNumber(sub(c, "cold"), "overrun", r.coldOverrun);
+    r.coldSlack = jsonNumber(sub(c, "cold"), "slack", r.coldSlack);
     for (auto& m : sub(c, "pools").GetObject()) {
         auto& p = r.services[m.name.GetString()];
-        p.maxConns = int(jsInt(m.value, "maxConns"));
-        p.slots = int(jsInt(m.value, "slots"));
-        p.stride = int(jsInt(m.value, "stride"));
-        p.coldUs = jsInt(m.value, "coldUs");
-        p.coldRate = jsNum(m.value, "coldRate");
-        p.kvTokens = jsInt(m.value, "kvTokens");
-        p.engine = jsBool(m.value, "engine");
+        p.maxConns = int(jsonInteger(m.value, "maxConns"));
+        p.slots = int(jsonInteger(m.value, "slots"));
+        p.stride = int(jsonInteger(m.value, "stride"));
+        p.coldUs = jsonInteger(m.value, "coldUs");
+        p.coldRate = jsonNumber(m.value, "coldRate");
+        p.kvTokens = jsonInteger(m.value, "kvTokens");
+        p.engine = jsonBool(m.value, "engine");
     }
     for (auto& m : sub(c, "models").GetObject()) {
         auto& d = r.models[m.name.GetString()];
-        d.limit = int(jsInt(m.value, "migrationLimit", 0));
-        d.maxSequence = jsInt(m.value, "maxSequence", d.maxSequence);
+        d.limit = int(jsonInteger(m.value, "migrationLimit", 0));
+        d.maxSequence = jsonInteger(m.value, "maxSequence", d.maxSequence);
     }
     if (!c.HasMember("mappings")) return r;
     r.ms.reserve(c["mappings"].Size());
     for (auto& v : c["mappings"].GetArray()) {
         auto m = Route();
-        m.name = jsStr(v, "name");
-        m.host = toLower(jsStr(v, "host"));
-        m.method = jsStr(v, "method", "POST");
-        m.path = jsStr(v, "path");
+        m.name = jsonString(v, "name");
+        m.host = toLower(jsonString(v, "host"));
+        m.method = jsonString(v, "method", "POST");
+        m.path = jsonString(v, "path");
         if (m.path.ends_with("*")) m.prefix = true, m.path.pop_back();
-        m.service = jsStr(v, "pool");
+        m.service = jsonString(v, "pool");
         if (v.HasMember("pools"))
             for (auto& p : v["pools"].GetArray())
-                m.services.emplace_back(jsStr(p, "pool"), jsInt(p, "share"));
+                m.services.emplace_back(jsonString(p, "pool"), jsonInteger(p, "share"));
         if (!m.services.empty()) m.service = m.services[0].first;
-        m.model = jsStr(v, "model");
-        m.homes = jsList(v, "homes");
-        if (auto h = jsStr(v, "home"); !h.empty()) m.homes.push_back(h);
-        m.spill = jsList(v, "spill");
-        m.spillAt = jsNum(v, "spillAt", m.spillAt);
-        m.stream = jsBool(v, "stream");
-        m.resumable = jsBool(v, "Resumable");
-        m.repeatable = jsBool(v, "repeatable");
-        m.maxTries = int(jsInt(v, "MaxTries", m.maxTries));
-        m.urgency = int(jsInt(v, "urgency", m.urgency));
-        m.deadline = jsInt(v, "deadlineUs", m.deadline);
-        m.aim = jsInt(v, "aimUs");
-        m.gap = jsInt(v, "gapUs");
+        m.model = jsonString(v, "model");
+        m.homes = jsonStrings(v, "homes");
+        if (auto h = jsonString(v, "home"); !h.empty()) m.homes.push_back(h);
+        m.spill = jsonStrings(v, "spill");
+        m.spillAt = jsonNumber(v, "spillAt", m.spillAt);
+        m.stream = jsonBool(v, "stream");
+        m.resumable = jsonBool(v, "Resumable");
+        m.repeatable = jsonBool(v, "repeatable");
+        m.maxTries = int(jsonInteger(v, "MaxTries", m.maxTries));
+        m.urgency = int(jsonInteger(v, "urgency", m.urgency));
+        m.deadline = jsonInteger(v, "deadlineUs", m.deadline);
+        m.aim = jsonInteger(v, "aimUs");
+        m.gap = jsonInteger(v, "gapUs");
         m.idleSaid = v.HasMember("idleUs");
-        m.idle = jsInt(v, "idleUs", m.idle);
+        m.idle = jsonInteger(v, "idleUs", m.idle);
         // Whoever waits longer than a quarter of the aim would better have been told at once.
-        m.queueUs = jsInt(v, "queueUs", m.aim ? std::min(m.queueUs, m.aim / 5) : m.queueUs);
-        m.queue = std::size_t(jsInt(v, "queue", std::int64_t(m.queue)));
-        m.affinity = std::size_t(jsInt(v, "affinity"));
+        m.queueUs = jsonInteger(v, "queueUs", m.aim ? std::min(m.queueUs, m.aim / 5) : m.queueUs);
+        m.queue = std::size_t(jsonInteger(v, "queue", std::int64_t(m.queue)));
+        m.affinity = std::size_t(jsonInteger(v, "affinity"));
         if (auto i = r.models.find(m.model); i != r.models.end())
             m.limit = i->second.limit, m.maxSequence = i->second.maxSequence;
         m.prog = {{Op::Service}, {Op::Listed}, {Op::Evacuated}};
--- a/src/sim/faults.cpp
+++ b/src/sim/faults.cpp
@@ -75,7 +75,7 @@
 // are by then; those of the others do not.
 auto World::moveCore(Machine& k) -> void {
     byAddr.erase(k.st.peer);
-    k.st.peer = fmt::format("127.0.0.1:{}", addrParse(k.st.peer)->port + 1000 + int(frng.below(1000)));
+    k.st.peer = fmt::format("127.0.0.1:{}", parseAddress(k.st.peer)->port + 1000 + int(frng.below(1000)));
     byAddr[k.st.peer] = k.i;
     k.st.seeds.clear();
     for (auto& x : ms)
@@ -95,7 +95,7 @@
         fmt::format("probe-{}", probe), base, std::move(f));
 }
 auto World::restoreZone(const std::string& z) -> void {
-    order("give-back", bodyOf({{"district", jsQuote(z)}}), z, 0, [this, z](int st) {
+    order("give-back", bodyOf({{"district", jsonQuote(z)}}), z, 0, [this, z](int st) {
         if (st == 200) openEvacuations = 0;
         else in(SECOND, [this, z] { restoreZone(z); });
     });
@@ -293,7 +293,7 @@
         if (openEvacuations) return;
         openEvacuations = 1;
         auto z = m.st.zone;
-        order("empty", bodyOf({{"district", jsQuote(z)}}), z, 0, {});
+        order("empty", bodyOf({{"district", jsonQuote(z)}}), z, 0, {});
         in(8 * SECOND + span, [this, z] { restoreZone(z); });
     } else if (f == "config" || f == "race") {
         auto two = f == "race" ? 2 : 1 + int(frng.below(3));
@@ -320,8 +320,8 @@
         openEvacuations = 1;
         auto z = m.st.zone;
         order("book",
-            bodyOf({{"at", jsQuote(wallText(t + 1800000000LL * SECOND + 4 * SECOND))},
-                {"move", bodyOf({{"op", "\"empty\""}, {"district", jsQuote(z)}})}}),
+            bodyOf({{"at", jsonQuote(formatWallTime(t + 1800000000LL * SECOND + 4 * SECOND))},
+                {"move", bodyOf({{"op", "\"empty\""}, {"district", jsonQuote(z)}})}}),
             z, 0, {});
         in(12 * SECOND, [this, z] { restoreZone(z); });
     } else if (f == "rules") {
--- a/src/sim/oracles.cpp
+++ b/src/sim/oracles.cpp
@@ -95,20 +95,21 @@
     auto& s = ss[std::size_t(e.s)];
     auto runs = int(T.execs.size()) + (T.from > 0);
     for (auto& v : c["mappings"].GetArray()) {
-        if (jsStr(v, "name") != k.name) continue;
-        if (runs > 1 && !jsBool(v, "Resumable")) return "a stream that cannot be resumed never runs twice";
-        auto h = jsStr(v, "home");
+        if (jsonString(v, "name") != k.name) continue;
+        if (runs > 1 && !jsonBool(v, "Resumable")) return "a stream that cannot be resumed never runs twice";
+        auto h = jsonString(v, "home");
         if (h == "@near") h = x.region;
         if (!h.empty() && h != s.region) return "a home region is never left";
-        auto sp = jsList(v, "spill");
+        auto sp = jsonStrings(v, "spill");
         if (h.empty() && s.region != x.region && std::find(sp.begin(), sp.end(), s.region) == sp.end())
             return "work goes to another region only where allowed";
-        if (T.sends + (T.from > 0) > jsInt(v, "MaxTries", 1)) return "a stream moves only where allowed";
-        auto m = jsStr(v, "model");
+        if (T.sends + (T.from > 0) > jsonInteger(v, "MaxTries", 1))
+            return "a stream moves only where allowed";
+        auto m = jsonString(v, "model");
         if (m.empty()) return "";
         auto& md = c["models"][m];
-        if (runs - 1 > jsInt(md, "migrationLimit")) return "a stream moves only where allowed";
-        if (runs > 1 && e.from + std::int64_t(x.body.size() / 4) > jsInt(md, "maxSequence", 4096))
+        if (runs - 1 > jsonInteger(md, "migrationLimit")) return "a stream moves only where allowed";
+        if (runs > 1 && e.from + std::int64_t(x.body.size() / 4) > jsonInteger(md, "maxSequence", 4096))
             return "a stream moves only where allowed";
         return "";
     }
@@ -250,8 +251,8 @@
     if (auto no = historyCheck(ops, ""); !no.empty()) broke("orders are linearizable", no);
     // Extra sends, over the day and over any minute of it; credit saved up is the configuration's cap.
     auto c = rapidjson::Document();
-    jsParse(config, c);
-    auto cap = c.HasMember("budget") ? double(jsInt(c["budget"], "cap", 50)) : 50;
+    parseJson(config, c);
+    auto cap = c.HasMember("budget") ? double(jsonInteger(c["budget"], "cap", 50)) : 50;
     r.firsts = r.extras = 0;
     for (auto& [at, more] : sent) (more ? r.extras : r.firsts)++;
     if (r.firsts && double(r.extras) > 0.2 * double(r.firsts) + 3)
--- a/src/sim/scale_command.cpp
+++ b/src/sim/scale_command.cpp
@@ -80,13 +80,13 @@
 
 /// The lines of an earlier run with --json.
 auto readEarlier(const std::string& file) -> tl::expected<std::vector<std::string>, ScaleError> {
-    auto text = fileRead(file);
+    auto text = readFile(file);
     if (!text) return refusal("--earlier: " + text.error());
     auto lines = std::vector<std::string>();
     auto stream = std::stringstream(*text);
     for (auto line = std::string(); std::getline(stream, line);) {
         auto point = rapidjson::Document();
-        if (!jsParse(line, point) || !point.IsObject() || !point.HasMember("counts")
+        if (!parseJson(line, point) || !point.IsObject() || !point.HasMember("counts")
             || !point.HasMember("costs"))
             return refusal("--earlier: " + file + ": not the lines of an earlier run with --json");
         lines.push_back(line);
--- a/src/sim/scale_fleet.cpp
+++ b/src/sim/scale_fleet.cpp
@@ -358,7 +358,7 @@
     for (auto tenants = MOST_TENANTS; tenants > 0; tenants -= 10) {
         auto text = configurationFor(tenants);
         auto document = rapidjson::Document();
-        jsParse(text, document);
+        parseJson(text, document);
         if (!configCheck(document).empty()) continue;
         point.counts["tenants"] = tenants;
         return text;
@@ -444,7 +444,7 @@
     auto names = std::set<std::string>();
     auto lead = leader();
     auto beliefs = rapidjson::Document();
-    if (lead && jsParse(lead->node->beliefs(now), beliefs) && beliefs.HasMember("relays"))
+    if (lead && parseJson(lead->node->beliefs(now), beliefs) && beliefs.HasMember("relays"))
         for (auto& relay : beliefs["relays"].GetObject())
             names.insert(std::string(relay.value.GetString(), relay.value.GetStringLength()));
     return names;
--- a/src/sim/scale_fleet.hpp
+++ b/src/sim/scale_fleet.hpp
@@ -89,7 +89,7 @@
     const ScaleOptions& options;
     ScaleOptions::Size size;
     ScalePoint point;
-    Rng rng, net;
+    RandomSource rng, net;
     Microseconds now = 0;
     int zones = 0, regions = 0, cores = 0;
     int partitionedRegion = -1;  // cut off from the others; -1: none
--- a/src/sim/scale_measure.cpp
+++ b/src/sim/scale_measure.cpp
@@ -436,12 +436,12 @@
 namespace duneturn {
 
 auto scalePoint(const ScaleOptions& options, ScaleOptions::Size size) -> ScalePoint {
-    logMute(true);
+    muteLog(true);
     auto fleet = std::make_unique<scale::Fleet>(options, size);
     fleet->point.membership = options.gossip ? "learnt" : "roster";
     fleet->point.seed = options.seed;
     fleet->run();
-    logMute(false);
+    muteLog(false);
     return std::move(fleet->point);
 }
 
@@ -449,10 +449,10 @@
     auto object = [](const std::map<std::string, std::int64_t>& figures) {
         auto text = std::string();
         for (auto& [name, value] : figures)
-            text += fmt::format("{}{}:{}", text.empty() ? "" : ",", jsQuote(name), value);
+            text += fmt::format("{}{}:{}", text.empty() ? "" : ",", jsonQuote(name), value);
         return "{" + text + "}";
     };
-    return bodyOf({{"membership", jsQuote(membership)}, {"seed", fmt::to_string(seed)},
+    return bodyOf({{"membership", jsonQuote(membership)}, {"seed", fmt::to_string(seed)},
         {"counts", object(counts)}, {"costs", object(costs)}});
 }
 
--- a/src/sim/scale_plot.cpp
+++ b/src/sim/scale_plot.cpp
@@ -49,10 +49,10 @@
     rapidjson::Document figures;
     bool earlier = false;
 
-    auto nodes() const -> double { return jsNum(figures["counts"], "nodes"); }
+    auto nodes() const -> double { return jsonNumber(figures["counts"], "nodes"); }
     /// Negative where the run has no such figure.
     auto value(const Curve& curve) const -> double {
-        return jsNum(figures[curve.part.c_str()], curve.key.c_str(), -1) / curve.unit;
+        return jsonNumber(figures[curve.part.c_str()], curve.key.c_str(), -1) / curve.unit;
     }
 };
 
@@ -83,7 +83,7 @@
         for (auto& line : *lines) {
             points.emplace_back();
             points.back().earlier = lines == &earlier;
-            jsParse(line, points.back().figures);
+            parseJson(line, points.back().figures);
         }
     return points;
 }
@@ -221,7 +221,7 @@
 /// The membership that a run's points were measured with; empty of none.
 auto membershipOf(const std::vector<std::string>& lines) -> std::string {
     auto figures = rapidjson::Document();
-    return !lines.empty() && jsParse(lines[0], figures) ? jsStr(figures, "membership") : std::string();
+    return !lines.empty() && parseJson(lines[0], figures) ? jsonString(figures, "membership") : std::string();
 }
 
 }  // namespace
--- a/src/sim/simulate.cpp
+++ b/src/sim/simulate.cpp
@@ -343,7 +343,7 @@
                     if (!m.edge->upHead(c->x, c->a, 200, hd, m.now())) return;
                     if (md == "cut") return m.edge->upLost(c->x, c->a, "the reply was cut", m.now());
                     m.edge->upWhole(c->x, c->a, 200, hd,
-                        bodyOf({{"reply", jsQuote(fakeWhole(body + path, w))}}), m.now());
+                        bodyOf({{"reply", jsonQuote(fakeWhole(body + path, w))}}), m.now());
                 });
             });
             return;
@@ -406,13 +406,13 @@
                             m.edge->upEvent(c->x, c->a, e, m.now());
                         } else if (m.edge->upHead(c->x, c->a, 200, hd, m.now()))
                             m.edge->upWhole(c->x, c->a, 200, hd,
-                                bodyOf({{"reply", jsQuote(fakeWhole(body, w))}}), m.now());
+                                bodyOf({{"reply", jsonQuote(fakeWhole(body, w))}}), m.now());
                     });
                     return leave();
                 }
                 if (stream) {
                     auto n = md == "skip" && late ? i + 1 : i;
-                    auto d = bodyOf({{"text", jsQuote(fakePiece(body, w, n))}});
+                    auto d = bodyOf({{"text", jsonQuote(fakePiece(body, w, n))}});
                     auto e = Event{fmt::to_string(n), "", d, fmt::format("id: {}\ndata: {}\n\n", n, d)};
                     later([c, e](Machine& m) { m.edge->upEvent(c->x, c->a, e, m.now()); });
                 }
@@ -468,7 +468,7 @@
         while (std::int64_t(p.size()) < d.shared * 4) p += "lorem dune turns ";
         p += fmt::format("own {} ", no);
         p += std::string(std::size_t(std::max<std::int64_t>(0, d.prompt * 4 - std::int64_t(p.size()))), 's');
-        a.body = bodyOf({{"prompt", jsQuote(p)}, {"tokens", fmt::to_string(d.tokens)},
+        a.body = bodyOf({{"prompt", jsonQuote(p)}, {"tokens", fmt::to_string(d.tokens)},
             {"stream", d.stream ? "true" : "false"}});
     }
     asks.push_back(std::move(a));
@@ -505,10 +505,10 @@
         auto& y = *ms[std::size_t(any)];
         auto& x = asks[std::size_t(a)];
         auto d = rapidjson::Document();
-        jsParse(y.node->where(x.region, "", y.now()), d);
+        parseJson(y.node->where(x.region, "", y.now()), d);
         auto v = std::vector<std::string>();
         for (auto& n : d["nodes"].GetArray())
-            if (v.empty() || jsStr(n, "region") == x.region) v.push_back(jsStr(n, "address"));
+            if (v.empty() || jsonString(n, "region") == x.region) v.push_back(jsonString(n, "address"));
         if (v.empty()) return again(a, true);
         // One of them, and the next where nobody is.
         auto to1 = -1;
@@ -637,8 +637,8 @@
     // All events of one stream are of one weights version, over all its runs and nodes.
     if (T.said.empty())
         for (auto v : {"w1", "w2"})
-            if (data == bodyOf({{"text", jsQuote(fakePiece(x.body, v, id))}})) T.said = v;
-    if (T.said.empty() || data != bodyOf({{"text", jsQuote(fakePiece(x.body, T.said, id))}}))
+            if (data == bodyOf({{"text", jsonQuote(fakePiece(x.body, v, id))}})) T.said = v;
+    if (T.said.empty() || data != bodyOf({{"text", jsonQuote(fakePiece(x.body, T.said, id))}}))
         broke("a reply is the server's", fmt::format("event {} of try {}, weights {}", id, tr, T.said));
     else if (!T.weights.empty() && T.weights != T.said)
         broke("a reply is the server's", fmt::format("try {} was told weights {}", tr, T.weights));
@@ -660,7 +660,7 @@
     auto not1 = std::any_of(h.begin(), h.end(), [](auto& f) { return f.first == "X-Not-Executed"; });
     if (status == 200) {
         auto d = rapidjson::Document();
-        auto s = jsParse(body, d) ? jsStr(d, "reply") : std::string();
+        auto s = parseJson(body, d) ? jsonString(d, "reply") : std::string();
         auto b = k.plain ? x.body + x.path : x.body;
         if (s != fakeWhole(b, "w1") && s != fakeWhole(b, "w2"))
             broke("a reply is the server's", fmt::format("try {} of {}", tr, k.name));
@@ -670,7 +670,7 @@
     if (not1) {
         T.over = T.notRun = true;
         auto d = rapidjson::Document();
-        auto why = jsParse(body, d) && d.IsObject() ? jsStr(d, "error") : std::string();
+        auto why = parseJson(body, d) && d.IsObject() ? jsonString(d, "error") : std::string();
         r.rejections[(T.from ? "resumed: " : "") + why.substr(0, 70)]++;
         if (!T.execs.empty()) broke("what was denied has not run", fmt::format("try {} of {}", tr, k.name));
         if (status >= 500) return again(T.ask, true);
@@ -689,8 +689,9 @@
     auto o = std::string();
     for (auto& s : ss)
         o += (o.empty() ? "" : ",")
-            + bodyOf({{"name", jsQuote(s.name)}, {"address", jsQuote(s.addr)}, {"region", jsQuote(s.region)},
-                {"district", jsQuote(s.zone)}, {"pool", jsQuote(s.service)}, {"weights", jsQuote(s.weights)},
+            + bodyOf({{"name", jsonQuote(s.name)}, {"address", jsonQuote(s.addr)},
+                {"region", jsonQuote(s.region)}, {"district", jsonQuote(s.zone)},
+                {"pool", jsonQuote(s.service)}, {"weights", jsonQuote(s.weights)},
                 {"slots", fmt::to_string(s.slots)}, {"state", s.leaving ? "\"leaving\"" : "\"up\""},
                 {"incarnation", fmt::to_string(s.life)}});
     return fmt::format("{{\"revision\":{},\"servers\":[{}]}}", ++rev, o);
@@ -751,7 +752,7 @@
     ords.push_back({t, 0, 0, 0, base, o, what, {}});
     if (o == "config") {
         auto d = rapidjson::Document();
-        if (jsParse(body, d) && d.HasMember("config")) {
+        if (parseJson(body, d) && d.HasMember("config")) {
             ords.back().cfg = std::make_shared<rapidjson::Document>();
             ords.back().cfg->CopyFrom(d["config"], ords.back().cfg->GetAllocator());
         }
@@ -768,9 +769,9 @@
             d.over = t;
             d.status = u.status;
             auto j = rapidjson::Document();
-            if (jsParse(u.body, j) && j.IsObject())
-                d.version = d.op == "config" && u.status == 200 ? jsInt(j, "configGeneration")
-                                                                : jsInt(j, "generation");
+            if (parseJson(u.body, j) && j.IsObject())
+                d.version = d.op == "config" && u.status == 200 ? jsonInteger(j, "configGeneration")
+                                                                : jsonInteger(j, "generation");
             say(fmt::format("order {}: status {} {}", n, u.status, u.body));
             if (u.status == 200) r.acked++, r.ackTook.push_back(t - d.born);
             if (u.status == 200 && o == "empty") emptyTaken(d);
@@ -810,7 +811,7 @@
                 w.load(o.body);
                 auto p = std::string();
                 for (auto& v : w.config()["mappings"].GetArray())
-                    if (jsStr(v, "name") == "probe") p = jsStr(v, "pool");
+                    if (jsonString(v, "name") == "probe") p = jsonString(v, "pool");
                 // What it reads is judged with all orders at the day's end; see finish().
                 auto h = HistOp();
                 h.read = true;
@@ -845,7 +846,7 @@
 // obeyed; with a twist, less is allowed than the example does.
 auto World::probeConfig(int k, const std::string& twist) -> std::string {
     auto d = rapidjson::Document();
-    jsParse(config, d);
+    parseJson(config, d);
     auto& al = d.GetAllocator();
     for (auto& m : d["mappings"].GetArray()) {
         if (twist == "no-resume") m.RemoveMember("Resumable");
@@ -868,7 +869,7 @@
     for (auto& g : regions) sp.PushBack(rapidjson::Value(g, al), al);
     m.AddMember("spill", sp, al);
     d["mappings"].PushBack(m, al);
-    return js(d);
+    return jsonText(d);
 }
 
 auto World::load() -> std::string {
@@ -881,7 +882,7 @@
     std::sort(fs.begin(), fs.end());
     if (fs.size() < 3) return op.example + "/nodes: wants at least three settings files";
     for (auto& f : fs) {
-        auto s = settingsRead(f, {});
+        auto s = readSettings(f, {});
         if (!s) return f + ": " + s.error().faults[0].path + ": " + s.error().faults[0].why;
         auto m = std::make_unique<Machine>(*this, int(ms.size()));
         m->st = *s;
@@ -892,26 +893,26 @@
         ms.push_back(std::move(m));
     }
     cut.assign(ms.size(), std::vector<int>(ms.size(), 0));
-    auto t1 = fileRead(op.example + "/servers.json"), t2 = fileRead(op.example + "/config.json"),
-         t3 = fileRead(op.example + "/day.json");
+    auto t1 = readFile(op.example + "/servers.json"), t2 = readFile(op.example + "/config.json"),
+         t3 = readFile(op.example + "/day.json");
     auto d1 = rapidjson::Document(), d2 = rapidjson::Document(), d3 = rapidjson::Document();
-    if (!t1 || !jsParse(*t1, d1) || !d1.IsObject() || !d1.HasMember("servers"))
+    if (!t1 || !parseJson(*t1, d1) || !d1.IsObject() || !d1.HasMember("servers"))
         return op.example + "/servers.json: no listing";
-    if (!t2 || !jsParse(*t2, d2) || !configCheck(d2).empty())
+    if (!t2 || !parseJson(*t2, d2) || !configCheck(d2).empty())
         return op.example + "/config.json: no sound configuration";
-    if (!t3 || !jsParse(*t3, d3) || !d3.IsObject() || !d3.HasMember("kinds"))
+    if (!t3 || !parseJson(*t3, d3) || !d3.IsObject() || !d3.HasMember("kinds"))
         return op.example + "/day.json: no day";
     config = *t2;
-    regions = jsList(d3, "regions");
+    regions = jsonStrings(d3, "regions");
     for (auto& v : d1["servers"].GetArray()) {
         auto s = SimServer();
-        s.name = jsStr(v, "name");
-        s.addr = jsStr(v, "address");
-        s.region = jsStr(v, "region");
-        s.zone = jsStr(v, "district");
-        s.service = jsStr(v, "pool");
-        s.weights = jsStr(v, "weights");
-        s.slots = int(jsInt(v, "slots", 8));
+        s.name = jsonString(v, "name");
+        s.addr = jsonString(v, "address");
+        s.region = jsonString(v, "region");
+        s.zone = jsonString(v, "district");
+        s.service = jsonString(v, "pool");
+        s.weights = jsonString(v, "weights");
+        s.slots = int(jsonInteger(v, "slots", 8));
         ss.push_back(s);
     }
     for (auto i = 0; i < probes; i++) {
@@ -1036,13 +1037,13 @@
         return tl::make_unexpected(SimError{"scale and faults per minute want to be positive"});
     auto w = std::make_unique<World>();
     w->op = o;
-    w->rng = Rng{hash64("world", o.seed)};
-    w->net = Rng{hash64("net", o.seed)};
-    w->frng = Rng{hash64("faults", o.seed)};
+    w->rng = RandomSource{hash64("world", o.seed)};
+    w->net = RandomSource{hash64("net", o.seed)};
+    w->frng = RandomSource{hash64("faults", o.seed)};
     if (auto e = w->load(); !e.empty()) return tl::make_unexpected(SimError{e});
-    logMute(true);
+    muteLog(true);
     w->run();
-    logMute(false);
+    muteLog(false);
     return std::move(w->r);
 }
 
@@ -1057,9 +1058,10 @@
             return 2;
         }
         auto ks = std::string(), ds = std::string();
-        for (auto& [n, k] : r->rejections) ds += fmt::format("{}{}:{}", ds.empty() ? "" : ",", jsQuote(n), k);
+        for (auto& [n, k] : r->rejections)
+            ds += fmt::format("{}{}:{}", ds.empty() ? "" : ",", jsonQuote(n), k);
         for (auto& [n, k] : r->kinds)
-            ks += (ks.empty() ? "" : ",") + jsQuote(n) + ":"
+            ks += (ks.empty() ? "" : ",") + jsonQuote(n) + ":"
                 + bodyOf({{"sent", fmt::to_string(k.sent)}, {"whole", fmt::to_string(k.whole)},
                     {"moved", fmt::to_string(k.moved)}, {"denied", fmt::to_string(k.rejected)},
                     {"failed", fmt::to_string(k.failed)}, {"cut", fmt::to_string(k.cut)},
@@ -1069,7 +1071,7 @@
                     {"first50Us", fmt::to_string(quantile(k.first, .5))},
                     {"first99Us", fmt::to_string(quantile(k.first, .99))}});
         auto line = bodyOf({{"seed", fmt::to_string(o.seed)}, {"broken", fmt::to_string(r->broken.size())},
-            {"digest", jsQuote(fmt::format("{:016x}", r->digest))}, {"faults", fmt::to_string(r->faults)},
+            {"digest", jsonQuote(fmt::format("{:016x}", r->digest))}, {"faults", fmt::to_string(r->faults)},
             {"firstSends", fmt::to_string(r->firsts)}, {"extraSends", fmt::to_string(r->extras)},
             {"prompts", fmt::to_string(r->prompts)}, {"cacheHits", fmt::to_string(r->cacheHits)},
             {"tokensRead", fmt::to_string(r->tokensRead)},
--- a/src/sim/world.hpp
+++ b/src/sim/world.hpp
@@ -133,7 +133,7 @@
 struct World {
     SimOptions op;
     SimResult r;
-    Rng rng{1}, net{1}, frng{1};
+    RandomSource rng{1}, net{1}, frng{1};
     Microseconds t = 0;
     struct Ev {
         Microseconds at;
--- a/src/standins/fake_client.cpp
+++ b/src/standins/fake_client.cpp
@@ -64,7 +64,7 @@
     asio::io_context io{1};
     std::vector<Kind> kinds;
     std::vector<std::string> weights, regions;
-    Rng rng{1};
+    RandomSource rng{1};
     std::int64_t serial = 0, live = 0;
     std::vector<std::string> rulesBroken;
     std::map<std::string, KnownNodes> known;  // by region
@@ -100,15 +100,15 @@
     auto [writeError, written] = co_await http::async_write(stream, request, quiet);
     if (writeError) co_return addresses;
     auto buffer = beast::flat_buffer();
-    auto reply = Res();
+    auto reply = HttpResponse();
     auto [readError, read] = co_await http::async_read(stream, buffer, reply, quiet);
     auto answer = rapidjson::Document();
-    if (readError || reply.result_int() != 200 || !jsParse(reply.body(), answer)
+    if (readError || reply.result_int() != 200 || !parseJson(reply.body(), answer)
         || !answer.HasMember("nodes"))
         co_return addresses;
     for (auto& named : answer["nodes"].GetArray())
-        if (addresses.empty() || jsStr(named, "region") == region)
-            addresses.push_back(jsStr(named, "address"));
+        if (addresses.empty() || jsonString(named, "region") == region)
+            addresses.push_back(jsonString(named, "address"));
     co_return addresses;
 }
 
@@ -151,9 +151,9 @@
     auto prompt() -> std::string;
     auto attempt(int number) -> awaitable<Step>;
     auto connect(beast::tcp_stream& stream) -> awaitable<bool>;
-    auto request() -> Req;
+    auto request() -> HttpRequest;
     auto readReply(beast::tcp_stream& stream, Reply& reply) -> awaitable<bool>;
-    auto takeEvents(EventSplit& events, Reply& reply) -> void;
+    auto takeEvents(EventStreamSplitter& events, Reply& reply) -> void;
     auto takeEvent(const Event& event, Reply& reply) -> void;
     auto judgeData(const Event& event, std::int64_t number, Reply& reply) -> void;
     auto wrong(Reply& reply, const std::string& why) -> void;
@@ -191,7 +191,7 @@
     serial_ = ++client_.serial;
     path_ = kind_.path;
     if (!kind_.plain)
-        body_ = bodyOf({{"prompt", jsQuote(prompt())}, {"tokens", fmt::to_string(kind_.tokens)},
+        body_ = bodyOf({{"prompt", jsonQuote(prompt())}, {"tokens", fmt::to_string(kind_.tokens)},
             {"stream", kind_.stream ? "true" : "false"}});
     else if (kind_.method == "GET") path_ += fmt::to_string(rng.below(PLAIN_VARIANTS));
     else
@@ -227,8 +227,8 @@
     co_return false;
 }
 
-auto Request::request() -> Req {
-    auto request = Req(http::string_to_verb(kind_.method), path_, 11);
+auto Request::request() -> HttpRequest {
+    auto request = HttpRequest(http::string_to_verb(kind_.method), path_, 11);
     request.set(http::field::host, node_);
     request.set("X-Region", region_);
     if (lastEvent_ > 0) {
@@ -299,7 +299,7 @@
     reply.notExecuted = parser.get().count("X-Not-Executed") > 0;
     reply.streamed = std::string(parser.get()[http::field::content_type]).starts_with("text/event-stream");
     if (reply.streamed) weightsTold_ = std::string(parser.get()["X-Weights"]);
-    auto events = EventSplit();
+    auto events = EventStreamSplitter();
     auto error = beast::error_code();
     char bytes[READ_BYTES];
     while (!parser.is_done() && !error) {
@@ -322,7 +322,7 @@
     client_.broke(kind_, why);
 }
 
-auto Request::takeEvents(EventSplit& events, Reply& reply) -> void {
+auto Request::takeEvents(EventStreamSplitter& events, Reply& reply) -> void {
     auto event = Event();
     while (events.next(event)) takeEvent(event, reply);
 }
@@ -349,7 +349,7 @@
 // All events of one request must be of the same weights.
 auto Request::judgeData(const Event& event, std::int64_t number, Reply& reply) -> void {
     auto data = rapidjson::Document();
-    auto text = jsParse(event.data, data) ? jsStr(data, "text") : std::string();
+    auto text = parseJson(event.data, data) ? jsonString(data, "text") : std::string();
     if (weightsSeen_.empty())
         for (auto& candidate : client_.weights)
             if (text == fakePiece(body_, candidate, number)) weightsSeen_ = candidate;
@@ -385,7 +385,7 @@
         return Step::Ended;
     }
     auto answer = rapidjson::Document();
-    auto text = jsParse(reply.text, answer) ? jsStr(answer, "reply") : std::string();
+    auto text = parseJson(reply.text, answer) ? jsonString(answer, "reply") : std::string();
     auto asked = kind_.plain ? body_ + path_ : body_;
     auto sound = std::any_of(client_.weights.begin(), client_.weights.end(),
         [&](auto& weights) { return text == fakeWhole(asked, weights); });
@@ -430,21 +430,21 @@
 auto FakeClient::report() -> std::string {
     auto byKind = std::string(), faults = std::string();
     for (auto& kind : kinds)
-        byKind += (byKind.empty() ? "" : ",") + jsQuote(kind.name) + ":" + tallyText(kind.tally);
-    for (auto& fault : rulesBroken) faults += (faults.empty() ? "" : ",") + jsQuote(fault);
+        byKind += (byKind.empty() ? "" : ",") + jsonQuote(kind.name) + ":" + tallyText(kind.tally);
+    for (auto& fault : rulesBroken) faults += (faults.empty() ? "" : ",") + jsonQuote(fault);
     return bodyOf({{"kinds", "{" + byKind + "}"}, {"rulesBroken", "[" + faults + "]"}});
 }
 
 /// Reads the day into the sender; the fault, or empty.
 auto readDay(FakeClient& client) -> std::string {
-    auto text = fileRead(client.options.day);
+    auto text = readFile(client.options.day);
     if (!text) return "--day: " + text.error();
     auto day = rapidjson::Document();
-    if (!jsParse(*text, day) || !day.IsObject() || !day.HasMember("kinds") || !day["kinds"].IsArray())
+    if (!parseJson(*text, day) || !day.IsObject() || !day.HasMember("kinds") || !day["kinds"].IsArray())
         return "--day: wants {\"kinds\":[…]}";
     if (client.options.nodes.empty()) return "--nodes: missing";
-    client.weights = jsList(day, "weights");
-    client.regions = jsList(day, "regions");
+    client.weights = jsonStrings(day, "weights");
+    client.regions = jsonStrings(day, "regions");
     for (auto& described : day["kinds"].GetArray()) {
         auto kind = Kind();
         static_cast<DayKind&>(kind) = dayKind(described);
@@ -461,9 +461,9 @@
 
 auto writeReport(const FakeClientOptions& options, const std::string& text) -> void {
     auto report = rapidjson::Document();
-    jsParse(text, report);
-    if (options.report.empty()) fmt::print("{}\n", jsPretty(report));
-    else std::ofstream(options.report) << jsPretty(report) << "\n";
+    parseJson(text, report);
+    if (options.report.empty()) fmt::print("{}\n", jsonPrettyText(report));
+    else std::ofstream(options.report) << jsonPrettyText(report) << "\n";
 }
 
 }  // namespace
@@ -472,7 +472,7 @@
     signal(SIGPIPE, SIG_IGN);
     auto client = std::make_unique<FakeClient>();
     client->options = options;
-    client->rng = Rng{options.seed};
+    client->rng = RandomSource{options.seed};
     if (auto fault = readDay(*client); !fault.empty()) {
         fmt::print(stderr, "duneturn fake-sender: {}\n", fault);
         return 2;
--- a/src/standins/fake_platform.cpp
+++ b/src/standins/fake_platform.cpp
@@ -47,7 +47,7 @@
 
 auto FakePlatform::findServer(const std::string& name) -> rapidjson::Value* {
     for (auto& server : listing["servers"].GetArray())
-        if (jsStr(server, "name") == name) return &server;
+        if (jsonString(server, "name") == name) return &server;
     return nullptr;
 }
 
@@ -63,7 +63,7 @@
     else if (order == "stay") setMember(*server, "state", rapidjson::Value("up"));
     else if (order == "return") {
         setMember(*server, "state", rapidjson::Value("up"));
-        setMember(*server, "incarnation", rapidjson::Value(jsInt(*server, "incarnation") + 1));
+        setMember(*server, "incarnation", rapidjson::Value(jsonInteger(*server, "incarnation") + 1));
     } else return false;
     return true;
 }
@@ -74,24 +74,24 @@
     auto target = endpoint(node);
     auto [connectError] = co_await stream.async_connect(target, quiet);
     if (connectError) co_return false;
-    auto request = Req(http::verb::put, "/v1/platform/servers", 11);
+    auto request = HttpRequest(http::verb::put, "/v1/platform/servers", 11);
     request.set(http::field::host, node);
     request.set(http::field::content_type, "application/json");
     request.keep_alive(false);
     revision = std::max(revision + 1, wallNow());
     listing["revision"].SetInt64(revision);
-    request.body() = js(listing);
+    request.body() = jsonText(listing);
     request.prepare_payload();
     auto [writeError, written] = co_await http::async_write(stream, request, quiet);
     if (writeError) co_return false;
     auto buffer = beast::flat_buffer();
-    auto reply = Res();
+    auto reply = HttpResponse();
     auto [readError, read] = co_await http::async_read(stream, buffer, reply, quiet);
     if (readError) co_return false;
     // Another platform's listing, or a clock that was set back: go on from what is known.
     auto answer = rapidjson::Document();
-    if (reply.result_int() == 409 && jsParse(reply.body(), answer) && answer.IsObject())
-        revision = std::max(revision, jsInt(answer, "revision"));
+    if (reply.result_int() == 409 && parseJson(reply.body(), answer) && answer.IsObject())
+        revision = std::max(revision, jsonInteger(answer, "revision"));
     co_return reply.result_int() == 200;
 }
 
@@ -120,7 +120,7 @@
 auto FakePlatform::session(tcp::socket socket) -> awaitable<void> {
     auto stream = beast::tcp_stream(std::move(socket));
     auto buffer = beast::flat_buffer();
-    auto request = Req();
+    auto request = HttpRequest();
     stream.expires_after(std::chrono::microseconds(SESSION_LIMIT));
     auto [readError, read] = co_await http::async_read(stream, buffer, request, quiet);
     if (readError) co_return;
@@ -128,7 +128,7 @@
     auto slash = path.find('/', 1);
     auto order = path.substr(1, slash == std::string::npos ? std::string::npos : slash - 1);
     auto name = slash == std::string::npos ? std::string() : path.substr(slash + 1);
-    auto reply = Res(http::status::ok, 11);
+    auto reply = HttpResponse(http::status::ok, 11);
     auto held = true;
     if (order != "status") {
         auto known = obey(order, name);
@@ -153,9 +153,9 @@
 /// Reads the listing; the fault, or empty.
 auto readListing(FakePlatform& platform) -> std::string {
     auto& listing = platform.listing;
-    auto text = fileRead(platform.options.servers);
+    auto text = readFile(platform.options.servers);
     if (!text) return "--servers: " + text.error();
-    if (!jsParse(*text, listing) || !listing.IsObject() || !listing.HasMember("servers")
+    if (!parseJson(*text, listing) || !listing.IsObject() || !listing.HasMember("servers")
         || !listing["servers"].IsArray())
         return "--servers: wants {\"servers\":[…]}";
     if (!listing.HasMember("revision")) listing.AddMember("revision", 0, listing.GetAllocator());
--- a/src/standins/fake_server.cpp
+++ b/src/standins/fake_server.cpp
@@ -32,18 +32,18 @@
 
 auto dayKind(const rapidjson::Value& v) -> DayKind {
     auto k = DayKind();
-    k.name = jsStr(v, "name");
-    k.method = jsStr(v, "method", "POST");
-    k.path = jsStr(v, "path");
-    k.region = jsStr(v, "region");
-    k.rate = jsNum(v, "perSecond", 1);
-    k.prompt = jsInt(v, "promptTokens");
-    k.shared = jsInt(v, "sharedTokens");
-    k.prefixes = jsInt(v, "prefixes", 1);
-    k.tokens = jsInt(v, "tokens");
-    k.stream = jsBool(v, "stream");
-    k.plain = jsBool(v, "plain");
-    k.patience = jsInt(v, "patienceUs", 60 * SECOND);
+    k.name = jsonString(v, "name");
+    k.method = jsonString(v, "method", "POST");
+    k.path = jsonString(v, "path");
+    k.region = jsonString(v, "region");
+    k.rate = jsonNumber(v, "perSecond", 1);
+    k.prompt = jsonInteger(v, "promptTokens");
+    k.shared = jsonInteger(v, "sharedTokens");
+    k.prefixes = jsonInteger(v, "prefixes", 1);
+    k.tokens = jsonInteger(v, "tokens");
+    k.stream = jsonBool(v, "stream");
+    k.plain = jsonBool(v, "plain");
+    k.patience = jsonInteger(v, "patienceUs", 60 * SECOND);
     return k;
 }
 auto quantile(std::vector<Microseconds> v, double q) -> Microseconds {
@@ -96,17 +96,17 @@
         if (log.is_open()) log << s << std::endl;
     }
     auto session(tcp::socket sk) -> awaitable<void>;
-    auto serve(beast::tcp_stream& s, const Req& q) -> awaitable<void>;
+    auto serve(beast::tcp_stream& s, const HttpRequest& q) -> awaitable<void>;
     auto run() -> int;
 };
 
-auto FakeServer::serve(beast::tcp_stream& s, const Req& q) -> awaitable<void> {
+auto FakeServer::serve(beast::tcp_stream& s, const HttpRequest& q) -> awaitable<void> {
     auto ec = beast::error_code();
     std::size_t n = 0;
     auto path = std::string(q.target());
     auto none = Headers();
     auto send = [&](int st, std::string body, const Headers& h) -> awaitable<void> {
-        auto r = Res(http::status(st), 11);
+        auto r = HttpResponse(http::status(st), 11);
         r.set(http::field::content_type, "application/json");
         for (auto& [k, v] : h) r.set(k, v);
         r.keep_alive(false);
@@ -119,18 +119,18 @@
         auto load = bodyOf({{"prefill", fmt::to_string(prefill)}, {"decode", fmt::to_string(decode)},
             {"slots", fmt::to_string(op.slots)}, {"boot", fmt::to_string(born)},
             {"upUs", fmt::to_string(bootNow() - born)}, {"cold", cold() ? "true" : "false"},
-            {"weights", jsQuote(op.weights)}});
+            {"weights", jsonQuote(op.weights)}});
         co_await send(200, load, none);
         co_return;
     }
     if (path == "/fault") {
         auto d = rapidjson::Document();
-        if (jsParse(q.body(), d)) {
-            mode = jsStr(d, "mode");
-            faults = jsInt(d, "count", INT64_MAX);
-            after = jsInt(d, "after", 3);
+        if (parseJson(q.body(), d)) {
+            mode = jsonString(d, "mode");
+            faults = jsonInteger(d, "count", INT64_MAX);
+            after = jsonInteger(d, "after", 3);
         }
-        auto is = bodyOf({{"mode", jsQuote(mode)}, {"ran", fmt::to_string(ran)}});
+        auto is = bodyOf({{"mode", jsonQuote(mode)}, {"ran", fmt::to_string(ran)}});
         co_await send(200, is, none);
         co_return;
     }
@@ -145,7 +145,7 @@
     }
     auto ex = std::string(q["X-Exchange-Id"]);
     auto d = rapidjson::Document();
-    auto model = jsParse(q.body(), d) && d.IsObject() && d.HasMember("prompt");
+    auto model = parseJson(q.body(), d) && d.IsObject() && d.HasMember("prompt");
     if (md == "deny" || (model && prefill + decode >= op.slots)) {
         rejected++;
         line(fmt::format("{} deny {}", bootNow(), ex));
@@ -169,11 +169,11 @@
             co_await asio::async_write(s, asio::buffer(raw), quiet);
             co_return;
         }
-        auto said = bodyOf({{"reply", jsQuote(fakeWhole(q.body() + path, op.weights))}});
+        auto said = bodyOf({{"reply", jsonQuote(fakeWhole(q.body() + path, op.weights))}});
         co_await send(200, said, hd);
         co_return;
     }
-    auto tokens = jsInt(d, "tokens", 16);
+    auto tokens = jsonInteger(d, "tokens", 16);
     auto slow = md == "slow" ? 20 : 1;
     prefill++;
     co_await nap(
@@ -184,10 +184,10 @@
         int& n;
         ~Less() { n--; }
     } less{decode};
-    if (!jsBool(d, "stream")) {
+    if (!jsonBool(d, "stream")) {
         for (auto i = std::int64_t(0); i < tokens; i++) co_await nap(op.tokenUs * slow);
         if (md == "cut") co_return;
-        auto said = bodyOf({{"reply", jsQuote(fakeWhole(q.body(), op.weights))}});
+        auto said = bodyOf({{"reply", jsonQuote(fakeWhole(q.body(), op.weights))}});
         co_await send(200, said, hd);
         co_return;
     }
@@ -204,7 +204,7 @@
         if (md == "stall" && i > from + after) co_await nap(3600 * SECOND);
         auto k = md == "skip" && i > from + after ? i + 1 : i;
         auto e = fmt::format(
-            "id: {}\ndata: {}\n\n", k, bodyOf({{"text", jsQuote(fakePiece(q.body(), op.weights, k))}}));
+            "id: {}\ndata: {}\n\n", k, bodyOf({{"text", jsonQuote(fakePiece(q.body(), op.weights, k))}}));
         std::tie(ec, n) = co_await asio::async_write(s, http::make_chunk(asio::buffer(e)), quiet);
     }
     if (ec) co_return;
--- a/src/state/accepted_changes.cpp
+++ b/src/state/accepted_changes.cpp
@@ -93,11 +93,11 @@
 }
 
 auto AcceptedChanges::forgottenGeneration(const rapidjson::Value& member) -> std::int64_t {
-    return jsInt(member, "forgottenGeneration");
+    return jsonInteger(member, "forgottenGeneration");
 }
 
 auto AcceptedChanges::forgottenVersion(const rapidjson::Value& member) -> std::int64_t {
-    return jsInt(member, "forgottenVersion");
+    return jsonInteger(member, "forgottenVersion");
 }
 
 }  // namespace duneturn
--- a/src/state/config_change.cpp
+++ b/src/state/config_change.cpp
@@ -93,7 +93,7 @@
     }
     auto origin(const rapidjson::Value* older, const rapidjson::Value* newer) -> void {
         if (!newer || (older && *older == *newer)) return;
-        auto number = jsInt(*newer, "number");
+        auto number = jsonInteger(*newer, "number");
         auto oldText = older ? member(*older, "text") : nullptr;
         auto newText = member(*newer, "text");
         auto parts = textChange(oldText ? textOf(*oldText) : "", newText ? textOf(*newText) : "");
@@ -264,7 +264,7 @@
     auto applied = applyConfigChange(result, difference.change);
     if (!applied) return tl::make_unexpected(applied.error());
     if (result != newer) return fault("the change does not say all of the difference");
-    return js(difference.change);
+    return jsonText(difference.change);
 }
 
 }  // namespace duneturn
--- a/src/state/evacuations.cpp
+++ b/src/state/evacuations.cpp
@@ -15,7 +15,7 @@
     auto& revisions = state["zoneRevisions"];
     auto older = [](const auto& a, const auto& b) { return a.value.GetInt64() < b.value.GetInt64(); };
     auto oldest = std::min_element(revisions.MemberBegin(), revisions.MemberEnd(), older);
-    auto floor = std::max(jsInt(state, "zoneRevisionFloor"), oldest->value.GetInt64());
+    auto floor = std::max(jsonInteger(state, "zoneRevisionFloor"), oldest->value.GetInt64());
     state["zoneRevisionFloor"].SetInt64(floor);
     revisions.EraseMember(oldest);
 }
@@ -27,7 +27,7 @@
     if (!state.HasMember("zoneRevisions")) {
         state.AddMember("zoneRevisions", rapidjson::Value(rapidjson::kObjectType), allocator);
         state.RemoveMember("zoneRevisionFloor");
-        state.AddMember("zoneRevisionFloor", jsInt(state, "generation"), allocator);
+        state.AddMember("zoneRevisionFloor", jsonInteger(state, "generation"), allocator);
     }
     if (!state["zoneRevisions"].IsObject() || !state.HasMember("zoneRevisionFloor")) return false;
     for (auto& zone : state["zoneRevisions"].GetObject())
@@ -38,7 +38,8 @@
 auto Evacuations::zone(const rapidjson::Document& state, const std::string& name) -> ZoneState {
     auto result = ZoneState();
     result.evacuated = state["empties"].HasMember(name);
-    result.revision = jsInt(state["zoneRevisions"], name.c_str(), jsInt(state, "zoneRevisionFloor"));
+    result.revision =
+        jsonInteger(state["zoneRevisions"], name.c_str(), jsonInteger(state, "zoneRevisionFloor"));
     return result;
 }
 
--- a/src/state/order_outcomes.cpp
+++ b/src/state/order_outcomes.cpp
@@ -17,14 +17,14 @@
 constexpr auto NO_BASE = std::int64_t(-1);
 
 auto read(const rapidjson::Value& record) -> Outcome {
-    return {int(jsInt(record, "status")), js(record["body"])};
+    return {int(jsonInteger(record, "status")), jsonText(record["body"])};
 }
 
 auto findIn(const rapidjson::Document& state, const char* list, const std::string& key)
     -> const rapidjson::Value* {
     if (key.empty()) return nullptr;
     for (auto& record : state[list].GetArray())
-        if (jsStr(record, "key") == key) return &record;
+        if (jsonString(record, "key") == key) return &record;
     return nullptr;
 }
 
@@ -32,7 +32,7 @@
     const Outcome& outcome, unsigned most) -> void {
     auto& allocator = state.GetAllocator();
     auto body = rapidjson::Document(&allocator);
-    jsParse(outcome.body, body);
+    parseJson(outcome.body, body);
     auto record = rapidjson::Value(rapidjson::kObjectType);
     record.AddMember("key", rapidjson::Value(key, allocator), allocator);
     record.AddMember("status", outcome.status, allocator);
@@ -45,7 +45,7 @@
 
 auto documentVersion(const rapidjson::Document& state) -> std::int64_t {
     auto& config = state["config"];
-    return config.HasMember("origin") ? jsInt(config["origin"], "number") : 0;
+    return config.HasMember("origin") ? jsonInteger(config["origin"], "number") : 0;
 }
 
 // The earlier format's key of a change ended in "-" and the generation that one attempt was based on.
@@ -58,16 +58,16 @@
 auto changesByGeneration(const rapidjson::Value& records) -> std::map<std::int64_t, std::string> {
     auto changes = std::map<std::int64_t, std::string>();
     for (auto& record : records.GetArray()) {
-        if (!record.IsObject() || !record.HasMember("body") || jsInt(record, "status") != 200) continue;
-        auto generation = jsInt(record["body"], "configGeneration");
-        if (generation > 0) changes[generation] = withoutAttempt(jsStr(record, "key"), generation);
+        if (!record.IsObject() || !record.HasMember("body") || jsonInteger(record, "status") != 200) continue;
+        auto generation = jsonInteger(record["body"], "configGeneration");
+        if (generation > 0) changes[generation] = withoutAttempt(jsonString(record, "key"), generation);
     }
     return changes;
 }
 
 auto timeoutNow(rapidjson::Document& state) -> void {
     auto& allocator = state.GetAllocator();
-    auto newest = jsInt(state, "configGeneration");
+    auto newest = jsonInteger(state, "configGeneration");
     auto version = documentVersion(state);
     auto changes = changesByGeneration(state["outcomes"]);
     auto forgotten = newest;
@@ -88,7 +88,7 @@
     state.AddMember("refusals", rapidjson::Value(rapidjson::kArrayType), allocator);
     for (auto& record : all.GetArray()) {
         if (!record.IsObject() || !record.HasMember("body")) continue;
-        auto accepted = jsInt(record, "status") == 200;
+        auto accepted = jsonInteger(record, "status") == 200;
         if (accepted && record["body"].IsObject() && record["body"].HasMember("configGeneration")) continue;
         auto& to = state[accepted ? "outcomes" : "refusals"];
         to.PushBack(record, allocator);
@@ -108,7 +108,7 @@
 
 auto OrderOutcomes::load(rapidjson::Document& state) -> bool {
     if (!state["config"].IsObject()) return false;
-    auto generation = jsInt(state, "configGeneration");
+    auto generation = jsonInteger(state, "configGeneration");
     // A replica of the earlier format leaves the memory behind the generation that it has reached.
     auto sound =
         state.HasMember("acceptedChanges") && AcceptedChanges::sound(state["acceptedChanges"], generation);
@@ -132,12 +132,12 @@
 auto OrderOutcomes::refused(const rapidjson::Document& state, const std::string& key, std::int64_t base)
     -> Outcome {
     auto record = findIn(state, "refusals", key);
-    return record && jsInt(*record, "base", NO_BASE) == base ? read(*record) : Outcome();
+    return record && jsonInteger(*record, "base", NO_BASE) == base ? read(*record) : Outcome();
 }
 
 auto OrderOutcomes::keepConfiguration(
     rapidjson::Document& state, const std::string& key, std::int64_t version) -> void {
-    auto stateGeneration = jsInt(state, "generation");
+    auto stateGeneration = jsonInteger(state, "generation");
     AcceptedChanges::record(state["acceptedChanges"], key, version, stateGeneration, state.GetAllocator());
 }
 
@@ -150,7 +150,7 @@
     rapidjson::Document& state, const std::string& key, std::int64_t base, const Outcome& outcome) -> void {
     auto& records = state["refusals"];
     for (auto record = records.Begin(); record != records.End();)
-        if (jsStr(*record, "key") == key) record = records.Erase(record);
+        if (jsonString(*record, "key") == key) record = records.Erase(record);
         else ++record;
     append(state, "refusals", key, base, outcome, REFUSED);
 }
--- a/src/state/replicated_state.cpp
+++ b/src/state/replicated_state.cpp
@@ -76,7 +76,7 @@
     "number":{"type":"integer"},"text":{"type":"string"}}},
   "mappings":{"type":"array","maxItems":20000}}})";
 
-// Whether `v` is sound, by a schema read once: to name every fault jsCheck builds a schema for
+// Whether `v` is sound, by a schema read once: to name every fault checkSchema builds a schema for
 // each value, which a configuration of thousands of mappings has no time for.
 static auto sound(const rapidjson::Value& v, const rapidjson::SchemaDocument& sd) -> bool {
     auto sv = rapidjson::SchemaValidator(sd);
@@ -84,7 +84,7 @@
 }
 static auto schemaOf(const char* s) -> rapidjson::SchemaDocument {
     auto d = rapidjson::Document();
-    jsParse(s, d);
+    parseJson(s, d);
     return rapidjson::SchemaDocument(d);
 }
 static auto lower(std::string s) -> std::string {
@@ -96,7 +96,7 @@
     static const auto one = schemaOf(ROUTE_SCHEMA);
     constexpr auto MANY = std::size_t(32);  // of a document that breaks more no more are named
     auto f = std::vector<Fault>();
-    if (!v.IsObject() || !v.HasMember("mappings") || !v["mappings"].IsArray()) return jsCheck(v, CONFIG);
+    if (!v.IsObject() || !v.HasMember("mappings") || !v["mappings"].IsArray()) return checkSchema(v, CONFIG);
     auto rest = rapidjson::Document();
     rest.SetObject();
     auto& al = rest.GetAllocator();
@@ -106,7 +106,7 @@
     auto none = rapidjson::Value(rapidjson::kArrayType);
     auto& ms = v["mappings"];
     rest.AddMember("mappings", none, al);
-    f = jsCheck(rest, CONFIG);
+    f = checkSchema(rest, CONFIG);
     if (f.size() > MANY) f.resize(MANY);
     if (ms.Size() > 20000) f.push_back({"/mappings", "breaks \"maxItems\": 20000"});
     if (v.HasMember("origin")) {
@@ -122,20 +122,20 @@
     }
     for (auto i = 0u; i < ms.Size() && f.size() < MANY; i++)
         if (!sound(ms[i], one))
-            for (auto& x : jsCheck(ms[i], ROUTE_SCHEMA))
+            for (auto& x : checkSchema(ms[i], ROUTE_SCHEMA))
                 f.push_back({fmt::format("/mappings/{}{}", i, x.path == "/" ? "" : x.path), x.why});
     if (!f.empty()) return f;
     auto names = std::unordered_set<std::string>(), places = std::unordered_set<std::string>();
     auto at = [](unsigned i, std::string_view k) { return fmt::format("/mappings/{}/{}", i, k); };
     auto known = [&](const std::string& p) { return !v.HasMember("pools") || v["pools"].HasMember(p); };
     for (auto i = 0u; i < ms.Size() && f.size() < MANY; i++) {
-        auto n = jsStr(ms[i], "name"), m = jsStr(ms[i], "model");
+        auto n = jsonString(ms[i], "name"), m = jsonString(ms[i], "model");
         if (!names.insert(n).second) f.push_back({at(i, "name"), "named twice: " + n});
         if (!m.empty() && !(v.HasMember("models") && v["models"].HasMember(m)))
             f.push_back({at(i, "model"), "no such model under /models: " + m});
-        if (jsBool(ms[i], "Resumable") && !jsBool(ms[i], "stream"))
+        if (jsonBool(ms[i], "Resumable") && !jsonBool(ms[i], "stream"))
             f.push_back({at(i, "Resumable"), "only a stream can be resumed"});
-        if (jsBool(ms[i], "repeatable") && jsBool(ms[i], "stream"))
+        if (jsonBool(ms[i], "repeatable") && jsonBool(ms[i], "stream"))
             f.push_back({at(i, "repeatable"), "of a stream it is Resumable that says so"});
         if ((ms[i].HasMember("home") || ms[i].HasMember("homes")) && ms[i].HasMember("spill"))
             f.push_back({at(i, "spill"), "a mapping with a home never spills"});
@@ -143,20 +143,20 @@
             f.push_back({at(i, "homes"), "home or homes, not both"});
         if (ms[i].HasMember("pool") == ms[i].HasMember("pools"))
             f.push_back({at(i, "pool"), ms[i].HasMember("pool") ? "pool or pools, not both" : "missing"});
-        if (ms[i].HasMember("pool") && !known(jsStr(ms[i], "pool")))
-            f.push_back({at(i, "pool"), "no such pool under /pools: " + jsStr(ms[i], "pool")});
+        if (ms[i].HasMember("pool") && !known(jsonString(ms[i], "pool")))
+            f.push_back({at(i, "pool"), "no such pool under /pools: " + jsonString(ms[i], "pool")});
         if (ms[i].HasMember("pools")) {
             auto sum = std::int64_t(0);
             for (auto& p : ms[i]["pools"].GetArray()) {
-                sum += jsInt(p, "share");
-                if (!known(jsStr(p, "pool")))
-                    f.push_back({at(i, "pools"), "no such pool under /pools: " + jsStr(p, "pool")});
+                sum += jsonInteger(p, "share");
+                if (!known(jsonString(p, "pool")))
+                    f.push_back({at(i, "pools"), "no such pool under /pools: " + jsonString(p, "pool")});
             }
             if (sum <= 0) f.push_back({at(i, "pools"), "the shares sum to 0"});
         }
-        if (auto h = lower(jsStr(ms[i], "host")); !h.empty()) {
-            auto p = jsStr(ms[i], "path");
-            if (!places.insert(h + " " + jsStr(ms[i], "method", "POST") + " " + p).second)
+        if (auto h = lower(jsonString(ms[i], "host")); !h.empty()) {
+            auto p = jsonString(ms[i], "path");
+            if (!places.insert(h + " " + jsonString(ms[i], "method", "POST") + " " + p).second)
                 f.push_back({at(i, "path"), "another mapping has this host and path"});
         }
     }
@@ -165,14 +165,14 @@
 
 auto bodyOf(std::initializer_list<std::pair<const char*, std::string>> kv) -> std::string {
     auto o = std::string("{");
-    for (auto& [k, v] : kv) o += fmt::format("{}{}:{}", o.size() > 1 ? "," : "", jsQuote(k), v);
+    for (auto& [k, v] : kv) o += fmt::format("{}{}:{}", o.size() > 1 ? "," : "", jsonQuote(k), v);
     return o + "}";
 }
 auto errorBody(const std::vector<Fault>& fs) -> std::string {
     auto l = std::string();
     for (auto& f : fs)
-        l += (l.empty() ? "" : ",") + bodyOf({{"path", jsQuote(f.path)}, {"why", jsQuote(f.why)}});
-    return bodyOf({{"error", jsQuote(fs.empty() ? "denied" : fs[0].path + ": " + fs[0].why)},
+        l += (l.empty() ? "" : ",") + bodyOf({{"path", jsonQuote(f.path)}, {"why", jsonQuote(f.why)}});
+    return bodyOf({{"error", jsonQuote(fs.empty() ? "denied" : fs[0].path + ": " + fs[0].why)},
         {"faults", "[" + l + "]"}});
 }
 
@@ -197,7 +197,7 @@
 auto ReplicatedState::bootstrap(const std::vector<std::string>& ro, const std::vector<VoterIdentity>& vs)
     -> void {
     auto n = rapidjson::Document();
-    jsParse(
+    parseJson(
         R"({"reign":0,"generation":0,"configGeneration":0,"config":{"mappings":[]},"empties":{},"plan":[],"roster":[],"voters":[],"outcomes":[]})",
         n);
     OrderOutcomes::load(n);
@@ -213,7 +213,7 @@
 
 auto ReplicatedState::load(const std::string& s) -> bool {
     auto n = rapidjson::Document();
-    if (!jsParse(s, n) || !n.IsObject()) return false;
+    if (!parseJson(s, n) || !n.IsObject()) return false;
     for (auto k : {"config", "empties"})
         if (!n.HasMember(k) || !n[k].IsObject()) return false;
     for (auto k : {"plan", "roster", "voters", "outcomes"})
@@ -222,8 +222,8 @@
         if (!n.HasMember(k) || !n[k].IsInt64()) return false;
     if (!OrderOutcomes::load(n) || !Evacuations::load(n)) return false;
     d.Swap(n);
-    epoch = jsInt(d, "reign");
-    version = jsInt(d, "generation");
+    epoch = jsonInteger(d, "reign");
+    version = jsonInteger(d, "generation");
     return true;
 }
 
@@ -263,14 +263,14 @@
 auto ReplicatedState::scheduledOperations() const -> std::vector<ScheduledOperation> {
     auto operations = std::vector<ScheduledOperation>();
     for (auto& operation : d["plan"].GetArray())
-        if (jsStr(operation, "state") == "booked")
-            operations.push_back({jsStr(operation, "id"), jsInt(operation, "at")});
+        if (jsonString(operation, "state") == "booked")
+            operations.push_back({jsonString(operation, "id"), jsonInteger(operation, "at")});
     return operations;
 }
 
 auto ReplicatedState::voters() const -> std::vector<VoterIdentity> {
     auto o = std::vector<VoterIdentity>();
-    for (auto& v : d["voters"].GetArray()) o.push_back({jsStr(v, "seat"), jsStr(v, "disk")});
+    for (auto& v : d["voters"].GetArray()) o.push_back({jsonString(v, "seat"), jsonString(v, "disk")});
     return o;
 }
 auto ReplicatedState::evacuated(const std::string& z) const -> bool {
@@ -290,74 +290,76 @@
     // A change on so old a base may have been accepted, and be forgotten since.
     if (base < AcceptedChanges::forgottenGeneration(w.d["acceptedChanges"])) return outcomeUnknown();
     return {409,
-        bodyOf({{"error", jsQuote("based on a generation that is not the newest")},
+        bodyOf({{"error", jsonQuote("based on a generation that is not the newest")},
             {"configGeneration", fmt::to_string(w.configVersion())}})};
 }
 auto outcomeUnknown() -> Outcome {
-    return {504, bodyOf({{"error", jsQuote("the outcome is not known")}, {"outcome", jsQuote("unknown")}})};
+    return {
+        504, bodyOf({{"error", jsonQuote("the outcome is not known")}, {"outcome", jsonQuote("unknown")}})};
 }
 
 // One change, on a word whose caller raises the generation if it was accepted.
 auto ReplicatedState::change(rapidjson::Value& o, bool planned) -> Outcome {
     auto& al = d.GetAllocator();
-    auto op = jsStr(o, "op");
-    auto no = [](int st, std::string why) { return Outcome{st, bodyOf({{"error", jsQuote(why)}})}; };
+    auto op = jsonString(o, "op");
+    auto no = [](int st, std::string why) { return Outcome{st, bodyOf({{"error", jsonQuote(why)}})}; };
     if (op == "config") {
-        if (auto base = jsInt(o, "base", -1); !planned && base != configVersion())
+        if (auto base = jsonInteger(o, "base", -1); !planned && base != configVersion())
             return baseRefusal(*this, base);
         d["config"] = o["config"];
         d["configGeneration"].SetInt64(configVersion() + 1);
         return {200, bodyOf({{"configGeneration", fmt::to_string(configVersion())}})};
     }
     if (op == "empty" || op == "give-back") {
-        auto z = jsStr(o, "district");
+        auto z = jsonString(o, "district");
         auto revision = Evacuations::zone(d, z).revision;
-        if (o.HasMember("revision") && jsInt(o, "revision") != revision)
+        if (o.HasMember("revision") && jsonInteger(o, "revision") != revision)
             return {409,
-                bodyOf({{"error", jsQuote("superseded: the zone has changed since")},
+                bodyOf({{"error", jsonQuote("superseded: the zone has changed since")},
                     {"revision", fmt::to_string(revision)}})};
-        Evacuations::set(d, z, op == "empty", jsInt(o, "at"), version + 1);
-        return {200, bodyOf({{"district", jsQuote(z)}, {"emptied", op == "empty" ? "true" : "false"}})};
+        Evacuations::set(d, z, op == "empty", jsonInteger(o, "at"), version + 1);
+        return {200, bodyOf({{"district", jsonQuote(z)}, {"emptied", op == "empty" ? "true" : "false"}})};
     }
     if (op == "book") {
         auto id = fmt::format("m{}", version + 1);
         auto b = rapidjson::Value(rapidjson::kObjectType);
         b.AddMember("id", rapidjson::Value(id, al), al)
-            .AddMember("at", rapidjson::Value(jsInt(o, "when")), al)
+            .AddMember("at", rapidjson::Value(jsonInteger(o, "when")), al)
             .AddMember("state", "booked", al)
             .AddMember("move", rapidjson::Value(o["move"], al), al);
         auto& p = d["plan"];
         p.PushBack(b, al);
         for (auto i = p.Begin(); p.Size() > 500 && i != p.End();)
-            if (jsStr(*i, "state") != "booked") i = p.Erase(i);
+            if (jsonString(*i, "state") != "booked") i = p.Erase(i);
             else ++i;
-        return {200, bodyOf({{"move", jsQuote(id)}})};
+        return {200, bodyOf({{"move", jsonQuote(id)}})};
     }
     if (op == "cancel" || op == "fire") {
         for (auto& m : d["plan"].GetArray()) {
-            if (jsStr(m, "id") != jsStr(o, "move")) continue;
-            if (jsStr(m, "state") != "booked") return no(409, "the move is already " + jsStr(m, "state"));
+            if (jsonString(m, "id") != jsonString(o, "move")) continue;
+            if (jsonString(m, "state") != "booked")
+                return no(409, "the move is already " + jsonString(m, "state"));
             if (op == "cancel") {
                 m["state"] = "cancelled";
-                return {200, bodyOf({{"move", jsQuote(jsStr(o, "move"))}})};
+                return {200, bodyOf({{"move", jsonQuote(jsonString(o, "move"))}})};
             }
             auto mv = rapidjson::Value(m["move"], al);
             auto r = change(mv, true);
             m["state"] = rapidjson::Value(rapidjson::StringRef(r.status == 200 ? "done" : "failed"));
-            m.AddMember("fired", rapidjson::Value(jsInt(o, "at")), al);
+            m.AddMember("fired", rapidjson::Value(jsonInteger(o, "at")), al);
             return r.status == 200 ? r : Outcome{200, r.body};
         }
         return no(404, "no such move");
     }
     if (op == "roster") {
-        auto ns = jsList(d, "roster");
-        auto n = jsStr(o, "node");
+        auto ns = jsonStrings(d, "roster");
+        auto n = jsonString(o, "node");
         ns.erase(std::remove(ns.begin(), ns.end(), n), ns.end());
-        if (jsBool(o, "add")) ns.push_back(n);
+        if (jsonBool(o, "add")) ns.push_back(n);
         auto a = rapidjson::Value(rapidjson::kArrayType);
         for (auto& x : ns) a.PushBack(rapidjson::Value(x, al), al);
         d["roster"] = a;
-        return {200, bodyOf({{"roster", js(d["roster"])}})};
+        return {200, bodyOf({{"roster", jsonText(d["roster"])}})};
     }
     return no(422, "unknown order: " + op);
 }
@@ -372,14 +374,14 @@
 }
 // The number that the operator's own document bears; 0 if there is none.
 static auto documentVersion(const rapidjson::Value& config) -> std::int64_t {
-    return config.HasMember("origin") ? jsInt(config["origin"], "number") : 0;
+    return config.HasMember("origin") ? jsonInteger(config["origin"], "number") : 0;
 }
 auto ReplicatedState::lay(const std::string& order) -> Outcome {
     auto o = rapidjson::Document(&d.GetAllocator());  // so that what an order brings is moved, not copied
-    if (!jsParse(order, o) || !o.IsObject()) return {422, bodyOf({{"error", jsQuote("not an order")}})};
-    auto key = jsStr(o, "key");
+    if (!parseJson(order, o) || !o.IsObject()) return {422, bodyOf({{"error", jsonQuote("not an order")}})};
+    auto key = jsonString(o, "key");
     if (auto known = OrderOutcomes::accepted(d, key); known.status) return known;
-    auto base = jsInt(o, "base", -1);
+    auto base = jsonInteger(o, "base", -1);
     if (auto known = OrderOutcomes::refused(d, key, base); known.status) return known;
     auto before = configVersion();
     auto r = change(o, false);
@@ -396,9 +398,9 @@
 
 static auto moveCheck(const ReplicatedState& w, const rapidjson::Value& m, const std::string& path,
     std::vector<Fault>& f) -> void {
-    auto op = jsStr(m, "op");
+    auto op = jsonString(m, "op");
     if (op == "empty" || op == "give-back") {
-        if (jsStr(m, "district").empty()) f.push_back({path + "/district", "missing"});
+        if (jsonString(m, "district").empty()) f.push_back({path + "/district", "missing"});
         for (auto& k : m.GetObject())
             if (std::string_view n = k.name.GetString(); n != "op" && n != "district")
                 f.push_back({path + "/" + std::string(n), "unknown field"});
@@ -413,7 +415,7 @@
 auto orderPrepare(const ReplicatedState& w, const std::string& op, const std::string& key,
     const std::string& body, Microseconds wall) -> tl::expected<std::string, OrderRefusal> {
     auto b = rapidjson::Document();
-    if (!jsParse(body.empty() ? "{}" : body, b))
+    if (!parseJson(body.empty() ? "{}" : body, b))
         return tl::make_unexpected(OrderRefusal{{400, errorBody({{"/", "malformed JSON"}})}});
     if (!b.IsObject()) return tl::make_unexpected(OrderRefusal{{422, errorBody({{"/", "wants an object"}})}});
     auto f = std::vector<Fault>();
@@ -437,25 +439,25 @@
             auto c = rapidjson::Value();
             if (op == "merge") {
                 c.CopyFrom(w.config(), al);
-                jsMerge(c, b["patch"], al);
+                applyMergePatch(c, b["patch"], al);
             } else c.CopyFrom(b["config"], al);
             for (auto& x : configCheck(c)) f.push_back({"/config" + (x.path == "/" ? "" : x.path), x.why});
-            o.AddMember("base", jsInt(b, "base"), al);  // a Val would be moved out of b
+            o.AddMember("base", jsonInteger(b, "base"), al);  // a Val would be moved out of b
             o.AddMember("config", c, al);
             // A patch laid on another generation than it names must lose, not win by chance.
-            if (op == "merge" && jsInt(b, "base") != w.configVersion() && f.empty())
-                return tl::make_unexpected(OrderRefusal{baseRefusal(w, jsInt(b, "base")), true});
+            if (op == "merge" && jsonInteger(b, "base") != w.configVersion() && f.empty())
+                return tl::make_unexpected(OrderRefusal{baseRefusal(w, jsonInteger(b, "base")), true});
         }
     } else if (op == "empty" || op == "give-back") {
         only({"district", "revision"});
         if (b.HasMember("revision") && !b["revision"].IsInt64()) f.push_back({"/revision", "wants a number"});
-        if (b.HasMember("revision")) o.AddMember("revision", jsInt(b, "revision"), al);
-        if (jsStr(b, "district").empty()) f.push_back({"/district", "missing"});
-        o.AddMember("district", rapidjson::Value(jsStr(b, "district"), al), al);
+        if (b.HasMember("revision")) o.AddMember("revision", jsonInteger(b, "revision"), al);
+        if (jsonString(b, "district").empty()) f.push_back({"/district", "missing"});
+        o.AddMember("district", rapidjson::Value(jsonString(b, "district"), al), al);
         o.AddMember("at", rapidjson::Value(std::int64_t(wall)), al);
     } else if (op == "book") {
         only({"at", "move"});
-        auto t = wallParse(jsStr(b, "at"));
+        auto t = parseWallTime(jsonString(b, "at"));
         if (t < 0) f.push_back({"/at", "wants a time such as 2026-01-31T06:00:00Z"});
         if (!b.HasMember("move") || !b["move"].IsObject()) f.push_back({"/move", "missing"});
         else moveCheck(w, b["move"], "/move", f);
@@ -465,18 +467,18 @@
         }
     } else if (op == "cancel" || op == "fire") {
         only({"move"});
-        if (jsStr(b, "move").empty()) f.push_back({"/move", "missing"});
-        o.AddMember("move", rapidjson::Value(jsStr(b, "move"), al), al);
+        if (jsonString(b, "move").empty()) f.push_back({"/move", "missing"});
+        o.AddMember("move", rapidjson::Value(jsonString(b, "move"), al), al);
         o.AddMember("at", rapidjson::Value(std::int64_t(wall)), al);
     } else if (op == "roster") {
         only({"node", "add"});
-        if (jsStr(b, "node").empty()) f.push_back({"/node", "missing"});
-        o.AddMember("node", rapidjson::Value(jsStr(b, "node"), al), al);
-        o.AddMember("add", rapidjson::Value(jsBool(b, "add", true)), al);
+        if (jsonString(b, "node").empty()) f.push_back({"/node", "missing"});
+        o.AddMember("node", rapidjson::Value(jsonString(b, "node"), al), al);
+        o.AddMember("add", rapidjson::Value(jsonBool(b, "add", true)), al);
     } else return tl::make_unexpected(OrderRefusal{{404, errorBody({{"/op", "unknown order: " + op}})}});
     // A merge's faults are those of what it is laid upon, too.
     if (!f.empty()) return tl::make_unexpected(OrderRefusal{{422, errorBody(f)}, op == "merge"});
-    return js(o);
+    return jsonText(o);
 }
 
 }  // namespace duneturn
--- a/src/state/replicated_state.hpp
+++ b/src/state/replicated_state.hpp
@@ -36,7 +36,7 @@
     auto bootstrap(const std::vector<std::string>& roster, const std::vector<VoterIdentity>& vs) -> void;
     /// Takes `s` whole; false and unchanged if it is no such document.
     auto load(const std::string& s) -> bool;
-    auto text() const -> std::string { return js(d); }
+    auto text() const -> std::string { return jsonText(d); }
     /// One logged order. The same order on the same word gives the same outcome anywhere.
     auto apply(const std::string& order) -> Outcome;
     /// Applies a committed change of the voters: the next version of the state.
@@ -45,18 +45,18 @@
     auto beginEpoch(std::int64_t newEpoch, const std::vector<VoterIdentity>& voters) -> void;
 
     auto voters() const -> std::vector<VoterIdentity>;
-    auto roster() const -> std::vector<std::string> { return jsList(d, "roster"); }
+    auto roster() const -> std::vector<std::string> { return jsonStrings(d, "roster"); }
     auto evacuated(const std::string& zone) const -> bool;
     auto evacuatedZones() const -> std::vector<std::string>;
     /// The evacuations and the plan as operators read them, as JSON.
-    auto evacuationsText() const -> std::string { return js(d["empties"]); }
-    auto planText() const -> std::string { return js(d["plan"]); }
+    auto evacuationsText() const -> std::string { return jsonText(d["empties"]); }
+    auto planText() const -> std::string { return jsonText(d["plan"]); }
     /// The scheduled operations that have not begun, in the order in which they were accepted.
     auto scheduledOperations() const -> std::vector<ScheduledOperation>;
     /// How many outcomes of requests are kept.
     auto outcomeCount() const -> std::size_t { return d["outcomes"].Size(); }
     auto config() const -> const rapidjson::Value& { return d["config"]; }
-    auto configVersion() const -> std::int64_t { return jsInt(d, "configGeneration"); }
+    auto configVersion() const -> std::int64_t { return jsonInteger(d, "configGeneration"); }
     /// The outcome kept under an idempotency key; status 0 if there is none.
     auto outcome(const std::string& key) const -> Outcome;
     /// The same, of an order that was accepted.
--- a/src/state/state_query.cpp
+++ b/src/state/state_query.cpp
@@ -19,7 +19,7 @@
     return bodyOf({{"accepted", accepted ? "true" : "false"},
         {"forgottenVersion", fmt::to_string(AcceptedChanges::forgottenVersion(memory))},
         {"configGeneration", fmt::to_string(state.configVersion())},
-        {"origin", config.HasMember("origin") ? js(config["origin"]) : "{}"}});
+        {"origin", config.HasMember("origin") ? jsonText(config["origin"]) : "{}"}});
 }
 
 auto zoneAnswer(const ReplicatedState& state, const std::string& name) -> std::string {
@@ -33,15 +33,15 @@
 auto StateQuery::text() const -> std::string {
     if (kind == Kind::Document) return "";
     auto what = kind == Kind::Change ? "change" : "zone";
-    return bodyOf({{"kind", jsQuote(what)}, {"name", jsQuote(name)}});
+    return bodyOf({{"kind", jsonQuote(what)}, {"name", jsonQuote(name)}});
 }
 
 auto StateQuery::parse(const std::string& text) -> StateQuery {
     auto document = rapidjson::Document();
-    if (text.empty() || !jsParse(text, document) || !document.IsObject()) return {};
-    auto kind = jsStr(document, "kind");
-    if (kind == "change") return change(jsStr(document, "name"));
-    if (kind == "zone") return zone(jsStr(document, "name"));
+    if (text.empty() || !parseJson(text, document) || !document.IsObject()) return {};
+    auto kind = jsonString(document, "kind");
+    if (kind == "change") return change(jsonString(document, "name"));
+    if (kind == "zone") return zone(jsonString(document, "name"));
     return {};
 }
 
@@ -56,22 +56,22 @@
 
 auto ChangeState::parse(const std::string& answer) -> tl::expected<ChangeState, std::string> {
     auto document = rapidjson::Document();
-    if (!jsParse(answer, document) || !document.IsObject() || !document.HasMember("origin"))
+    if (!parseJson(answer, document) || !document.IsObject() || !document.HasMember("origin"))
         return tl::make_unexpected(std::string("the leader's answer cannot be read"));
     auto state = ChangeState();
-    state.accepted = jsBool(document, "accepted");
-    state.forgottenVersion = jsInt(document, "forgottenVersion");
-    state.generation = jsInt(document, "configGeneration");
-    state.version = jsInt(document["origin"], "number");
-    state.document = jsStr(document["origin"], "text");
+    state.accepted = jsonBool(document, "accepted");
+    state.forgottenVersion = jsonInteger(document, "forgottenVersion");
+    state.generation = jsonInteger(document, "configGeneration");
+    state.version = jsonInteger(document["origin"], "number");
+    state.document = jsonString(document["origin"], "text");
     return state;
 }
 
 auto zoneStateParse(const std::string& answer) -> tl::expected<ZoneState, std::string> {
     auto document = rapidjson::Document();
-    if (!jsParse(answer, document) || !document.IsObject() || !document.HasMember("revision"))
+    if (!parseJson(answer, document) || !document.IsObject() || !document.HasMember("revision"))
         return tl::make_unexpected(std::string("the leader's answer cannot be read"));
-    return ZoneState{jsBool(document, "evacuated"), jsInt(document, "revision")};
+    return ZoneState{jsonBool(document, "evacuated"), jsonInteger(document, "revision")};
 }
 
 }  // namespace duneturn
--- a/tests/base/settings_test.cpp
+++ b/tests/base/settings_test.cpp
@@ -7,7 +7,7 @@
 namespace duneturn {
 
 TEST(Settings, everyFaultIsNamed) {
-    auto s = settingsRead("",
+    auto s = readSettings("",
         {{"node", "a b"}, {"peer", "host:1"}, {"sender", "127.0.0.1:99999"}, {"seeds", "127.0.0.1:1,x"},
             {"colour", "red"}});
     CHECK(!s);
@@ -15,7 +15,7 @@
     for (auto& f : s.error().faults) all += f.path + "\n";
     for (auto p : {"/node", "/peer", "/sender", "/seeds/1", "/colour", "/operator", "/district", "/region"})
         CHECK(all.find(p) != std::string::npos);
-    auto ok = settingsRead("",
+    auto ok = readSettings("",
         {{"node", "a"}, {"peer", "127.0.0.1:1"}, {"sender", "[::1]:2"}, {"operator", "127.0.0.1:3"},
             {"seeds", "127.0.0.1:1"}, {"district", "d"}, {"region", "r"}});
     CHECK(bool(ok));
@@ -23,9 +23,9 @@
 }
 
 TEST(Settings, times) {
-    CHECK_EQ(std::string("2026-01-31T06:00:00Z"), wallText(wallParse("2026-01-31T06:00:00Z")));
-    CHECK(wallParse("2026-01-31") < 0);
-    CHECK(wallParse("2026-01-31T06:00:00Zx") < 0);
+    CHECK_EQ(std::string("2026-01-31T06:00:00Z"), formatWallTime(parseWallTime("2026-01-31T06:00:00Z")));
+    CHECK(parseWallTime("2026-01-31") < 0);
+    CHECK(parseWallTime("2026-01-31T06:00:00Zx") < 0);
 }
 
 }  // namespace duneturn
--- a/tests/consensus/consensus_fixture.hpp
+++ b/tests/consensus/consensus_fixture.hpp
@@ -70,7 +70,7 @@
         }
     };
 
-    Rng random{1};
+    RandomSource random{1};
     Microseconds now = SECOND;
     Voter::Broken broken;
     bool record = false;
--- a/tests/consensus/voter_test.cpp
+++ b/tests/consensus/voter_test.cpp
@@ -71,7 +71,7 @@
     auto voterApplied(const ReplicatedState&, const std::string&, const Outcome&) -> void override {}
     auto voterRead(std::int64_t, bool) -> void override {}
 
-    Rng r;
+    RandomSource r;
     Voter::Broken broken;
     Microseconds t = 0;
     std::vector<std::unique_ptr<Replica>> bs;
@@ -267,7 +267,7 @@
 };
 
 auto fuzz(const Voter::Broken& broken, const FuzzOptions& options) -> FuzzResult {
-    logMute(true);
+    muteLog(true);
     auto result = FuzzResult();
     auto acknowledged = std::size_t(0);
     for (auto seed = options.firstSeed; seed < options.firstSeed + options.seeds; seed++) {
@@ -284,7 +284,7 @@
         if (result.firstFailure.empty()) result.firstFailure = fmt::format("seed {}: {}", seed, failure);
         if (getenv("DT_SHOW")) fmt::print("seed {}: {}\n", seed, failure);
     }
-    logMute(false);
+    muteLog(false);
     CHECK(acknowledged > 0 || result.unsafe > 0);
     return result;
 }
--- a/tests/membership/fleet_fixture.hpp
+++ b/tests/membership/fleet_fixture.hpp
@@ -52,7 +52,7 @@
 };
 
 struct Fleet {
-    Rng r;
+    RandomSource r;
     Microseconds t = 0, sync = 3 * MILLISECOND;
     std::vector<std::unique_ptr<Box>> bs;
     struct Post {
@@ -223,7 +223,7 @@
         return x;
     }
     auto order(Box& b, const std::string& what) -> std::int64_t {
-        b.n->order(++ids, "empty", "key-" + what, "{\"district\":" + jsQuote(what) + "}", t);
+        b.n->order(++ids, "empty", "key-" + what, "{\"district\":" + jsonQuote(what) + "}", t);
         return ids;
     }
     auto ok(std::int64_t id) -> bool { return outs.count(id) && outs[id].status == 200; }
@@ -314,8 +314,8 @@
 inline auto Box::probe(const std::string&, const std::string&) -> void { f.probes++; }
 
 struct Quiet {
-    Quiet() { logMute(!getenv("DT_SHOW")); }
-    ~Quiet() { logMute(false); }
+    Quiet() { muteLog(!getenv("DT_SHOW")); }
+    ~Quiet() { muteLog(false); }
 };
 
 }  // namespace duneturn
--- a/tests/membership/node_fixture.hpp
+++ b/tests/membership/node_fixture.hpp
@@ -82,15 +82,15 @@
         run(2 * SECOND);
         return outs[id].status;
     }
-    Rng rng{3};
+    RandomSource rng{3};
     auto list(const std::vector<std::array<std::string, 5>>& v)
         -> void {  // name, region, district, pool, weights
         auto o = std::string();
         for (auto& s : v)
             o += (o.empty() ? "" : ",")
-                + bodyOf({{"name", jsQuote(s[0])}, {"address", "\"127.0.0.1:9\""}, {"region", jsQuote(s[1])},
-                    {"district", jsQuote(s[2])}, {"pool", jsQuote(s[3])}, {"weights", jsQuote(s[4])},
-                    {"slots", "4"}});
+                + bodyOf({{"name", jsonQuote(s[0])}, {"address", "\"127.0.0.1:9\""},
+                    {"region", jsonQuote(s[1])}, {"district", jsonQuote(s[2])}, {"pool", jsonQuote(s[3])},
+                    {"weights", jsonQuote(s[4])}, {"slots", "4"}});
         n->list(1, fmt::format("{{\"revision\":{},\"servers\":[{}]}}", ++rev, o), now);
         run(SECOND);
     }
--- a/tests/membership/node_learnt_test.cpp
+++ b/tests/membership/node_learnt_test.cpp
@@ -304,7 +304,7 @@
             f.bs[5]->n->read(id, f.t);
             if (!f.until(4 * SECOND, [&] { return f.ok(id); })) return false;
             auto d = rapidjson::Document();
-            CHECK(jsParse(f.outs[id].body, d));
+            CHECK(parseJson(f.outs[id].body, d));
             for (auto& a : acked)
                 if (!d["empties"].HasMember(a.c_str())) return false;
             // The wiped one sits in its seat again before the next.
@@ -617,7 +617,7 @@
         CHECK(f.ok(id));
         CHECK(f.ok(rd));
         auto d = rapidjson::Document();
-        CHECK(jsParse(f.outs[rd].body, d));
+        CHECK(parseJson(f.outs[rd].body, d));
         CHECK(d["empties"].HasMember("z"));
         CHECK(f.until(2 * SECOND, [&] { return f.everywhere("z") && f.everywhere("y"); }));
     }
@@ -723,11 +723,11 @@
     auto base =
         std::map<std::string, std::string>{{"node", "a"}, {"peer", "127.0.0.1:1"}, {"sender", "127.0.0.1:2"},
             {"operator", "127.0.0.1:3"}, {"seeds", "127.0.0.1:1"}, {"district", "d"}, {"region", "r"}};
-    auto s = settingsRead("", base);
+    auto s = readSettings("", base);
     CHECK(s && !s->gossip && !s->bootstrap && !s->serveOn && s->probes && !s->heartbeat);
     auto with = [&](std::map<std::string, std::string> m) {
         m.insert(base.begin(), base.end());
-        return settingsRead("", m);
+        return readSettings("", m);
     };
     s = with({{"membership", "learnt"}, {"bootstrap", "true"}, {"outOfTouch", "serve"}, {"probes", "false"},
         {"beatUs", "300000"}});
--- a/tests/modelcheck/model_check_test.cpp
+++ b/tests/modelcheck/model_check_test.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 auto optionsOf(const std::string& scenario, const std::string& bounds, std::size_t depth) -> SearchOptions {
-    logMute(true);
+    muteLog(true);
     auto options = SearchOptions();
     options.scenario = scenario;
     options.depth = depth;
--- a/tests/net/answer_reader_test.cpp
+++ b/tests/net/answer_reader_test.cpp
@@ -151,7 +151,7 @@
         int id;
         std::shared_ptr<bool> quiet;
     };
-    auto kept = KeptConnections<Link>([](auto& link) { return *link.quiet; });
+    auto kept = ConnectionPool<Link>([](auto& link) { return *link.quiet; });
     auto make = [](int id, bool quiet) { return Link{id, std::make_shared<bool>(quiet)}; };
     auto first = make(1, true), second = make(2, true), loud = make(3, false);
     kept.put("s", first, SECOND, 0, 4);
--- a/tests/net/compress_test.cpp
+++ b/tests/net/compress_test.cpp
@@ -24,31 +24,31 @@
 
 // A word of many mappings goes as a small part of its length and is the same at the other end.
 TEST(Compress, largeIsSmallAndComesBack) {
-    auto c = Compressor();
+    auto c = EnvelopeCompressor();
     auto e = stateOf(1800);
     auto z = c(e);
     CHECK(bool(z));
     CHECK(!z->__isset.replicatedState);
     CHECK(z->compressed.size() * 5 < e.replicatedState.doc.size());
-    auto back = decompressed(*z);
+    auto back = decompressEnvelope(*z);
     CHECK(bool(back));
     CHECK(*back == e);
     CHECK(bool(c(e)));  // to a second peer
     CHECK_EQ(std::int64_t(1), c.runs);
     auto other = stateOf(1801);
-    CHECK(*decompressed(*c(other)) == other);
+    CHECK(*decompressEnvelope(*c(other)) == other);
     CHECK_EQ(std::int64_t(2), c.runs);
 }
 
 TEST(Compress, smallGoesAsItIs) {
-    auto c = Compressor();
+    auto c = EnvelopeCompressor();
     CHECK(!c(stateOf(3)));
     CHECK(!c(wire::Envelope()));
 }
 
 // Log entries, orders and their replies count as the word does.
 TEST(Compress, whateverIsLong) {
-    auto c = Compressor();
+    auto c = EnvelopeCompressor();
     auto doc = stateOf(200).replicatedState.doc;
     auto a = wire::Envelope(), o = a, r = a, s = a;
     auto ask = wire::AppendEntries();
@@ -64,31 +64,31 @@
     for (auto& e : {a, o, r, s}) {
         auto z = c(e);
         CHECK(bool(z));
-        CHECK(*decompressed(*z) == e);
+        CHECK(*decompressEnvelope(*z) == e);
     }
 }
 
 // What was cut, changed or is too long is not taken, nor one that speaks for another.
 TEST(Compress, unreadableIsNone) {
-    auto c = Compressor();
+    auto c = EnvelopeCompressor();
     auto z = *c(stateOf(1800));
-    auto r = Rng{5};
+    auto r = RandomSource{5};
     auto taken = 0;
     for (auto i = 0; i < 300; i++) {
         auto x = z;
         x.compressed[r.below(x.compressed.size())] ^= char(1 + r.below(255));
-        taken += bool(decompressed(x));
+        taken += bool(decompressEnvelope(x));
         x = z;
         x.compressed.resize(r.below(x.compressed.size()));
-        taken += bool(decompressed(x));
+        taken += bool(decompressEnvelope(x));
     }
     CHECK_EQ(0, taken);
     auto x = z;
     x.node = "b";
-    CHECK(!decompressed(x));
+    CHECK(!decompressEnvelope(x));
     x = z;
     x.compressed.clear();
-    CHECK(!decompressed(x));
+    CHECK(!decompressEnvelope(x));
 }
 
 }  // namespace duneturn
--- a/tests/net/event_split_test.cpp
+++ b/tests/net/event_split_test.cpp
@@ -11,8 +11,8 @@
 namespace duneturn {
 
 // Any text cut into any pieces gives the events that it gives in one piece.
-TEST(EventSplit, fuzzPieces) {
-    auto r = Rng{11};
+TEST(EventStreamSplitter, fuzzPieces) {
+    auto r = RandomSource{11};
     auto whole = 0;
     for (auto i = 0; i < 2000; i++) {
         auto t = std::string();
@@ -25,10 +25,10 @@
             t += r.chance(.1) ? std::string(r.below(4), char(r.below(256))) : std::string();
             t += nl;
         }
-        auto take = [](EventSplit& s, std::vector<std::string>& o) {
+        auto take = [](EventStreamSplitter& s, std::vector<std::string>& o) {
             for (auto e = Event(); s.next(e);) o.push_back(e.id + "|" + e.type + "|" + e.data + "|" + e.raw);
         };
-        auto a = EventSplit(), b = EventSplit();
+        auto a = EventStreamSplitter(), b = EventStreamSplitter();
         auto x = std::vector<std::string>(), y = std::vector<std::string>();
         a.feed(t);
         take(a, x);
@@ -45,7 +45,7 @@
         whole += int(x.size());
     }
     CHECK(whole > 1000);
-    auto s = EventSplit();
+    auto s = EventStreamSplitter();
     s.feed("id: 7\r\nevent: done\r\ndata: a\r\ndata: b\r\n\r\nid: 8\n");
     auto e = Event();
     CHECK(s.next(e));
--- a/tests/net/incident_reply_test.cpp
+++ b/tests/net/incident_reply_test.cpp
@@ -16,7 +16,7 @@
     p.eager(true);
     if (!s.empty()) p.put(asio::buffer(s), ec);
     CHECK(!ec || ec == http::error::need_more);
-    return replyEnds(p);
+    return finishAtClose(p);
 }
 
 }  // namespace
--- a/tests/net/shell_test.cpp
+++ b/tests/net/shell_test.cpp
@@ -37,15 +37,15 @@
 
 TEST(Shell, hopByHop) {
     for (auto k : {"connection", "Keep-Alive", "transfer-encoding", "Content-Length", "TE", "Upgrade"})
-        CHECK(hopByHop(k, ""));
-    CHECK(!hopByHop("X-One", ""));
-    CHECK(hopByHop("X-One", "close, x-one"));
-    CHECK(!hopByHop("X-One", "x-oneness"));
-    CHECK(!hopByHop("Host", "close"));
+        CHECK(isHopByHopHeader(k, ""));
+    CHECK(!isHopByHopHeader("X-One", ""));
+    CHECK(isHopByHopHeader("X-One", "close, x-one"));
+    CHECK(!isHopByHopHeader("X-One", "x-oneness"));
+    CHECK(!isHopByHopHeader("Host", "close"));
 }
 
 TEST(Shell, pool) {
-    auto p = Pool();
+    auto p = IdleConnections();
     auto none = std::vector<std::int64_t>();
     CHECK_EQ(std::int64_t(-1), p.take("a", 0));
     for (auto i = 1; i <= 4; i++) CHECK(p.put("a", i, 4 * SECOND, i) == none);
@@ -75,7 +75,7 @@
     for (auto n = 1; n < 300; n++)
         for (auto c = 1; c < 500; c += 7)
             CHECK(4 * idleShare(c, std::size_t(n)) * std::size_t(n) <= std::size_t(c));
-    auto p = Pool();
+    auto p = IdleConnections();
     CHECK(p.put("a", 1, SECOND, 0, 0) == std::vector<std::int64_t>{1});
     CHECK(p.put("a", 2, SECOND, 0, 1).empty());
     CHECK(p.put("a", 3, SECOND, 0, 1) == std::vector<std::int64_t>{2});
@@ -83,8 +83,8 @@
 
 // Against a plain list: nothing is lost, taken twice, or taken after its time.
 TEST(Shell, poolFuzz) {
-    auto r = Rng{3};
-    auto p = Pool();
+    auto r = RandomSource{3};
+    auto p = IdleConnections();
     p.all = 9;
     auto held = std::map<std::int64_t, std::pair<std::string, Microseconds>>();
     auto id = std::int64_t(0);
@@ -125,7 +125,7 @@
 TEST(Shell, limits) {
     auto l = [](const char* s) {
         auto d = rapidjson::Document();
-        CHECK(jsParse(s, d));
+        CHECK(parseJson(s, d));
         return limitsOf(d);
     };
     for (auto s : {"{}", "null", R"({"limits":{}})", R"({"limits":3})", R"({"limits":{"bodyBytes":0}})"}) {
--- a/tests/pinned_files.hpp
+++ b/tests/pinned_files.hpp
@@ -22,7 +22,7 @@
 inline auto pinnedPath(const std::string& name) -> std::string { return std::string(DT_PINNED) + "/" + name; }
 
 inline auto readPinned(const std::string& name, std::size_t fields) -> std::vector<PinnedLine> {
-    auto text = fileRead(pinnedPath(name));
+    auto text = readFile(pinnedPath(name));
     CPPUNIT_ASSERT_MESSAGE(name, bool(text));
     auto lines = std::vector<PinnedLine>();
     auto stream = std::stringstream(*text);
--- a/tests/platform/platform_adapter_test.cpp
+++ b/tests/platform/platform_adapter_test.cpp
@@ -26,9 +26,9 @@
 
 auto withoutRevision(const std::string& body) -> std::string {
     auto d = rapidjson::Document();
-    jsParse(body, d);
+    parseJson(body, d);
     d.RemoveMember("revision");
-    return js(d);
+    return jsonText(d);
 }
 
 struct FakeShell : Shell {
@@ -71,11 +71,11 @@
     auto duty() -> bool override { return true; }
     auto replicatedState() -> std::string override { return w.text(); }
     auto fetch(const std::string& addr, const std::string& target, Microseconds)
-        -> asio::awaitable<tl::expected<Res, CallError>> override {
+        -> asio::awaitable<tl::expected<HttpResponse, CallError>> override {
         asked.push_back(addr + target);
         auto i = pages.find(target);
         if (i == pages.end()) co_return tl::make_unexpected(CallError{"silent"});
-        auto r = Res(http::status(i->second.first), 11);
+        auto r = HttpResponse(http::status(i->second.first), 11);
         r.body() = i->second.second;
         co_return r;
     }
@@ -111,8 +111,8 @@
     PlatformAdapter ad{given(), ""};
 
     auto ask(http::verb m, const std::string& target, const std::string& body = "",
-        const std::string& base = "", std::string at = "10.0.0.1:1") -> Res {
-        auto q = Req(m, target, 11);
+        const std::string& base = "", std::string at = "10.0.0.1:1") -> HttpResponse {
+        auto q = HttpRequest(m, target, 11);
         q.body() = body;
         if (!base.empty()) q.set("If-Match", base);
         return wait(ad.serve(at, q, sh));
@@ -245,7 +245,7 @@
 // force once.
 TEST(PlatformAdapter, fuzzOperators) {
     for (auto seed = 1; seed <= 40; seed++) {
-        auto r = Rng{std::uint64_t(seed)};
+        auto r = RandomSource{std::uint64_t(seed)};
         auto s = Site();
         struct Call {
             std::string body;
@@ -406,7 +406,7 @@
         return std::pair(200u,
             fmt::format(
                 R"({{"Instances":[{{"InstanceId":"{}","Backend":"b","Address":"10.0.1.1:1","Zone":"x","State":"{}"}}],"NextToken":{}}})",
-                id, state, next.empty() ? "null" : jsQuote(next)));
+                id, state, next.empty() ? "null" : jsonQuote(next)));
     };
     s.sh.pages["/instances"] = page("i1", "ready", "a/b");
     CHECK(wait(s.ad.pull(s.sh)) == P::Nothing);
--- a/tests/platform/platform_config_test.cpp
+++ b/tests/platform/platform_config_test.cpp
@@ -35,7 +35,7 @@
 }
 static auto parsed(const std::string& s) -> rapidjson::Document {
     auto d = rapidjson::Document();
-    CPPUNIT_ASSERT_MESSAGE(s.substr(0, 200), jsParse(s, d));
+    CPPUNIT_ASSERT_MESSAGE(s.substr(0, 200), parseJson(s, d));
     return d;
 }
 
@@ -51,27 +51,27 @@
     CHECK_EQ(
         std::string(
             R"({"name":"r-1","host":"ficu95.example","method":"*","path":"/lohu/*","pools":[{"pool":"desk","share":90},{"pool":"map","share":10}],"model":"m","stream":true,"MaxTries":1,"urgency":8,"deadlineUs":8000000,"aimUs":1000000,"gapUs":400000,"queueUs":250000,"queue":256})"),
-        js(ms[0]));
+        jsonText(ms[0]));
     CHECK_EQ(
         std::string(
             R"({"name":"r-2","host":"ficu95.example","method":"*","path":"/pufi/*","pool":"desk","model":"m","stream":true,"Resumable":true,"MaxTries":3,"homes":["punjab","sindh"],"urgency":9,"deadlineUs":4000000,"aimUs":800000,"gapUs":400000,"queueUs":200000,"queue":256})"),
-        js(ms[1]));
+        jsonText(ms[1]));
     CHECK_EQ(
         std::string(
             R"({"name":"r-3","host":"ficu95.example","method":"*","path":"/*","pool":"map","repeatable":true,"MaxTries":2,"urgency":0,"deadlineUs":2500500,"aimUs":500000,"queueUs":125000,"queue":256})"),
-        js(ms[2]));
+        jsonText(ms[2]));
     // A name that the product would not take gets its hash; nobody gives up what is no stream.
-    CHECK(jsStr(ms[3], "name").starts_with("r_4___."));
+    CHECK(jsonString(ms[3], "name").starts_with("r_4___."));
     CHECK(!ms[3].HasMember("idleUs"));  // how long a silence is borne, the edge weighs by aim and pause
     CHECK(!ms[3].HasMember("repeatable") && !ms[3].HasMember("queueUs"));
-    CHECK_EQ(std::string(R"({"m":{"migrationLimit":2,"maxSequence":319818}})"), js(c["models"]));
+    CHECK_EQ(std::string(R"({"m":{"migrationLimit":2,"maxSequence":319818}})"), jsonText(c["models"]));
     CHECK_EQ(
         std::string(
             R"({"desk":{"maxConns":390,"coldUs":3000000,"coldRate":45.5,"engine":true,"slots":64,"kvTokens":319818,"stride":6},"map":{"maxConns":130,"coldUs":0,"coldRate":0.0}})"),
-        js(c["pools"]));
+        jsonText(c["pools"]));
     CHECK_EQ(
         std::string(R"({"headerBytes":16384,"bodyBytes":4194304,"headerReadUs":3000000,"idleUs":15000000})"),
-        js(c["limits"]));
+        jsonText(c["limits"]));
     CHECK(std::abs(c["budget"]["share"].GetDouble() - 0.15) < 1e-9);
     CHECK_EQ(32.0, c["budget"]["slack"].GetDouble());
     CHECK_EQ(1.5, c["cold"]["overrun"].GetDouble());
@@ -92,15 +92,15 @@
     CHECK(bool(t));
     auto c = parsed(t->config);
     for (auto& f : configCheck(c)) CPPUNIT_FAIL(f.path + ": " + f.why);
-    CHECK_EQ(std::int64_t(16), jsInt(c["models"]["m"], "migrationLimit"));
-    CHECK_EQ(std::int64_t(1048576), jsInt(c["models"]["m"], "maxSequence"));
+    CHECK_EQ(std::int64_t(16), jsonInteger(c["models"]["m"], "migrationLimit"));
+    CHECK_EQ(std::int64_t(1048576), jsonInteger(c["models"]["m"], "maxSequence"));
     CHECK_EQ(std::string(R"([{"pool":"desk","share":1000000},{"pool":"map","share":1}])"),
-        js(c["mappings"][0]["pools"]));
+        jsonText(c["mappings"][0]["pools"]));
     // Where several pools hold a model, the least memory bounds it.
     s = replaced(DOCUMENT, R"({"Name":"map",)",
         R"({"Name":"map","Engine":{"KvCapacity":1000,"Models":[{"Name":"m"}]},)");
-    CHECK_EQ(
-        std::int64_t(1000), jsInt(parsed(translate(s, 0, BOUNDS)->config)["models"]["m"], "maxSequence"));
+    CHECK_EQ(std::int64_t(1000),
+        jsonInteger(parsed(translate(s, 0, BOUNDS)->config)["models"]["m"], "maxSequence"));
 }
 
 TEST(PlatformConfig, whatIsAbsentOrNull) {
@@ -118,7 +118,7 @@
     for (auto& f : configCheck(c)) CPPUNIT_FAIL(f.path + ": " + f.why);
     // Of an unknown kind nothing is run twice.
     CHECK(!c["mappings"][2].HasMember("repeatable"));
-    CHECK_EQ(std::int64_t(1), jsInt(c["mappings"][2], "MaxTries"));
+    CHECK_EQ(std::int64_t(1), jsonInteger(c["mappings"][2], "MaxTries"));
     CHECK(!c.HasMember("limits"));
 }
 
@@ -215,7 +215,7 @@
 // Whatever is altered in it: either it is refused, or the product takes what comes of it and
 // keeps the text as it was.
 TEST(PlatformConfig, fuzzAltered) {
-    auto r = Rng{3};
+    auto r = RandomSource{3};
     auto good = 0;
     static constexpr std::string_view pieces[] = {
         "0", "-1", "1e9", "\"", "null", "[]", "{}", ",", "\"r-1\"", "/", "\\u00e9", "desk", ":", "9"};
@@ -243,7 +243,7 @@
 }
 
 TEST(PlatformConfig, versionsRiseByUnevenSteps) {
-    auto r = Rng{5};
+    auto r = RandomSource{5};
     auto now = std::int64_t(0);
     for (auto i = 0; i < 200; i++) {
         auto next = now + 1 + std::int64_t(r.below(1000000));
@@ -322,7 +322,7 @@
 // Against a plain reading: lists of names with a number each.
 TEST(PlatformConfig, fuzzPatchAgainstAPlainReading) {
     using List = std::vector<std::pair<std::string, int>>;
-    auto r = Rng{17};
+    auto r = RandomSource{17};
     auto item = [](const std::pair<std::string, int>& x) {
         return fmt::format(R"({{"Name":"{}","n":{}}})", x.first, x.second);
     };
@@ -361,7 +361,7 @@
                 else l.push_back(a);
             }
             auto names = std::string();
-            for (auto& g : gone) names += (names.empty() ? "" : ",") + jsQuote(g);
+            for (auto& g : gone) names += (names.empty() ? "" : ",") + jsonQuote(g);
             if (r.chance(0.8) || !add.empty())
                 up += fmt::format("{}\"{}\":{}", up.empty() ? "" : ",", k, list(add));
             if (r.chance(0.8) || !gone.empty())
@@ -409,8 +409,8 @@
 
 TEST(PlatformConfig, nearNodesFirst) {
     auto node = [](const std::string& a, const std::string& r, const std::string& d) {
-        return bodyOf({{"node", jsQuote(a)}, {"address", jsQuote(a)}, {"region", jsQuote(r)},
-            {"district", jsQuote(d)}});
+        return bodyOf({{"node", jsonQuote(a)}, {"address", jsonQuote(a)}, {"region", jsonQuote(r)},
+            {"district", jsonQuote(d)}});
     };
     auto all = node("a", "p", "x") + "," + node("b", "p", "y") + "," + node("c", "s", "z");
     auto got = [&](const std::string& nodes, const std::string& region, const std::string& zone,
--- a/tests/platform/platform_orders_fixture.hpp
+++ b/tests/platform/platform_orders_fixture.hpp
@@ -35,7 +35,7 @@
     ControlFleet& site;
     Box& box;
     std::int64_t life;
-    Req request;
+    HttpRequest request;
     std::shared_ptr<asio::steady_timer> timer;
     Microseconds arrived;
     std::int64_t pending = 0;  // the node's number of the order or read under way
@@ -43,7 +43,7 @@
     int status = 0;            // 0: not answered yet
     std::string body;
 
-    ControlCall(ControlFleet& s, Box& b, const Req& q);
+    ControlCall(ControlFleet& s, Box& b, const HttpRequest& q);
     auto await(std::function<void(std::int64_t)> begin) -> asio::awaitable<Outcome>;
     auto order(const std::string& op, const std::string& key, const std::string& body)
         -> asio::awaitable<Outcome> override;
@@ -54,7 +54,7 @@
     auto duty() -> bool override { return false; }
     auto replicatedState() -> std::string override { return box.n->replicatedState().text(); }
     auto fetch(const std::string&, const std::string&, Microseconds)
-        -> asio::awaitable<tl::expected<Res, CallError>> override {
+        -> asio::awaitable<tl::expected<HttpResponse, CallError>> override {
         co_return tl::make_unexpected(CallError{"silent"});
     }
     auto settings() -> const Settings& override { return box.st; }
@@ -85,13 +85,13 @@
     }
     auto call(Box& box, http::verb verb, const std::string& target, const std::string& body = "",
         const std::string& base = "") -> ControlCallPtr {
-        auto request = Req(verb, target, 11);
+        auto request = HttpRequest(verb, target, 11);
         request.body() = body;
         if (!base.empty()) request.set("If-Match", base);
         auto call = std::make_shared<ControlCall>(*this, box, request);
         calls.push_back(call);
         asio::co_spawn(io, adapter.serve("10.0.0.1:1", call->request, *call),
-            [call](std::exception_ptr error, Res answer) {
+            [call](std::exception_ptr error, HttpResponse answer) {
                 call->status = error ? 500 : int(answer.result_int());
                 call->body = answer.body();
             });
@@ -141,7 +141,7 @@
     }
 };
 
-inline ControlCall::ControlCall(ControlFleet& s, Box& b, const Req& q)
+inline ControlCall::ControlCall(ControlFleet& s, Box& b, const HttpRequest& q)
     : site(s),
       box(b),
       life(b.life),
@@ -173,9 +173,9 @@
     if (site.faults.keyPerTry) name += fmt::format("-{}", ++site.keys);
     if (site.faults.unfenced && op != "config") {
         auto document = rapidjson::Document();
-        jsParse(body, document);
+        parseJson(body, document);
         document.RemoveMember("revision");
-        text = js(document);
+        text = jsonText(document);
         name += fmt::format("-{}", ++site.keys);
     }
     auto begin = std::function<void(std::int64_t)>(
--- a/tests/platform/platform_orders_model.hpp
+++ b/tests/platform/platform_orders_model.hpp
@@ -26,7 +26,7 @@
 }
 inline auto versionOf(const std::string& text) -> std::int64_t {
     auto parsed = rapidjson::Document();
-    return jsParse(text, parsed) && parsed.IsObject() ? jsInt(parsed, "ConfigVersion") : 0;
+    return parseJson(text, parsed) && parsed.IsObject() ? jsonInteger(parsed, "ConfigVersion") : 0;
 }
 
 /// What an operator knows of one configuration change.
@@ -91,7 +91,7 @@
 /// An operator: one call at a time, sent again to any node after a silence, a failure or a 503.
 struct Operator {
     ControlFleet& site;
-    Rng random;
+    RandomSource random;
     double lostAnswers;
     http::verb verb = http::verb::get;
     std::string target, body, base;
@@ -238,7 +238,7 @@
 /// One fault at a time: cuts, freezes and losses of power of a leader or another node.
 struct Trouble {
     ControlFleet& site;
-    Rng random;
+    RandomSource random;
     Microseconds next = 0;
     std::function<void()> undo;
 
--- a/tests/platform/platform_settings_test.cpp
+++ b/tests/platform/platform_settings_test.cpp
@@ -140,26 +140,26 @@
             "/NodeName /Zone /Region /Ip /InternalPorts /SeedAddrs /Bootstrap /BindAddrs /BindAddrs/Front "
             "/Zones /Bounds/GraceS /PlatformApi /PlatformApi/Address "),
         paths);
-    CHECK(!settingsRead("/nowhere/at/all"));
+    CHECK(!readSettings("/nowhere/at/all"));
 }
 
 // Whatever the bytes, a file is either sound or its faults are named.
 TEST(PlatformSettings, fuzzBytes) {
-    auto r = Rng{11};
+    auto r = RandomSource{11};
     for (auto i = 0; i < 3000; i++) {
         auto s = SETTINGS;
         for (auto k = r.below(4); k-- > 0;) s[r.below(s.size())] = char(r.below(256));
         if (r.chance(0.3)) s.resize(r.below(s.size()));
         auto p = settingsParse(s);
         if (!p) CHECK(!p.error().empty() && !p.error()[0].why.empty());
-        else CHECK(!p->st.seeds.empty() && bool(addrParse(p->st.peer)) && bool(addrParse(p->api)));
+        else CHECK(!p->st.seeds.empty() && bool(parseAddress(p->st.peer)) && bool(parseAddress(p->api)));
     }
 }
 
 // The deploy file asks for what the page of packages lists.
 TEST(PlatformSettings, packagesAreOneList) {
     auto root = std::string(DT_EXAMPLES) + "/../";
-    auto l = fileRead(root + "packages.txt"), d = fileRead(root + "deploy/system.toml");
+    auto l = readFile(root + "packages.txt"), d = readFile(root + "deploy/system.toml");
     CHECK(l && d);
     auto in = std::stringstream(*l);
     auto n = 0;
--- a/tests/routing/edge_fixture.hpp
+++ b/tests/routing/edge_fixture.hpp
@@ -65,7 +65,7 @@
     int others = 0;
 
     explicit EdgeFixture(const std::string& name = "a", int oth = 0, std::uint64_t seed = 2) : others(oth) {
-        logMute(true);
+        muteLog(true);
         st.node = name, st.zone = "d", st.region = region, st.peer = "127.0.0.1:1";
         st.roster = st.initialVoters = {name};
         n = std::make_unique<Node>(st, *this, ct, 7, seed);
@@ -139,11 +139,11 @@
         auto o = std::string();
         for (auto& s : v)
             o += (o.empty() ? "" : ",")
-                + bodyOf({{"name", jsQuote(s.name)}, {"address", "\"127.0.0.1:9\""},
-                    {"region", jsQuote(s.region)}, {"district", jsQuote(s.zone)},
-                    {"pool", jsQuote(s.service)}, {"slots", fmt::to_string(s.slots)}});
+                + bodyOf({{"name", jsonQuote(s.name)}, {"address", "\"127.0.0.1:9\""},
+                    {"region", jsonQuote(s.region)}, {"district", jsonQuote(s.zone)},
+                    {"pool", jsonQuote(s.service)}, {"slots", fmt::to_string(s.slots)}});
         for (auto& [s, till] : colds)  // told of those alone whose cold time is known
-            if (auto i = o.find(bodyOf({{"name", jsQuote(s)}}).substr(1, s.size() + 9));
+            if (auto i = o.find(bodyOf({{"name", jsonQuote(s)}}).substr(1, s.size() + 9));
                 i != std::string::npos)
                 o.insert(i, fmt::format("\"coldUs\":{},", std::max<Microseconds>(0, till - now)));
         n->list(1, fmt::format("{{\"revision\":{},\"servers\":[{}]}}", ++rev, o), now);
--- a/tests/routing/edge_platform_test.cpp
+++ b/tests/routing/edge_platform_test.cpp
@@ -171,7 +171,7 @@
 
 // Against a plain reading: of its host, else of any; the longest path; this very method first.
 TEST(EdgePlatform, fuzzMatch) {
-    auto g = Rng{5};
+    auto g = RandomSource{5};
     auto found = 0, none = 0;
     for (auto k = 0; k < 300; k++) {
         auto any = [&](std::initializer_list<const char*> l) {
@@ -193,11 +193,11 @@
             auto m = M{host(), any({"GET", "POST", "*"}), path(), g.chance(.7)};
             t += fmt::format(R"({}{{"name":"m{}","method":"{}","path":"{}{}","pool":"p"{}}})", i ? "," : "",
                 i, m.method, m.path, m.prefix ? "*" : "",
-                m.host.empty() ? "" : ",\"host\":" + jsQuote(m.host));
+                m.host.empty() ? "" : ",\"host\":" + jsonQuote(m.host));
             ms.push_back(m);
         }
         auto d = rapidjson::Document();
-        CHECK(jsParse("{\"mappings\":[" + t + "]}", d));
+        CHECK(parseJson("{\"mappings\":[" + t + "]}", d));
         auto ru = compile(d, 1);
         for (auto i = 0; i < 40; i++) {
             auto h = host(), me = any({"GET", "POST", "DELETE"}), p = path();
@@ -227,7 +227,7 @@
 TEST(EdgePlatform, configuration) {
     auto check = [](const std::string& s) {
         auto d = rapidjson::Document();
-        CHECK(jsParse(s, d));
+        CHECK(parseJson(s, d));
         auto o = std::string();
         for (auto& f : configCheck(d)) o += f.path + " ";
         return o;
@@ -268,7 +268,7 @@
             i ? "," : "", i, i % 3, i);
     t += "]}";
     auto d = rapidjson::Document();
-    CHECK(jsParse(t, d));
+    CHECK(parseJson(t, d));
     auto best = 1e9;
     auto ru = Rules();
     for (auto k = 0; k < 5; k++) {
@@ -286,14 +286,14 @@
     auto p = orderPrepare(w, "config", "k", "{\"base\":0,\"config\":" + t + "}", 1);
     CHECK(bool(p));
     CHECK_EQ(200, w.apply(*p).status);
-    CHECK(js(w.d["outcomes"]).size() < 200);
+    CHECK(jsonText(w.d["outcomes"]).size() < 200);
     CHECK_EQ(200, w.apply(*p).status);  // the same key again
     CHECK_EQ(std::int64_t(1), w.configVersion());
 }
 
 // Whatever is listed or ordered between the pick and the send.
 TEST(EdgePlatform, fuzzHomes) {
-    auto g = Rng{9};
+    auto g = RandomSource{9};
     auto sent = 0, held = 0;
     for (auto k = 0; k < 20; k++) {
         auto r = Rig();
@@ -302,7 +302,7 @@
         auto give = [&] {
             at = g.below(homes.size());
             auto t = std::string();
-            for (auto& h : homes[at]) t += (t.empty() ? "" : ",") + jsQuote(h);
+            for (auto& h : homes[at]) t += (t.empty() ? "" : ",") + jsonQuote(h);
             CHECK_EQ(200, r.config(one(R"(,"MaxTries":4,"repeatable":true,"homes":[)" + t + "]")));
         };
         auto ls = std::vector<Rig::S>();
@@ -399,7 +399,7 @@
 
 // Nothing that may not be repeated runs twice, and no promise is broken, whatever is lost when.
 TEST(EdgePlatform, fuzzRuns) {
-    auto g = Rng{31};
+    auto g = RandomSource{31};
     auto again = 0, promises = 0, wholes = 0, cuts = 0;
     auto broke = 0;
     for (auto k = 0; k < 40; k++) {
@@ -510,7 +510,7 @@
 
 // A stream that was moved is what one run would have been, to the byte.
 TEST(EdgePlatform, fuzzJoined) {
-    auto g = Rng{77};
+    auto g = RandomSource{77};
     auto moved = 0, whole = 0;
     for (auto k = 0; k < 10; k++) {
         auto r = Rig();
@@ -779,7 +779,7 @@
 
 // What a cold server gets from all edges together, in any second; and that it gets something.
 TEST(EdgePlatform, fuzzColdRate) {
-    auto g = Rng{41};
+    auto g = RandomSource{41};
     struct Case {
         int nodes;
         double rate;
@@ -822,7 +822,7 @@
 // Extra arrivals over all edges, in any ten seconds, against what was asked for there.
 TEST(EdgePlatform, fuzzBudget) {
     for (auto broken : {false, true}) {
-        auto g = Rng{43};
+        auto g = RandomSource{43};
         auto f = Fleet(12,
             R"({"budget":{"slack":64,"share":0.2},"mappings":[
              {"name":"a","path":"/a/*","pool":"p","MaxTries":6,"repeatable":true},
@@ -869,7 +869,7 @@
 // edges send one to the same server, no server is named for too many, and each is read once.
 TEST(EdgePlatform, cacheHomes) {
     for (auto random : {false, true}) {
-        auto g = Rng{51};
+        auto g = RandomSource{51};
         auto ls = std::vector<Rig::S>();
         for (auto i = 0; i < 11; i++) ls.push_back({fmt::format("i-{}", i), "near", "p", "z", 64});
         auto f = Fleet(12,
@@ -963,7 +963,7 @@
     };
     auto cs = std::vector<Case>{{12, "", 0, 0}, {12, "random", 0, 0}, {48, "", 0, 0}};
     for (auto& c : cs) {
-        auto g = Rng{61};
+        auto g = RandomSource{61};
         auto ls = std::vector<Rig::S>();
         for (auto i = 0; i < 11; i++) ls.push_back({fmt::format("i-{}", i), "near", "p", "z", 32});
         auto f = Fleet(c.nodes,
