--- a/tests/routing/edge_test.cpp
+++ b/tests/routing/edge_test.cpp
@@ -124,7 +124,7 @@
 
 // The steps against a plain reading of the configuration, over random fleets.
 TEST(Edge, fuzzAgainstPlainReading) {
-    auto g = Rng{21};
+    auto g = RandomSource{21};
     auto picked = 0, none = 0;
     for (auto k = 0; k < 25; k++) {
         auto r = NodeFixture();
@@ -137,11 +137,11 @@
                 if (g.chance(.4)) spill.push_back(x);
         auto service = fmt::format("p{}", g.below(2));
         auto sp = std::string();
-        for (auto& x : spill) sp += (sp.empty() ? "" : ",") + jsQuote(x);
+        for (auto& x : spill) sp += (sp.empty() ? "" : ",") + jsonQuote(x);
         CHECK_EQ(200,
             r.config(fmt::format(
                 R"({{"ramp":{{"overUs":0}},"mappings":[{{"name":"a","path":"/a/*","pool":"{}","queueUs":0{}}}]}})",
-                service, home.empty() ? ",\"spill\":[" + sp + "]" : ",\"home\":" + jsQuote(home))));
+                service, home.empty() ? ",\"spill\":[" + sp + "]" : ",\"home\":" + jsonQuote(home))));
         auto v = std::vector<std::array<std::string, 5>>();
         for (auto i = 0; i < 6; i++)
             v.push_back({fmt::format("s{}", i), any(names), fmt::format("z{}", g.below(2)),
@@ -151,7 +151,7 @@
         r.n->mark(99, gone, ++r.rev, r.now);
         auto z = fmt::format("z{}", g.below(2));
         auto evacuated = g.chance(.5);
-        if (evacuated) r.n->order(98, "empty", "e", bodyOf({{"district", jsQuote(z)}}), r.now);
+        if (evacuated) r.n->order(98, "empty", "e", bodyOf({{"district", jsonQuote(z)}}), r.now);
         r.run(2 * SECOND);
         for (auto i = 0; i < 20; i++) {
             auto from = any(names);
--- a/tests/routing/incident_edge_test.cpp
+++ b/tests/routing/incident_edge_test.cpp
@@ -48,7 +48,7 @@
     std::int64_t names = 0;
 
     Rig(const std::string& routes, const std::vector<std::pair<std::string, std::string>>& servers) {
-        logMute(true);
+        muteLog(true);
         st.node = "a", st.zone = "d", st.region = "near", st.peer = "127.0.0.1:1";
         st.roster = st.initialVoters = {"a"};
         n = std::make_unique<Node>(st, *this, ct, 7, 2);
@@ -64,8 +64,8 @@
         auto o = std::string();
         for (auto& [s, z] : servers)
             o += (o.empty() ? "" : ",")
-                + bodyOf({{"name", jsQuote(s)}, {"address", "\"127.0.0.1:9\""}, {"region", "\"near\""},
-                    {"district", jsQuote(z)}, {"pool", "\"p\""}, {"slots", "8"}});
+                + bodyOf({{"name", jsonQuote(s)}, {"address", "\"127.0.0.1:9\""}, {"region", "\"near\""},
+                    {"district", jsonQuote(z)}, {"pool", "\"p\""}, {"slots", "8"}});
         n->list(2, "{\"revision\":1,\"servers\":[" + o + "]}", now);
         run(SECOND);
     }
--- a/tests/routing/server_model.hpp
+++ b/tests/routing/server_model.hpp
@@ -114,7 +114,7 @@
         if (complaint_.empty()) complaint_ = what;
     }
 
-    KeptConnections<std::shared_ptr<Link>> kept_{
+    ConnectionPool<std::shared_ptr<Link>> kept_{
         [this](auto& link) { return faults.keepAnyConnection || (link->open && link->unasked.empty()); }};
     std::vector<ServerBehaviour> script_;
     std::map<std::pair<std::int64_t, int>, std::shared_ptr<Attempt>> attempts_;
--- a/tests/sim/history_test.cpp
+++ b/tests/sim/history_test.cpp
@@ -51,7 +51,7 @@
 
 // Histories made by a true register are always explained; with one reply changed, as good as never.
 TEST(History, fuzz) {
-    auto g = Rng{5};
+    auto g = RandomSource{5};
     auto caught = 0, changed = 0;
     for (auto i = 0; i < 300; i++) {
         auto ops = std::vector<HistOp>();
--- a/tests/state/config_change_test.cpp
+++ b/tests/state/config_change_test.cpp
@@ -16,7 +16,7 @@
 
 /// A configuration that changes at random: mappings come at the end, go, and change in place.
 struct RandomConfig {
-    Rng rng;
+    RandomSource rng;
     std::vector<std::string> routes = {};
     int made = 0;
 
@@ -45,20 +45,20 @@
         auto budget = rng.chance(.5) ? R"("budget":{"share":0.1},)" : "";
         auto origin = fmt::format("{{\"n\":{},\"list\":[{}]}}", number, list);
         return fmt::format(R"({{{}"pools":{{{}}},"mappings":[{}],"origin":{{"number":{},"text":{}}}}})",
-            budget, pools, list, number, jsQuote(origin));
+            budget, pools, list, number, jsonQuote(origin));
     }
 };
 
 auto parsed(const std::string& text) -> rapidjson::Document {
     auto document = rapidjson::Document();
-    CHECK(jsParse(text, document));
+    CHECK(parseJson(text, document));
     return document;
 }
 
 }  // namespace
 
 TEST(ConfigChange, givesTheNewerConfiguration) {
-    auto make = RandomConfig{Rng{11}};
+    auto make = RandomConfig{RandomSource{11}};
     auto older = parsed(make.text(0));
     for (auto number = 1; number <= 200; number++) {
         auto newer = parsed(make.text(number));
@@ -69,7 +69,7 @@
         result.CopyFrom(older, result.GetAllocator());
         CHECK(bool(applyConfigChange(result, value)));
         CHECK(result == newer);
-        CHECK(js(result["mappings"]) == js(newer["mappings"]));
+        CHECK(jsonText(result["mappings"]) == jsonText(newer["mappings"]));
         older.Swap(newer);
     }
 }
@@ -83,7 +83,7 @@
                 id, id, id == 700 ? urgency : 5);
         auto origin = fmt::format("{{\"number\":{},\"Routes\":[{}]}}", number, list);
         return parsed(fmt::format(
-            R"({{"mappings":[{}],"origin":{{"number":{},"text":{}}}}})", list, number, jsQuote(origin)));
+            R"({{"mappings":[{}],"origin":{{"number":{},"text":{}}}}})", list, number, jsonQuote(origin)));
     };
     auto change = configChange(make(1, 5), make(2, 6));
     CHECK(bool(change));
@@ -109,7 +109,7 @@
 }
 
 TEST(ConfigChange, textsAreMadeAgain) {
-    auto rng = Rng{5};
+    auto rng = RandomSource{5};
     auto random = [&] {
         auto text = std::string();
         for (auto n = rng.below(60); n > 0; n--)
--- a/tests/state/order_state_test.cpp
+++ b/tests/state/order_state_test.cpp
@@ -148,14 +148,14 @@
     CHECK_EQ(state.text(), again.text());
     // A memory that does not reach the configuration in force tells nothing.
     auto behind = rapidjson::Document();
-    jsParse(state.text(), behind);
+    parseJson(state.text(), behind);
     behind["configGeneration"].SetInt64(7);
-    CHECK(again.load(js(behind)));
+    CHECK(again.load(jsonText(behind)));
     CHECK_EQ(std::int64_t(7), AcceptedChanges::forgottenGeneration(again.d["acceptedChanges"]));
     behind["acceptedChanges"].SetString("damaged");
-    CHECK(again.load(js(behind)));
+    CHECK(again.load(jsonText(behind)));
     behind["refusals"].SetString("damaged");
-    CHECK(!again.load(js(behind)));
+    CHECK(!again.load(jsonText(behind)));
 }
 
 TEST(OrderState, queriesTravelAndAreAnswered) {
--- a/tests/state/replicated_state_test.cpp
+++ b/tests/state/replicated_state_test.cpp
@@ -66,10 +66,10 @@
         {"{}", R"({"a":{"bb":{"ccc":null}}})", R"({"a":{"bb":{}}})"}};
     for (auto& [a, p, r] : t) {
         auto x = rapidjson::Document(), y = rapidjson::Document();
-        jsParse(a, x);
-        jsParse(p, y);
-        jsMerge(x, y, x.GetAllocator());
-        CHECK_EQ(std::string(r), js(x));
+        parseJson(a, x);
+        parseJson(p, y);
+        applyMergePatch(x, y, x.GetAllocator());
+        CHECK_EQ(std::string(r), jsonText(x));
     }
 }
 
@@ -77,10 +77,10 @@
     auto w = ReplicatedState();
     CHECK_EQ(200, order(w, "config", "a", fmt::format("{{\"base\":0,\"config\":{}}}", ONE_ROUTE)).status);
     CHECK_EQ(200, order(w, "merge", "b", R"({"base":1,"patch":{"name":"x","budget":{"share":0.1}}})").status);
-    CHECK_EQ(std::string("x"), jsStr(w.config(), "name"));
+    CHECK_EQ(std::string("x"), jsonString(w.config(), "name"));
     CHECK_EQ(409, order(w, "merge", "c", R"({"base":1,"patch":{"name":"y"}})").status);
     CHECK_EQ(422, order(w, "merge", "d", R"({"base":2,"patch":{"mappings":null}})").status);
-    CHECK_EQ(std::string("x"), jsStr(w.config(), "name"));
+    CHECK_EQ(std::string("x"), jsonString(w.config(), "name"));
     CHECK_EQ(std::int64_t(2), w.configVersion());
 }
 
@@ -90,8 +90,8 @@
     CHECK_EQ(200,
         order(w, "book", "b", R"({"at":"2026-01-31T06:00:00Z","move":{"op":"empty","district":"z"}})")
             .status);
-    auto id = jsStr(w.d["plan"][0], "id");
-    auto f = "{\"move\":" + jsQuote(id) + "}";
+    auto id = jsonString(w.d["plan"][0], "id");
+    auto f = "{\"move\":" + jsonQuote(id) + "}";
     CHECK_EQ(200, order(w, "fire", "f1", f).status);
     CHECK(w.evacuated("z"));
     CHECK_EQ(200, order(w, "give-back", "g", R"({"district":"z"})").status);
@@ -104,7 +104,7 @@
 // Whatever the orders, two words fed the same log are the same, a text loads back to
 // the same word, and a generation never falls.
 TEST(ReplicatedState, fuzzSameLogSameWord) {
-    auto r = Rng{7};
+    auto r = RandomSource{7};
     for (auto round = 0; round < 200; round++) {
         auto a = ReplicatedState(), b = ReplicatedState();
         a.bootstrap({"n1", "n2"}, {{"n1", "d1"}});
@@ -115,12 +115,12 @@
             auto ops = std::vector<std::pair<std::string, std::string>>{
                 {"config", fmt::format("{{\"base\":{},\"config\":{}}}", base, ONE_ROUTE)},
                 {"merge", fmt::format("{{\"base\":{},\"patch\":{{\"name\":\"{}\"}}}}", base, z)},
-                {"empty", "{\"district\":" + jsQuote(z) + "}"},
-                {"give-back", "{\"district\":" + jsQuote(z) + "}"},
+                {"empty", "{\"district\":" + jsonQuote(z) + "}"},
+                {"give-back", "{\"district\":" + jsonQuote(z) + "}"},
                 {"book", R"({"at":"2026-01-31T06:00:00Z","move":{"op":"empty","district":"z"}})"},
                 {"cancel", fmt::format("{{\"move\":\"m{}\"}}", r.below(30))},
                 {"fire", fmt::format("{{\"move\":\"m{}\"}}", r.below(30))},
-                {"roster", "{\"node\":" + jsQuote(z) + "}"}};
+                {"roster", "{\"node\":" + jsonQuote(z) + "}"}};
             auto& [op, body] = ops[r.below(ops.size())];
             auto p = orderPrepare(a, op, fmt::format("k{}", r.below(40)), body, 5);
             if (!p) continue;
--- a/tests/storage/disk_test.cpp
+++ b/tests/storage/disk_test.cpp
@@ -170,11 +170,11 @@
             w.meta.disk = "d";
             w.meta.term = i;
             w.add = {entry(i, i, std::size_t(i * 97))};
-            if (i == 41) a = *fileRead(f.p + "/data.mdb"), before = after;
+            if (i == 41) a = *readFile(f.p + "/data.mdb"), before = after;
             CHECK(bool(s.write(w)));
             diskApply(after, w);
         }
-        b = *fileRead(f.p + "/data.mdb");
+        b = *readFile(f.p + "/data.mdb");
     }
     constexpr auto P = std::size_t(4096);
     a.resize(b.size());
@@ -201,7 +201,7 @@
 
 // A disk that is full when the store is opened: it is opened once there is room.
 TEST(Store, fullAtOpen) {
-    logMute(true);  // the limit would hold for a log file, too
+    muteLog(true);  // the limit would hold for a log file, too
     auto f = Dir();
     auto s = Store();
     {
@@ -213,7 +213,7 @@
     auto w = DiskWrite();
     w.meta.disk = "d";
     CHECK(bool(s.write(w)));
-    logMute(false);
+    muteLog(false);
 }
 
 }  // namespace duneturn
--- a/tests/storage/power_loss_files.cpp
+++ b/tests/storage/power_loss_files.cpp
@@ -16,7 +16,7 @@
 constexpr auto PAGE_BYTES = std::size_t(4096);
 constexpr auto LAST_PAGES = 2 * PAGE_BYTES;  // written last and alone, behind a sync
 
-auto readFile(const std::string& path) -> std::string { return fileRead(path).value_or(""); }
+auto contentsOf(const std::string& path) -> std::string { return readFile(path).value_or(""); }
 
 // Every other page of `newer` over `older`, and none of the pages written last.
 auto torn(const std::string& older, const std::string& newer) -> std::string {
@@ -92,7 +92,7 @@
 
 auto PowerLossFiles::syncFile(const std::string& path, int) -> int {
     atPoint();
-    if (!skipsFileSync) synced_[names_.at(path)] = readFile(path);
+    if (!skipsFileSync) synced_[names_.at(path)] = contentsOf(path);
     atPoint();
     return 0;
 }
@@ -115,7 +115,7 @@
 auto PowerLossFiles::contents(FileId file) const -> std::vector<std::string> {
     auto now = std::string();
     for (auto& [path, id] : names_)
-        if (id == file) now = readFile(path);
+        if (id == file) now = contentsOf(path);
     auto synced = synced_.find(file);
     if (synced == synced_.end()) return {"", now, now.substr(0, now.size() / 2)};
     // One that has no name any more is not written to any more.
--- a/tests/storage/storage_power_test.cpp
+++ b/tests/storage/storage_power_test.cpp
@@ -149,7 +149,7 @@
         CHECK(bool(store.write(write)));
     }
     auto path = directory.path + "/data.mdb";
-    auto bytes = *fileRead(path);
+    auto bytes = *readFile(path);
     // The damage is to each copy of the entry.
     for (auto at = bytes.find(std::string(300, 'b')); at != std::string::npos;
          at = bytes.find(std::string(300, 'b'), at + 300))
--- a/tests/storage/store_test.cpp
+++ b/tests/storage/store_test.cpp
@@ -74,7 +74,7 @@
 TEST(Store, fuzzAgainstState) {
     for (auto seed = 1u; seed <= 10; seed++) {
         auto f = TempDir();
-        auto r = Rng{seed};
+        auto r = RandomSource{seed};
         auto s = std::make_unique<Store>();
         auto m = DiskState();
         CHECK(bool(s->open(f.p)));
@@ -121,7 +121,7 @@
 TEST(Store, powerAtEveryWritePoint) {
     auto f = TempDir();
     auto before = DiskState(), after = DiskState();
-    auto snap = [&] { return *fileRead(f.p + "/data.mdb"); };
+    auto snap = [&] { return *readFile(f.p + "/data.mdb"); };
     auto a = std::string(), b = std::string();
     {
         auto s = Store();
@@ -224,7 +224,7 @@
     auto found = 0;
     for (auto seed = 1u; seed <= 20; seed++) {
         auto f = TempDir();
-        auto r = Rng{seed};
+        auto r = RandomSource{seed};
         auto m = DiskState();
         {
             auto s = Store();
@@ -243,7 +243,7 @@
             diskApply(m, w);
         }
         // A few bytes of the records are turned.
-        auto t = *fileRead(f.p + "/data.mdb");
+        auto t = *readFile(f.p + "/data.mdb");
         for (auto k = 0; k < 4; k++) {
             auto at = t.find(std::string(300, 'x'), r.below(t.size()));
             if (at != std::string::npos) t[at + r.below(300)] ^= 1;
@@ -294,7 +294,7 @@
 // What processes say to each other: any envelope comes out as it went in; any damage to it is
 // either noticed, or gives an envelope that packs again, within bounds.
 TEST(Wire, fuzzCodec) {
-    auto r = Rng{9};
+    auto r = RandomSource{9};
     auto bad = 0, odd = 0;
     for (auto i = 0; i < 3000; i++) {
         auto e = wire::Envelope();
--- a/tests/storage/stored_format_test.cpp
+++ b/tests/storage/stored_format_test.cpp
@@ -103,18 +103,18 @@
     for (auto& file : std::filesystem::directory_iterator(directory))
         if (file.path().string().find(std::string(STORE_FILE) + ".bad-") != std::string::npos)
             found.push_back(file.path().string());
-    return found.size() == 1 ? *fileRead(found[0]) : std::string();
+    return found.size() == 1 ? *readFile(found[0]) : std::string();
 }
 
 /// A store of these records is refused: it is renamed as it is, and nothing of it is taken.
 auto isRefused(const Records& records) -> bool {
     auto directory = TemporaryDirectory();
     makeStore(directory.path, records);
-    auto before = *fileRead(directory.path + STORE_FILE);
+    auto before = *readFile(directory.path + STORE_FILE);
     auto store = Store();
-    logMute(true);
+    muteLog(true);
     auto state = store.open(directory.path);
-    logMute(false);
+    muteLog(false);
     if (!state || !store.setAside) return false;
     return sameState(*state, DiskState()) && asideBytes(directory.path) == before;
 }
@@ -163,7 +163,7 @@
     auto pinned = std::set<int>();
     for (auto& line : readPinned("envelopes.txt", 2)) {
         auto values = rapidjson::Document();
-        CHECK(jsParse(line[0], values) && values.IsObject());
+        CHECK(parseJson(line[0], values) && values.IsObject());
         for (auto& field : values.GetObject()) pinned.insert(std::stoi(field.name.GetString()));
     }
     auto known = std::set<int>();
@@ -191,13 +191,13 @@
         auto bytes = fromHex(line[2]);
         auto envelope = wire::Envelope();
         CHECK(unpackRecord(bytes, envelope));
-        auto content = decompressed(envelope);
+        auto content = decompressEnvelope(envelope);
         CHECK(bool(content));
         CHECK_EQ(line[1], valuesText(*content));
-        auto compressor = Compressor();
+        auto compressor = EnvelopeCompressor();
         auto again = compressor(*content);
         CHECK(bool(again));
-        CHECK(decompressed(*again) == content);
+        CHECK(decompressEnvelope(*again) == content);
         // Another release of zlib may compress the same bytes otherwise.
         if (std::string(zlibVersion()) == line[0]) CHECK_EQ(toHex(bytes), toHex(packRecord(*again)));
     }
@@ -355,13 +355,13 @@
             sealed = sealRecord(key, packRecord(meta));
         }
     makeStore(directory.path, records);
-    auto before = *fileRead(directory.path + STORE_FILE);
+    auto before = *readFile(directory.path + STORE_FILE);
     auto store = Store();
     auto state = store.open(directory.path);
     CHECK(!state);
     CHECK(state.error().kind == StoreError::Kind::NewerFormat);
     CHECK(!store.setAside);
-    CHECK(before == *fileRead(directory.path + STORE_FILE));
+    CHECK(before == *readFile(directory.path + STORE_FILE));
 }
 
 // ---- the entries by which voters are replaced
