--- a/src/base/random.cpp
+++ b/src/base/random.cpp
@@ -1,6 +1,8 @@
 // Deterministic random numbers.
 #include "base/random.hpp"
 
+#include <cstdint>
+
 namespace duneturn {
 
 // splitmix64: Steele, Lea and Flood, "Fast Splittable Pseudorandom Number Generators", 2014.
--- a/src/daemon/answer_reader.cpp
+++ b/src/daemon/answer_reader.cpp
@@ -1,4 +1,4 @@
-#include "net/answer_reader.hpp"
+#include "daemon/answer_reader.hpp"
 
 #include <algorithm>
 #include <cstdint>
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -42,11 +42,11 @@
 #include "base/time.hpp"
 #include "control/request_age.hpp"
 #include "control/request_watch.hpp"
-#include "net/compress.hpp"
-#include "net/peer_sender.hpp"
+#include "daemon/answer_reader.hpp"
+#include "net/connection_pool.hpp"
+#include "net/envelope_compression.hpp"
+#include "net/peer_channel.hpp"
 #include "net/socket.hpp"
-#include "net/answer_reader.hpp"
-#include "net/kept_connections.hpp"
 #include "storage/store.hpp"
 
 namespace duneturn {
--- a/src/net/envelope_compression.cpp
+++ b/src/net/envelope_compression.cpp
@@ -1,4 +1,4 @@
-#include "net/compress.hpp"
+#include "net/envelope_compression.hpp"
 
 #include <cstdint>
 #include <memory>
--- a/src/net/peer_channel.cpp
+++ b/src/net/peer_channel.cpp
@@ -1,4 +1,4 @@
-#include "net/peer_sender.hpp"
+#include "net/peer_channel.hpp"
 
 #include <memory>
 #include <mutex>
--- a/src/net/peer_channel.hpp
+++ b/src/net/peer_channel.hpp
@@ -15,7 +15,7 @@
 #include "base/address.hpp"
 #include "base/counters.hpp"
 #include "base/time.hpp"
-#include "net/compress.hpp"
+#include "net/envelope_compression.hpp"
 
 namespace duneturn {
 
--- a/tests/daemon/answer_reader_test.cpp
+++ b/tests/daemon/answer_reader_test.cpp
@@ -7,8 +7,8 @@
 #include <fmt/format.h>
 
 #include "base/time.hpp"
-#include "net/answer_reader.hpp"
-#include "net/kept_connections.hpp"
+#include "daemon/answer_reader.hpp"
+#include "net/connection_pool.hpp"
 #include "test.hpp"
 
 namespace duneturn {
--- a/tests/net/envelope_compression_test.cpp
+++ b/tests/net/envelope_compression_test.cpp
@@ -4,7 +4,7 @@
 
 #include "base/random.hpp"
 #include "base/version.hpp"
-#include "net/compress.hpp"
+#include "net/envelope_compression.hpp"
 #include "test.hpp"
 
 namespace duneturn {
--- a/tests/storage/stored_format_test.cpp
+++ b/tests/storage/stored_format_test.cpp
@@ -17,11 +17,11 @@
 #include "base/log.hpp"
 #include "base/time.hpp"
 #include "consensus/consensus_fixture.hpp"
-#include "net/compress.hpp"
+#include "net/envelope_compression.hpp"
 #include "pinned_files.hpp"
 #include "state/state_query.hpp"
-#include "storage/store.hpp"
 #include "storage/storage_fixture.hpp"
+#include "storage/store.hpp"
 
 namespace duneturn {
 namespace {
