--- a/src/consensus/configuration.cpp
+++ b/src/consensus/configuration.cpp
@@ -17,16 +17,18 @@
 auto votersParse(const std::string& body) -> std::vector<VoterIdentity> {
     auto voters = std::vector<VoterIdentity>();
     auto document = rapidjson::Document();
-    if (!jsParse(body, document) || !document.IsArray()) return voters;
-    for (auto& voter : document.GetArray()) voters.push_back({jsStr(voter, "seat"), jsStr(voter, "disk")});
+    if (!parseJson(body, document) || !document.IsArray()) return voters;
+    for (auto& voter : document.GetArray())
+        voters.push_back({jsonString(voter, "seat"), jsonString(voter, "disk")});
     return voters;
 }
 
 auto jointParse(const std::string& body) -> Configuration {
     auto document = rapidjson::Document();
-    if (!jsParse(body, document) || !document.IsObject()) return {};
+    if (!parseJson(body, document) || !document.IsObject()) return {};
     if (!document.HasMember("before") || !document.HasMember("after")) return {};
-    return Configuration::joint(votersParse(js(document["before"])), votersParse(js(document["after"])));
+    return Configuration::joint(
+        votersParse(jsonText(document["before"])), votersParse(jsonText(document["after"])));
 }
 
 auto isMajority(const std::vector<VoterIdentity>& voters, std::size_t count) -> bool {
@@ -55,7 +57,7 @@
     auto list = std::string();
     for (auto& voter : voters) {
         if (!list.empty()) list += ",";
-        list += bodyOf({{"seat", jsQuote(voter.node)}, {"disk", jsQuote(voter.disk)}});
+        list += bodyOf({{"seat", jsonQuote(voter.node)}, {"disk", jsonQuote(voter.disk)}});
     }
     return "[" + list + "]";
 }
--- a/src/consensus/membership.cpp
+++ b/src/consensus/membership.cpp
@@ -26,7 +26,7 @@
     if (entry.kind == ENTRY_ORDER) {
         auto document = rapidjson::Document();
         auto outcome = replicatedState_.apply(entry.body);
-        auto key = jsParse(entry.body, document) ? jsStr(document, "key") : std::string();
+        auto key = parseJson(entry.body, document) ? jsonString(document, "key") : std::string();
         counters_.add("orders_applied_total");
         port_.voterApplied(replicatedState_, key, outcome);
     } else if (entry.kind == ENTRY_JOINT) {
--- a/src/consensus/voter.hpp
+++ b/src/consensus/voter.hpp
@@ -261,7 +261,7 @@
 
     VoterPort& port_;
     Counters& counters_;
-    Rng random_;
+    RandomSource random_;
     std::unique_ptr<RoleMachine> roles_;
 
     // What the disk holds beside the log, or will once the newest write is done.
--- a/src/routing/edge.hpp
+++ b/src/routing/edge.hpp
@@ -104,7 +104,7 @@
     };
     Table<Host> hosts;  // by name in lower case; "" for mappings of any host
 };
-/// The rules of a configuration that configCheck found sound.
+/// The rules of a configuration that validateConfiguration found valid.
 auto compile(const rapidjson::Value& config, std::int64_t configVersion) -> Rules;
 
 struct Event {
@@ -363,7 +363,7 @@
     Node& n_;
     EdgePort& po_;
     Counters& ct_;
-    Rng rng_;
+    RandomSource rng_;
     Dialect di_;
     Rules ru_;
     std::int64_t next_ = 0, credit_ = 0, decision_ = 0, rulesRevision_ = 0;
--- a/tests/consensus/consensus_fixture.hpp
+++ b/tests/consensus/consensus_fixture.hpp
@@ -70,7 +70,7 @@
         }
     };
 
-    Rng random{1};
+    RandomSource random{1};
     Microseconds now = SECOND;
     Voter::Broken broken;
     bool record = false;
@@ -124,8 +124,11 @@
         auto state = ReplicatedState();
         state.bootstrap({"n"}, initialVoters);
         if (!name.empty()) {
-            auto& al = state.d.GetAllocator();
-            state.d["config"].AddMember("name", rapidjson::Value(name, al), al);
+            auto document = rapidjson::Document();
+            CHECK(parseJson(state.text(), document));
+            auto& allocator = document.GetAllocator();
+            document["config"].AddMember("name", rapidjson::Value(name, allocator), allocator);
+            CHECK(state.load(jsonText(document)));
         }
         at(disks[0]).bootstrap(state, 1, now);
         run(10 * SECOND);
