--- a/src/consensus/configuration.hpp
+++ b/src/consensus/configuration.hpp
@@ -12,13 +12,15 @@
 
 namespace duneturn {
 
-/// The kinds of log entries, as stored and sent; never renumbered.
-enum EntryKind : std::int32_t {
-    ENTRY_NOOP = 0,    // a new leader's first
-    ENTRY_ORDER = 1,   // a command of the replicated state
-    ENTRY_VOTERS = 2,  // the voters from here on
-    ENTRY_JOINT = 3,   // the voters before and after a change, of which both majorities count
-};
+// The kinds of log entries, as stored and sent (wire::Entry::kind); never renumbered.
+/// A new leader's first entry.
+constexpr std::int32_t ENTRY_NOOP = 0;
+/// A command of the replicated state.
+constexpr std::int32_t ENTRY_ORDER = 1;
+/// The voters from here on.
+constexpr std::int32_t ENTRY_VOTERS = 2;
+/// The voters before and after a change, of which both majorities count.
+constexpr std::int32_t ENTRY_JOINT = 3;
 
 /// Whether this program can read an entry; one that it can't is not taken into the log.
 [[nodiscard]] auto entryKnown(const wire::Entry& entry) -> bool;
@@ -61,7 +63,7 @@
         const QuorumFaults& faults) const -> std::int64_t;
 
     /// The kind and the body of the entry that brings this configuration into force.
-    [[nodiscard]] auto entryKind() const -> EntryKind { return isJoint() ? ENTRY_JOINT : ENTRY_VOTERS; }
+    [[nodiscard]] auto entryKind() const -> std::int32_t { return isJoint() ? ENTRY_JOINT : ENTRY_VOTERS; }
     [[nodiscard]] auto entryBody() const -> std::string;
 
   private:
--- a/src/consensus/disk.cpp
+++ b/src/consensus/disk.cpp
@@ -8,7 +8,7 @@
     if (write.reset) state = DiskState();
     auto snapshotIndex = write.hasSnapshot ? write.meta.snapshotIndex : state.snapshotIndex;
     auto snapshotTerm = write.hasSnapshot ? write.meta.snapshotTerm : state.snapshotTerm;
-    auto snapshotDocument = write.hasSnapshot ? write.document : std::move(state.snapshotDocument);
+    auto snapshotDocument = write.hasSnapshot ? write.document : state.snapshotDocument;
     auto log = std::move(state.log);
     if (write.truncateFrom >= 0)
         while (!log.empty() && log.back().index >= write.truncateFrom) log.pop_back();
