--- a/src/consensus/voter.hpp
+++ b/src/consensus/voter.hpp
@@ -89,8 +89,8 @@
     /// Begins a new cluster with this state on this disk alone, leaving any earlier one; the
     /// other voters are sent it as a snapshot.
     auto bootstrap(const ReplicatedState& state, std::int64_t term, Microseconds now) -> void;
-    /// Appends a command (its kind, see configuration.hpp, and its body) to the log. False, and nothing is appended, unless
-    /// this leads, its disk works and no transfer of leadership is under way.
+    /// Appends a command (its kind, see configuration.hpp, and its body) to the log. False, and nothing is
+    /// appended, unless this leads, its disk works and no transfer of leadership is under way.
     auto propose(int kind, const std::string& body, Microseconds now) -> bool;
     /// Asks whether this is still the leader; answered through voterRead with this id.
     auto read(std::int64_t id, Microseconds now) -> void;
