--- a/tests/consensus/consensus_fixture.hpp
+++ b/tests/consensus/consensus_fixture.hpp
@@ -38,17 +38,14 @@
         bool diskHangs = false, failNextWrite = false;
         std::vector<std::pair<std::string, wire::Envelope>> sent;  // kept while `record`
         std::map<std::int64_t, bool> reads;
-        std::int64_t appliedGen = 0;
 
-        Member(ConsensusFixture& c, std::string d) : cluster(c), disk(std::move(d)) {}
-        auto voterSend(const std::string& to, wire::Envelope& e) -> void override {
-            if (cluster.record) sent.emplace_back(to, e);
-            cluster.post(disk, to, e);
-        }
-        auto voterWrite(const DiskWrite& w) -> void override { pending.push_back(w); }
-        auto voterApplied(const ReplicatedState& w, const std::string&, const Outcome&) -> void override {
-            appliedGen = w.version;
+        Member(ConsensusFixture& owner, std::string identity) : cluster(owner), disk(std::move(identity)) {}
+        auto voterSend(const std::string& to, wire::Envelope& message) -> void override {
+            if (cluster.record) sent.emplace_back(to, message);
+            cluster.post(disk, to, message);
         }
+        auto voterWrite(const DiskWrite& write) -> void override { pending.push_back(write); }
+        auto voterApplied(const ReplicatedState&, const std::string&, const Outcome&) -> void override {}
         auto voterRead(std::int64_t id, bool ok) -> void override { reads[id] = ok; }
         auto start() -> void {
             pending.clear();
@@ -59,13 +56,13 @@
         }
         auto sync() -> void {
             while (!diskHangs && voter && !pending.empty()) {
-                auto w = pending.front();
+                auto write = pending.front();
                 pending.pop_front();
-                auto ok = gate.takes(w) && !failNextWrite;
+                auto ok = gate.takes(write) && !failNextWrite;
                 failNextWrite = false;
-                if (ok) diskApply(held, w);
-                else gate.fail(w);
-                voter->diskDone(w.seq, ok, cluster.now);
+                if (ok) diskApply(held, write);
+                else gate.fail(write);
+                voter->diskDone(write.seq, ok, cluster.now);
             }
         }
     };
@@ -83,24 +80,25 @@
     std::map<std::pair<std::string, std::string>, Microseconds> linkFree;
     std::int64_t bytesSent = 0;
 
-    static auto sizeOf(const wire::Envelope& e) -> std::int64_t {
-        auto n = std::int64_t(100);
-        for (auto& x : e.appendEntries.entries) n += std::int64_t(x.body.size()) + 20;
-        return n + std::int64_t(e.installSnapshot.document.size() + e.snapshotChunk.data.size());
+    static auto sizeOf(const wire::Envelope& message) -> std::int64_t {
+        auto bytes = std::int64_t(100);
+        for (auto& entry : message.appendEntries.entries) bytes += std::int64_t(entry.body.size()) + 20;
+        return bytes
+            + std::int64_t(message.installSnapshot.document.size() + message.snapshotChunk.data.size());
     }
-    auto post(const std::string& from, const std::string& to, wire::Envelope e) -> void {
+    auto post(const std::string& from, const std::string& to, wire::Envelope message) -> void {
         if (cut.count({from, to}) || !members.count(to)) return;
-        if (drop && drop(to, e)) return;
+        if (drop && drop(to, message)) return;
         auto& free = linkFree[{from, to}];
         auto rate = bitsPerSecond.count(to) ? bitsPerSecond[to] : std::int64_t(10'000'000'000);
-        free = std::max(free, now) + sizeOf(e) * 8 * SECOND / rate;
-        bytesSent += sizeOf(e);
-        network.emplace(free + 2 * MILLISECOND, std::pair(to, std::move(e)));
+        free = std::max(free, now) + sizeOf(message) * 8 * SECOND / rate;
+        bytesSent += sizeOf(message);
+        network.emplace(free + 2 * MILLISECOND, std::pair(to, std::move(message)));
     }
     auto add(const std::string& disk) -> Member& {
-        auto& m = members[disk] = std::make_unique<Member>(*this, disk);
-        m->start();
-        return *m;
+        auto& member = members[disk] = std::make_unique<Member>(*this, disk);
+        member->start();
+        return *member;
     }
     auto at(const std::string& disk) -> Voter& { return *members.at(disk)->voter; }
     auto counter(const std::string& disk, std::string_view name) -> std::int64_t {
@@ -109,17 +107,17 @@
     auto stop(const std::string& disk) -> void { members.at(disk)->voter.reset(); }
     auto lose(const std::string& disk) -> void { members.erase(disk); }
     auto isolate(const std::string& disk, bool on) -> void {
-        for (auto& [other, m] : members)
+        for (auto& [other, member] : members)
             for (auto link : {std::pair(disk, other), std::pair(other, disk)})
                 if (on) cut.insert(link);
                 else cut.erase(link);
     }
-    // A cluster of these disks, each in the seat "s-<disk>", led by somebody.
+    // A cluster of these disks, each of a node "s-<disk>", led by somebody.
     auto bootstrap(const std::vector<std::string>& disks, const std::string& name = "") -> void {
         auto initialVoters = std::vector<VoterIdentity>();
-        for (auto& d : disks) {
-            add(d);
-            initialVoters.push_back({"s-" + d, d});
+        for (auto& disk : disks) {
+            add(disk);
+            initialVoters.push_back({"s-" + disk, disk});
         }
         auto state = ReplicatedState();
         state.bootstrap({"n"}, initialVoters);
@@ -136,20 +134,21 @@
     auto step() -> void {
         now += STEP;
         while (!network.empty() && network.begin()->first <= now) {
-            auto [to, e] = network.begin()->second;
+            auto [to, message] = network.begin()->second;
             network.erase(network.begin());
-            auto m = members.find(to);
-            if (m != members.end() && m->second->voter) m->second->voter->handle(e, now);
+            auto receiver = members.find(to);
+            if (receiver != members.end() && receiver->second->voter)
+                receiver->second->voter->handle(message, now);
         }
         auto blank = std::vector<std::string>();
-        for (auto& [d, m] : members)
-            if (m->voter && m->voter->blank()) blank.push_back(d);
-        for (auto& [d, m] : members) {
-            m->sync();
-            if (!m->voter) continue;
-            m->voter->setBlankVoters(blank);
-            m->voter->setSpareDisks(spares);
-            m->voter->tick(now);
+        for (auto& [disk, member] : members)
+            if (member->voter && member->voter->blank()) blank.push_back(disk);
+        for (auto& [disk, member] : members) {
+            member->sync();
+            if (!member->voter) continue;
+            member->voter->setBlankVoters(blank);
+            member->voter->setSpareDisks(spares);
+            member->voter->tick(now);
         }
     }
     auto run(Microseconds duration) -> void {
@@ -165,15 +164,16 @@
     }
     auto leader() -> std::string {
         auto best = std::string();
-        for (auto& [d, m] : members)
-            if (m->voter && m->voter->ready() && (best.empty() || m->voter->term() > at(best).term()))
-                best = d;
+        for (auto& [disk, member] : members) {
+            auto& voter = member->voter;
+            if (voter && voter->ready() && (best.empty() || voter->term() > at(best).term())) best = disk;
+        }
         return best;
     }
     /// Makes `disk` the leader.
     auto lead(const std::string& disk) -> void {
         for (auto tries = 0; tries < 50 && leader() != disk; tries++) {
-            if (auto l = leader(); !l.empty()) isolate(l, true);
+            if (auto other = leader(); !other.empty()) isolate(other, true);
             run(3 * SECOND);
             cut.clear();
             run(2 * SECOND);
@@ -186,9 +186,9 @@
         return body && at(disk).propose(ENTRY_ORDER, *body, now);
     }
     auto votersOf(const std::string& disk) -> std::set<std::string> {
-        auto out = std::set<std::string>();
-        for (auto& v : at(disk).voters()) out.insert(v.disk);
-        return out;
+        auto disks = std::set<std::string>();
+        for (auto& voter : at(disk).voters()) disks.insert(voter.disk);
+        return disks;
     }
 
   private:
--- a/tests/consensus/consensus_snapshot_test.cpp
+++ b/tests/consensus/consensus_snapshot_test.cpp
@@ -18,24 +18,27 @@
 
 /// One voter of three is down while more is logged than is kept behind a snapshot.
 struct Laggard {
-    ConsensusFixture f;
+    ConsensusFixture cluster;
     std::string leader, late;
     std::int64_t chunksBefore = 0;
     explicit Laggard(std::size_t size) {
-        f.bootstrap({"a", "b", "c"}, std::string(size, 'x'));
-        leader = f.leader();
+        cluster.bootstrap({"a", "b", "c"}, std::string(size, 'x'));
+        leader = cluster.leader();
         late = leader == "c" ? "b" : "c";
-        f.stop(late);
+        cluster.stop(late);
         for (auto i = 0; i < 700; i++) {
-            f.propose(leader, fmt::format("z{}", i % 9));
-            f.step();
+            cluster.propose(leader, fmt::format("z{}", i % 9));
+            cluster.step();
         }
         chunksBefore = chunks();
     }
-    /// Chunks that the leader sent since it was founded.
-    auto chunks() -> std::int64_t { return f.counter(leader, "snapshot_chunks_sent_total") - chunksBefore; }
+    /// Chunks that the leader sent since the laggard stopped.
+    auto chunks() -> std::int64_t {
+        return cluster.counter(leader, "snapshot_chunks_sent_total") - chunksBefore;
+    }
     auto caughtUp() -> bool {
-        return f.at(late).commit() + 2 >= f.at(leader).commit() && f.at(late).commit() > 700;
+        return cluster.at(late).commit() + 2 >= cluster.at(leader).commit()
+            && cluster.at(late).commit() > 700;
     }
 };
 
@@ -44,222 +47,225 @@
 // A restarted voter catches up within 4 s while 5 changes a second go on, and never leads with a
 // state older than what was acknowledged.
 TEST(ConsensusSnapshot, catchesUpOnASlowLink) {
-    auto l = Laggard(MEGABYTE);
-    auto& f = l.f;
-    for (auto d : {"a", "b", "c"}) f.bitsPerSecond[d] = SLOW_LINK;
-    f.members.at(l.late)->start();
-    auto began = f.now, caughtAt = Microseconds(0), nextChange = f.now;
+    auto laggard = Laggard(MEGABYTE);
+    auto& cluster = laggard.cluster;
+    for (auto disk : {"a", "b", "c"}) cluster.bitsPerSecond[disk] = SLOW_LINK;
+    cluster.members.at(laggard.late)->start();
+    auto began = cluster.now, caughtAt = Microseconds(0), nextChange = cluster.now;
     auto acknowledged = std::int64_t(0);
     auto changes = 0;
-    while (f.now < began + 6 * SECOND) {
-        if (f.now >= nextChange) {
+    while (cluster.now < began + 6 * SECOND) {
+        if (cluster.now >= nextChange) {
             nextChange += 200 * MILLISECOND;
-            changes += f.propose(l.leader, fmt::format("y{}", changes));
+            changes += cluster.propose(laggard.leader, fmt::format("y{}", changes));
         }
-        f.step();
-        acknowledged = std::max(acknowledged, f.at(l.leader).replicatedState().version);
-        if (f.at(l.late).ready()) CHECK(f.at(l.late).replicatedState().version >= acknowledged);
-        if (!caughtAt && l.caughtUp()) caughtAt = f.now;
+        cluster.step();
+        acknowledged = std::max(acknowledged, cluster.at(laggard.leader).replicatedState().version);
+        if (cluster.at(laggard.late).ready())
+            CHECK(cluster.at(laggard.late).replicatedState().version >= acknowledged);
+        if (!caughtAt && laggard.caughtUp()) caughtAt = cluster.now;
     }
     if (getenv("DT_SHOW")) fmt::print("caught up after {} us, {} changes\n", caughtAt - began, changes);
     CHECK(changes >= 25);
-    CHECK(f.at(l.leader).leads());
+    CHECK(cluster.at(laggard.leader).leads());
     CHECK(caughtAt > 0 && caughtAt - began <= 4 * SECOND);
-    CHECK(l.caughtUp());
+    CHECK(laggard.caughtUp());
 }
 
 TEST(ConsensusSnapshot, slightlyBehindGetsEntries) {
-    auto f = ConsensusFixture();
-    f.bootstrap({"a", "b", "c"}, std::string(MEGABYTE, 'x'));
-    auto leader = f.leader(), late = std::string(leader == "c" ? "b" : "c");
+    auto cluster = ConsensusFixture();
+    cluster.bootstrap({"a", "b", "c"}, std::string(MEGABYTE, 'x'));
+    auto leader = cluster.leader(), late = std::string(leader == "c" ? "b" : "c");
     for (auto i = 0; i < 250; i++) {
-        f.propose(leader, "z");
-        f.step();
+        cluster.propose(leader, "z");
+        cluster.step();
     }
-    f.stop(late);
-    auto chunks = f.counter(leader, "snapshot_chunks_sent_total");
+    cluster.stop(late);
+    auto chunks = cluster.counter(leader, "snapshot_chunks_sent_total");
     for (auto i = 0; i < 50; i++) {  // a snapshot is taken meanwhile
-        f.propose(leader, "z");
-        f.step();
+        cluster.propose(leader, "z");
+        cluster.step();
     }
-    CHECK(f.counter(leader, "snapshots_total") > 0);
-    f.members.at(late)->start();
-    f.run(2 * SECOND);
-    CHECK_EQ(f.at(leader).commit(), f.at(late).commit());
-    CHECK_EQ(chunks, f.counter(leader, "snapshot_chunks_sent_total"));
+    CHECK(cluster.counter(leader, "snapshots_total") > 0);
+    cluster.members.at(late)->start();
+    cluster.run(2 * SECOND);
+    CHECK_EQ(cluster.at(leader).commit(), cluster.at(late).commit());
+    CHECK_EQ(chunks, cluster.counter(leader, "snapshot_chunks_sent_total"));
 }
 
 TEST(ConsensusSnapshot, logIsCutByBytes) {
-    auto f = ConsensusFixture();
-    f.bootstrap({"a", "b", "c"});
-    auto leader = f.leader();
+    auto cluster = ConsensusFixture();
+    cluster.bootstrap({"a", "b", "c"});
+    auto leader = cluster.leader();
     for (auto i = 0; i < 40; i++) {
-        f.at(leader).propose(ENTRY_NOOP, std::string(100'000, 'x'), f.now);
-        f.run(50 * MILLISECOND);
+        cluster.at(leader).propose(ENTRY_NOOP, std::string(100'000, 'x'), cluster.now);
+        cluster.run(50 * MILLISECOND);
     }
-    CHECK(f.counter(leader, "snapshots_total") >= 3);
-    for (auto& [d, m] : f.members) {
+    CHECK(cluster.counter(leader, "snapshots_total") >= 3);
+    for (auto& [disk, member] : cluster.members) {
         auto bytes = std::size_t(0);
-        for (auto& e : m->held.log) bytes += e.body.size();
+        for (auto& entry : member->held.log) bytes += entry.body.size();
         CHECK(bytes < 2 * COMPACTION_BYTES);
-        CHECK(m->voter->logSize() * 100'000 < 3 * COMPACTION_BYTES);
+        CHECK(member->voter->logSize() * 100'000 < 3 * COMPACTION_BYTES);
     }
 }
 
 // No entry is sent again while it is on its way.
 TEST(ConsensusSnapshot, batchesAreBounded) {
-    auto f = ConsensusFixture();
-    f.bootstrap({"a", "b", "c"});
-    auto leader = f.leader(), late = std::string(leader == "c" ? "b" : "c");
-    f.bitsPerSecond[late] = SLOW_LINK;
-    f.stop(late);
+    auto cluster = ConsensusFixture();
+    cluster.bootstrap({"a", "b", "c"});
+    auto leader = cluster.leader(), late = std::string(leader == "c" ? "b" : "c");
+    cluster.bitsPerSecond[late] = SLOW_LINK;
+    cluster.stop(late);
     for (auto i = 0; i < 90; i++) {
-        f.at(leader).propose(ENTRY_NOOP, std::string(10'000, 'x'), f.now);
-        f.step();
+        cluster.at(leader).propose(ENTRY_NOOP, std::string(10'000, 'x'), cluster.now);
+        cluster.step();
     }
-    f.members.at(late)->start();
-    f.run(2 * SECOND);  // no more than the leader needs to see that it is back
+    cluster.members.at(late)->start();
+    cluster.run(2 * SECOND);  // no more than the leader needs to see that it is back
     auto largest = std::int64_t(0), sent = std::int64_t(0);
-    f.drop = [&](const std::string& to, wire::Envelope& e) {
+    cluster.drop = [&](const std::string& to, wire::Envelope& message) {
         if (to != late) return false;
-        largest = std::max(largest, ConsensusFixture::sizeOf(e));
-        sent += std::int64_t(e.appendEntries.entries.size());
+        largest = std::max(largest, ConsensusFixture::sizeOf(message));
+        sent += std::int64_t(message.appendEntries.entries.size());
         return false;
     };
     for (auto i = 0; i < 60; i++) {
-        f.at(leader).propose(ENTRY_NOOP, std::string(10'000, 'x'), f.now);
-        f.step();
+        cluster.at(leader).propose(ENTRY_NOOP, std::string(10'000, 'x'), cluster.now);
+        cluster.step();
     }
-    CHECK(f.until([&] { return f.at(late).commit() == f.at(leader).commit(); }, 3 * SECOND));
+    CHECK(
+        cluster.until([&] { return cluster.at(late).commit() == cluster.at(leader).commit(); }, 3 * SECOND));
     CHECK(largest < std::int64_t(BATCH_BYTES) + 12'000);
     CHECK_EQ(std::int64_t(60), sent);
 }
 
 TEST(ConsensusSnapshot, resumesAfterALoss) {
-    auto l = Laggard(MEGABYTE);
-    auto& f = l.f;
+    auto laggard = Laggard(MEGABYTE);
+    auto& cluster = laggard.cluster;
     auto chunks = 0;
-    f.drop = [&](const std::string& to, wire::Envelope& e) {
-        if (to != l.late || !e.__isset.snapshotChunk) return false;
+    cluster.drop = [&](const std::string& to, wire::Envelope& message) {
+        if (to != laggard.late || !message.__isset.snapshotChunk) return false;
         chunks++;
         return chunks == 5 || (chunks >= 9 && chunks <= 12);
     };
-    f.members.at(l.late)->start();
-    CHECK(f.until([&] { return l.caughtUp(); }, 6 * SECOND));
-    CHECK(l.chunks() >= 16 && l.chunks() <= 16 + 14);  // 16 are the whole
+    cluster.members.at(laggard.late)->start();
+    CHECK(cluster.until([&] { return laggard.caughtUp(); }, 6 * SECOND));
+    CHECK(laggard.chunks() >= 16 && laggard.chunks() <= 16 + 14);  // 16 are the whole
 }
 
 // Another leader goes on where the former one stopped.
 TEST(ConsensusSnapshot, resumesUnderAnotherLeader) {
-    auto l = Laggard(MEGABYTE);
-    auto& f = l.f;
-    f.bitsPerSecond[l.late] = SLOW_LINK / 4;
-    f.members.at(l.late)->start();
-    CHECK(f.until([&] { return l.chunks() >= 8; }, 10 * SECOND));
-    CHECK(f.at(l.leader).transferLeadership(f.now));
-    auto former = l.leader;
-    CHECK(f.until([&] { return !f.leader().empty() && f.leader() != former; }, 5 * SECOND));
-    l.leader = f.leader();
-    l.chunksBefore = 0;
-    l.chunksBefore = l.chunks();
-    CHECK(f.until([&] { return l.caughtUp(); }, 10 * SECOND));
-    CHECK(l.chunks() > 0 && l.chunks() <= 16);
+    auto laggard = Laggard(MEGABYTE);
+    auto& cluster = laggard.cluster;
+    cluster.bitsPerSecond[laggard.late] = SLOW_LINK / 4;
+    cluster.members.at(laggard.late)->start();
+    CHECK(cluster.until([&] { return laggard.chunks() >= 8; }, 10 * SECOND));
+    CHECK(cluster.at(laggard.leader).transferLeadership(cluster.now));
+    auto former = laggard.leader;
+    CHECK(cluster.until([&] { return !cluster.leader().empty() && cluster.leader() != former; }, 5 * SECOND));
+    laggard.leader = cluster.leader();
+    laggard.chunksBefore = 0;
+    laggard.chunksBefore = laggard.chunks();
+    CHECK(cluster.until([&] { return laggard.caughtUp(); }, 10 * SECOND));
+    CHECK(laggard.chunks() > 0 && laggard.chunks() <= 16);
 }
 
 TEST(ConsensusSnapshot, unsoundChunksAreRefusedAndCounted) {
-    auto l = Laggard(3 * CHUNK_BYTES);
-    auto& f = l.f;
+    auto laggard = Laggard(3 * CHUNK_BYTES);
+    auto& cluster = laggard.cluster;
     auto chunks = std::vector<wire::Envelope>();
-    f.drop = [&](const std::string& to, wire::Envelope& e) {
-        if (to != l.late || !e.__isset.snapshotChunk) return false;
-        if (e.snapshotChunk.offset == std::int64_t(chunks.size() * CHUNK_BYTES)) chunks.push_back(e);
+    cluster.drop = [&](const std::string& to, wire::Envelope& message) {
+        if (to != laggard.late || !message.__isset.snapshotChunk) return false;
+        if (message.snapshotChunk.offset == std::int64_t(chunks.size() * CHUNK_BYTES))
+            chunks.push_back(message);
         return false;
     };
-    f.members.at(l.late)->start();
-    CHECK(f.until([&] { return l.caughtUp(); }, 5 * SECOND));
-    f.drop = nullptr;
+    cluster.members.at(laggard.late)->start();
+    CHECK(cluster.until([&] { return laggard.caughtUp(); }, 5 * SECOND));
+    cluster.drop = nullptr;
     CHECK(chunks.size() >= 3);
-    // A voter that has heard none of them, in the same state as the late one was.
-    auto g = ConsensusFixture();
-    auto& m = g.add("n");
-    g.run(SECOND);
-    auto& v = *m.voter;
-    auto unharmed = [&] { return v.blank() && v.commit() == 0 && m.held.snapshotIndex == 0; };
+    // A voter that has received none of them, in the same state as the late one was.
+    auto other = ConsensusFixture();
+    auto& member = other.add("n");
+    other.run(SECOND);
+    auto& voter = *member.voter;
+    auto unharmed = [&] { return voter.blank() && voter.commit() == 0 && member.held.snapshotIndex == 0; };
     auto handle = [&](std::size_t i, const std::function<void(wire::SnapshotChunk&)>& change) {
-        auto e = chunks[i];
-        change(e.snapshotChunk);
-        v.handle(e, g.now);
+        auto message = chunks[i];
+        change(message.snapshotChunk);
+        voter.handle(message, other.now);
         CHECK(unharmed());
     };
-    handle(0, [](auto& c) { c.data.resize(c.data.size() / 2); });
-    handle(0, [](auto& c) { c.data[100] ^= 1; });
-    handle(0, [](auto& c) { c.offset = 5; });
-    handle(0, [](auto& c) { c.size = 10; });
-    handle(0, [](auto& c) { c.lastIncludedTerm = c.term + 1; });
-    CHECK_EQ(std::int64_t(5), m.counters.get("snapshot_chunk_malformed_total"));
+    handle(0, [](auto& chunk) { chunk.data.resize(chunk.data.size() / 2); });
+    handle(0, [](auto& chunk) { chunk.data[100] ^= 1; });
+    handle(0, [](auto& chunk) { chunk.offset = 5; });
+    handle(0, [](auto& chunk) { chunk.size = 10; });
+    handle(0, [](auto& chunk) { chunk.lastIncludedTerm = chunk.term + 1; });
+    CHECK_EQ(std::int64_t(5), member.counters.get("snapshot_chunk_malformed_total"));
     handle(1, [](auto&) {});
     handle(0, [](auto&) {});
     handle(2, [](auto&) {});
-    CHECK_EQ(std::int64_t(2), m.counters.get("snapshot_chunk_out_of_order_total"));
-    for (auto i = std::size_t(1); i < chunks.size(); i++) v.handle(chunks[i], g.now);
-    CHECK(!v.blank());
-    g.run(100 * MILLISECOND);
-    CHECK_EQ(chunks[0].snapshotChunk.lastIncludedIndex, m.held.snapshotIndex);
+    CHECK_EQ(std::int64_t(2), member.counters.get("snapshot_chunk_out_of_order_total"));
+    for (auto i = std::size_t(1); i < chunks.size(); i++) voter.handle(chunks[i], other.now);
+    CHECK(!voter.blank());
+    other.run(100 * MILLISECOND);
+    CHECK_EQ(chunks[0].snapshotChunk.lastIncludedIndex, member.held.snapshotIndex);
     // Of a term that is over.
     auto old = chunks[0];
-    v.handle(old, g.now);
+    voter.handle(old, other.now);
     auto later = chunks[0];
     later.snapshotChunk.term += 5;
-    v.handle(later, g.now);
-    v.handle(old, g.now);
-    CHECK_EQ(std::int64_t(1), m.counters.get("snapshot_chunk_old_term_total"));
+    voter.handle(later, other.now);
+    voter.handle(old, other.now);
+    CHECK_EQ(std::int64_t(1), member.counters.get("snapshot_chunk_old_term_total"));
 }
 
 // Chunks of two documents do not make one.
 TEST(ConsensusSnapshot, digestCoversTheWhole) {
-    auto l = Laggard(3 * CHUNK_BYTES);
-    auto& f = l.f;
-    f.drop = [&](const std::string& to, wire::Envelope& e) {
-        if (to == l.late && e.__isset.snapshotChunk) e.snapshotChunk.digest ^= 1;
-        if (e.__isset.snapshotChunkReply) e.snapshotChunkReply.digest ^= 1;
+    auto laggard = Laggard(3 * CHUNK_BYTES);
+    auto& cluster = laggard.cluster;
+    cluster.drop = [&](const std::string& to, wire::Envelope& message) {
+        if (to == laggard.late && message.__isset.snapshotChunk) message.snapshotChunk.digest ^= 1;
+        if (message.__isset.snapshotChunkReply) message.snapshotChunkReply.digest ^= 1;
         return false;
     };
-    auto installed = f.counter(l.late, "snapshots_installed_total");
-    f.members.at(l.late)->start();
-    f.run(3 * SECOND);
-    CHECK(f.counter(l.late, "snapshot_digest_wrong_total") > 0);
-    CHECK_EQ(installed, f.counter(l.late, "snapshots_installed_total"));
-    f.drop = nullptr;
-    CHECK(f.until([&] { return l.caughtUp(); }, 10 * SECOND));
+    auto installed = cluster.counter(laggard.late, "snapshots_installed_total");
+    cluster.members.at(laggard.late)->start();
+    cluster.run(3 * SECOND);
+    CHECK(cluster.counter(laggard.late, "snapshot_digest_wrong_total") > 0);
+    CHECK_EQ(installed, cluster.counter(laggard.late, "snapshots_installed_total"));
+    cluster.drop = nullptr;
+    CHECK(cluster.until([&] { return laggard.caughtUp(); }, 10 * SECOND));
 }
 
 // A program that reads no chunks is sent the whole document, and one that sends it is understood.
 TEST(ConsensusSnapshot, wholeDocumentForAnEarlierProgram) {
-    auto l = Laggard(1000);
-    auto& f = l.f;
-    f.drop = [](const std::string&, wire::Envelope& e) { return e.__isset.snapshotChunk; };
-    f.members.at(l.late)->start();
-    CHECK(f.until([&] { return l.caughtUp(); }, 10 * SECOND));
-    CHECK(f.counter(l.leader, "snapshots_sent_whole_total") > 0);
+    auto laggard = Laggard(1000);
+    auto& cluster = laggard.cluster;
+    cluster.drop = [](const std::string&, wire::Envelope& message) { return message.__isset.snapshotChunk; };
+    cluster.members.at(laggard.late)->start();
+    CHECK(cluster.until([&] { return laggard.caughtUp(); }, 10 * SECOND));
+    CHECK(cluster.counter(laggard.leader, "snapshots_sent_whole_total") > 0);
 }
 
 TEST(ConsensusSnapshot, malformedDocumentHarmsNothing) {
-    auto f = ConsensusFixture();
-    auto& m = f.add("n");
-    f.run(SECOND);
-    auto e = wire::Envelope();
-    auto s = wire::InstallSnapshot();
-    e.wire = WIRE;
-    e.epoch = 1;
-    e.disk = "a";
-    s.term = 3;
-    s.lastIncludedIndex = 9;
-    s.lastIncludedTerm = 2;
-    s.document = "{\"reign\":1";
-    e.__set_installSnapshot(s);
-    m.voter->handle(e, f.now);
-    CHECK(m.voter->blank());
-    CHECK_EQ(std::int64_t(1), m.counters.get("snapshot_malformed_total"));
+    auto cluster = ConsensusFixture();
+    auto& member = cluster.add("n");
+    cluster.run(SECOND);
+    auto message = wire::Envelope();
+    auto snapshot = wire::InstallSnapshot();
+    message.wire = WIRE;
+    message.epoch = 1;
+    message.disk = "a";
+    snapshot.term = 3;
+    snapshot.lastIncludedIndex = 9;
+    snapshot.lastIncludedTerm = 2;
+    snapshot.document = "{\"reign\":1";
+    message.__set_installSnapshot(snapshot);
+    member.voter->handle(message, cluster.now);
+    CHECK(member.voter->blank());
+    CHECK_EQ(std::int64_t(1), member.counters.get("snapshot_malformed_total"));
 }
 
 }  // namespace duneturn
--- a/tests/consensus/voter_test.cpp
+++ b/tests/consensus/voter_test.cpp
@@ -1,4 +1,5 @@
 #include <algorithm>
+#include <cstddef>
 #include <cstdint>
 #include <deque>
 #include <map>
@@ -20,237 +21,275 @@
 namespace duneturn {
 namespace {
 
-constexpr auto ORDER = 1;  // the kind of an order in the log, as on the wire
-
 // Contested elections: see Cluster::contestElections().
 constexpr Microseconds CONTEST_INTERVAL = 5 * SECOND;
 constexpr Microseconds CONTEST_QUIET = 1 * SECOND;           // before it, in which all logs become equal
 constexpr Microseconds CONTEST_FREEZE = 1500 * MILLISECOND;  // longer than a leader leads unheard
 constexpr Microseconds CONTEST_LENGTH = 2500 * MILLISECOND;
 constexpr double USUAL_LOSS = 0.05;  // of messages
+constexpr Microseconds STEP = 5 * MILLISECOND;
+constexpr int CALM_STEPS = 1200;              // at the end of a run, in which nothing goes wrong any more
+constexpr std::size_t REMEMBERED_KEYS = 100;  // of acknowledged orders; the state keeps the last 256
 
 // Voters on a lawless network: messages are lost, doubled and late, disks sync when they
 // like, power goes and takes with it what was not synced, disks are replaced.
-struct Cluster : VoterPort {
+struct Cluster {
     struct Replica : VoterPort {
-        Cluster& l;
-        int i;
-        Counters ct;
+        Cluster& cluster;
+        int number;
+        Counters counters;
         DiskState held;
-        std::deque<DiskWrite> under;
+        std::deque<DiskWrite> pending;
         DiskGate gate;
-        std::unique_ptr<Voter> v;
+        std::unique_ptr<Voter> voter;  // none while the power is off
         std::string disk;
-        Microseconds wake = 0;
-        Replica(Cluster& x, int k) : l(x), i(k) {}
-        auto voterSend(const std::string& d, wire::Envelope& e) -> void override { l.post(d, e); }
-        auto voterWrite(const DiskWrite& w) -> void override { under.push_back(w); }
-        auto voterApplied(const ReplicatedState& w, const std::string& key, const Outcome& o)
+        Microseconds wakesAt = 0;  // it is off or frozen until then
+        Replica(Cluster& owner, int index) : cluster(owner), number(index) {}
+        auto voterSend(const std::string& toDisk, wire::Envelope& message) -> void override {
+            cluster.post(toDisk, message);
+        }
+        auto voterWrite(const DiskWrite& write) -> void override { pending.push_back(write); }
+        auto voterApplied(const ReplicatedState& state, const std::string& key, const Outcome& outcome)
             -> void override {
-            l.applied(*this, w);
-            // The one who proposed it hears of it: from here on it is acknowledged.
-            if (!key.empty() && o.status == 200 && v && v->leads()) l.acked.push_back(key);
+            cluster.applied(state);
+            // The one who proposed it learns of it: from here on it is acknowledged.
+            if (!key.empty() && outcome.status == 200 && voter && voter->leads())
+                cluster.acknowledged.push_back(key);
         }
         auto voterRead(std::int64_t id, bool ok) -> void override {
             if (!ok) return;
-            auto& r = l.reads[id];
-            if (v->replicatedState().version < r)
-                l.bad = fmt::format(
-                    "a readback gave generation {} after {} was known", v->replicatedState().version, r);
+            auto known = cluster.versionAtRead[id];
+            auto version = voter->replicatedState().version;
+            if (version < known)
+                cluster.violation =
+                    fmt::format("a readback gave version {} after {} was known", version, known);
         }
         auto start() -> void {
             gate = {};
-            v = std::make_unique<Voter>(*this, ct, l.r.next());
-            v->broken = l.broken;
-            v->start(held, disk, l.t);
-            disk = v->disk();
+            voter = std::make_unique<Voter>(*this, counters, cluster.random.next());
+            voter->broken = cluster.broken;
+            voter->start(held, disk, cluster.now);
+            disk = voter->disk();
+        }
+        auto powerOff(Microseconds duration) -> void {
+            voter.reset();
+            pending.clear();
+            wakesAt = cluster.now + duration;
+        }
+        auto syncWrites() -> void {
+            while (!pending.empty() && cluster.random.chance(cluster.syncChance)) {
+                auto write = pending.front();
+                pending.pop_front();
+                auto ok = gate.takes(write) && (cluster.calm || !cluster.random.chance(.002));
+                if (ok) diskApply(held, write);
+                else gate.fail(write);
+                voter->diskDone(write.seq, ok, cluster.now);
+            }
+        }
+        // Whether it runs, and holds a whole set of voters that are all of these disks.
+        auto hasSoundVoters(const std::vector<std::unique_ptr<Replica>>& all) const -> bool {
+            if (!voter || voter->blank() || voter->joint() || voter->voters().size() != all.size())
+                return false;
+            auto& voters = voter->voters();
+            auto votes = [&](auto& other) {
+                return std::any_of(voters.begin(), voters.end(),
+                    [&](auto& identity) { return identity.disk == other->disk; });
+            };
+            return std::all_of(all.begin(), all.end(), votes);
         }
     };
-    auto voterSend(const std::string&, wire::Envelope&) -> void override {}
-    auto voterWrite(const DiskWrite&) -> void override {}
-    auto voterApplied(const ReplicatedState&, const std::string&, const Outcome&) -> void override {}
-    auto voterRead(std::int64_t, bool) -> void override {}
 
-    RandomSource r;
+    RandomSource random;
     Voter::Broken broken;
-    Microseconds t = 0;
-    std::vector<std::unique_ptr<Replica>> bs;
-    std::multimap<Microseconds, std::pair<std::string, wire::Envelope>> net;
-    std::map<std::int64_t, std::string> texts;  // generation -> the word
-    std::map<std::pair<std::int64_t, std::int64_t>, std::string> leads;
-    std::vector<std::string> acked;
-    std::map<std::int64_t, std::int64_t> reads;
-    std::int64_t top = 0;
-    std::string bad;        // a broken promise
+    Microseconds now = 0;
+    std::vector<std::unique_ptr<Replica>> replicas;
+    std::multimap<Microseconds, std::pair<std::string, wire::Envelope>> network;
+    std::map<std::int64_t, std::string> textOfVersion;
+    std::map<std::pair<std::int64_t, std::int64_t>, std::string> leaderOfTerm;  // by epoch and term
+    std::vector<std::string> acknowledged;                                      // keys of orders
+    std::map<std::int64_t, std::int64_t> versionAtRead;                         // the newest known when asked
+    std::int64_t newestVersion = 0;
+    std::string violation;  // a broken promise
     std::string unsettled;  // why nobody leads after the calm time, which an overloaded disk may cause too
-    int n = 0, disks = 0;
+    int nextKey = 0;
+    int nextDisk = 0;
     double loss = USUAL_LOSS;
     double syncChance = 0.2;  // of the oldest write, each step
     bool calm = false;
     bool contestedElections = false;
-    Microseconds nextContest = CONTEST_INTERVAL, contestEnds = 0;
+    Microseconds nextContest = CONTEST_INTERVAL, contestEnds = 0, nextFault = SECOND;
     std::pair<std::string, std::string> cutLink;  // the disks at the two ends of a link that loses everything
     std::string heldDisk;                         // what is sent to this disk waits until then
     Microseconds heldUntil = 0;
 
-    explicit Cluster(std::uint64_t s, int k) : r{s}, n(k) {
-        for (auto i = 0; i < k; i++) {
-            bs.push_back(std::make_unique<Replica>(*this, i));
-            bs[std::size_t(i)]->disk = fmt::format("d{}", disks++);
+    Cluster(std::uint64_t seed, int size) : random{seed} {
+        for (auto number = 0; number < size; number++) {
+            replicas.push_back(std::make_unique<Replica>(*this, number));
+            replicas.back()->disk = fmt::format("d{}", nextDisk++);
         }
     }
-    auto post(const std::string& d, const wire::Envelope& e) -> void {
-        if (cutLink == std::pair(d, e.disk) || cutLink == std::pair(e.disk, d)) return;
-        if (r.chance(loss)) return;
-        auto earliest = d == heldDisk ? heldUntil : t;
-        auto arrival = t + Microseconds(r.below(r.chance(.1) ? 400 * MILLISECOND : 20 * MILLISECOND));
-        net.emplace(std::max(arrival, earliest), std::pair(d, e));
-        if (r.chance(.03))
-            net.emplace(std::max(t + Microseconds(r.below(800 * MILLISECOND)), earliest), std::pair(d, e));
+    auto post(const std::string& toDisk, const wire::Envelope& message) -> void {
+        if (cutLink == std::pair(toDisk, message.disk) || cutLink == std::pair(message.disk, toDisk)) return;
+        if (random.chance(loss)) return;
+        auto earliest = toDisk == heldDisk ? heldUntil : now;
+        auto arrival =
+            now + Microseconds(random.below(random.chance(.1) ? 400 * MILLISECOND : 20 * MILLISECOND));
+        network.emplace(std::max(arrival, earliest), std::pair(toDisk, message));
+        if (!random.chance(.03)) return;
+        auto second = now + Microseconds(random.below(800 * MILLISECOND));
+        network.emplace(std::max(second, earliest), std::pair(toDisk, message));
     }
-    auto applied(Replica&, const ReplicatedState& w) -> void {
-        if (w.version == 0) return;
-        auto& x = texts[w.version];
-        if (x.empty()) x = w.text();
-        else if (x != w.text())
-            bad = fmt::format("two words of generation {}: {} {}", w.version, getenv("DT_SHOW") ? x : "",
-                getenv("DT_SHOW") ? w.text() : "");
-        top = std::max(top, w.version);
+    auto applied(const ReplicatedState& state) -> void {
+        if (state.version == 0) return;
+        auto& text = textOfVersion[state.version];
+        if (text.empty()) text = state.text();
+        else if (text != state.text())
+            violation = fmt::format("two states of version {}: {} {}", state.version,
+                getenv("DT_SHOW") ? text : "", getenv("DT_SHOW") ? state.text() : "");
+        newestVersion = std::max(newestVersion, state.version);
     }
     // Nothing else goes wrong shortly before a contest and during it.
     auto contestNear() const -> bool {
-        return contestedElections && !calm && (t >= nextContest - CONTEST_QUIET || t < contestEnds);
+        return contestedElections && !calm && (now >= nextContest - CONTEST_QUIET || now < contestEnds);
     }
     auto contestElections() -> void {
-        if (t >= contestEnds || calm) cutLink = {};
+        if (now >= contestEnds || calm) cutLink = {};
         if (!contestNear()) return;
         loss = USUAL_LOSS;
-        if (t < nextContest) return;
-        nextContest = t + CONTEST_INTERVAL;
-        contestEnds = t + CONTEST_LENGTH;
+        if (now < nextContest) return;
+        nextContest = now + CONTEST_INTERVAL;
+        contestEnds = now + CONTEST_LENGTH;
         contestElection();
     }
-    // The leader freezes, and the two next to it don't hear each other. Their requests for a pre-vote
+    // The leader freezes, and the two next to it don't reach each other. Their requests for a pre-vote
     // wait for the frozen one, which reads them all when it wakes; so both campaign in the same term,
     // and both need its vote.
     auto contestElection() -> void {
-        auto leader = std::find_if(bs.begin(), bs.end(), [](auto& b) { return b->v && b->v->leads(); });
-        if (leader == bs.end()) return;
-        auto i = std::size_t(leader - bs.begin());
+        auto leader = std::find_if(replicas.begin(), replicas.end(),
+            [](auto& replica) { return replica->voter && replica->voter->leads(); });
+        if (leader == replicas.end()) return;
+        auto position = std::size_t(leader - replicas.begin());
         heldDisk = (*leader)->disk;
-        heldUntil = (*leader)->wake = t + CONTEST_FREEZE;
-        cutLink = {bs[(i + 1) % bs.size()]->disk, bs[(i + 2) % bs.size()]->disk};
+        heldUntil = (*leader)->wakesAt = now + CONTEST_FREEZE;
+        cutLink = {replicas[(position + 1) % replicas.size()]->disk,
+            replicas[(position + 2) % replicas.size()]->disk};
+    }
+    auto bootstrap() -> void {
+        for (auto& replica : replicas) replica->start();
+        auto initialVoters = std::vector<VoterIdentity>();
+        for (auto& replica : replicas)
+            initialVoters.push_back({fmt::format("s{}", replica->number), replica->disk});
+        auto state = ReplicatedState();
+        state.bootstrap({"n"}, initialVoters);
+        replicas[0]->voter->bootstrap(state, 1, now);
+    }
+    auto deliver() -> void {
+        while (!network.empty() && network.begin()->first <= now) {
+            auto [toDisk, message] = network.begin()->second;
+            network.erase(network.begin());
+            for (auto& replica : replicas)
+                if (replica->voter && replica->disk == toDisk && now >= replica->wakesAt)
+                    replica->voter->handle(message, now);
+        }
+    }
+    auto tick(Replica& replica) -> void {
+        if (!replica.voter) {
+            if (now >= replica.wakesAt) replica.start();
+            return;
+        }
+        if (now < replica.wakesAt) return;
+        replica.syncWrites();
+        auto blank = std::vector<std::string>();
+        auto spares = std::vector<std::pair<std::string, std::string>>();
+        for (auto& other : replicas) {
+            if (!other->voter) continue;
+            if (other->voter->blank()) blank.push_back(other->disk);
+            spares.emplace_back(fmt::format("s{}", other->number), other->disk);
+        }
+        replica.voter->setBlankVoters(blank);
+        replica.voter->setSpareDisks(spares);
+        replica.voter->tick(now);
+        if (replica.voter->leads()) useLeader(replica);
+    }
+    // Checks that a leader is alone in its term, and gives it orders, reads and transfers of leadership.
+    auto useLeader(Replica& replica) -> void {
+        auto& voter = *replica.voter;
+        auto& leader = leaderOfTerm[{voter.epoch(), voter.term()}];
+        if (leader.empty()) leader = replica.disk;
+        if (leader != replica.disk) violation = fmt::format("two leaders in term {}", voter.term());
+        if (!contestNear() && random.chance(.05)) {
+            auto key = fmt::format("k{}", nextKey++);
+            auto body = orderPrepare(voter.latestState(), "empty", key,
+                fmt::format("{{\"district\":\"z{}\"}}", random.below(5)), now);
+            if (body) voter.propose(ENTRY_ORDER, *body, now);
+        }
+        if (random.chance(.03)) {
+            versionAtRead[nextKey] = newestVersion;
+            voter.read(nextKey++, now);
+        }
+        if (!calm && !contestNear() && random.chance(.002)) voter.transferLeadership(now);
+    }
+    auto injectFault(bool mayReplaceDisk) -> void {
+        if (now < nextFault || contestNear()) return;
+        nextFault = now + Microseconds(random.below(1500 * MILLISECOND));
+        auto& replica = *replicas[random.below(replicas.size())];
+        auto kind = random.below(10);
+        if (kind < 4) replica.powerOff(Microseconds(random.below(800 * MILLISECOND)));
+        else if (kind < 6) replica.wakesAt = now + Microseconds(random.below(2 * SECOND));  // frozen
+        else if (kind < 7) loss = random.chance(.5) ? 0.4 : USUAL_LOSS;
+        else if (kind < 8 && mayReplaceDisk) replaceDisk(replica);
+    }
+    // Where all the others are sound voters.
+    auto replaceDisk(Replica& replica) -> void {
+        auto isSound = [&](auto& other) { return other->hasSoundVoters(replicas); };
+        if (!std::all_of(replicas.begin(), replicas.end(), isSound)) return;
+        replica.held = {};
+        replica.disk = fmt::format("d{}", nextDisk++);
+        replica.powerOff(Microseconds(random.below(500 * MILLISECOND)));
     }
     auto run(int steps) -> void {
-        for (auto& b : bs) b->start();
-        auto vs = std::vector<VoterIdentity>();
-        for (auto& b : bs) vs.push_back({fmt::format("s{}", b->i), b->disk});
-        auto w = ReplicatedState();
-        w.bootstrap({"n"}, vs);
-        bs[0]->v->bootstrap(w, 1, t);
-        auto key = 0;
-        auto nextFault = SECOND;
-        for (auto s = 0; s < steps && bad.empty(); s++) {
-            t += 5 * MILLISECOND;
-            while (!net.empty() && net.begin()->first <= t) {
-                auto [d, e] = net.begin()->second;
-                net.erase(net.begin());
-                for (auto& b : bs)
-                    if (b->v && b->disk == d && t >= b->wake) b->v->handle(e, t);
-            }
-            for (auto& b : bs) {
-                if (!b->v) {
-                    if (t >= b->wake) b->start();
-                    continue;
-                }
-                if (t < b->wake) continue;
-                while (!b->under.empty() && r.chance(syncChance)) {
-                    auto x = b->under.front();
-                    b->under.pop_front();
-                    auto ok = b->gate.takes(x) && (calm || !r.chance(.002));
-                    if (ok) diskApply(b->held, x);
-                    else b->gate.fail(x);
-                    b->v->diskDone(x.seq, ok, t);
-                }
-                auto un = std::vector<std::string>();
-                for (auto& o : bs)
-                    if (o->v && o->v->blank()) un.push_back(o->disk);
-                b->v->setBlankVoters(un);
-                auto of = std::vector<std::pair<std::string, std::string>>();
-                for (auto& o : bs)
-                    if (o->v) of.emplace_back(fmt::format("s{}", o->i), o->disk);
-                b->v->setSpareDisks(of);
-                b->v->tick(t);
-                if (b->v->leads()) {
-                    auto& l = leads[{b->v->epoch(), b->v->term()}];
-                    if (l.empty()) l = b->disk;
-                    if (l != b->disk) bad = fmt::format("two leaders in term {}", b->v->term());
-                    if (!contestNear() && r.chance(.05)) {
-                        auto k = fmt::format("k{}", key++);
-                        if (auto o = orderPrepare(b->v->latestState(), "empty", k,
-                                fmt::format("{{\"district\":\"z{}\"}}", r.below(5)), t))
-                            b->v->propose(ORDER, *o, t);
-                    }
-                    if (r.chance(.03)) {
-                        reads[key] = top;
-                        b->v->read(key++, t);
-                    }
-                    if (!calm && !contestNear() && r.chance(.002)) b->v->transferLeadership(t);
-                }
-            }
+        bootstrap();
+        for (auto step = 0; step < steps && violation.empty(); step++) {
+            now += STEP;
+            deliver();
+            for (auto& replica : replicas) tick(*replica);
             contestElections();
-            if (t >= nextFault && !contestNear()) {
-                nextFault = t + Microseconds(r.below(1500 * MILLISECOND));
-                auto& b = *bs[r.below(bs.size())];
-                auto k = r.below(10);
-                if (k < 4) {  // power
-                    b.v.reset();
-                    b.under.clear();
-                    b.wake = t + Microseconds(r.below(800 * MILLISECOND));
-                } else if (k < 6) b.wake = t + Microseconds(r.below(2 * SECOND));  // frozen
-                else if (k < 7) loss = r.chance(.5) ? 0.4 : USUAL_LOSS;
-                else if (k < 8 && s < steps * 3 / 4) {
-                    // A disk is replaced, where all the others are sound voters.
-                    auto good = 0;
-                    for (auto& o : bs) {
-                        auto ok =
-                            o->v && !o->v->blank() && !o->v->joint() && o->v->voters().size() == bs.size();
-                        for (auto& x : bs)
-                            ok = ok
-                                && std::any_of(o->v->voters().begin(), o->v->voters().end(),
-                                    [&](auto& q) { return q.disk == x->disk; });
-                        good += ok;
-                    }
-                    if (good != n) continue;
-                    b.v.reset();
-                    b.under.clear();
-                    b.held = {};
-                    b.disk = fmt::format("d{}", disks++);
-                    b.wake = t + Microseconds(r.below(500 * MILLISECOND));
-                }
+            injectFault(step < steps * 3 / 4);
+            if (step == steps - CALM_STEPS) {  // from here on they must agree again
+                loss = 0;
+                nextFault = INT64_MAX;
+                calm = true;
             }
-            if (s == steps - 1200)
-                loss = 0, nextFault = INT64_MAX, calm = true;  // calm: they must agree again
         }
-        if (!bad.empty()) return;
-        auto lead = 0;
-        for (auto& b : bs) lead += b->v && b->v->leads();
-        if (lead != 1) {
-            unsettled = fmt::format("{} leaders after six calm seconds:", lead);
-            for (auto& b : bs) {
-                unsettled += fmt::format(" [{} role {} term {} last {} commit {} bad {} under {} voters",
-                    b->disk, b->v ? int(b->v->role()) : -1, b->v ? b->v->term() : 0, b->v ? b->v->last() : 0,
-                    b->v ? b->v->commit() : 0, b->v && b->v->diskBad(), b->under.size());
-                if (b->v)
-                    for (auto& q : b->v->voters()) unsettled += " " + q.disk;
-                unsettled += "]";
-            }
+        if (!violation.empty()) return;
+        checkSettled();
+        checkAcknowledged();
+    }
+    auto checkSettled() -> void {
+        auto leaders = 0;
+        for (auto& replica : replicas) leaders += replica->voter && replica->voter->leads();
+        if (leaders == 1) return;
+        unsettled = fmt::format("{} leaders after six calm seconds:", leaders);
+        for (auto& replica : replicas) unsettled += describe(*replica);
+    }
+    static auto describe(const Replica& replica) -> std::string {
+        if (!replica.voter)
+            return fmt::format(" [{} without power, {} writes]", replica.disk, replica.pending.size());
+        auto& voter = *replica.voter;
+        auto text = fmt::format(" [{} role {} term {} last {} commit {} bad {} writes {} voters",
+            replica.disk, int(voter.role()), voter.term(), voter.last(), voter.commit(), voter.diskBad(),
+            replica.pending.size());
+        for (auto& identity : voter.voters()) text += " " + identity.disk;
+        return text + "]";
+    }
+    auto checkAcknowledged() -> void {
+        auto count = std::min(acknowledged.size(), REMEMBERED_KEYS);
+        for (auto& replica : replicas) {
+            if (!replica->voter || !replica->voter->leads()) continue;
+            for (auto key = acknowledged.end() - std::ptrdiff_t(count); key != acknowledged.end(); ++key)
+                if (replica->voter->replicatedState().outcome(*key).status != 200)
+                    violation = "acknowledged and gone: " + *key;
         }
-        for (auto& b : bs)
-            for (auto k = acked.size() > 100 ? acked.end() - 100 : acked.begin(); k != acked.end();
-                 ++k)  // a word keeps the last 256
-                if (b->v && b->v->leads() && b->v->replicatedState().outcome(*k).status != 200)
-                    bad = "acknowledged and gone: " + *k;
     }
 };
 
@@ -276,10 +315,10 @@
         cluster.contestedElections = options.contestedElections;
         cluster.syncChance = options.syncChance;
         cluster.run(6000);
-        acknowledged += cluster.acked.size();
-        result.unsafe += !cluster.bad.empty();
+        acknowledged += cluster.acknowledged.size();
+        result.unsafe += !cluster.violation.empty();
         result.unsettled += !cluster.unsettled.empty();
-        auto& failure = cluster.bad.empty() ? cluster.unsettled : cluster.bad;
+        auto& failure = cluster.violation.empty() ? cluster.unsettled : cluster.violation;
         if (failure.empty()) continue;
         if (result.firstFailure.empty()) result.firstFailure = fmt::format("seed {}: {}", seed, failure);
         if (getenv("DT_SHOW")) fmt::print("seed {}: {}\n", seed, failure);
