--- a/src/consensus/log.cpp
+++ b/src/consensus/log.cpp
@@ -32,7 +32,7 @@
 // Sends what must not leave before the disk holds what it rests on.
 auto Voter::sendAfterWrite(std::int64_t sequence, const std::string& to, wire::Envelope envelope) -> void {
     if (broken.ackBeforeSync || writes_.isDone(sequence)) port_.voterSend(to, envelope);
-    else writes_.defer({sequence, to, std::move(envelope)});
+    else writes_.defer({sequence, to, envelope});
 }
 
 auto Voter::diskDone(std::int64_t sequence, bool ok, Microseconds now) -> void {
--- a/src/consensus/role.hpp
+++ b/src/consensus/role.hpp
@@ -1,5 +1,6 @@
 #pragma once
-// The roles of a voter and the transitions between them, as a table.
+// The roles of a voter and the transitions between them, as a table (Ongaro 2014, figure 3.3, with the
+// pre-candidate of 9.6; a blank disk belongs to no cluster yet).
 #include <boost/msm/back/state_machine.hpp>
 #include <boost/msm/front/functor_row.hpp>
 #include <boost/msm/front/state_machine_def.hpp>
@@ -19,6 +20,7 @@
 struct LeadershipReceived {};  // the leader transferred its leadership
 struct LeaderSeen {};          // a message of a leader or of a higher term
 
+/// The state machine's definition. States stand in the order of Voter::Role.
 struct RoleTable : msm::front::state_machine_def<RoleTable> {
     struct Blank : msm::front::state<> {};
     struct Follower : msm::front::state<> {};
@@ -29,6 +31,7 @@
     template <class From, class Event, class To>
     using Row = msm::front::Row<From, Event, To, msm::front::none, msm::front::none>;
     // clang-format off
+    // NOLINTNEXTLINE(readability-identifier-naming): the name that Boost.MSM looks for
     struct transition_table : mpl::vector<
         Row<Blank,        Initialized,        Follower>,
         Row<Follower,     ElectionTimeout,    PreCandidate>,
--- a/src/consensus/transfer.cpp
+++ b/src/consensus/transfer.cpp
@@ -16,7 +16,7 @@
     auto retry = sender.retry(now);
     if (retry != SnapshotSender::Retry::None) counters_.add("snapshot_chunks_resent_total");
     if (retry == SnapshotSender::Retry::ResendWhole) sendWholeSnapshot(disk);
-    while (auto chunk = sender.nextChunk()) sendChunk(disk, std::move(*chunk));
+    while (auto chunk = sender.nextChunk()) sendChunk(disk, *chunk);
 }
 
 auto Voter::sendWholeSnapshot(const std::string& disk) -> void {
