--- a/src/modelcheck/invariants.cpp
+++ b/src/modelcheck/invariants.cpp
@@ -214,14 +214,14 @@
 
 // Two logs that hold an entry of the same index and term are the same up to there.
 auto Check::logMatching(const Observation& other) -> void {
-    auto& a = seen().durable;
-    auto& b = other.durable;
+    auto& ours = seen().durable;
+    auto& theirs = other.durable;
     auto same = false;
-    for (auto index = std::min(a.last(), b.last()); index > std::max(a.snapshotIndex, b.snapshotIndex);
-         index--) {
-        auto x = a.at(index), y = b.at(index);
-        same = same || x->term == y->term;
-        if (same && *x != *y)
+    auto newest = std::min(ours.last(), theirs.last());
+    for (auto index = newest; index > std::max(ours.snapshotIndex, theirs.snapshotIndex); index--) {
+        auto ourEntry = ours.at(index), theirEntry = theirs.at(index);
+        same = same || ourEntry->term == theirEntry->term;
+        if (same && *ourEntry != *theirEntry)
             fail(fmt::format("log matching: {} and {} differ at {}", seen().disk, other.disk, index));
     }
 }
--- a/src/modelcheck/invariants.hpp
+++ b/src/modelcheck/invariants.hpp
@@ -23,6 +23,7 @@
     std::map<std::uint32_t, std::uint32_t> reads;                       // open read -> orders it must show
     std::map<std::string, std::uint32_t> wiped;                         // lost disk -> orders it held
     std::uint32_t acknowledged = 0;                                     // bit set of order numbers
+    // NOLINTNEXTLINE(modernize-use-nullptr): the linter takes the 0 of the generated code for a pointer
     auto operator<=>(const History&) const = default;
 };
 
--- a/src/modelcheck/model.cpp
+++ b/src/modelcheck/model.cpp
@@ -192,41 +192,44 @@
         for (auto from = std::uint8_t(0); from < REPLICAS; from++) {
             auto& link = state.links[linkIndex(from, to)];
             auto reachable = options_.reorder ? link.size() : std::min<std::size_t>(link.size(), 1);
-            for (auto position = std::uint8_t(0); position < reachable; position++) {
+            for (auto place = std::size_t(0); place < reachable; place++) {
+                auto position = std::uint8_t(place);
                 actions.push_back({ActionKind::Deliver, to, from, position});
                 actions.push_back({ActionKind::Lose, to, from, position});
             }
         }
 }
 
-auto Model::addLocal(const ClusterState& state, std::uint8_t i, std::vector<Action>& actions) const -> void {
-    auto& replica = seen(state, i);
-    if (replica.pendingWrites > 0) {
-        actions.push_back({ActionKind::Sync, i, 0, 0});
-        actions.push_back({ActionKind::FailWrite, i, 0, 0});
+auto Model::addLocal(const ClusterState& state, std::uint8_t replica, std::vector<Action>& actions) const
+    -> void {
+    auto& observed = seen(state, replica);
+    if (observed.pendingWrites > 0) {
+        actions.push_back({ActionKind::Sync, replica, 0, 0});
+        actions.push_back({ActionKind::FailWrite, replica, 0, 0});
     }
-    if (replica.role == Voter::Role::Blank) return;
-    auto leads = replica.role == Voter::Role::Leader;
-    if (leads || contains(replica.newestVoters, replica.disk))
-        actions.push_back({ActionKind::Timeout, i, 0, 0});
-    if (retireVersion(state, i) > 0) actions.push_back({ActionKind::Retire, i, 0, 0});
+    if (observed.role == Voter::Role::Blank) return;
+    auto leads = observed.role == Voter::Role::Leader;
+    if (leads || contains(observed.newestVoters, observed.disk))
+        actions.push_back({ActionKind::Timeout, replica, 0, 0});
+    if (retireVersion(state, replica) > 0) actions.push_back({ActionKind::Retire, replica, 0, 0});
     if (!leads) return;
-    actions.push_back({ActionKind::Heartbeat, i, 0, 0});
-    actions.push_back({ActionKind::Propose, i, 0, 0});
-    actions.push_back({ActionKind::Read, i, 0, 0});
-    actions.push_back({ActionKind::TransferLeadership, i, 0, 0});
+    actions.push_back({ActionKind::Heartbeat, replica, 0, 0});
+    actions.push_back({ActionKind::Propose, replica, 0, 0});
+    actions.push_back({ActionKind::Read, replica, 0, 0});
+    actions.push_back({ActionKind::TransferLeadership, replica, 0, 0});
     for (auto node = std::uint8_t(0); node < VOTERS; node++)
         for (auto spare = std::uint8_t(0); spare < REPLICAS; spare++)
             if (seen(state, spare).role == Voter::Role::Blank)
-                actions.push_back({ActionKind::OfferSpare, i, node, spare});
+                actions.push_back({ActionKind::OfferSpare, replica, node, spare});
 }
 
-auto Model::addFaults(const ClusterState& state, std::uint8_t i, std::vector<Action>& actions) const -> void {
-    auto& replica = seen(state, i);
-    for (auto kept = std::uint8_t(0); kept <= replica.pendingWrites; kept++)
-        actions.push_back({ActionKind::Restart, i, 0, kept});
-    if (replica.role != Voter::Role::Blank) actions.push_back({ActionKind::Wipe, i, 0, 0});
-    if (options_.eagerDisks && !state.lagging[i]) actions.push_back({ActionKind::Delay, i, 0, 0});
+auto Model::addFaults(const ClusterState& state, std::uint8_t replica, std::vector<Action>& actions) const
+    -> void {
+    auto& observed = seen(state, replica);
+    for (auto kept = std::uint8_t(0); kept <= observed.pendingWrites; kept++)
+        actions.push_back({ActionKind::Restart, replica, 0, kept});
+    if (observed.role != Voter::Role::Blank) actions.push_back({ActionKind::Wipe, replica, 0, 0});
+    if (options_.eagerDisks && !state.lagging[replica]) actions.push_back({ActionKind::Delay, replica, 0, 0});
 }
 
 // The version of a state that another replica has applied and that leaves this disk out.
@@ -341,25 +344,26 @@
 }
 
 auto Model::messageText(MessageId id) const -> std::string {
-    auto& m = graph_.message(id);
-    if (m.__isset.requestVote)
-        return fmt::format("{}(term {}, last {}/{})", m.requestVote.preVote ? "PreVote" : "RequestVote",
-            m.requestVote.term, m.requestVote.lastLogIndex, m.requestVote.lastLogTerm);
-    if (m.__isset.requestVoteReply)
-        return fmt::format("{}Reply(term {}, {})", m.requestVoteReply.preVote ? "PreVote" : "RequestVote",
-            m.requestVoteReply.term, m.requestVoteReply.granted ? "granted" : "denied");
-    if (m.__isset.appendEntries)
+    auto& message = graph_.message(id);
+    if (message.__isset.requestVote)
+        return fmt::format("{}(term {}, last {}/{})", message.requestVote.preVote ? "PreVote" : "RequestVote",
+            message.requestVote.term, message.requestVote.lastLogIndex, message.requestVote.lastLogTerm);
+    if (message.__isset.requestVoteReply)
+        return fmt::format("{}Reply(term {}, {})",
+            message.requestVoteReply.preVote ? "PreVote" : "RequestVote", message.requestVoteReply.term,
+            message.requestVoteReply.granted ? "granted" : "denied");
+    if (message.__isset.appendEntries)
         return fmt::format("AppendEntries(term {}, after {}/{}, {} entries, commit {}, round {})",
-            m.appendEntries.term, m.appendEntries.prevLogIndex, m.appendEntries.prevLogTerm,
-            m.appendEntries.entries.size(), m.appendEntries.commit, m.appendEntries.round);
-    if (m.__isset.appendEntriesReply)
-        return fmt::format("AppendEntriesReply(term {}, {}, match {}, round {})", m.appendEntriesReply.term,
-            m.appendEntriesReply.ok ? "ok" : "refused", m.appendEntriesReply.match,
-            m.appendEntriesReply.round);
-    if (m.__isset.installSnapshot)
-        return fmt::format("InstallSnapshot(term {}, last {}/{})", m.installSnapshot.term,
-            m.installSnapshot.lastIncludedIndex, m.installSnapshot.lastIncludedTerm);
-    if (m.__isset.timeoutNow) return fmt::format("TimeoutNow(term {})", m.timeoutNow.term);
+            message.appendEntries.term, message.appendEntries.prevLogIndex, message.appendEntries.prevLogTerm,
+            message.appendEntries.entries.size(), message.appendEntries.commit, message.appendEntries.round);
+    if (message.__isset.appendEntriesReply)
+        return fmt::format("AppendEntriesReply(term {}, {}, match {}, round {})",
+            message.appendEntriesReply.term, message.appendEntriesReply.ok ? "ok" : "refused",
+            message.appendEntriesReply.match, message.appendEntriesReply.round);
+    if (message.__isset.installSnapshot)
+        return fmt::format("InstallSnapshot(term {}, last {}/{})", message.installSnapshot.term,
+            message.installSnapshot.lastIncludedIndex, message.installSnapshot.lastIncludedTerm);
+    if (message.__isset.timeoutNow) return fmt::format("TimeoutNow(term {})", message.timeoutNow.term);
     return "message";
 }
 
--- a/src/modelcheck/model.hpp
+++ b/src/modelcheck/model.hpp
@@ -123,7 +123,7 @@
         -> void;
 
     ModelOptions options_;
-    Budget limit_;                 // what the phase under way may spend
+    Budget limit_ = {};            // what the phase under way may spend
     Budget spentInScenario_ = {};  // what the phase before it spent
     ReplicaGraph graph_;
     Monitor monitor_;
--- a/src/modelcheck/replica.hpp
+++ b/src/modelcheck/replica.hpp
@@ -62,6 +62,7 @@
     std::int64_t term = 0;
     std::uint64_t digest = 0;
     bool membership = false;
+    // NOLINTNEXTLINE(modernize-use-nullptr): the linter takes the 0 of the generated code for a pointer
     auto operator<=>(const EntryView&) const = default;
 };
 
--- a/src/modelcheck/replica_graph.hpp
+++ b/src/modelcheck/replica_graph.hpp
@@ -23,6 +23,7 @@
     InputKind kind = InputKind::Deliver;
     std::uint32_t number = 0;  // order, read, version or MessageId
     std::string node, disk;
+    // NOLINTNEXTLINE(modernize-use-nullptr): the linter takes the 0 of the generated code for a pointer
     auto operator<=>(const InputKey&) const = default;
 };
 
