--- a/src/state/accepted_changes.cpp
+++ b/src/state/accepted_changes.cpp
@@ -2,6 +2,8 @@
 
 #include <algorithm>
 #include <cstdint>
+#include <cstdlib>
+#include <iterator>
 #include <optional>
 #include <string>
 #include <string_view>
@@ -9,34 +11,18 @@
 #include <fmt/format.h>
 
 #include "base/hash.hpp"
-#include "base/json.hpp"
 
 namespace duneturn {
 
 namespace {
 
-constexpr std::size_t NUMBER_SIZE = 16;  // of a number in a record, in hexadecimal
+constexpr auto NUMBER_SIZE = std::size_t(16);  // characters of a number in a record
+constexpr auto NUMBERS = std::size_t(3);       // of a record
+constexpr auto RECORD_SIZE = NUMBERS * NUMBER_SIZE;
 
-auto digest(const std::string& key) -> std::string { return fmt::format("{:016x}", hash64(key)); }
-
-auto records(const rapidjson::Value& member) -> std::string_view {
-    auto& text = member["records"];
-    return std::string_view(text.GetString(), text.GetStringLength());
-}
-
-// The number that begins `offset` characters into the record at `position`.
-auto numberAt(std::string_view records, std::size_t position, std::size_t offset) -> std::int64_t {
-    auto text = std::string(records.substr(position * AcceptedChanges::RECORD_SIZE + offset, NUMBER_SIZE));
-    return std::int64_t(std::strtoull(text.c_str(), nullptr, 16));
-}
-auto versionAt(std::string_view records, std::size_t position) -> std::int64_t {
-    return numberAt(records, position, AcceptedChanges::DIGEST_SIZE);
-}
-auto stateGenerationAt(std::string_view records, std::size_t position) -> std::int64_t {
-    return numberAt(records, position, AcceptedChanges::DIGEST_SIZE + AcceptedChanges::VERSION_SIZE);
-}
-auto numberText(std::int64_t number) -> std::string {
-    return fmt::format("{:016x}", std::uint64_t(std::max<std::int64_t>(0, number)));
+auto numberAt(const std::string& records, std::size_t position, std::size_t number) -> std::uint64_t {
+    auto text = records.substr(position * RECORD_SIZE + number * NUMBER_SIZE, NUMBER_SIZE);
+    return std::strtoull(text.c_str(), nullptr, 16);
 }
 
 auto isHexadecimal(std::string_view text) -> bool {
@@ -45,59 +31,50 @@
 
 }  // namespace
 
-auto AcceptedChanges::make(std::int64_t generation, std::int64_t version,
-    rapidjson::Document::AllocatorType& allocator) -> rapidjson::Value {
-    auto member = rapidjson::Value(rapidjson::kObjectType);
-    member.AddMember("forgottenGeneration", generation, allocator);
-    member.AddMember("forgottenVersion", version, allocator);
-    member.AddMember("records", rapidjson::Value(rapidjson::kStringType), allocator);
-    return member;
-}
-
-auto AcceptedChanges::sound(const rapidjson::Value& member, std::int64_t generation) -> bool {
-    if (!member.IsObject() || !member.HasMember("records") || !member["records"].IsString()) return false;
-    for (auto name : {"forgottenGeneration", "forgottenVersion"})
-        if (!member.HasMember(name) || !member[name].IsInt64()) return false;
-    auto text = records(member);
-    if (text.size() % RECORD_SIZE != 0 || text.size() > CAPACITY * RECORD_SIZE) return false;
-    if (!isHexadecimal(text)) return false;
-    return forgottenGeneration(member) + std::int64_t(text.size() / RECORD_SIZE) == generation;
+auto AcceptedChanges::parse(std::int64_t forgottenConfigVersion, std::int64_t forgottenDocumentVersion,
+    const std::string& records) -> std::optional<AcceptedChanges> {
+    if (records.size() % RECORD_SIZE != 0 || records.size() > CAPACITY * RECORD_SIZE) return std::nullopt;
+    if (!isHexadecimal(records)) return std::nullopt;
+    auto changes = AcceptedChanges(forgottenConfigVersion, forgottenDocumentVersion);
+    for (auto i = std::size_t(0); i < records.size() / RECORD_SIZE; i++)
+        changes.records_.push_back({numberAt(records, i, 0), std::int64_t(numberAt(records, i, 1)),
+            std::int64_t(numberAt(records, i, 2))});
+    return changes;
 }
 
-auto AcceptedChanges::record(rapidjson::Value& member, const std::string& key, std::int64_t version,
-    std::int64_t stateGeneration, rapidjson::Document::AllocatorType& allocator) -> void {
-    auto text = std::string(records(member));
-    text += digest(key);
-    text += numberText(version);
-    text += numberText(stateGeneration);
-    if (text.size() > CAPACITY * RECORD_SIZE) {
-        auto version = std::max(forgottenVersion(member), versionAt(text, 0));
-        member["forgottenVersion"].SetInt64(version);
-        member["forgottenGeneration"].SetInt64(forgottenGeneration(member) + 1);
-        text.erase(0, RECORD_SIZE);
-    }
-    member["records"].SetString(text, allocator);
+auto AcceptedChanges::record(const std::string& key, std::int64_t documentVersion, std::int64_t stateVersion)
+    -> void {
+    auto notNegative = [](std::int64_t number) { return std::max<std::int64_t>(0, number); };
+    records_.push_back({hash64(key), notNegative(documentVersion), notNegative(stateVersion)});
+    if (records_.size() <= CAPACITY) return;
+    forgottenDocumentVersion_ = std::max(forgottenDocumentVersion_, records_.front().documentVersion);
+    forgottenConfigVersion_++;
+    records_.erase(records_.begin());
 }
 
-auto AcceptedChanges::find(const rapidjson::Value& member, const std::string& key)
-    -> std::optional<AcceptedChange> {
+auto AcceptedChanges::find(const std::string& key) const -> std::optional<AcceptedChange> {
     if (key.empty()) return std::nullopt;
-    auto text = records(member);
-    auto wanted = digest(key);
-    for (auto position = text.size() / RECORD_SIZE; position-- > 0;) {
-        if (text.compare(position * RECORD_SIZE, DIGEST_SIZE, wanted) != 0) continue;
-        auto generation = forgottenGeneration(member) + 1 + std::int64_t(position);
-        return AcceptedChange{generation, versionAt(text, position), stateGenerationAt(text, position)};
+    auto digest = hash64(key);
+    for (auto position = records_.size(); position-- > 0;) {
+        auto& record = records_[position];
+        if (record.keyDigest != digest) continue;
+        auto configVersion = forgottenConfigVersion_ + 1 + std::int64_t(position);
+        return AcceptedChange{configVersion, record.documentVersion, record.stateVersion};
     }
     return std::nullopt;
 }
 
-auto AcceptedChanges::forgottenGeneration(const rapidjson::Value& member) -> std::int64_t {
-    return jsInt(member, "forgottenGeneration");
+auto AcceptedChanges::configVersion() const -> std::int64_t {
+    return forgottenConfigVersion_ + std::int64_t(records_.size());
 }
 
-auto AcceptedChanges::forgottenVersion(const rapidjson::Value& member) -> std::int64_t {
-    return jsInt(member, "forgottenVersion");
+auto AcceptedChanges::recordsText() const -> std::string {
+    auto text = std::string();
+    text.reserve(records_.size() * RECORD_SIZE);
+    for (auto& record : records_)
+        fmt::format_to(std::back_inserter(text), "{:016x}{:016x}{:016x}", record.keyDigest,
+            std::uint64_t(record.documentVersion), std::uint64_t(record.stateVersion));
+    return text;
 }
 
 }  // namespace duneturn
--- a/src/state/accepted_changes.hpp
+++ b/src/state/accepted_changes.hpp
@@ -4,45 +4,58 @@
 #include <cstdint>
 #include <optional>
 #include <string>
-
-#include "base/json.hpp"
+#include <vector>
 
 namespace duneturn {
 
-/// One accepted change: the configuration generation that it made, the version number that the
-/// operator's document bears (0 if it bears none), and the generation of the whole state that holds it
-/// (0 if an earlier format did not tell).
+/// One accepted change.
 struct AcceptedChange {
-    std::int64_t generation = 0;
-    std::int64_t version = 0;
-    std::int64_t stateGeneration = 0;
+    std::int64_t configVersion = 0;    // that it made
+    std::int64_t documentVersion = 0;  // of the operator's document; 0 if it bears none
+    std::int64_t stateVersion = 0;     // of the state that holds it; 0 if an earlier format did not tell
 };
 
-/// A view of the member of the state's document that holds the memory:
-///   {"forgottenGeneration": n, "forgottenVersion": v, "records": "..."}
-/// `records` holds RECORD_SIZE characters a change: the digest of its key, its version and the state's
-/// generation, all in hexadecimal. The record at position i made the generation n + 1 + i, so generations
-/// need no room. Nothing is known of changes that made a generation up to n; their versions are v at most.
-struct AcceptedChanges {
-    static constexpr std::size_t CAPACITY = 4096;  // changes remembered; a long day holds hundreds
-    static constexpr std::size_t DIGEST_SIZE = 16;
-    static constexpr std::size_t VERSION_SIZE = 16;
-    static constexpr std::size_t STATE_GENERATION_SIZE = 16;
-    static constexpr std::size_t RECORD_SIZE = DIGEST_SIZE + VERSION_SIZE + STATE_GENERATION_SIZE;
-
-    /// A memory that knows nothing of the changes up to `generation`, the last of which made `version`.
-    static auto make(std::int64_t generation, std::int64_t version,
-        rapidjson::Document::AllocatorType& allocator) -> rapidjson::Value;
-    /// Whether `member` is such a memory, up to `generation`.
-    static auto sound(const rapidjson::Value& member, std::int64_t generation) -> bool;
-
-    /// Adds the change that made the next generation. The oldest is forgotten beyond CAPACITY.
-    static auto record(rapidjson::Value& member, const std::string& key, std::int64_t version,
-        std::int64_t stateGeneration, rapidjson::Document::AllocatorType& allocator) -> void;
-    static auto find(const rapidjson::Value& member, const std::string& key) -> std::optional<AcceptedChange>;
-    /// The highest generation, and the highest version, of which the memory cannot tell who made it.
-    static auto forgottenGeneration(const rapidjson::Value& member) -> std::int64_t;
-    static auto forgottenVersion(const rapidjson::Value& member) -> std::int64_t;
+/// The changes that made the last versions of the configuration, one by one without a gap. Nothing is
+/// known of the changes before them.
+class AcceptedChanges {
+  public:
+    static constexpr auto CAPACITY = std::size_t(4096);  // changes remembered; a long day holds hundreds
+
+    AcceptedChanges() = default;
+    /// A memory that knows nothing of the changes up to `configVersion`, whose documents' versions were at
+    /// most `documentVersion`.
+    AcceptedChanges(std::int64_t configVersion, std::int64_t documentVersion)
+        : forgottenConfigVersion_(configVersion), forgottenDocumentVersion_(documentVersion) {}
+    /// A memory with the records of recordsText(); none if the text is malformed.
+    [[nodiscard]] static auto parse(std::int64_t forgottenConfigVersion,
+        std::int64_t forgottenDocumentVersion, const std::string& records) -> std::optional<AcceptedChanges>;
+
+    /// Adds the change that made the next version of the configuration. Beyond CAPACITY the oldest one is
+    /// forgotten.
+    auto record(const std::string& key, std::int64_t documentVersion, std::int64_t stateVersion) -> void;
+    /// The change with this idempotency key.
+    [[nodiscard]] auto find(const std::string& key) const -> std::optional<AcceptedChange>;
+
+    /// The version that the newest known change made.
+    [[nodiscard]] auto configVersion() const -> std::int64_t;
+    /// The highest version of the configuration, and of documents, of which it is not known who made it.
+    [[nodiscard]] auto forgottenConfigVersion() const -> std::int64_t { return forgottenConfigVersion_; }
+    [[nodiscard]] auto forgottenDocumentVersion() const -> std::int64_t { return forgottenDocumentVersion_; }
+
+    /// All records in order, as stored: of each the digest of its key, its document's version and the
+    /// state's version, in 16 hexadecimal characters each.
+    [[nodiscard]] auto recordsText() const -> std::string;
+
+  private:
+    struct Record {
+        std::uint64_t keyDigest = 0;
+        std::int64_t documentVersion = 0;
+        std::int64_t stateVersion = 0;
+    };
+
+    std::int64_t forgottenConfigVersion_ = 0;
+    std::int64_t forgottenDocumentVersion_ = 0;
+    std::vector<Record> records_;  // the one at position i made the forgotten version + 1 + i
 };
 
 }  // namespace duneturn
--- /dev/null
+++ b/src/state/command_codec.cpp
@@ -0,0 +1,123 @@
+#include "state/command_codec.hpp"
+
+#include <cstdint>
+#include <memory>
+#include <optional>
+#include <string>
+#include <variant>
+
+#include <rapidjson/stringbuffer.h>
+#include <rapidjson/writer.h>
+
+#include "base/json.hpp"
+
+namespace duneturn {
+
+namespace {
+
+/// Writes one entry; the members stand in the order that the format has always had.
+class CommandWriter {
+  public:
+    auto write(const LoggedCommand& entry) -> std::string {
+        writer_.StartObject();
+        member("key", entry.key);
+        base_ = entry.base;
+        std::visit([this](const auto& command) { (*this)(command); }, entry.command);
+        writer_.EndObject();
+        return {buffer_.GetString(), buffer_.GetSize()};
+    }
+
+    auto operator()(const ReplaceConfiguration& command) -> void {
+        member("op", "config");
+        member("base", base_);
+        member("config", command.configuration->json());
+    }
+    auto operator()(const SetEvacuation& command) -> void {
+        member("op", command.evacuated ? "empty" : "give-back");
+        if (command.revision) member("revision", *command.revision);
+        member("district", command.zone);
+        member("at", std::int64_t(command.at));
+    }
+    auto operator()(const ScheduleOperation& command) -> void {
+        member("op", "book");
+        member("when", std::int64_t(command.due));
+        member("move", command.operation->value());
+    }
+    auto operator()(const CancelOperation& command) -> void { operation("cancel", command.id, command.at); }
+    auto operator()(const BeginOperation& command) -> void { operation("fire", command.id, command.at); }
+    auto operator()(const ChangeRoster& command) -> void {
+        member("op", "roster");
+        member("node", command.node);
+        writer_.Key("add");
+        writer_.Bool(command.add);
+    }
+    auto operator()(const UnknownCommand& command) -> void { member("op", command.name); }
+
+  private:
+    auto operation(const std::string& name, const std::string& id, Microseconds at) -> void {
+        member("op", name);
+        member("move", id);
+        member("at", std::int64_t(at));
+    }
+    auto member(const char* name, const std::string& value) -> void {
+        writer_.Key(name);
+        writer_.String(value);
+    }
+    auto member(const char* name, std::int64_t value) -> void {
+        writer_.Key(name);
+        writer_.Int64(value);
+    }
+    auto member(const char* name, const rapidjson::Value& value) -> void {
+        writer_.Key(name);
+        value.Accept(writer_);
+    }
+
+    rapidjson::StringBuffer buffer_;
+    rapidjson::Writer<rapidjson::StringBuffer> writer_{buffer_};
+    std::int64_t base_ = LoggedCommand::NO_BASE;
+};
+
+auto readEvacuation(const rapidjson::Value& object, bool evacuated) -> SetEvacuation {
+    auto command = SetEvacuation();
+    command.zone = jsStr(object, "district");
+    command.evacuated = evacuated;
+    if (object.HasMember("revision")) command.revision = jsInt(object, "revision");
+    command.at = jsInt(object, "at");
+    return command;
+}
+
+}  // namespace
+
+auto encodeCommand(const LoggedCommand& entry) -> std::string { return CommandWriter().write(entry); }
+
+auto decodeCommand(const std::string& text) -> std::optional<LoggedCommand> {
+    auto object = rapidjson::Document();
+    if (!jsParse(text, object) || !object.IsObject()) return std::nullopt;
+    auto entry = LoggedCommand();
+    entry.key = jsStr(object, "key");
+    entry.base = jsInt(object, "base", LoggedCommand::NO_BASE);
+    entry.command = readCommand(object);
+    return entry;
+}
+
+auto readCommand(const rapidjson::Value& object) -> Command {
+    auto name = jsStr(object, "op");
+    if (name == "config") {
+        auto configuration = jsMember(object, "config");
+        if (!configuration || !configuration->IsObject()) return UnknownCommand{name};
+        return ReplaceConfiguration{std::make_shared<const Configuration>(*configuration)};
+    }
+    if (name == "empty") return readEvacuation(object, true);
+    if (name == "give-back") return readEvacuation(object, false);
+    if (name == "book") {
+        auto operation = jsMember(object, "move");
+        if (!operation) return UnknownCommand{name};
+        return ScheduleOperation{jsInt(object, "when"), std::make_shared<const JsonFragment>(*operation)};
+    }
+    if (name == "cancel") return CancelOperation{jsStr(object, "move"), jsInt(object, "at")};
+    if (name == "fire") return BeginOperation{jsStr(object, "move"), jsInt(object, "at")};
+    if (name == "roster") return ChangeRoster{jsStr(object, "node"), jsBool(object, "add")};
+    return UnknownCommand{name};
+}
+
+}  // namespace duneturn
--- a/src/state/evacuations.cpp
+++ b/src/state/evacuations.cpp
@@ -2,56 +2,53 @@
 
 #include <algorithm>
 #include <cstdint>
+#include <optional>
 #include <string>
-
-#include "base/json.hpp"
+#include <utility>
 
 namespace duneturn {
 
-namespace {
+auto ZoneTable::find(const std::string& zone) const -> std::optional<std::int64_t> {
+    for (auto& entry : entries_)
+        if (entry.zone == zone) return entry.number;
+    return std::nullopt;
+}
 
-/// Forgets the zone that has not changed for longest; the floor keeps a bound of its revision.
-auto forgetOldest(rapidjson::Document& state) -> void {
-    auto& revisions = state["zoneRevisions"];
-    auto older = [](const auto& a, const auto& b) { return a.value.GetInt64() < b.value.GetInt64(); };
-    auto oldest = std::min_element(revisions.MemberBegin(), revisions.MemberEnd(), older);
-    auto floor = std::max(jsInt(state, "zoneRevisionFloor"), oldest->value.GetInt64());
-    state["zoneRevisionFloor"].SetInt64(floor);
-    revisions.EraseMember(oldest);
+auto ZoneTable::remove(const std::string& zone) -> void {
+    auto isZone = [&](const Entry& entry) { return entry.zone == zone; };
+    auto found = std::find_if(entries_.begin(), entries_.end(), isZone);
+    if (found == entries_.end()) return;
+    if (&*found != &entries_.back()) *found = std::move(entries_.back());
+    entries_.pop_back();
 }
 
-}  // namespace
-
-auto Evacuations::load(rapidjson::Document& state) -> bool {
-    auto& allocator = state.GetAllocator();
-    if (!state.HasMember("zoneRevisions")) {
-        state.AddMember("zoneRevisions", rapidjson::Value(rapidjson::kObjectType), allocator);
-        state.RemoveMember("zoneRevisionFloor");
-        state.AddMember("zoneRevisionFloor", jsInt(state, "generation"), allocator);
-    }
-    if (!state["zoneRevisions"].IsObject() || !state.HasMember("zoneRevisionFloor")) return false;
-    for (auto& zone : state["zoneRevisions"].GetObject())
-        if (!zone.value.IsInt64()) return false;
-    return state["zoneRevisionFloor"].IsInt64();
+auto ZoneTable::removeSmallest() -> std::int64_t {
+    auto smaller = [](const Entry& left, const Entry& right) { return left.number < right.number; };
+    auto smallest = std::min_element(entries_.begin(), entries_.end(), smaller);
+    auto number = smallest->number;
+    entries_.erase(smallest);
+    return number;
 }
 
-auto Evacuations::zone(const rapidjson::Document& state, const std::string& name) -> ZoneState {
-    auto result = ZoneState();
-    result.evacuated = state["empties"].HasMember(name);
-    result.revision = jsInt(state["zoneRevisions"], name.c_str(), jsInt(state, "zoneRevisionFloor"));
-    return result;
+Evacuations::Evacuations(ZoneTable evacuated, ZoneTable revisions, std::int64_t revisionFloor)
+    : evacuated_(std::move(evacuated)), revisions_(std::move(revisions)), revisionFloor_(revisionFloor) {}
+
+auto Evacuations::zone(const std::string& name) const -> ZoneState {
+    auto state = ZoneState();
+    state.evacuated = evacuated_.find(name).has_value();
+    state.revision = revisions_.find(name).value_or(revisionFloor_);
+    return state;
 }
 
-auto Evacuations::set(rapidjson::Document& state, const std::string& name, bool evacuated, std::int64_t since,
-    std::int64_t revision) -> void {
-    auto& allocator = state.GetAllocator();
-    auto& empties = state["empties"];
-    empties.RemoveMember(name);
-    if (evacuated) empties.AddMember(rapidjson::Value(name, allocator), rapidjson::Value(since), allocator);
-    auto& revisions = state["zoneRevisions"];
-    revisions.RemoveMember(name);
-    revisions.AddMember(rapidjson::Value(name, allocator), rapidjson::Value(revision), allocator);
-    if (revisions.MemberCount() > ZONES) forgetOldest(state);
+auto Evacuations::set(const std::string& name, bool evacuated, Microseconds since, std::int64_t revision)
+    -> void {
+    evacuated_.remove(name);
+    if (evacuated) evacuated_.append(name, since);
+    revisions_.remove(name);
+    revisions_.append(name, revision);
+    // The zone that has not changed for longest is forgotten; the floor keeps a bound of its revision.
+    if (revisions_.entries().size() > ZONES)
+        revisionFloor_ = std::max(revisionFloor_, revisions_.removeSmallest());
 }
 
 }  // namespace duneturn
--- a/src/state/replicated_state.cpp
+++ b/src/state/replicated_state.cpp
@@ -3,105 +3,52 @@
 #include <algorithm>
 #include <cstdint>
 #include <string>
-#include <string_view>
 #include <utility>
+#include <variant>
 #include <vector>
 
 #include <fmt/format.h>
-#include <tl/expected.hpp>
 
 #include "base/json.hpp"
-#include "base/time.hpp"
-#include "state/accepted_changes.hpp"
-#include "state/configuration_validation.hpp"
-#include "state/evacuations.hpp"
+#include "state/command_codec.hpp"
+#include "state/state_codec.hpp"
 
 namespace duneturn {
 
-auto bodyOf(std::initializer_list<std::pair<const char*, std::string>> kv) -> std::string {
-    auto o = std::string("{");
-    for (auto& [k, v] : kv) o += fmt::format("{}{}:{}", o.size() > 1 ? "," : "", jsQuote(k), v);
-    return o + "}";
-}
-auto errorBody(const std::vector<Fault>& fs) -> std::string {
-    auto l = std::string();
-    for (auto& f : fs)
-        l += (l.empty() ? "" : ",") + bodyOf({{"path", jsQuote(f.path)}, {"why", jsQuote(f.why)}});
-    return bodyOf({{"error", jsQuote(fs.empty() ? "denied" : fs[0].path + ": " + fs[0].why)},
-        {"faults", "[" + l + "]"}});
-}
+namespace {
 
-ReplicatedState::ReplicatedState() {
-    bootstrap({}, {});
-    version = 0;
-}
-ReplicatedState::ReplicatedState(const ReplicatedState& o) : epoch(o.epoch), version(o.version) {
-    d.CopyFrom(o.d, d.GetAllocator());
-}
-auto ReplicatedState::operator=(const ReplicatedState& o) -> ReplicatedState& {
-    if (this == &o) return *this;
-    // A new document, since an allocator never gives back what was erased.
-    auto n = rapidjson::Document();
-    n.CopyFrom(o.d, n.GetAllocator());
-    d.Swap(n);
-    epoch = o.epoch;
-    version = o.version;
-    return *this;
+auto noSuchOperation() -> Outcome { return refusal(404, "no such move"); }
+
+auto notPending(const ScheduleEntry& entry) -> Outcome {
+    return refusal(409, std::string("the move is already ") + statusName(entry.status));
 }
 
-auto ReplicatedState::bootstrap(const std::vector<std::string>& ro, const std::vector<VoterIdentity>& vs)
-    -> void {
-    auto n = rapidjson::Document();
-    jsParse(
-        R"({"reign":0,"generation":0,"configGeneration":0,"config":{"mappings":[]},"empties":{},"plan":[],"roster":[],"voters":[],"outcomes":[]})",
-        n);
-    OrderOutcomes::load(n);
-    Evacuations::load(n);
-    d.Swap(n);
-    for (auto& r : ro) d["roster"].PushBack(rapidjson::Value(r, d.GetAllocator()), d.GetAllocator());
-    epoch = 1;
+auto unknownCommand(const std::string& name) -> Outcome { return refusal(422, "unknown order: " + name); }
+
+}  // namespace
+
+auto ReplicatedState::bootstrap(
+    const std::vector<std::string>& roster, const std::vector<VoterIdentity>& voters) -> void {
+    *this = ReplicatedState();
     version = 1;
-    d["reign"].SetInt64(epoch);
-    d["generation"].SetInt64(version);
-    setVoters(vs);
+    roster_ = roster;
+    voters_ = voters;
 }
 
-auto ReplicatedState::load(const std::string& s) -> bool {
-    auto n = rapidjson::Document();
-    if (!jsParse(s, n) || !n.IsObject()) return false;
-    for (auto k : {"config", "empties"})
-        if (!n.HasMember(k) || !n[k].IsObject()) return false;
-    for (auto k : {"plan", "roster", "voters", "outcomes"})
-        if (!n.HasMember(k) || !n[k].IsArray()) return false;
-    for (auto k : {"reign", "generation", "configGeneration"})
-        if (!n.HasMember(k) || !n[k].IsInt64()) return false;
-    if (!OrderOutcomes::load(n) || !Evacuations::load(n)) return false;
-    d.Swap(n);
-    epoch = jsInt(d, "reign");
-    version = jsInt(d, "generation");
+auto ReplicatedState::load(const std::string& text) -> bool {
+    auto state = StateCodec::read(text);
+    if (!state) return false;
+    *this = std::move(*state);
     return true;
 }
 
-auto ReplicatedState::rise() -> void {
-    version++;
-    d["generation"].SetInt64(version);
-    d["reign"].SetInt64(epoch);
-}
-
-auto ReplicatedState::setVoters(const std::vector<VoterIdentity>& vs) -> void {
-    auto& al = d.GetAllocator();
-    auto a = rapidjson::Value(rapidjson::kArrayType);
-    for (auto& v : vs)
-        a.PushBack(rapidjson::Value(rapidjson::kObjectType)
-                       .AddMember("seat", rapidjson::Value(v.node, al), al)
-                       .AddMember("disk", rapidjson::Value(v.disk, al), al),
-            al);
-    d["voters"] = a;
-}
+auto ReplicatedState::text() const -> std::string { return StateCodec::write(*this); }
+auto ReplicatedState::evacuationsText() const -> std::string { return StateCodec::writeEvacuations(*this); }
+auto ReplicatedState::planText() const -> std::string { return StateCodec::writeSchedule(*this); }
 
 auto ReplicatedState::applyVoters(const std::vector<VoterIdentity>& voters) -> void {
-    setVoters(voters);
-    rise();
+    voters_ = voters;
+    version++;
 }
 
 auto ReplicatedState::beginEpoch(std::int64_t newEpoch, const std::vector<VoterIdentity>& voters) -> void {
@@ -109,231 +56,132 @@
     applyVoters(voters);
 }
 
+auto ReplicatedState::evacuated(const std::string& zone) const -> bool {
+    return evacuations_.zone(zone).evacuated;
+}
+
 auto ReplicatedState::evacuatedZones() const -> std::vector<std::string> {
     auto zones = std::vector<std::string>();
-    for (auto& zone : d["empties"].GetObject()) zones.emplace_back(zone.name.GetString());
+    for (auto& entry : evacuations_.evacuated().entries()) zones.push_back(entry.zone);
     return zones;
 }
 
 auto ReplicatedState::scheduledOperations() const -> std::vector<ScheduledOperation> {
     auto operations = std::vector<ScheduledOperation>();
-    for (auto& operation : d["plan"].GetArray())
-        if (jsStr(operation, "state") == "booked")
-            operations.push_back({jsStr(operation, "id"), jsInt(operation, "at")});
+    for (auto& entry : schedule_.entries())
+        if (entry.status == OperationStatus::Pending) operations.push_back({entry.id, entry.due});
     return operations;
 }
 
-auto ReplicatedState::voters() const -> std::vector<VoterIdentity> {
-    auto o = std::vector<VoterIdentity>();
-    for (auto& v : d["voters"].GetArray()) o.push_back({jsStr(v, "seat"), jsStr(v, "disk")});
-    return o;
+auto ReplicatedState::outcome(const std::string& key) const -> Outcome {
+    auto known = outcomes_.accepted(key);
+    return known.status ? known : outcomes_.refused(key);
 }
-auto ReplicatedState::evacuated(const std::string& z) const -> bool {
-    return d["empties"].HasMember(z.c_str());
+
+auto ReplicatedState::baseRefusal(std::int64_t base) const -> Outcome {
+    if (base < outcomes_.changes().forgottenConfigVersion()) return outcomeUnknown();
+    return {409,
+        bodyOf({{"error", jsQuote("based on a generation that is not the newest")},
+            {"configGeneration", fmt::to_string(configVersion_)}})};
+}
+
+// ---- applying a command
+
+auto ReplicatedState::apply(const std::string& entry) -> Outcome {
+    auto logged = decodeCommand(entry);
+    if (!logged) return refusal(422, "not an order");
+    if (auto known = outcomes_.accepted(logged->key); known.status) return known;
+    if (auto known = outcomes_.refused(logged->key, logged->base); known.status) return known;
+    auto versionBefore = configVersion_;
+    auto outcome = perform(*logged);
+    if (outcome.accepted()) {
+        version++;
+        // The outcome names the version that carries it, as the last member of its body.
+        outcome.body.insert(outcome.body.size() - 1, fmt::format(",\"generation\":{}", version));
+    }
+    keepOutcome(*logged, configVersion_ != versionBefore, outcome);
+    return outcome;
 }
 
-auto ReplicatedState::accepted(const std::string& key) const -> Outcome {
-    return OrderOutcomes::accepted(d, key);
+auto ReplicatedState::keepOutcome(
+    const LoggedCommand& entry, bool configurationChanged, const Outcome& outcome) -> void {
+    if (configurationChanged)
+        return outcomes_.keepConfiguration(entry.key, configuration_->documentVersion(), version);
+    if (entry.key.empty()) return;
+    if (outcome.accepted()) outcomes_.keepAccepted(entry.key, outcome);
+    else if (outcome.status != outcomeUnknown().status) outcomes_.keepRefused(entry.key, entry.base, outcome);
 }
-auto ReplicatedState::outcome(const std::string& key) const -> Outcome {
-    auto known = OrderOutcomes::accepted(d, key);
-    return known.status ? known : OrderOutcomes::refused(d, key);
+
+auto ReplicatedState::perform(const LoggedCommand& entry) -> Outcome {
+    auto replaces = std::holds_alternative<ReplaceConfiguration>(entry.command);
+    if (replaces && entry.base != configVersion_) return baseRefusal(entry.base);
+    return std::visit([this](const auto& command) { return perform(command); }, entry.command);
 }
 
-// What an order's base says against it, by the newest configuration generation.
-static auto baseRefusal(const ReplicatedState& w, std::int64_t base) -> Outcome {
-    // A change on so old a base may have been accepted, and be forgotten since.
-    if (base < AcceptedChanges::forgottenGeneration(w.d["acceptedChanges"])) return outcomeUnknown();
-    return {409,
-        bodyOf({{"error", jsQuote("based on a generation that is not the newest")},
-            {"configGeneration", fmt::to_string(w.configVersion())}})};
+auto ReplicatedState::perform(const ReplaceConfiguration& command) -> Outcome {
+    configuration_ = command.configuration;
+    configVersion_++;
+    return {200, bodyOf({{"configGeneration", fmt::to_string(configVersion_)}})};
 }
-auto outcomeUnknown() -> Outcome {
-    return {504, bodyOf({{"error", jsQuote("the outcome is not known")}, {"outcome", jsQuote("unknown")}})};
+
+auto ReplicatedState::perform(const SetEvacuation& command) -> Outcome {
+    auto revision = evacuations_.zone(command.zone).revision;
+    if (command.revision && *command.revision != revision)
+        return {409,
+            bodyOf({{"error", jsQuote("superseded: the zone has changed since")},
+                {"revision", fmt::to_string(revision)}})};
+    evacuations_.set(command.zone, command.evacuated, command.at, version + 1);
+    return {200,
+        bodyOf({{"district", jsQuote(command.zone)}, {"emptied", command.evacuated ? "true" : "false"}})};
 }
 
-// One change, on a word whose caller raises the generation if it was accepted.
-auto ReplicatedState::change(rapidjson::Value& o, bool planned) -> Outcome {
-    auto& al = d.GetAllocator();
-    auto op = jsStr(o, "op");
-    auto no = [](int st, std::string why) { return Outcome{st, bodyOf({{"error", jsQuote(why)}})}; };
-    if (op == "config") {
-        if (auto base = jsInt(o, "base", -1); !planned && base != configVersion())
-            return baseRefusal(*this, base);
-        d["config"] = o["config"];
-        d["configGeneration"].SetInt64(configVersion() + 1);
-        return {200, bodyOf({{"configGeneration", fmt::to_string(configVersion())}})};
-    }
-    if (op == "empty" || op == "give-back") {
-        auto z = jsStr(o, "district");
-        auto revision = Evacuations::zone(d, z).revision;
-        if (o.HasMember("revision") && jsInt(o, "revision") != revision)
-            return {409,
-                bodyOf({{"error", jsQuote("superseded: the zone has changed since")},
-                    {"revision", fmt::to_string(revision)}})};
-        Evacuations::set(d, z, op == "empty", jsInt(o, "at"), version + 1);
-        return {200, bodyOf({{"district", jsQuote(z)}, {"emptied", op == "empty" ? "true" : "false"}})};
-    }
-    if (op == "book") {
-        auto id = fmt::format("m{}", version + 1);
-        auto b = rapidjson::Value(rapidjson::kObjectType);
-        b.AddMember("id", rapidjson::Value(id, al), al)
-            .AddMember("at", rapidjson::Value(jsInt(o, "when")), al)
-            .AddMember("state", "booked", al)
-            .AddMember("move", rapidjson::Value(o["move"], al), al);
-        auto& p = d["plan"];
-        p.PushBack(b, al);
-        for (auto i = p.Begin(); p.Size() > 500 && i != p.End();)
-            if (jsStr(*i, "state") != "booked") i = p.Erase(i);
-            else ++i;
-        return {200, bodyOf({{"move", jsQuote(id)}})};
-    }
-    if (op == "cancel" || op == "fire") {
-        for (auto& m : d["plan"].GetArray()) {
-            if (jsStr(m, "id") != jsStr(o, "move")) continue;
-            if (jsStr(m, "state") != "booked") return no(409, "the move is already " + jsStr(m, "state"));
-            if (op == "cancel") {
-                m["state"] = "cancelled";
-                return {200, bodyOf({{"move", jsQuote(jsStr(o, "move"))}})};
-            }
-            auto mv = rapidjson::Value(m["move"], al);
-            auto r = change(mv, true);
-            m["state"] = rapidjson::Value(rapidjson::StringRef(r.status == 200 ? "done" : "failed"));
-            m.AddMember("fired", rapidjson::Value(jsInt(o, "at")), al);
-            return r.status == 200 ? r : Outcome{200, r.body};
-        }
-        return no(404, "no such move");
-    }
-    if (op == "roster") {
-        auto ns = jsList(d, "roster");
-        auto n = jsStr(o, "node");
-        ns.erase(std::remove(ns.begin(), ns.end(), n), ns.end());
-        if (jsBool(o, "add")) ns.push_back(n);
-        auto a = rapidjson::Value(rapidjson::kArrayType);
-        for (auto& x : ns) a.PushBack(rapidjson::Value(x, al), al);
-        d["roster"] = a;
-        return {200, bodyOf({{"roster", js(d["roster"])}})};
-    }
-    return no(422, "unknown order: " + op);
+auto ReplicatedState::perform(const ScheduleOperation& command) -> Outcome {
+    auto entry = ScheduleEntry();
+    entry.id = fmt::format("m{}", version + 1);
+    entry.due = command.due;
+    entry.operation = command.operation;
+    auto body = bodyOf({{"move", jsQuote(entry.id)}});
+    schedule_.add(std::move(entry));
+    return {200, body};
 }
 
-auto ReplicatedState::apply(const std::string& order) -> Outcome {
-    auto r = lay(order);
-    // A new document, since an allocator never gives back what was overwritten.
-    auto n = rapidjson::Document();
-    n.CopyFrom(d, n.GetAllocator());
-    d.Swap(n);
-    return r;
+auto ReplicatedState::perform(const CancelOperation& command) -> Outcome {
+    auto entry = schedule_.find(command.id);
+    if (!entry) return noSuchOperation();
+    if (entry->status != OperationStatus::Pending) return notPending(*entry);
+    entry->status = OperationStatus::Cancelled;
+    return {200, bodyOf({{"move", jsQuote(command.id)}})};
 }
-// The number that the operator's own document bears; 0 if there is none.
-static auto documentVersion(const rapidjson::Value& config) -> std::int64_t {
-    return config.HasMember("origin") ? jsInt(config["origin"], "number") : 0;
+
+auto ReplicatedState::perform(const BeginOperation& command) -> Outcome {
+    auto entry = schedule_.find(command.id);
+    if (!entry) return noSuchOperation();
+    if (entry->status != OperationStatus::Pending) return notPending(*entry);
+    auto outcome = performScheduled(readCommand(entry->operation->value()));
+    entry->status = outcome.accepted() ? OperationStatus::Succeeded : OperationStatus::Failed;
+    entry->begun = command.at;
+    // That an operation has failed is recorded, so the command itself was accepted.
+    return {200, outcome.body};
 }
-auto ReplicatedState::lay(const std::string& order) -> Outcome {
-    auto o = rapidjson::Document(&d.GetAllocator());  // so that what an order brings is moved, not copied
-    if (!jsParse(order, o) || !o.IsObject()) return {422, bodyOf({{"error", jsQuote("not an order")}})};
-    auto key = jsStr(o, "key");
-    if (auto known = OrderOutcomes::accepted(d, key); known.status) return known;
-    auto base = jsInt(o, "base", -1);
-    if (auto known = OrderOutcomes::refused(d, key, base); known.status) return known;
-    auto before = configVersion();
-    auto r = change(o, false);
-    if (r.status == 200) {
-        rise();
-        // The outcome names the generation that carries it.
-        r.body.insert(r.body.size() - 1, fmt::format(",\"generation\":{}", version));
-    }
-    if (configVersion() != before) OrderOutcomes::keepConfiguration(d, key, documentVersion(config()));
-    else if (r.status == 200 && !key.empty()) OrderOutcomes::keepAccepted(d, key, r);
-    else if (r.status != outcomeUnknown().status && !key.empty()) OrderOutcomes::keepRefused(d, key, base, r);
-    return r;
+
+auto ReplicatedState::perform(const ChangeRoster& command) -> Outcome {
+    std::erase(roster_, command.node);
+    if (command.add) roster_.push_back(command.node);
+    auto list = std::string();
+    for (auto& node : roster_) list += (list.empty() ? "" : ",") + jsQuote(node);
+    return {200, bodyOf({{"roster", "[" + list + "]"}})};
 }
 
-static auto moveCheck(const ReplicatedState& w, const rapidjson::Value& m, const std::string& path,
-    std::vector<Fault>& f) -> void {
-    auto op = jsStr(m, "op");
-    if (op == "empty" || op == "give-back") {
-        if (jsStr(m, "district").empty()) f.push_back({path + "/district", "missing"});
-        for (auto& k : m.GetObject())
-            if (std::string_view n = k.name.GetString(); n != "op" && n != "district")
-                f.push_back({path + "/" + std::string(n), "unknown field"});
-    } else if (op == "config") {
-        if (!m.HasMember("config")) f.push_back({path + "/config", "missing"});
-        else
-            for (auto& x : validateConfiguration(m["config"]))
-                f.push_back({path + "/config" + x.path, x.why});
-    } else f.push_back({path + "/op", "wants empty, give-back or config"});
-    (void)w;
+auto ReplicatedState::perform(const UnknownCommand& command) -> Outcome {
+    return unknownCommand(command.name);
 }
 
-auto orderPrepare(const ReplicatedState& w, const std::string& op, const std::string& key,
-    const std::string& body, Microseconds wall) -> tl::expected<std::string, OrderRefusal> {
-    auto b = rapidjson::Document();
-    if (!jsParse(body.empty() ? "{}" : body, b))
-        return tl::make_unexpected(OrderRefusal{{400, errorBody({{"/", "malformed JSON"}})}});
-    if (!b.IsObject()) return tl::make_unexpected(OrderRefusal{{422, errorBody({{"/", "wants an object"}})}});
-    auto f = std::vector<Fault>();
-    auto o = rapidjson::Document();
-    o.SetObject();
-    auto& al = o.GetAllocator();
-    auto only = [&](std::initializer_list<std::string_view> ks) {
-        for (auto& m : b.GetObject())
-            if (std::find(ks.begin(), ks.end(), std::string_view(m.name.GetString())) == ks.end())
-                f.push_back({std::string("/") + m.name.GetString(), "unknown field"});
-    };
-    o.AddMember("key", rapidjson::Value(key, al), al);
-    o.AddMember("op", rapidjson::Value(op == "merge" ? std::string("config") : op, al), al);
-    if (op == "config" || op == "merge") {
-        auto k = op == "merge" ? "patch" : "config";
-        only({"base", k});
-        if (!b.HasMember("base") || !b["base"].IsInt64())
-            f.push_back({"/base", "wants the generation that this is based on"});
-        if (!b.HasMember(k)) f.push_back({std::string("/") + k, "missing"});
-        if (f.empty()) {
-            auto c = rapidjson::Value();
-            if (op == "merge") {
-                c.CopyFrom(w.config(), al);
-                jsMerge(c, b["patch"], al);
-            } else c.CopyFrom(b["config"], al);
-            for (auto& x : validateConfiguration(c))
-                f.push_back({"/config" + (x.path == "/" ? "" : x.path), x.why});
-            o.AddMember("base", jsInt(b, "base"), al);  // a Val would be moved out of b
-            o.AddMember("config", c, al);
-            // A patch laid on another generation than it names must lose, not win by chance.
-            if (op == "merge" && jsInt(b, "base") != w.configVersion() && f.empty())
-                return tl::make_unexpected(OrderRefusal{baseRefusal(w, jsInt(b, "base")), true});
-        }
-    } else if (op == "empty" || op == "give-back") {
-        only({"district", "revision"});
-        if (b.HasMember("revision") && !b["revision"].IsInt64()) f.push_back({"/revision", "wants a number"});
-        if (b.HasMember("revision")) o.AddMember("revision", jsInt(b, "revision"), al);
-        if (jsStr(b, "district").empty()) f.push_back({"/district", "missing"});
-        o.AddMember("district", rapidjson::Value(jsStr(b, "district"), al), al);
-        o.AddMember("at", rapidjson::Value(std::int64_t(wall)), al);
-    } else if (op == "book") {
-        only({"at", "move"});
-        auto t = wallParse(jsStr(b, "at"));
-        if (t < 0) f.push_back({"/at", "wants a time such as 2026-01-31T06:00:00Z"});
-        if (!b.HasMember("move") || !b["move"].IsObject()) f.push_back({"/move", "missing"});
-        else moveCheck(w, b["move"], "/move", f);
-        if (f.empty()) {
-            o.AddMember("when", rapidjson::Value(std::int64_t(t)), al);
-            o.AddMember("move", rapidjson::Value(b["move"], al), al);
-        }
-    } else if (op == "cancel" || op == "fire") {
-        only({"move"});
-        if (jsStr(b, "move").empty()) f.push_back({"/move", "missing"});
-        o.AddMember("move", rapidjson::Value(jsStr(b, "move"), al), al);
-        o.AddMember("at", rapidjson::Value(std::int64_t(wall)), al);
-    } else if (op == "roster") {
-        only({"node", "add"});
-        if (jsStr(b, "node").empty()) f.push_back({"/node", "missing"});
-        o.AddMember("node", rapidjson::Value(jsStr(b, "node"), al), al);
-        o.AddMember("add", rapidjson::Value(jsBool(b, "add", true)), al);
-    } else return tl::make_unexpected(OrderRefusal{{404, errorBody({{"/op", "unknown order: " + op}})}});
-    // A merge's faults are those of what it is laid upon, too.
-    if (!f.empty()) return tl::make_unexpected(OrderRefusal{{422, errorBody(f)}, op == "merge"});
-    return js(o);
+/// Only these are ever scheduled (command_request.cpp). No base is compared: the operator has named none.
+auto ReplicatedState::performScheduled(const Command& command) -> Outcome {
+    if (auto replace = std::get_if<ReplaceConfiguration>(&command)) return perform(*replace);
+    if (auto evacuation = std::get_if<SetEvacuation>(&command)) return perform(*evacuation);
+    auto unknown = std::get_if<UnknownCommand>(&command);
+    return unknownCommand(unknown ? unknown->name : "not one that can be scheduled");
 }
 
 }  // namespace duneturn
--- a/src/state/replicated_state.hpp
+++ b/src/state/replicated_state.hpp
@@ -1,19 +1,25 @@
 #pragma once
-// The operator's word: the one document that a majority of disks keeps. An order
-// changes it by the same steps on every machine; nothing else is ever logged.
+// The replicated state: the one state machine that the voters' log drives, and that a majority of disks
+// keeps. A command changes it by the same steps on every replica.
 #include <cstdint>
+#include <memory>
 #include <string>
-#include <utility>
 #include <vector>
 
-#include <tl/expected.hpp>
-
 #include "base/json.hpp"
 #include "base/time.hpp"
-#include "state/order_outcomes.hpp"
+#include "state/command.hpp"
+#include "state/command_request.hpp"
+#include "state/configuration.hpp"
+#include "state/evacuations.hpp"
+#include "state/outcome.hpp"
+#include "state/request_outcomes.hpp"
+#include "state/schedule.hpp"
+#include "state/state_layout.hpp"
 
 namespace duneturn {
 
+/// A voter: the node that runs it, and the identity of its disk.
 struct VoterIdentity {
     std::string node, disk;
 };
@@ -24,66 +30,81 @@
     Microseconds at = 0;  // when it is due, by the calendar
 };
 
-struct ReplicatedState {
-    rapidjson::Document d;
-    std::int64_t epoch = 0, version = 0;
-
-    ReplicatedState();
-    ReplicatedState(const ReplicatedState& o);
-    auto operator=(const ReplicatedState& o) -> ReplicatedState&;
-
-    /// The document of a new fleet.
-    auto bootstrap(const std::vector<std::string>& roster, const std::vector<VoterIdentity>& vs) -> void;
-    /// Takes `s` whole; false and unchanged if it is no such document.
-    auto load(const std::string& s) -> bool;
-    auto text() const -> std::string { return js(d); }
-    /// One logged order. The same order on the same word gives the same outcome anywhere.
-    auto apply(const std::string& order) -> Outcome;
+/// Copies share the configuration and the outcomes, so a copy costs little whatever the configuration.
+class ReplicatedState {
+  public:
+    std::int64_t epoch = 1;    // raised when an operator starts a new cluster from a surviving replica
+    std::int64_t version = 0;  // raised by each accepted command and change of voters
+
+    /// The state of a new cluster.
+    auto bootstrap(const std::vector<std::string>& roster, const std::vector<VoterIdentity>& voters) -> void;
+    /// Takes the state that text() wrote; false, with this one unchanged, if the text is none.
+    auto load(const std::string& text) -> bool;
+    /// The whole state as JSON, as it is stored and sent: the same state is the same text on any replica.
+    [[nodiscard]] auto text() const -> std::string;
+
+    /// Applies one entry of the log. The same entry on the same state gives the same outcome anywhere.
+    auto apply(const std::string& entry) -> Outcome;
     /// Applies a committed change of the voters: the next version of the state.
     auto applyVoters(const std::vector<VoterIdentity>& voters) -> void;
     /// Begins another epoch with these voters, on top of all that is held here.
     auto beginEpoch(std::int64_t newEpoch, const std::vector<VoterIdentity>& voters) -> void;
 
-    auto voters() const -> std::vector<VoterIdentity>;
-    auto roster() const -> std::vector<std::string> { return jsList(d, "roster"); }
-    auto evacuated(const std::string& zone) const -> bool;
-    auto evacuatedZones() const -> std::vector<std::string>;
-    /// The evacuations and the plan as operators read them, as JSON.
-    auto evacuationsText() const -> std::string { return js(d["empties"]); }
-    auto planText() const -> std::string { return js(d["plan"]); }
+    [[nodiscard]] auto voters() const -> const std::vector<VoterIdentity>& { return voters_; }
+    [[nodiscard]] auto roster() const -> const std::vector<std::string>& { return roster_; }
+
+    [[nodiscard]] auto config() const -> const rapidjson::Value& { return configuration_->json(); }
+    /// The configuration, for holders that outlive this state.
+    [[nodiscard]] auto configuration() const -> std::shared_ptr<const Configuration> {
+        return configuration_;
+    }
+    [[nodiscard]] auto configVersion() const -> std::int64_t { return configVersion_; }
+
+    [[nodiscard]] auto evacuated(const std::string& zone) const -> bool;
+    [[nodiscard]] auto evacuatedZones() const -> std::vector<std::string>;
+    [[nodiscard]] auto zone(const std::string& name) const -> ZoneState { return evacuations_.zone(name); }
+    [[nodiscard]] auto evacuations() const -> const Evacuations& { return evacuations_; }
     /// The scheduled operations that have not begun, in the order in which they were accepted.
-    auto scheduledOperations() const -> std::vector<ScheduledOperation>;
-    /// How many outcomes of requests are kept.
-    auto outcomeCount() const -> std::size_t { return d["outcomes"].Size(); }
-    auto config() const -> const rapidjson::Value& { return d["config"]; }
-    auto configVersion() const -> std::int64_t { return jsInt(d, "configGeneration"); }
+    [[nodiscard]] auto scheduledOperations() const -> std::vector<ScheduledOperation>;
+    /// The evacuations and the schedule as operators read them, as JSON.
+    [[nodiscard]] auto evacuationsText() const -> std::string;
+    [[nodiscard]] auto planText() const -> std::string;
+
+    [[nodiscard]] auto outcomes() const -> const RequestOutcomes& { return outcomes_; }
+    /// How many outcomes of accepted requests are kept.
+    [[nodiscard]] auto outcomeCount() const -> std::size_t { return outcomes_.acceptedList().size(); }
     /// The outcome kept under an idempotency key; status 0 if there is none.
-    auto outcome(const std::string& key) const -> Outcome;
-    /// The same, of an order that was accepted.
-    auto accepted(const std::string& key) const -> Outcome;
+    [[nodiscard]] auto outcome(const std::string& key) const -> Outcome;
+    /// The same, of a command that was accepted.
+    [[nodiscard]] auto accepted(const std::string& key) const -> Outcome { return outcomes_.accepted(key); }
 
-  private:
-    auto setVoters(const std::vector<VoterIdentity>& vs) -> void;
-    auto rise() -> void;
-    auto change(rapidjson::Value& o, bool planned) -> Outcome;
-    auto lay(const std::string& order) -> Outcome;
-};
+    /// Why a command that is based on the configuration's version `base`, not the newest, is refused; the
+    /// outcome is unknown if so old a change may have been accepted, and be forgotten since.
+    [[nodiscard]] auto baseRefusal(std::int64_t base) const -> Outcome;
 
-auto bodyOf(std::initializer_list<std::pair<const char*, std::string>> kv) -> std::string;
-/// A denial's JSON: {"error": why, "path": where}.
-auto errorBody(const std::vector<Fault>& fs) -> std::string;
+  private:
+    friend class StateCodec;
 
-/// The answer where it cannot be told whether an order was accepted.
-auto outcomeUnknown() -> Outcome;
+    /// Performs a command, and leaves the state's version to its caller.
+    auto perform(const LoggedCommand& entry) -> Outcome;
+    auto perform(const ReplaceConfiguration& command) -> Outcome;
+    auto perform(const SetEvacuation& command) -> Outcome;
+    auto perform(const ScheduleOperation& command) -> Outcome;
+    auto perform(const CancelOperation& command) -> Outcome;
+    auto perform(const BeginOperation& command) -> Outcome;
+    auto perform(const ChangeRoster& command) -> Outcome;
+    auto perform(const UnknownCommand& command) -> Outcome;
+    auto performScheduled(const Command& command) -> Outcome;
+    auto keepOutcome(const LoggedCommand& entry, bool configurationChanged, const Outcome& outcome) -> void;
 
-/// Why an order is not put into the log.
-struct OrderRefusal : Outcome {
-    bool dependsOnState = false;  // on another state the same order might be accepted
+    std::shared_ptr<const Configuration> configuration_ = Configuration::empty();  // never null
+    std::int64_t configVersion_ = 0;
+    Evacuations evacuations_;
+    Schedule schedule_;
+    std::vector<std::string> roster_;
+    std::vector<VoterIdentity> voters_;
+    RequestOutcomes outcomes_;
+    StateLayout layout_;
 };
 
-/// What a leader does with an operator's request before it is logged: checks it and
-/// lays merge patches onto the word. Gives the entry's text, or the denial.
-auto orderPrepare(const ReplicatedState& w, const std::string& op, const std::string& key,
-    const std::string& body, Microseconds wall) -> tl::expected<std::string, OrderRefusal>;
-
 }  // namespace duneturn
--- a/src/state/state_query.cpp
+++ b/src/state/state_query.cpp
@@ -6,24 +6,23 @@
 #include <tl/expected.hpp>
 
 #include "base/json.hpp"
-#include "state/accepted_changes.hpp"
 
 namespace duneturn {
 
 namespace {
 
 auto changeAnswer(const ReplicatedState& state, const std::string& key) -> std::string {
-    auto& memory = state.d["acceptedChanges"];
-    auto accepted = AcceptedChanges::find(memory, key).has_value();
-    auto& config = state.config();
+    auto& changes = state.outcomes().changes();
+    auto accepted = changes.find(key).has_value();
+    auto origin = state.configuration()->origin();
     return bodyOf({{"accepted", accepted ? "true" : "false"},
-        {"forgottenVersion", fmt::to_string(AcceptedChanges::forgottenVersion(memory))},
+        {"forgottenVersion", fmt::to_string(changes.forgottenDocumentVersion())},
         {"configGeneration", fmt::to_string(state.configVersion())},
-        {"origin", config.HasMember("origin") ? js(config["origin"]) : "{}"}});
+        {"origin", origin ? js(*origin) : "{}"}});
 }
 
 auto zoneAnswer(const ReplicatedState& state, const std::string& name) -> std::string {
-    auto zone = Evacuations::zone(state.d, name);
+    auto zone = state.zone(name);
     return bodyOf(
         {{"evacuated", zone.evacuated ? "true" : "false"}, {"revision", fmt::to_string(zone.revision)}});
 }
@@ -61,7 +60,7 @@
     auto state = ChangeState();
     state.accepted = jsBool(document, "accepted");
     state.forgottenVersion = jsInt(document, "forgottenVersion");
-    state.generation = jsInt(document, "configGeneration");
+    state.configVersion = jsInt(document, "configGeneration");
     state.version = jsInt(document["origin"], "number");
     state.document = jsStr(document["origin"], "text");
     return state;
--- a/src/state/state_query.hpp
+++ b/src/state/state_query.hpp
@@ -31,8 +31,8 @@
 /// The answer to StateQuery::change.
 struct ChangeState {
     bool accepted = false;              // the change is known to have been accepted
-    std::int64_t forgottenVersion = 0;  // a change on an earlier version may have been, and be forgotten
-    std::int64_t generation = 0;        // of the configuration in force
+    std::int64_t forgottenVersion = 0;  // a change of an earlier document may have been, and be forgotten
+    std::int64_t configVersion = 0;     // of the configuration in force
     std::int64_t version = 0;           // of the operator's document in force; 0 if there is none
     std::string document;               // that document
 
--- a/tests/state/order_state_test.cpp
+++ b/tests/state/order_state_test.cpp
@@ -31,30 +31,68 @@
 }  // namespace
 
 TEST(OrderState, changesAreRememberedInOrder) {
+    auto changes = AcceptedChanges(5, 50);
+    CHECK_EQ(std::int64_t(5), changes.configVersion());
+    auto most = std::int64_t(AcceptedChanges::CAPACITY);
+    for (auto i = std::int64_t(1); i <= most; i++) changes.record(fmt::format("k{}", i), 50 + 2 * i, 100 + i);
+    CHECK_EQ(std::int64_t(5), changes.forgottenConfigVersion());
+    CHECK_EQ(std::int64_t(6), changes.find("k1")->configVersion);
+    CHECK_EQ(std::int64_t(52), changes.find("k1")->documentVersion);
+    CHECK_EQ(std::int64_t(101), changes.find("k1")->stateVersion);
+    CHECK_EQ(5 + most, changes.find(fmt::format("k{}", most))->configVersion);
+    CHECK(!changes.find("k0"));
+    CHECK(!changes.find(""));
+    changes.record("more", 9000000, 7000);
+    CHECK(!changes.find("k1"));
+    CHECK_EQ(std::int64_t(6), changes.forgottenConfigVersion());
+    CHECK_EQ(std::int64_t(52), changes.forgottenDocumentVersion());
+    CHECK_EQ(std::int64_t(9000000), changes.find("more")->documentVersion);
+    CHECK_EQ(6 + most, changes.configVersion());
+    auto text = changes.recordsText();
+    auto again = AcceptedChanges::parse(6, 52, text);
+    CHECK(again && again->recordsText() == text && again->configVersion() == 6 + most);
+    CHECK(!AcceptedChanges::parse(6, 52, "0123"));
+    CHECK(!AcceptedChanges::parse(6, 52, text + text.substr(0, 48)));
+    text[0] = 'x';
+    CHECK(!AcceptedChanges::parse(6, 52, text));
+}
+
+// The stored text depends on this order, and hashes of it are compared between replicas.
+TEST(OrderState, zonesKeepTheOrderOfTheStoredText) {
+    auto zones = ZoneTable();
+    auto order = [&] {
+        auto names = std::string();
+        for (auto& entry : zones.entries()) names += entry.zone;
+        return names;
+    };
+    for (auto name : {"a", "b", "c", "d"}) zones.append(name, name[0]);
+    zones.remove("b");  // the last one takes its place
+    CHECK_EQ(std::string("adc"), order());
+    zones.remove("c");
+    zones.remove("none");
+    CHECK_EQ(std::string("ad"), order());
+    zones.append("b", 1);
+    zones.append("c", 1);
+    CHECK_EQ(std::int64_t(1), zones.removeSmallest());  // the order of the others stays
+    CHECK_EQ(std::string("adc"), order());
+    CHECK(zones.find("a") == std::int64_t('a') && !zones.find("b"));
+}
+
+// Members of a later format are kept in their place, and the order of an earlier one stays.
+TEST(OrderState, unknownMembersAndOrderAreKept) {
     auto document = rapidjson::Document();
-    document.SetObject();
+    CHECK(jsParse(ReplicatedState().text(), document));
     auto& allocator = document.GetAllocator();
-    auto memory = AcceptedChanges::make(5, 50, allocator);
-    CHECK(AcceptedChanges::sound(memory, 5));
-    CHECK(!AcceptedChanges::sound(memory, 6));
-    auto most = std::int64_t(AcceptedChanges::CAPACITY);
-    for (auto i = std::int64_t(1); i <= most; i++)
-        AcceptedChanges::record(memory, fmt::format("k{}", i), 50 + 2 * i, 100 + i, allocator);
-    CHECK_EQ(std::int64_t(5), AcceptedChanges::forgottenGeneration(memory));
-    CHECK_EQ(std::int64_t(6), AcceptedChanges::find(memory, "k1")->generation);
-    CHECK_EQ(std::int64_t(52), AcceptedChanges::find(memory, "k1")->version);
-    CHECK_EQ(std::int64_t(101), AcceptedChanges::find(memory, "k1")->stateGeneration);
-    CHECK_EQ(5 + most, AcceptedChanges::find(memory, fmt::format("k{}", most))->generation);
-    CHECK(!AcceptedChanges::find(memory, "k0"));
-    CHECK(!AcceptedChanges::find(memory, ""));
-    AcceptedChanges::record(memory, "more", 9000000, 7000, allocator);
-    CHECK(!AcceptedChanges::find(memory, "k1"));
-    CHECK_EQ(std::int64_t(6), AcceptedChanges::forgottenGeneration(memory));
-    CHECK_EQ(std::int64_t(52), AcceptedChanges::forgottenVersion(memory));
-    CHECK_EQ(std::int64_t(9000000), AcceptedChanges::find(memory, "more")->version);
-    CHECK(AcceptedChanges::sound(memory, 6 + most));
-    memory["records"].SetString("0123");
-    CHECK(!AcceptedChanges::sound(memory, 6));
+    document.AddMember("later", rapidjson::Value("x", allocator), allocator);
+    document.RemoveMember("config");  // "later" stands in its place
+    auto config = rapidjson::Value(rapidjson::kObjectType);
+    document.AddMember("config", config.AddMember("mappings", rapidjson::kArrayType, allocator), allocator);
+    auto state = ReplicatedState();
+    CHECK(state.load(js(document)));
+    CHECK_EQ(js(document), state.text());
+    CHECK_EQ(200, lay(state, "empty", "", R"({"district":"z"})").status);
+    CHECK(state.text().find(R"("generation":2,"configGeneration":0,"later":"x","empties":{"z":1000})")
+        != std::string::npos);
 }
 
 TEST(OrderState, oldBasesAreUnknownNotRefused) {
@@ -78,7 +116,7 @@
     CHECK_EQ(200, lay(state, "empty", "zone", R"({"district":"z"})").status);
     for (auto i = 0; i < 1000; i++)
         CHECK_EQ(409, lay(state, "config", fmt::format("r{}", i), configBody(0, 1)).status);
-    CHECK_EQ(OrderOutcomes::REFUSED, state.d["refusals"].Size());
+    CHECK_EQ(RequestOutcomes::REFUSED, state.outcomes().refusedList().size());
     CHECK_EQ(200, state.outcome("first").status);
     CHECK_EQ(200, state.outcome("zone").status);
     CHECK_EQ(409, state.outcome("r999").status);
@@ -89,7 +127,7 @@
 
 TEST(OrderState, zonesAreFencedByRevision) {
     auto state = ReplicatedState();
-    auto revision = [&](const std::string& zone) { return Evacuations::zone(state.d, zone).revision; };
+    auto revision = [&](const std::string& zone) { return state.zone(zone).revision; };
     auto first = revision("z");
     CHECK_EQ(200, lay(state, "empty", "a", zoneBody("z", first)).status);
     CHECK(state.evacuated("z"));
@@ -112,14 +150,13 @@
 // Of zones beyond the bound none is taken for unchanged that has changed.
 TEST(OrderState, forgottenZonesAreFencedToo) {
     auto state = ReplicatedState();
-    auto old = Evacuations::zone(state.d, "z0").revision;
-    for (auto i = 0u; i < Evacuations::ZONES + 5; i++)
+    auto old = state.zone("z0").revision;
+    for (auto i = std::size_t(0); i < Evacuations::ZONES + 5; i++)
         CHECK_EQ(200,
             lay(state, "give-back", fmt::format("k{}", i), fmt::format(R"({{"district":"z{}"}})", i)).status);
-    CHECK_EQ(Evacuations::ZONES, state.d["zoneRevisions"].MemberCount());
+    CHECK_EQ(Evacuations::ZONES, state.evacuations().revisions().entries().size());
     CHECK_EQ(409, lay(state, "empty", "late", zoneBody("z0", old)).status);
-    CHECK_EQ(
-        200, lay(state, "empty", "new", zoneBody("z0", Evacuations::zone(state.d, "z0").revision)).status);
+    CHECK_EQ(200, lay(state, "empty", "new", zoneBody("z0", state.zone("z0").revision)).status);
 }
 
 // A document of the earlier format: one list of all outcomes.
@@ -139,7 +176,7 @@
     CHECK_EQ(409, state.outcome("lost").status);
     CHECK(state.evacuated("z"));
     // Who made the first is not known, so a change as old as that is not refused.
-    CHECK_EQ(std::int64_t(1), AcceptedChanges::forgottenGeneration(state.d["acceptedChanges"]));
+    CHECK_EQ(std::int64_t(1), state.outcomes().changes().forgottenConfigVersion());
     CHECK_EQ(504, lay(state, "config", "old", configBody(0, 10)).status);
     CHECK_EQ(409, lay(state, "config", "new", configBody(2, 40)).status);
     CHECK_EQ(409, lay(state, "empty", "late", zoneBody("z", 4)).status);
@@ -151,7 +188,7 @@
     jsParse(state.text(), behind);
     behind["configGeneration"].SetInt64(7);
     CHECK(again.load(js(behind)));
-    CHECK_EQ(std::int64_t(7), AcceptedChanges::forgottenGeneration(again.d["acceptedChanges"]));
+    CHECK_EQ(std::int64_t(7), again.outcomes().changes().forgottenConfigVersion());
     behind["acceptedChanges"].SetString("damaged");
     CHECK(again.load(js(behind)));
     behind["refusals"].SetString("damaged");
@@ -166,7 +203,7 @@
     CHECK_EQ(state.text(), ask(StateQuery::document()));
     CHECK_EQ(state.text(), StateQuery::parse("not a query").answer(state));
     auto mine = ChangeState::parse(ask(StateQuery::change("mine")));
-    CHECK(mine && mine->accepted && mine->version == 7 && mine->generation == 1 && mine->document == "t");
+    CHECK(mine && mine->accepted && mine->version == 7 && mine->configVersion == 1 && mine->document == "t");
     CHECK(!ChangeState::parse(ask(StateQuery::change("other")))->accepted);
     CHECK(zoneStateParse(ask(StateQuery::zone("z")))->evacuated);
     CHECK(!zoneStateParse(ask(StateQuery::zone("y")))->evacuated);
--- a/tests/state/replicated_state_test.cpp
+++ b/tests/state/replicated_state_test.cpp
@@ -90,7 +90,7 @@
     CHECK_EQ(200,
         order(w, "book", "b", R"({"at":"2026-01-31T06:00:00Z","move":{"op":"empty","district":"z"}})")
             .status);
-    auto id = jsStr(w.d["plan"][0], "id");
+    auto id = w.scheduledOperations().at(0).id;
     auto f = "{\"move\":" + jsQuote(id) + "}";
     CHECK_EQ(200, order(w, "fire", "f1", f).status);
     CHECK(w.evacuated("z"));
