--- a/src/state/config_change.cpp
+++ b/src/state/config_change.cpp
@@ -120,7 +120,7 @@
     }
 };
 
-// ---- laying it on
+// ---- applying it
 
 auto fault(const char* why) -> tl::unexpected<std::string> { return tl::make_unexpected(std::string(why)); }
 
@@ -210,6 +210,26 @@
     return {};
 }
 
+/// The members that are replaced as a whole.
+auto applyOthers(rapidjson::Value& config, const rapidjson::Value& change, Allocator& allocator)
+    -> tl::expected<void, std::string> {
+    auto unset = std::unordered_set<std::string_view>();
+    if (!names(member(change, "unset"), unset)) return fault("unset is malformed");
+    for (auto name : unset) {
+        if (hasPartsOfItsOwn(name)) return fault("unset names a part that is no plain member");
+        auto key = std::string(name);
+        config.RemoveMember(key.c_str());
+    }
+    auto set = member(change, "set");
+    if (!set) return {};
+    if (!set->IsObject()) return fault("set is malformed");
+    for (auto& item : set->GetObject()) {
+        if (hasPartsOfItsOwn(textOf(item.name))) return fault("set names a part that is no plain member");
+        setMember(config, item.name, item.value, allocator);
+    }
+    return {};
+}
+
 }  // namespace
 
 auto applyConfigChange(rapidjson::Document& config, const rapidjson::Value& change)
@@ -229,21 +249,7 @@
             return fault("the change of a list is malformed");
     if (auto origin = member(change, ORIGIN))
         if (auto applied = applyOrigin(config, *origin, allocator); !applied) return applied;
-    auto unset = std::unordered_set<std::string_view>();
-    if (!names(member(change, "unset"), unset)) return fault("unset is malformed");
-    for (auto name : unset) {
-        if (hasPartsOfItsOwn(name)) return fault("unset names a part that is no plain member");
-        auto key = std::string(name);
-        config.RemoveMember(key.c_str());
-    }
-    if (auto set = member(change, "set")) {
-        if (!set->IsObject()) return fault("set is malformed");
-        for (auto& item : set->GetObject()) {
-            if (hasPartsOfItsOwn(textOf(item.name))) return fault("set names a part that is no plain member");
-            setMember(config, item.name, item.value, allocator);
-        }
-    }
-    return {};
+    return applyOthers(config, change, allocator);
 }
 
 auto configChange(const rapidjson::Value& older, const rapidjson::Value& newer)
--- a/src/state/config_change.hpp
+++ b/src/state/config_change.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// The difference between two configurations: items to put and to remove by name. Orders carry
-// it in place of a whole configuration where that is shorter.
+// The difference between two configurations: items to put and to remove by name. Commands may
+// carry it in place of a whole configuration where that is shorter.
 //
 //   {"mappings": {"put": [mapping...], "remove": [name...]},
 //    "pools":    {"put": {name: pool...}, "remove": [name...]},
@@ -8,7 +8,7 @@
 //    "origin":   {"number": n, "text": [part...]},        parts as in text_change.hpp
 //    "set":      {member: value...}, "unset": [member...]}     all other members
 //
-// A mapping that is put takes the place of the one of its name; new ones follow the rest.
+// A route ("mapping") that is put takes the place of the one of its name; new ones follow the rest.
 #include <string>
 
 #include <tl/expected.hpp>
@@ -18,11 +18,11 @@
 namespace duneturn {
 
 /// The change that makes `newer` of `older`; none if no such change says all of it, as when
-/// mappings have changed their order.
+/// routes have changed their order.
 auto configChange(const rapidjson::Value& older, const rapidjson::Value& newer)
     -> tl::expected<std::string, std::string>;
 
-/// Lays a change on `config`; an error, with `config` in an undefined state, if it is malformed.
+/// Applies a change to `config`; an error, with `config` in an undefined state, if it is malformed.
 /// The same change on the same configuration gives the same one anywhere.
 auto applyConfigChange(rapidjson::Document& config, const rapidjson::Value& change)
     -> tl::expected<void, std::string>;
