--- a/src/control/order_client.cpp
+++ b/src/control/order_client.cpp
@@ -11,36 +11,38 @@
 
 namespace duneturn {
 
-auto OrderClient::start(
-    std::int64_t id, const std::string& body, bool read, Microseconds timeout, Microseconds now) -> void {
-    auto pending = Pending();
-    pending.id = id;
+auto OrderClient::start(PendingRequest pending, Microseconds timeout, Microseconds now) -> void {
     pending.request = ++lastRequest_;
-    pending.body = body;
-    pending.read = read;
-    pending.due = now + timeout;
-    pending.next = now;
+    pending.deadline = now + timeout;
+    pending.nextSend = now;
     pending_.push_back(std::move(pending));
 }
 
-auto OrderClient::order(std::int64_t id, const std::string& op, const std::string& key,
+auto OrderClient::order(std::int64_t id, const std::string& operation, const std::string& key,
     const std::string& body, Microseconds now) -> void {
-    auto text = bodyOf({{"op", jsQuote(op)}, {"key", jsQuote(key)}, {"body", jsQuote(body)}});
-    start(id, text, false, ORDER_TIMEOUT, now);
+    auto pending = PendingRequest();
+    pending.kind = Kind::Command;
+    pending.id = id;
+    pending.body = bodyOf({{"op", jsQuote(operation)}, {"key", jsQuote(key)}, {"body", jsQuote(body)}});
+    start(std::move(pending), ORDER_TIMEOUT, now);
 }
 
 auto OrderClient::read(std::int64_t id, const StateQuery& query, Microseconds now) -> void {
-    start(id, query.text(), true, READ_TIMEOUT, now);
+    auto pending = PendingRequest();
+    pending.kind = Kind::Read;
+    pending.id = id;
+    pending.body = query.text();
+    start(std::move(pending), READ_TIMEOUT, now);
 }
 
-auto OrderClient::find(std::int64_t request) -> Pending* {
+auto OrderClient::find(std::int64_t request) -> PendingRequest* {
     for (auto& pending : pending_)
         if (pending.request == request) return &pending;
     return nullptr;
 }
 
 auto OrderClient::finish(std::int64_t request, const Outcome& outcome) -> void {
-    auto match = [&](const Pending& pending) { return pending.request == request; };
+    auto match = [&](const PendingRequest& pending) { return pending.request == request; };
     auto found = std::find_if(pending_.begin(), pending_.end(), match);
     if (found == pending_.end()) return;
     auto id = found->id;
@@ -54,49 +56,57 @@
 }
 
 auto OrderClient::answered(const wire::OrderReply& reply, std::int64_t boot, Microseconds now) -> void {
-    // An answer to an earlier life of this node. One of an older program names no life; numbers begin
-    // elsewhere in each life, too.
+    // An answer to an earlier boot of this node. One of an older program names no boot; the requests'
+    // numbers begin elsewhere in each boot, too.
     if (reply.boot != 0 && reply.boot != boot) return;
     auto pending = find(reply.id);
     if (!pending) return;
     if (reply.status == order_answer::NOT_LEADER) {
-        pending->outstanding--;
+        pending->unansweredSends--;
         pending->sent = false;
-        pending->next = now + retry_.notLeader;
-        pending->to.clear();
+        pending->nextSend = now + retry_.notLeader;
+        pending->sentTo.clear();
         return;
     }
     auto outcome = Outcome{reply.status, reply.body};
     // This leader has not logged it; one that was asked before may have.
-    if (outcome.status == 503 && !pending->read && pending->outstanding > 1) outcome = outcomeUnknown();
+    auto maybeLogged = pending->kind == Kind::Command && pending->unansweredSends > 1;
+    if (outcome.status == order_answer::UNAVAILABLE && maybeLogged) outcome = outcomeUnknown();
     finish(reply.id, outcome);
 }
 
-auto OrderClient::timedOut(const Pending& pending) -> Outcome {
-    if (pending.read) return order_answer::readUnconfirmed("no leader confirmed the readback in time");
-    if (pending.outstanding == 0) return order_answer::notLogged("no leader took the order in time");
+auto OrderClient::timedOut(const PendingRequest& pending) -> Outcome {
+    if (pending.kind == Kind::Read)
+        return order_answer::readUnconfirmed("no leader confirmed the readback in time");
+    if (pending.unansweredSends == 0) return order_answer::notLogged("no leader took the order in time");
     return outcomeUnknown();
 }
 
-auto OrderClient::step(Pending& pending, std::int64_t boot, Microseconds now) -> void {
-    auto due = now >= pending.next;
-    auto leader = due ? port_.findLeader(now) : retry_.followsLeader ? port_.lastLeader() : std::string();
-    auto moved = pending.sent && !leader.empty() && leader != pending.to;
-    if (!due && !(retry_.followsLeader && moved)) return;
-    if (leader.empty()) {
-        pending.next = now + retry_.noLeader;
+auto OrderClient::step(PendingRequest& pending, std::int64_t boot, Microseconds now) -> void {
+    if (now >= pending.nextSend) {
+        auto leader = port_.findLeader(now);
+        if (leader.empty()) pending.nextSend = now + retry_.noLeader;
+        else send(pending, leader, boot, now);
         return;
     }
-    pending.next = now + LEADER_SILENCE;
+    if (!retry_.followsLeader) return;
+    auto leader = port_.lastLeader();
+    auto leaderChanged = pending.sent && !leader.empty() && leader != pending.sentTo;
+    if (leaderChanged) send(pending, leader, boot, now);
+}
+
+auto OrderClient::send(
+    PendingRequest& pending, const std::string& leader, std::int64_t boot, Microseconds now) -> void {
+    pending.nextSend = now + LEADER_SILENCE;
     pending.sent = true;
-    pending.to = leader;
-    pending.outstanding++;
-    auto ask = wire::OrderRequest();
-    ask.id = pending.request;
-    ask.body = pending.body;
-    ask.readback = pending.read;
-    ask.__set_boot(boot);
-    port_.sendOrder(leader, ask, now);  // may answer, and so end `pending`
+    pending.sentTo = leader;
+    pending.unansweredSends++;
+    auto request = wire::OrderRequest();
+    request.id = pending.request;
+    request.body = pending.body;
+    request.readback = pending.kind == Kind::Read;
+    request.__set_boot(boot);
+    port_.sendOrder(leader, request, now);  // may answer, and so end `pending`
 }
 
 auto OrderClient::tick(std::int64_t boot, Microseconds now) -> void {
@@ -105,7 +115,7 @@
     for (auto request : requests) {
         auto pending = find(request);
         if (!pending) continue;
-        if (now >= pending->due) finish(request, timedOut(*pending));
+        if (now >= pending->deadline) finish(request, timedOut(*pending));
         else step(*pending, boot, now);
     }
 }
--- a/src/control/request_watch.hpp
+++ b/src/control/request_watch.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// Watches the connection of a request that is being answered, so that no order is carried out for a
-// caller who has given up and may have sent other orders elsewhere since.
+// Watches the connection of a request that is being answered, so that no command is carried out for a
+// caller who has given up and may have sent other commands elsewhere since.
 #include <cstdint>
 #include <functional>
 #include <memory>
@@ -31,7 +31,7 @@
     auto start() -> void {
         auto self = shared_from_this();
         socket_.async_wait(tcp::socket::wait_read, [self](beast::error_code failed) {
-            // Bytes of a next request hide the end; it is looked for again before each order.
+            // Bytes of a next request hide the end; it is looked for again before each command.
             if (!self->over_ && (failed || peerClosed(self->socket_.native_handle()))) self->leave();
         });
     }
@@ -43,7 +43,7 @@
     }
 
     const Microseconds arrived;
-    std::int64_t call = 0;  // the node's number of the order or read under way; 0 if none is
+    std::int64_t call = 0;  // the node's number of the command or read under way; 0 if none is
 
   private:
     auto leave() -> void {
