--- a/src/control/order_client.cpp
+++ b/src/control/order_client.cpp
@@ -23,7 +23,7 @@
     auto pending = PendingRequest();
     pending.kind = Kind::Command;
     pending.id = id;
-    pending.body = bodyOf({{"op", jsQuote(operation)}, {"key", jsQuote(key)}, {"body", jsQuote(body)}});
+    pending.body = bodyOf({{"op", jsonQuote(operation)}, {"key", jsonQuote(key)}, {"body", jsonQuote(body)}});
     start(std::move(pending), ORDER_TIMEOUT, now);
 }
 
--- a/src/control/order_service.cpp
+++ b/src/control/order_service.cpp
@@ -13,10 +13,10 @@
 
 namespace order_answer {
 
-auto notLeader() -> Outcome { return {NOT_LEADER, bodyOf({{"error", jsQuote("not the leader")}})}; }
-auto notLogged(std::string_view why) -> Outcome { return {UNAVAILABLE, bodyOf({{"error", jsQuote(why)}})}; }
+auto notLeader() -> Outcome { return {NOT_LEADER, bodyOf({{"error", jsonQuote("not the leader")}})}; }
+auto notLogged(std::string_view why) -> Outcome { return {UNAVAILABLE, bodyOf({{"error", jsonQuote(why)}})}; }
 auto readUnconfirmed(std::string_view why) -> Outcome {
-    return {UNAVAILABLE, bodyOf({{"error", jsQuote(why)}})};
+    return {UNAVAILABLE, bodyOf({{"error", jsonQuote(why)}})};
 }
 
 }  // namespace order_answer
@@ -25,8 +25,8 @@
 
 auto OrderService::parse(const std::string& text) -> Request {
     auto document = rapidjson::Document();
-    if (!jsParse(text, document) || !document.IsObject()) return {};
-    return {jsStr(document, "op"), jsStr(document, "key"), jsStr(document, "body")};
+    if (!parseJson(text, document) || !document.IsObject()) return {};
+    return {jsonString(document, "op"), jsonString(document, "key"), jsonString(document, "body")};
 }
 
 // One of an earlier term may have been dropped from the log, and would be waited for in vain.
--- a/src/state/command_codec.cpp
+++ b/src/state/command_codec.cpp
@@ -79,10 +79,10 @@
 
 auto readEvacuation(const rapidjson::Value& object, bool evacuated) -> SetEvacuation {
     auto command = SetEvacuation();
-    command.zone = jsStr(object, "district");
+    command.zone = jsonString(object, "district");
     command.evacuated = evacuated;
-    if (object.HasMember("revision")) command.revision = jsInt(object, "revision");
-    command.at = jsInt(object, "at");
+    if (object.HasMember("revision")) command.revision = jsonInteger(object, "revision");
+    command.at = jsonInteger(object, "at");
     return command;
 }
 
@@ -92,31 +92,32 @@
 
 auto decodeCommand(const std::string& text) -> std::optional<LoggedCommand> {
     auto object = rapidjson::Document();
-    if (!jsParse(text, object) || !object.IsObject()) return std::nullopt;
+    if (!parseJson(text, object) || !object.IsObject()) return std::nullopt;
     auto entry = LoggedCommand();
-    entry.key = jsStr(object, "key");
-    entry.base = jsInt(object, "base", LoggedCommand::NO_BASE);
+    entry.key = jsonString(object, "key");
+    entry.base = jsonInteger(object, "base", LoggedCommand::NO_BASE);
     entry.command = readCommand(object);
     return entry;
 }
 
 auto readCommand(const rapidjson::Value& object) -> Command {
-    auto name = jsStr(object, "op");
+    auto name = jsonString(object, "op");
     if (name == "config") {
-        auto configuration = jsMember(object, "config");
+        auto configuration = jsonMember(object, "config");
         if (!configuration || !configuration->IsObject()) return UnknownCommand{name};
         return ReplaceConfiguration{std::make_shared<const Configuration>(*configuration)};
     }
     if (name == "empty") return readEvacuation(object, true);
     if (name == "give-back") return readEvacuation(object, false);
     if (name == "book") {
-        auto operation = jsMember(object, "move");
+        auto operation = jsonMember(object, "move");
         if (!operation) return UnknownCommand{name};
-        return ScheduleOperation{jsInt(object, "when"), std::make_shared<const JsonFragment>(*operation)};
+        return ScheduleOperation{
+            jsonInteger(object, "when"), std::make_shared<const JsonFragment>(*operation)};
     }
-    if (name == "cancel") return CancelOperation{jsStr(object, "move"), jsInt(object, "at")};
-    if (name == "fire") return BeginOperation{jsStr(object, "move"), jsInt(object, "at")};
-    if (name == "roster") return ChangeRoster{jsStr(object, "node"), jsBool(object, "add")};
+    if (name == "cancel") return CancelOperation{jsonString(object, "move"), jsonInteger(object, "at")};
+    if (name == "fire") return BeginOperation{jsonString(object, "move"), jsonInteger(object, "at")};
+    if (name == "roster") return ChangeRoster{jsonString(object, "node"), jsonBool(object, "add")};
     return UnknownCommand{name};
 }
 
--- a/src/state/command_request.cpp
+++ b/src/state/command_request.cpp
@@ -65,7 +65,7 @@
     }
 
     auto requiredText(const char* name) -> std::string {
-        auto text = jsStr(body_, name);
+        auto text = jsonString(body_, name);
         if (text.empty()) fault(std::string("/") + name, "missing");
         return text;
     }
@@ -73,9 +73,9 @@
     /// The member that holds a configuration or a patch, beside the version it is based on.
     auto basedMember(const char* name) -> const rapidjson::Value* {
         allowOnly({"base", name});
-        auto base = jsMember(body_, "base");
+        auto base = jsonMember(body_, "base");
         if (!base || !base->IsInt64()) fault("/base", "wants the generation that this is based on");
-        auto member = jsMember(body_, name);
+        auto member = jsonMember(body_, name);
         if (!member) fault(std::string("/") + name, "missing");
         return faults_.empty() ? member : nullptr;
     }
@@ -97,16 +97,16 @@
         if (!patch) return UnknownCommand();
         auto merged = rapidjson::Document();
         merged.CopyFrom(state_.config(), merged.GetAllocator());
-        jsMerge(merged, *patch, merged.GetAllocator());
+        applyMergePatch(merged, *patch, merged.GetAllocator());
         return checked(merged);
     }
 
     auto readEvacuation(bool evacuated) -> Command {
         allowOnly({"district", "revision"});
         auto command = SetEvacuation();
-        if (auto revision = jsMember(body_, "revision")) {
+        if (auto revision = jsonMember(body_, "revision")) {
             if (!revision->IsInt64()) fault("/revision", "wants a number");
-            command.revision = jsInt(body_, "revision");
+            command.revision = jsonInteger(body_, "revision");
         }
         command.zone = requiredText("district");
         command.evacuated = evacuated;
@@ -116,9 +116,9 @@
 
     auto readSchedule() -> Command {
         allowOnly({"at", "move"});
-        auto due = wallParse(jsStr(body_, "at"));
+        auto due = parseWallTime(jsonString(body_, "at"));
         if (due < 0) fault("/at", "wants a time such as 2026-01-31T06:00:00Z");
-        auto operation = jsMember(body_, "move");
+        auto operation = jsonMember(body_, "move");
         if (!operation || !operation->IsObject()) fault("/move", "missing");
         else checkOperation(*operation);
         if (!faults_.empty()) return UnknownCommand();
@@ -127,16 +127,16 @@
 
     /// Evacuations and configurations can be scheduled.
     auto checkOperation(const rapidjson::Value& operation) -> void {
-        auto name = jsStr(operation, "op");
+        auto name = jsonString(operation, "op");
         if (name == "empty" || name == "give-back") {
-            if (jsStr(operation, "district").empty()) fault("/move/district", "missing");
+            if (jsonString(operation, "district").empty()) fault("/move/district", "missing");
             for (auto& member : operation.GetObject()) {
                 auto memberName = std::string(member.name.GetString());
                 if (memberName != "op" && memberName != "district")
                     fault("/move/" + memberName, "unknown field");
             }
         } else if (name == "config") {
-            auto configuration = jsMember(operation, "config");
+            auto configuration = jsonMember(operation, "config");
             if (configuration) addConfigurationFaults(*configuration, "/move/config", faults_);
             else fault("/move/config", "missing");
         } else fault("/move/op", "wants empty, give-back or config");
@@ -150,7 +150,7 @@
     auto readRoster() -> Command {
         allowOnly({"node", "add"});
         auto node = requiredText("node");
-        return ChangeRoster{node, jsBool(body_, "add", true)};
+        return ChangeRoster{node, jsonBool(body_, "add", true)};
     }
 
     const ReplicatedState& state_;
@@ -168,7 +168,7 @@
 auto orderPrepare(const ReplicatedState& state, const std::string& operation, const std::string& key,
     const std::string& body, Microseconds wall) -> tl::expected<std::string, OrderRefusal> {
     auto request = rapidjson::Document();
-    if (!jsParse(body.empty() ? "{}" : body, request)) return refused(400, {{"/", "malformed JSON"}});
+    if (!parseJson(body.empty() ? "{}" : body, request)) return refused(400, {{"/", "malformed JSON"}});
     if (!request.IsObject()) return refused(422, {{"/", "wants an object"}});
     auto reader = RequestReader(state, request, wall);
     auto command = reader.read(operation);
@@ -177,7 +177,7 @@
     // A merge's faults are those of the configuration that it is applied to, too.
     if (!reader.faults().empty())
         return tl::make_unexpected(OrderRefusal{{422, errorBody(reader.faults())}, isMerge});
-    auto base = jsInt(request, "base", LoggedCommand::NO_BASE);
+    auto base = jsonInteger(request, "base", LoggedCommand::NO_BASE);
     // A patch applied to another version than it names must lose, not win by chance.
     if (isMerge && base != state.configVersion())
         return tl::make_unexpected(OrderRefusal{state.baseRefusal(base), true});
--- a/src/state/configuration.cpp
+++ b/src/state/configuration.cpp
@@ -10,7 +10,7 @@
 auto Configuration::empty() -> std::shared_ptr<const Configuration> {
     static const auto shared = [] {
         auto document = rapidjson::Document();
-        jsParse(R"({"mappings":[]})", document);
+        parseJson(R"({"mappings":[]})", document);
         return std::make_shared<const Configuration>(document);
     }();
     return shared;
@@ -18,7 +18,7 @@
 
 auto Configuration::documentVersion() const -> std::int64_t {
     auto document = origin();
-    return document ? jsInt(*document, "number") : 0;
+    return document ? jsonInteger(*document, "number") : 0;
 }
 
 }  // namespace duneturn
--- a/src/state/configuration.hpp
+++ b/src/state/configuration.hpp
@@ -19,7 +19,7 @@
 
     [[nodiscard]] auto json() const -> const rapidjson::Value& { return document_.value(); }
     /// The operator's own document and its version; null if the configuration names none.
-    [[nodiscard]] auto origin() const -> const rapidjson::Value* { return jsMember(json(), "origin"); }
+    [[nodiscard]] auto origin() const -> const rapidjson::Value* { return jsonMember(json(), "origin"); }
     /// The version that the operator's own document bears; 0 if there is none.
     [[nodiscard]] auto documentVersion() const -> std::int64_t;
 
--- a/src/state/outcome.cpp
+++ b/src/state/outcome.cpp
@@ -14,7 +14,7 @@
 auto bodyOf(std::initializer_list<std::pair<const char*, std::string>> members) -> std::string {
     auto body = std::string("{");
     for (auto& [name, value] : members)
-        body += fmt::format("{}{}:{}", body.size() > 1 ? "," : "", jsQuote(name), value);
+        body += fmt::format("{}{}:{}", body.size() > 1 ? "," : "", jsonQuote(name), value);
     return body + "}";
 }
 
@@ -22,18 +22,19 @@
     auto list = std::string();
     for (auto& fault : faults) {
         if (!list.empty()) list += ",";
-        list += bodyOf({{"path", jsQuote(fault.path)}, {"why", jsQuote(fault.why)}});
+        list += bodyOf({{"path", jsonQuote(fault.path)}, {"why", jsonQuote(fault.why)}});
     }
     auto first = faults.empty() ? "denied" : faults[0].path + ": " + faults[0].why;
-    return bodyOf({{"error", jsQuote(first)}, {"faults", "[" + list + "]"}});
+    return bodyOf({{"error", jsonQuote(first)}, {"faults", "[" + list + "]"}});
 }
 
 auto refusal(int status, const std::string& why) -> Outcome {
-    return {status, bodyOf({{"error", jsQuote(why)}})};
+    return {status, bodyOf({{"error", jsonQuote(why)}})};
 }
 
 auto outcomeUnknown() -> Outcome {
-    return {504, bodyOf({{"error", jsQuote("the outcome is not known")}, {"outcome", jsQuote("unknown")}})};
+    return {
+        504, bodyOf({{"error", jsonQuote("the outcome is not known")}, {"outcome", jsonQuote("unknown")}})};
 }
 
 }  // namespace duneturn
--- a/src/state/replicated_state.cpp
+++ b/src/state/replicated_state.cpp
@@ -81,7 +81,7 @@
 auto ReplicatedState::baseRefusal(std::int64_t base) const -> Outcome {
     if (base < outcomes_.changes().forgottenConfigVersion()) return outcomeUnknown();
     return {409,
-        bodyOf({{"error", jsQuote("based on a generation that is not the newest")},
+        bodyOf({{"error", jsonQuote("based on a generation that is not the newest")},
             {"configGeneration", fmt::to_string(configVersion_)}})};
 }
 
@@ -128,11 +128,11 @@
     auto revision = evacuations_.zone(command.zone).revision;
     if (command.revision && *command.revision != revision)
         return {409,
-            bodyOf({{"error", jsQuote("superseded: the zone has changed since")},
+            bodyOf({{"error", jsonQuote("superseded: the zone has changed since")},
                 {"revision", fmt::to_string(revision)}})};
     evacuations_.set(command.zone, command.evacuated, command.at, version + 1);
     return {200,
-        bodyOf({{"district", jsQuote(command.zone)}, {"emptied", command.evacuated ? "true" : "false"}})};
+        bodyOf({{"district", jsonQuote(command.zone)}, {"emptied", command.evacuated ? "true" : "false"}})};
 }
 
 auto ReplicatedState::perform(const ScheduleOperation& command) -> Outcome {
@@ -140,7 +140,7 @@
     entry.id = fmt::format("m{}", version + 1);
     entry.due = command.due;
     entry.operation = command.operation;
-    auto body = bodyOf({{"move", jsQuote(entry.id)}});
+    auto body = bodyOf({{"move", jsonQuote(entry.id)}});
     schedule_.add(std::move(entry));
     return {200, body};
 }
@@ -150,7 +150,7 @@
     if (!entry) return noSuchOperation();
     if (entry->status != OperationStatus::Pending) return notPending(*entry);
     entry->status = OperationStatus::Cancelled;
-    return {200, bodyOf({{"move", jsQuote(command.id)}})};
+    return {200, bodyOf({{"move", jsonQuote(command.id)}})};
 }
 
 auto ReplicatedState::perform(const BeginOperation& command) -> Outcome {
@@ -168,7 +168,7 @@
     std::erase(roster_, command.node);
     if (command.add) roster_.push_back(command.node);
     auto list = std::string();
-    for (auto& node : roster_) list += (list.empty() ? "" : ",") + jsQuote(node);
+    for (auto& node : roster_) list += (list.empty() ? "" : ",") + jsonQuote(node);
     return {200, bodyOf({{"roster", "[" + list + "]"}})};
 }
 
--- a/src/state/state_codec.cpp
+++ b/src/state/state_codec.cpp
@@ -182,21 +182,21 @@
     auto evacuated = readZones(document["empties"]);
     auto revisions = readZones(document["zoneRevisions"]);
     if (!evacuated || !revisions) return std::nullopt;
-    return Evacuations(*evacuated, *revisions, jsInt(document, "zoneRevisionFloor"));
+    return Evacuations(*evacuated, *revisions, jsonInteger(document, "zoneRevisionFloor"));
 }
 
 auto readSchedule(const rapidjson::Value& list) -> std::optional<Schedule> {
     auto entries = std::vector<ScheduleEntry>();
     for (auto& item : list.GetArray()) {
-        auto status = statusOf(jsStr(item, "state"));
-        auto operation = jsMember(item, "move");
+        auto status = statusOf(jsonString(item, "state"));
+        auto operation = jsonMember(item, "move");
         if (!status || !operation) return std::nullopt;
         auto entry = ScheduleEntry();
-        entry.id = jsStr(item, "id");
-        entry.due = jsInt(item, "at");
+        entry.id = jsonString(item, "id");
+        entry.due = jsonInteger(item, "at");
         entry.status = *status;
         entry.operation = std::make_shared<const JsonFragment>(*operation);
-        if (item.HasMember("fired")) entry.begun = jsInt(item, "fired");
+        if (item.HasMember("fired")) entry.begun = jsonInteger(item, "fired");
         entries.push_back(std::move(entry));
     }
     return Schedule(std::move(entries));
@@ -204,17 +204,19 @@
 
 auto readVoters(const rapidjson::Value& list) -> std::vector<VoterIdentity> {
     auto voters = std::vector<VoterIdentity>();
-    for (auto& voter : list.GetArray()) voters.push_back({jsStr(voter, "seat"), jsStr(voter, "disk")});
+    for (auto& voter : list.GetArray())
+        voters.push_back({jsonString(voter, "seat"), jsonString(voter, "disk")});
     return voters;
 }
 
 auto readOutcomes(const rapidjson::Value& list) -> std::vector<RequestOutcome> {
     auto outcomes = std::vector<RequestOutcome>();
     for (auto& item : list.GetArray()) {
-        auto body = jsMember(item, "body");
+        auto body = jsonMember(item, "body");
         if (!body) continue;
-        auto outcome = Outcome{int(jsInt(item, "status")), js(*body)};
-        outcomes.push_back({jsStr(item, "key"), outcome, jsInt(item, "base", LoggedCommand::NO_BASE)});
+        auto outcome = Outcome{int(jsonInteger(item, "status")), jsonText(*body)};
+        outcomes.push_back(
+            {jsonString(item, "key"), outcome, jsonInteger(item, "base", LoggedCommand::NO_BASE)});
     }
     return outcomes;
 }
@@ -236,19 +238,19 @@
 
 auto StateCodec::read(const std::string& text) -> std::optional<ReplicatedState> {
     auto document = rapidjson::Document();
-    if (!jsParse(text, document) || !migrateState(document)) return std::nullopt;
+    if (!parseJson(text, document) || !migrateState(document)) return std::nullopt;
     auto evacuations = readEvacuations(document);
     auto schedule = readSchedule(document["plan"]);
     auto changes = readAcceptedChanges(document);
     if (!evacuations || !schedule || !changes) return std::nullopt;
     auto state = ReplicatedState();
-    state.epoch = jsInt(document, "reign");
-    state.version = jsInt(document, "generation");
-    state.configVersion_ = jsInt(document, "configGeneration");
+    state.epoch = jsonInteger(document, "reign");
+    state.version = jsonInteger(document, "generation");
+    state.configVersion_ = jsonInteger(document, "configGeneration");
     state.configuration_ = std::make_shared<const Configuration>(document["config"]);
     state.evacuations_ = std::move(*evacuations);
     state.schedule_ = std::move(*schedule);
-    state.roster_ = jsList(document, "roster");
+    state.roster_ = jsonStrings(document, "roster");
     state.voters_ = readVoters(document["voters"]);
     state.outcomes_ = RequestOutcomes(
         std::move(*changes), readOutcomes(document["outcomes"]), readOutcomes(document["refusals"]));
--- a/src/state/state_migration.cpp
+++ b/src/state/state_migration.cpp
@@ -16,15 +16,15 @@
 
 auto hasBasicMembers(const rapidjson::Value& document) -> bool {
     for (auto name : {"config", "empties"}) {
-        auto member = jsMember(document, name);
+        auto member = jsonMember(document, name);
         if (!member || !member->IsObject()) return false;
     }
     for (auto name : {"plan", "roster", "voters", "outcomes"}) {
-        auto member = jsMember(document, name);
+        auto member = jsonMember(document, name);
         if (!member || !member->IsArray()) return false;
     }
     for (auto name : {"reign", "generation", "configGeneration"}) {
-        auto member = jsMember(document, name);
+        auto member = jsonMember(document, name);
         if (!member || !member->IsInt64()) return false;
     }
     return true;
@@ -40,17 +40,17 @@
 auto changesByVersion(const rapidjson::Value& records) -> std::map<std::int64_t, std::string> {
     auto changes = std::map<std::int64_t, std::string>();
     for (auto& record : records.GetArray()) {
-        if (!record.IsObject() || !record.HasMember("body") || jsInt(record, "status") != 200) continue;
-        auto version = jsInt(record["body"], "configGeneration");
-        if (version > 0) changes[version] = withoutAttempt(jsStr(record, "key"), version);
+        if (!record.IsObject() || !record.HasMember("body") || jsonInteger(record, "status") != 200) continue;
+        auto version = jsonInteger(record["body"], "configGeneration");
+        if (version > 0) changes[version] = withoutAttempt(jsonString(record, "key"), version);
     }
     return changes;
 }
 
 auto rebuildAcceptedChanges(const rapidjson::Value& document) -> AcceptedChanges {
-    auto newest = jsInt(document, "configGeneration");
-    auto origin = jsMember(document["config"], "origin");
-    auto documentVersion = origin ? jsInt(*origin, "number") : 0;
+    auto newest = jsonInteger(document, "configGeneration");
+    auto origin = jsonMember(document["config"], "origin");
+    auto documentVersion = origin ? jsonInteger(*origin, "number") : 0;
     auto known = changesByVersion(document["outcomes"]);
     auto forgotten = newest;
     while (forgotten > 0 && known.count(forgotten)) forgotten--;
@@ -80,10 +80,10 @@
     all.Swap(document["outcomes"]);
     document.AddMember("refusals", rapidjson::Value(rapidjson::kArrayType), allocator);
     for (auto& record : all.GetArray()) {
-        auto body = jsMember(record, "body");
+        auto body = jsonMember(record, "body");
         if (!body) continue;
-        auto accepted = jsInt(record, "status") == 200;
-        if (accepted && jsMember(*body, "configGeneration")) continue;
+        auto accepted = jsonInteger(record, "status") == 200;
+        if (accepted && jsonMember(*body, "configGeneration")) continue;
         auto& list = document[accepted ? "outcomes" : "refusals"];
         list.PushBack(record, allocator);
         auto most = accepted ? RequestOutcomes::ACCEPTED : RequestOutcomes::REFUSED;
@@ -95,7 +95,7 @@
     auto& allocator = document.GetAllocator();
     document.AddMember("zoneRevisions", rapidjson::Value(rapidjson::kObjectType), allocator);
     document.RemoveMember("zoneRevisionFloor");
-    document.AddMember("zoneRevisionFloor", jsInt(document, "generation"), allocator);
+    document.AddMember("zoneRevisionFloor", jsonInteger(document, "generation"), allocator);
 }
 
 }  // namespace
@@ -106,23 +106,24 @@
     if (!readAcceptedChanges(document)) addAcceptedChanges(document);
     if (!document.HasMember("refusals")) sortOutcomes(document);
     if (!document.HasMember("zoneRevisions")) addZoneRevisions(document);
-    auto floor = jsMember(document, "zoneRevisionFloor");
+    auto floor = jsonMember(document, "zoneRevisionFloor");
     return document["refusals"].IsArray() && document["zoneRevisions"].IsObject() && floor
         && floor->IsInt64();
 }
 
 auto readAcceptedChanges(const rapidjson::Value& document) -> std::optional<AcceptedChanges> {
-    auto member = jsMember(document, "acceptedChanges");
+    auto member = jsonMember(document, "acceptedChanges");
     if (!member) return std::nullopt;
-    auto forgottenConfig = jsMember(*member, "forgottenGeneration");
-    auto forgottenDocument = jsMember(*member, "forgottenVersion");
-    auto records = jsMember(*member, "records");
+    auto forgottenConfig = jsonMember(*member, "forgottenGeneration");
+    auto forgottenDocument = jsonMember(*member, "forgottenVersion");
+    auto records = jsonMember(*member, "records");
     if (!forgottenConfig || !forgottenConfig->IsInt64()) return std::nullopt;
     if (!forgottenDocument || !forgottenDocument->IsInt64()) return std::nullopt;
     if (!records || !records->IsString()) return std::nullopt;
     auto changes = AcceptedChanges::parse(forgottenConfig->GetInt64(), forgottenDocument->GetInt64(),
         std::string(records->GetString(), records->GetStringLength()));
-    if (!changes || changes->configVersion() != jsInt(document, "configGeneration")) return std::nullopt;
+    if (!changes || changes->configVersion() != jsonInteger(document, "configGeneration"))
+        return std::nullopt;
     return changes;
 }
 
--- a/tests/state/order_state_test.cpp
+++ b/tests/state/order_state_test.cpp
@@ -81,15 +81,15 @@
 // Members of a later format are kept in their place, and the order of an earlier one stays.
 TEST(OrderState, unknownMembersAndOrderAreKept) {
     auto document = rapidjson::Document();
-    CHECK(jsParse(ReplicatedState().text(), document));
+    CHECK(parseJson(ReplicatedState().text(), document));
     auto& allocator = document.GetAllocator();
     document.AddMember("later", rapidjson::Value("x", allocator), allocator);
     document.RemoveMember("config");  // "later" stands in its place
     auto config = rapidjson::Value(rapidjson::kObjectType);
     document.AddMember("config", config.AddMember("mappings", rapidjson::kArrayType, allocator), allocator);
     auto state = ReplicatedState();
-    CHECK(state.load(js(document)));
-    CHECK_EQ(js(document), state.text());
+    CHECK(state.load(jsonText(document)));
+    CHECK_EQ(jsonText(document), state.text());
     CHECK_EQ(200, lay(state, "empty", "", R"({"district":"z"})").status);
     CHECK(state.text().find(R"("generation":2,"configGeneration":0,"later":"x","empties":{"z":1000})")
         != std::string::npos);
@@ -185,14 +185,14 @@
     CHECK_EQ(state.text(), again.text());
     // A memory that does not reach the configuration in force tells nothing.
     auto behind = rapidjson::Document();
-    jsParse(state.text(), behind);
+    parseJson(state.text(), behind);
     behind["configGeneration"].SetInt64(7);
-    CHECK(again.load(js(behind)));
+    CHECK(again.load(jsonText(behind)));
     CHECK_EQ(std::int64_t(7), again.outcomes().changes().forgottenConfigVersion());
     behind["acceptedChanges"].SetString("damaged");
-    CHECK(again.load(js(behind)));
+    CHECK(again.load(jsonText(behind)));
     behind["refusals"].SetString("damaged");
-    CHECK(!again.load(js(behind)));
+    CHECK(!again.load(jsonText(behind)));
 }
 
 TEST(OrderState, queriesTravelAndAreAnswered) {
