--- a/src/consensus/membership.cpp
+++ b/src/consensus/membership.cpp
@@ -1,4 +1,4 @@
-// Who votes: the voters that the log names, their replacement, founding and retiring.
+// Who votes: the configuration in force, its changes, the beginning of a cluster, and leaving one.
 #include <algorithm>
 #include <cstdint>
 #include <functional>
@@ -15,256 +15,165 @@
 
 namespace duneturn {
 
-// A round that has not ended by then shows that the learner is too slow.
-constexpr Microseconds CATCH_UP_ROUND_LIMIT = 10 * SECOND;
-
-static auto votersParse(const std::string& body) -> std::vector<VoterIdentity> {
-    auto voters = std::vector<VoterIdentity>();
-    auto d = rapidjson::Document();
-    if (!parseJson(body, d) || !d.IsArray()) return voters;
-    for (auto& v : d.GetArray()) voters.push_back({jsonString(v, "seat"), jsonString(v, "disk")});
-    return voters;
-}
-
-static auto votersText(const std::vector<VoterIdentity>& voters) -> std::string {
-    auto list = std::string();
-    for (auto& v : voters)
-        list +=
-            (list.empty() ? "" : ",") + bodyOf({{"seat", jsonQuote(v.node)}, {"disk", jsonQuote(v.disk)}});
-    return "[" + list + "]";
-}
-
-// A joint configuration's entry: the voters before and after the change.
-struct JointVoters {
-    std::vector<VoterIdentity> before, after;
-};
-
-static auto jointText(const JointVoters& joint) -> std::string {
-    return bodyOf({{"before", votersText(joint.before)}, {"after", votersText(joint.after)}});
-}
-
-static auto jointParse(const std::string& body) -> JointVoters {
-    auto d = rapidjson::Document();
-    if (!parseJson(body, d) || !d.IsObject() || !d.HasMember("before") || !d.HasMember("after")) return {};
-    return {votersParse(jsonText(d["before"])), votersParse(jsonText(d["after"]))};
-}
-
-auto entryKnown(const wire::Entry& e) -> bool {
-    if (e.kind == ENTRY_NOOP || e.kind == ENTRY_ORDER) return true;
-    if (e.kind == ENTRY_VOTERS) return !votersParse(e.body).empty();
-    if (e.kind != ENTRY_JOINT) return false;
-    auto joint = jointParse(e.body);
-    return !joint.before.empty() && !joint.after.empty();
-}
-
 // The configuration in force is the newest in the log, committed or not.
-auto Voter::refreshVoters() -> void {
-    voters_ = snapshotVoters_;
-    outgoing_.clear();
-    configurationIndex_ = snapshotIndex_;
-    auto newest = std::find_if(
-        log_.rbegin(), log_.rend(), [](auto& e) { return e.kind == ENTRY_VOTERS || e.kind == ENTRY_JOINT; });
-    if (newest == log_.rend()) return;
-    configurationIndex_ = newest->index;
-    if (newest->kind == ENTRY_VOTERS) {
-        voters_ = votersParse(newest->body);
-        return;
-    }
-    auto joint = jointParse(newest->body);
-    voters_ = joint.after;
-    outgoing_ = joint.before;
-}
-
-auto Voter::members() const -> std::vector<std::string> {
-    auto disks = std::vector<std::string>();
-    for (auto set : {&voters_, &outgoing_})
-        for (auto& v : *set)
-            if (std::find(disks.begin(), disks.end(), v.disk) == disks.end()) disks.push_back(v.disk);
-    return disks;
-}
-
-auto Voter::isVoter(const std::string& disk) const -> bool {
-    auto is = [&](auto& v) { return v.disk == disk; };
-    return std::any_of(voters_.begin(), voters_.end(), is)
-        || std::any_of(outgoing_.begin(), outgoing_.end(), is);
-}
-
-// Of a joint configuration both majorities are needed, for votes, commit, reads and check-quorum.
-auto Voter::majority(const std::function<bool(const std::string&)>& has) const -> bool {
-    auto count = [&](const std::vector<VoterIdentity>& voters) {
-        return std::size_t(std::count_if(voters.begin(), voters.end(), [&](auto& v) { return has(v.disk); }));
-    };
-    if (broken.noQuorum) return count(voters_) > 0;
-    if (count(voters_) * 2 <= voters_.size()) return false;
-    return !joint() || broken.newMajorityOnly || count(outgoing_) * 2 > outgoing_.size();
+auto Voter::refreshConfiguration() -> void {
+    auto entry = log_.newestConfigurationEntry();
+    configuration_ = entry ? Configuration::ofEntry(*entry) : Configuration(snapshot_.voters);
+    configurationIndex_ = entry ? entry->index : snapshot_.index;
 }
 
-auto Voter::applyEntry(const wire::Entry& e) -> void {
-    if (e.kind == ENTRY_ORDER) {
-        auto d = rapidjson::Document();
-        auto outcome = replicatedState_.apply(e.body);
-        auto key = parseJson(e.body, d) ? jsonString(d, "key") : std::string();
+auto Voter::applyEntry(const wire::Entry& entry) -> void {
+    if (entry.kind == ENTRY_ORDER) {
+        auto document = rapidjson::Document();
+        auto outcome = replicatedState_.apply(entry.body);
+        auto key = parseJson(entry.body, document) ? jsonString(document, "key") : std::string();
         counters_.add("orders_applied_total");
         port_.voterApplied(replicatedState_, key, outcome);
-    } else if (e.kind == ENTRY_JOINT) {
+    } else if (entry.kind == ENTRY_JOINT) {
         appliedJoint_ = true;
-    } else if (e.kind == ENTRY_VOTERS) {
+    } else if (entry.kind == ENTRY_VOTERS) {
         appliedJoint_ = false;
-        replicatedState_.applyVoters(votersParse(e.body));
+        replicatedState_.applyVoters(Configuration::ofEntry(entry).voters());
         port_.voterApplied(replicatedState_, "", {});
     }
 }
 
 auto Voter::bootstrap(const ReplicatedState& state, std::int64_t term, Microseconds now) -> void {
     // A disk of an earlier cluster leaves it with the same write.
-    if (leads()) follow(now);
-    if (!blank()) role_->process(Erased{}, counters_);
-    if (!role_->process(Initialized{}, counters_)) return;
-    deferred_.clear();
-    leader_.clear();
+    if (leads()) becomeFollower(now);
+    if (!blank()) roles_->process(Erased{}, counters_);
+    if (!roles_->process(Initialized{}, counters_)) return;
+    writes_.dropDeferred();
+    leaderDisk_.clear();
     epoch_ = state.epoch;
     term_ = term;
-    vote_.clear();
-    snapshotIndex_ = commit_ = applied_ = 1;
-    snapshotTerm_ = term;
-    setLogBase(snapshotIndex_, snapshotTerm_);
-    snapshotDocument_ = std::make_shared<const std::string>(state.text());
-    transfers_.clear();
+    votedFor_.clear();
+    commitIndex_ = lastApplied_ = 1;
+    snapshot_ = {1, term, std::make_shared<const std::string>(state.text()), state.voters()};
+    log_.reset(snapshot_.index, snapshot_.term);
+    snapshotSenders_.clear();
     replicatedState_ = latestState_ = state;
-    snapshotVoters_ = state.voters();
     appliedJoint_ = false;
-    synced_ = 1;
-    auto w = DiskWrite();
-    w.reset = w.hasSnapshot = true;
-    w.document = *snapshotDocument_;
-    installSeq_ = write(w, now);
-    refreshVoters();
-    electionDue_ = now + ELECTION_TIMEOUT;
-    logf("core: reign {} begins on disk {} at generation {}", epoch_, disk_, state.version);
+    lastSynced_ = 1;
+    auto change = DiskWrite();
+    change.reset = change.hasSnapshot = true;
+    change.document = *snapshot_.document;
+    installWrite_ = write(std::move(change), now);
+    refreshConfiguration();
+    electionDeadline_ = now + ELECTION_TIMEOUT;
+    logEvent("cluster_begun", "epoch={} disk={} version={}", epoch_, disk_, state.version);
     counters_.add("reigns_begun_total");
 }
 
 auto Voter::leaveCluster(bool force, Microseconds now) -> bool {
-    if (leads() && force) follow(now);
-    if (blank() || leads() || (!force && !vote_.empty())) return false;
-    if (!role_->process(Erased{}, counters_)) return false;
-    epoch_ = term_ = commit_ = applied_ = snapshotIndex_ = snapshotTerm_ = synced_ = 0;
-    setLogBase(0, 0);
-    snapshotDocument_ = std::make_shared<const std::string>();
-    transfers_.clear();
+    if (leads() && force) becomeFollower(now);
+    if (blank() || leads() || (!force && !votedFor_.empty())) return false;
+    if (!roles_->process(Erased{}, counters_)) return false;
+    epoch_ = term_ = commitIndex_ = lastApplied_ = lastSynced_ = 0;
+    snapshot_ = {};
+    log_.reset(0, 0);
+    snapshotSenders_.clear();
     assembly_ = {};
-    leader_.clear();
-    voters_.clear();
-    outgoing_.clear();
-    snapshotVoters_.clear();
+    leaderDisk_.clear();
+    configuration_ = {};
     configurationIndex_ = 0;
     appliedJoint_ = false;
-    deferred_.clear();
+    writes_.dropDeferred();
     replicatedState_ = latestState_ = ReplicatedState();
-    auto w = DiskWrite();
-    w.reset = true;
-    write(w, now);
+    auto change = DiskWrite();
+    change.reset = true;
+    write(std::move(change), now);
     return true;
 }
 
-// A generation rises by at most one an entry, so one above what this log could reach is
+// A version rises by at most one an entry, so one above what this log could reach is
 // behind its end. A disk that this log counts as a voter and a later state does not was removed
-// since, and no leader has told it what came after: none can be counting on it. It takes a new
+// since, and no leader has sent it what came after: none can be counting on it. It takes a new
 // identity, so that what it once promised is never mixed up with what it promises next.
 auto Voter::retire(std::int64_t version, const std::string& newDiskId, Microseconds now) -> bool {
-    if (blank() || leads() || !isVoter(disk_) || version <= replicatedState_.version + (last() - applied_))
+    if (blank() || leads() || !isVoter(disk_)
+        || version <= replicatedState_.version + (last() - lastApplied_))
         return false;
-    logf("core: disk {} was replaced; it is blank again, as {}", disk_, newDiskId);
+    logEvent("disk_retired", "disk={} new_disk={}", disk_, newDiskId);
     disk_ = newDiskId;
     counters_.add("retired_total");
     return leaveCluster(true, now);
 }
 
 auto Voter::lastContact(const std::string& disk) const -> Microseconds {
-    auto i = peers_.find(disk);
-    return i == peers_.end() ? 0 : i->second.heard;
+    auto progress = progress_.find(disk);
+    return progress == progress_.end() ? 0 : progress->second.lastContact();
 }
 
 // One change at a time, and none before an entry of this term is committed (the erratum of
 // single-server changes; it holds for joint ones too). A change that an earlier leader began
 // is ended first.
-auto Voter::changeVoters(Microseconds now) -> void {
+auto Voter::advanceConfigurationChange(Microseconds now) -> void {
     auto mayChange = broken.changeBeforeNoop ? leads() : ready();
-    if (!mayChange || diskBad_ || configurationIndex_ > commit_) return;
+    if (!mayChange || diskBad() || configurationIndex_ > commitIndex_) return;
     if (joint()) {
-        logf("core: the change of voters ends: {}", votersText(voters_));
-        append(ENTRY_VOTERS, votersText(voters_), now);
+        auto final = Configuration(configuration_.voters());
+        logEvent("voters_change_ends", "voters={}", final.entryBody());
+        append(final.entryKind(), final.entryBody(), now);
         return;
     }
-    if (!removeReplaced(now)) addLearner(now);
+    if (!removeReplacedDisk(now)) promoteLearner(now);
 }
 
-// Two disks of one seat: the former procedure added the newer one behind the one it replaces.
-auto Voter::removeReplaced(Microseconds now) -> bool {
-    for (auto i = std::size_t(0); i < voters_.size(); i++)
-        for (auto j = i + 1; j < voters_.size(); j++) {
-            if (voters_[i].node != voters_[j].node) continue;
-            auto voters = voters_;
+// Two disks of one node: the former procedure added the newer one behind the one it replaces.
+auto Voter::removeReplacedDisk(Microseconds now) -> bool {
+    auto voters = configuration_.voters();
+    for (auto i = std::size_t(0); i < voters.size(); i++)
+        for (auto j = i + 1; j < voters.size(); j++) {
+            if (voters[i].node != voters[j].node) continue;
             voters.erase(voters.begin() + std::ptrdiff_t(i));
-            return beginChange(voters, now);
+            return beginConfigurationChange(voters, now);
         }
     return false;
 }
 
-// A disk that may take a seat is sent the log without a vote, and votes once it has caught up.
-auto Voter::addLearner(Microseconds now) -> void {
-    for (auto& [seat, disk] : spares_) {
+// A disk that may take the place of a voter's is sent the log without a vote, and votes once it has caught
+// up.
+auto Voter::promoteLearner(Microseconds now) -> void {
+    for (auto& [node, disk] : spareDisks_) {
         if (isVoter(disk)) continue;
-        auto voters = voters_;
-        auto held = std::find_if(voters.begin(), voters.end(), [s = seat](auto& v) { return v.node == s; });
-        if (held == voters.end() && voters.size() >= MIN_VOTERS) continue;
-        auto& peer = peers_[disk];
-        if (now < peer.retryAt) continue;
-        if (peer.next == 0) peer.next = 1;
-        if (now - peer.sent >= HEARTBEAT_INTERVAL) sendAppend(disk, now);
-        if (!caughtUp(peer, now)) continue;
-        if (held == voters.end()) voters.push_back({seat, disk});
-        else held->disk = disk;
-        if (beginChange(voters, now)) return;
+        auto voters = configuration_.voters();
+        auto isOfNode = [name = node](auto& voter) { return voter.node == name; };
+        auto replaced = std::find_if(voters.begin(), voters.end(), isOfNode);
+        if (replaced == voters.end() && voters.size() >= MIN_VOTERS) continue;
+        auto& progress = progress_[disk];
+        if (progress.catchUp().isPaused(now)) continue;
+        progress.start(1);
+        if (now - progress.lastSent() >= HEARTBEAT_INTERVAL) replicateTo(disk, now);
+        if (!hasCaughtUp(progress, now)) continue;
+        if (replaced == voters.end()) voters.push_back({node, disk});
+        else replaced->disk = disk;
+        if (beginConfigurationChange(voters, now)) return;
     }
 }
 
-// Raft, 4.2.1: replication to a learner goes in rounds, each of what the log held at its start.
-// One that ends within an election timeout shows that the learner keeps up with the changes.
-auto Voter::caughtUp(Peer& peer, Microseconds now) -> bool {
-    if (peer.match == 0 || peer.roundTarget == 0) {
-        if (peer.match > 0) {
-            peer.roundTarget = last();
-            peer.roundStart = now;
-        }
-        return false;
-    }
-    auto duration = now - peer.roundStart;
-    auto ended = peer.match >= peer.roundTarget;
-    if (ended && duration <= ELECTION_TIMEOUT) return true;
-    if (!ended && duration <= CATCH_UP_ROUND_LIMIT) return false;
-    peer.roundTarget = last();
-    peer.roundStart = now;
-    if (ended && ++peer.rounds < MAX_CATCH_UP_ROUNDS) return false;
-    counters_.add("learner_too_slow_total");
-    peer.roundTarget = peer.rounds = 0;
-    peer.retryAt = now + LEARNER_RETRY;
-    return false;
+// Whether a learner keeps up, so that it may vote.
+auto Voter::hasCaughtUp(ReplicaProgress& progress, Microseconds now) -> bool {
+    auto verdict = progress.catchUp().update(progress.match(), last(), now);
+    if (verdict == CatchUp::Verdict::TooSlow) counters_.add("learner_too_slow_total");
+    return verdict == CatchUp::Verdict::CaughtUp;
 }
 
-// False if a member or newcomer that is heard runs a program without joint configurations.
-auto Voter::beginChange(std::vector<VoterIdentity> voters, Microseconds now) -> bool {
-    auto unfit = [&](const std::string& disk) {
-        return disk != disk_ && peers_[disk].heard && !peers_[disk].knowsJoint;
+// False if a voter or newcomer that answers runs a program without joint configurations.
+auto Voter::beginConfigurationChange(std::vector<VoterIdentity> voters, Microseconds now) -> bool {
+    auto readsNoJoint = [&](const std::string& disk) {
+        return disk != disk_ && progress_[disk].lastContact() && !progress_[disk].knowsJoint();
     };
-    auto disks = members();
-    for (auto& v : voters) disks.push_back(v.disk);
-    if (std::any_of(disks.begin(), disks.end(), unfit)) {
+    auto disks = configuration_.disks();
+    for (auto& voter : voters) disks.push_back(voter.disk);
+    if (std::any_of(disks.begin(), disks.end(), readsNoJoint)) {
         counters_.add("change_waits_for_upgrade_total");
         return false;
     }
-    logf("core: the voters change: from {} to {}", votersText(voters_), votersText(voters));
-    append(ENTRY_JOINT, jointText({voters_, std::move(voters)}), now);
+    logEvent(
+        "voters_change_begins", "from={} to={}", votersText(configuration_.voters()), votersText(voters));
+    auto joint = Configuration::joint(configuration_.voters(), std::move(voters));
+    append(joint.entryKind(), joint.entryBody(), now);
     return true;
 }
 
