--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -139,7 +139,7 @@
         calls_.erase(i);
         f(o);
     }
-    auto book(const std::vector<std::string>& v) -> void override {
+    auto savePeerHints(const std::vector<std::string>& v) -> void override {
         auto s = std::string();
         for (auto& a : v) s += a + "\n";
         auto l = std::lock_guard(dmu_);
@@ -242,7 +242,7 @@
     }
     auto duty() -> bool override {
         auto l = std::lock_guard(mu_);
-        return node->duty(bootNow());
+        return node->hasSingletonDuty(bootNow());
     }
     auto replicatedState() -> std::string override {
         auto l = std::lock_guard(mu_);
@@ -260,8 +260,8 @@
         auto l = std::lock_guard(mu_);
         if (e.__isset.compressed && !z) return ct_.add("peer_decompress_failed_total");
         node->handle(z ? *z : e, bootNow());
-        auto k = node->rows().find(e.node);
-        if (k == node->rows().end()) return;
+        auto k = node->nodes().find(e.node);
+        if (k == node->nodes().end()) return;
         auto l2 = std::lock_guard(qmu_);
         if (e.wire >= COMPRESSING) compressing_.insert(k->second.record.peer);
         else compressing_.erase(k->second.record.peer);
@@ -373,7 +373,7 @@
     auto seed = (std::uint64_t(rd()) << 32) ^ rd();
     auto l = std::lock_guard(mu_);
     if (store.setAside) ct_.add("store_set_aside_total");
-    node->hints(ps);
+    node->addPeerHints(ps);
     node->startCore(s, fmt::format("{:016x}", hash64(op.st.node, seed)), bootNow());
     started_ = true;
 }
@@ -571,7 +571,7 @@
         refused = e.code() == asio::error::connection_refused;
     }
     auto l = std::lock_guard(mu_);
-    node->loadSeen(server, ok, refused, d, bootNow());
+    node->probeFinished(server, ok, refused, d, bootNow());
 }
 
 // ---- towards the senders
@@ -927,7 +927,7 @@
         co_return order_answer::notLogged("it took too long to begin; send it again");
     if (watch) {
         auto l = std::lock_guard(mu_);
-        if (node->frozenSince(watch->arrived, bootNow())) {
+        if (node->wasFrozenSince(watch->arrived, bootNow())) {
             ct_.add("orders_after_freeze_total");
             co_return order_answer::notLogged("this process was stopped meanwhile; send it again");
         }
@@ -995,7 +995,8 @@
     };
     auto key = std::string(q["Idempotency-Key"]);
     auto ordered = [&](const std::string& o) -> awaitable<Outcome> {
-        auto k = key.empty() ? fmt::format("{}-{:x}-{}", op.st.node, node->me().boot, ++keys_) : clip(key);
+        auto k =
+            key.empty() ? fmt::format("{}-{:x}-{}", op.st.node, node->ownRecord().boot, ++keys_) : clip(key);
         r.set("Idempotency-Key", k);
         auto body = q.body();
         co_return co_await sh.order(o, k, body);
@@ -1165,7 +1166,7 @@
 auto Daemon::stopStep(Microseconds now) -> bool {
     // A reply that its session has not written yet is as unfinished as its exchange was.
     // Nor is a voter's seat without its successor.
-    auto busy = edge->busy() > 0 || !downs_.empty() || !node->seatHandedOver(now);
+    auto busy = edge->busy() > 0 || !downs_.empty() || !node->voteHandedOver(now);
     auto cut = [&] {
         if (cut_) return;
         cut_ = true;
--- a/src/membership/node.cpp
+++ b/src/membership/node.cpp
@@ -48,13 +48,13 @@
     me_.operatorAddress = s.operatorAddress;
     me_.blank = true;
     hints_ = st_.seeds;
-    heartbeat_ = st_.heartbeat ? st_.heartbeat : st_.gossip ? GOSSIP_HEARTBEAT : HEARTBEAT;
+    heartbeat_ = st_.heartbeat ? st_.heartbeat : st_.gossip ? GOSSIP_HEARTBEAT : ROSTER_HEARTBEAT;
     if (st_.gossip) {
         alive_ = heartbeat_ * 7 / 2 + 250 * MILLISECOND;
         late_ = heartbeat_ * 2 + 250 * MILLISECOND;
     }
 }
-auto Node::hints(const std::vector<std::string>& v) -> void {
+auto Node::addPeerHints(const std::vector<std::string>& v) -> void {
     for (auto& a : v)
         if (std::find(hints_.begin(), hints_.end(), a) == hints_.end() && hints_.size() < 64)
             hints_.push_back(a);
@@ -83,12 +83,12 @@
 auto Node::alive(const std::string& n, Microseconds now) const -> bool {
     if (n == me_.node) return true;
     auto i = rows_.find(n);
-    return i != rows_.end() && now - i->second.at < alive_;
+    return i != rows_.end() && now - i->second.lastHeartbeatAt < alive_;
 }
 auto Node::aliveNodes(Microseconds now) const -> std::vector<std::string> {
     auto o = std::vector<std::string>{me_.node};
     for (auto& [n, k] : rows_)
-        if (now - k.at < alive_) o.push_back(n);
+        if (now - k.lastHeartbeatAt < alive_) o.push_back(n);
     std::sort(o.begin(), o.end());
     return o;
 }
@@ -100,7 +100,7 @@
     };
     see(me_);
     for (auto& [n, k] : rows_)
-        if (now - k.at < alive_) see(k.record);
+        if (now - k.lastHeartbeatAt < alive_) see(k.record);
     return b;
 }
 
@@ -174,14 +174,14 @@
     auto b = wire::Heartbeat();
     b.rows.push_back(me_);
     for (auto& [n, k] : rows_)
-        if (now - k.at < FORGET) b.rows.push_back(k.record);
+        if (now - k.lastHeartbeatAt < FORGET_TIMEOUT) b.rows.push_back(k.record);
     for (auto& [n, s] : servers_) {
         b.listings.push_back(s.listing);
-        b.listings.back().age = now - s.told;
-        b.listings.back().cold = std::max<Microseconds>(0, s.coldTill - now);
-        if (s.seen && now - s.seen < SEEN) {
+        b.listings.back().age = now - s.listedAt;
+        b.listings.back().cold = std::max<Microseconds>(0, s.coldUntil - now);
+        if (s.loadReadAt && now - s.loadReadAt < LOAD_MAX_AGE) {
             b.loads.push_back(s.load);
-            b.loads.back().age = now - s.seen;
+            b.loads.back().age = now - s.loadReadAt;
         }
     }
     e.__set_heartbeat(b);
@@ -196,7 +196,7 @@
     me_.wall = wall_;
     me_.acks.clear();
     for (auto& [n, k] : rows_) {
-        if (now - k.at >= FORGET) continue;
+        if (now - k.lastHeartbeatAt >= FORGET_TIMEOUT) continue;
         auto c = wire::HeartbeatAck();
         c.node = n;
         c.boot = k.record.boot;
@@ -257,7 +257,9 @@
     see(me_);
     // Beats that are learnt carry no echoes: there the time is when the row's beat came.
     for (auto& [k, x] : rows_)
-        if (st_.gossip ? now - x.at < alive_ : x.t0 && now - x.t0 <= LEASE) see(x.record);
+        if (st_.gossip ? now - x.lastHeartbeatAt < alive_
+                       : x.acknowledgedSince && now - x.acknowledgedSince <= LEASE_DURATION)
+            see(x.record);
     return v * 2 > voterDisks_.size() || n * 2 > roster_.size();
 }
 
@@ -283,7 +285,7 @@
             n += roster_.count(r.node);
         };
         see(me_, now);
-        for (auto& [k, x] : rows_) see(x.record, x.t0);
+        for (auto& [k, x] : rows_) see(x.record, x.acknowledgedSince);
         return v * 2 > voterDisks_.size() && n * 2 > roster_.size();
     };
     if (!p.begun) {
@@ -341,21 +343,21 @@
 
 // A gap in its own time tells a process that it was frozen.
 auto Node::clock(Microseconds now) -> void {
-    if (now_ && now - now_ > FROZEN) {
+    if (now_ && now - now_ > FREEZE_GAP) {
         wokeAt_ = now;
         ct_.add("woke_total");
     }
     now_ = now;
 }
 
-auto Node::frozenSince(Microseconds arrived, Microseconds now) const -> bool {
-    if (now_ && now - now_ > FROZEN) return true;  // and it has not been noticed yet
+auto Node::wasFrozenSince(Microseconds arrived, Microseconds now) const -> bool {
+    if (now_ && now - now_ > FREEZE_GAP) return true;  // and it has not been noticed yet
     return wokeAt_ && wokeAt_ + RESUME_GRACE > arrived;
 }
 
 auto Node::merge(const wire::Heartbeat& b, const std::string& from, Microseconds now) -> void {
     auto ask = std::string();
-    auto best0 = std::pair(newest().epoch, newest().version);
+    auto best0 = std::pair(newestKnownState().epoch, newestKnownState().version);
     auto best = best0;
     for (auto& r : b.rows) {
         if (r.node.empty() || r.node.size() > 256 || r.peer.size() > 64) continue;
@@ -372,22 +374,23 @@
         auto i = rows_.find(r.node);
         if (i == rows_.end()) {
             if (rows_.size() > 4096) continue;
-            i = rows_.emplace(r.node, Known()).first;
+            i = rows_.emplace(r.node, KnownNode()).first;
             logf("node {} known at {}", r.node, r.peer);
         }
         auto& k = i->second;
         if (std::pair(r.boot, r.heartbeat) <= std::pair(k.record.boot, k.record.heartbeat)) continue;
-        if (k.record.boot != r.boot) k.t0 = 0;
-        if (!k.at || now - k.at >= alive_) ct_.add("node_heard_again_total");
+        if (k.record.boot != r.boot) k.acknowledgedSince = 0;
+        if (!k.lastHeartbeatAt || now - k.lastHeartbeatAt >= alive_) ct_.add("node_heard_again_total");
         k.record = r;
-        k.at = now;
+        k.lastHeartbeatAt = now;
         for (auto& c : r.acks)
             if (c.node == me_.node && c.boot == me_.boot)
-                if (auto s = sentAt_.find(c.heartbeat); s != sentAt_.end()) k.t0 = std::max(k.t0, s->second);
+                if (auto s = sentAt_.find(c.heartbeat); s != sentAt_.end())
+                    k.acknowledgedSince = std::max(k.acknowledgedSince, s->second);
         for (auto& m : r.marks) {
             auto& s = servers_[m.server];
             if (m.revision < s.listing.revision) continue;
-            if (m.revision > s.listing.revision || s.listing.state != LEAVING) s.told = now;
+            if (m.revision > s.listing.revision || s.listing.state != LEAVING) s.listedAt = now;
             s.listing.server = m.server;
             s.listing.revision = m.revision;
             s.listing.state = LEAVING;
@@ -402,8 +405,8 @@
         auto i = servers_.find(l.server);
         if (i == servers_.end()) {
             if (servers_.size() > 4096) continue;
-            i = servers_.emplace(l.server, Server()).first;
-            i->second.first = now;
+            i = servers_.emplace(l.server, KnownServer()).first;
+            i->second.firstSeenAt = now;
         }
         auto& s = i->second;
         // Of the same generation, leaving wins: the mark may have come ahead of the listing.
@@ -411,26 +414,26 @@
             || (l.revision == s.listing.revision && s.listing.state > l.state))
             continue;
         if (l.revision == s.listing.revision && s.listing.state == l.state && !s.listing.address.empty()) {
-            s.told = std::max(s.told, now - l.age);
+            s.listedAt = std::max(s.listedAt, now - l.age);
             continue;
         }
-        if (l.inc != s.listing.inc || s.listing.state == GONE) s.first = now, s.seen = 0;
+        if (l.inc != s.listing.inc || s.listing.state == GONE) s.firstSeenAt = now, s.loadReadAt = 0;
         s.listing = l;
-        s.told = now - l.age;
-        s.coldTill = l.cold > 0 ? now + l.cold : 0;
-        listTold_ = std::max(listTold_, s.told);
+        s.listedAt = now - l.age;
+        s.coldUntil = l.cold > 0 ? now + l.cold : 0;
+        listTold_ = std::max(listTold_, s.listedAt);
     }
     // What lay unheard while this process was frozen is older than it says. What its teller
     // wrote after hearing this node awake is not.
     auto teller = rows_.find(from);
-    auto dated = !wokeAt_ || (teller != rows_.end() && teller->second.t0 >= wokeAt_);
+    auto dated = !wokeAt_ || (teller != rows_.end() && teller->second.acknowledgedSince >= wokeAt_);
     for (auto& d : b.loads) {
         if (!dated) break;
         auto i = servers_.find(d.server);
         if (i == servers_.end() || d.age < 0) continue;
-        if (auto t = now - d.age; t > i->second.seen) {
+        if (auto t = now - d.age; t > i->second.loadReadAt) {
             i->second.load = d;
-            i->second.seen = t;
+            i->second.loadReadAt = t;
         }
     }
     // A gap in the news is closed by pulling it from the one who is known to hold it.
@@ -621,7 +624,7 @@
         auto inc = jsInt(v, "incarnation");
         auto was = s.listing.state;
         if (s.listing.server.empty() || s.listing.inc != inc || s.listing.state == GONE)
-            s.first = now, s.seen = 0;
+            s.firstSeenAt = now, s.loadReadAt = 0;
         s.listing.server = n;
         s.listing.address = jsStr(v, "address");
         s.listing.region = jsStr(v, "region");
@@ -632,8 +635,8 @@
         s.listing.state = jsStr(v, "state", "up") == "up" ? UP : LEAVING;
         s.listing.inc = inc;
         s.listing.revision = g;
-        s.told = now;
-        s.coldTill = v.HasMember("coldUs") ? now + jsInt(v, "coldUs") : 0;
+        s.listedAt = now;
+        s.coldUntil = v.HasMember("coldUs") ? now + jsInt(v, "coldUs") : 0;
         if (s.listing.state == LEAVING && was != LEAVING) {
             auto m = wire::DrainMark();
             m.server = n;
@@ -650,7 +653,7 @@
                 w.ms.push_back(m);
                 s.listing.state = LEAVING;
                 s.listing.revision = g;
-                s.told = now;
+                s.listedAt = now;
             }
         }
     listTold_ = now;
@@ -671,7 +674,7 @@
         logf("server {} is leaving", n);
     }
     i->second.listing.revision = g;
-    i->second.told = now;
+    i->second.listedAt = now;
     auto m = wire::DrainMark();
     m.server = n;
     m.revision = i->second.listing.revision;
@@ -682,21 +685,21 @@
     waits_.push_back({id, {m}, now + 3 * SECOND, {}});
 }
 
-auto Node::loadSeen(const std::string& n, bool ok, bool refused, const wire::ServerLoad& d, Microseconds now)
-    -> void {
+auto Node::probeFinished(
+    const std::string& n, bool ok, bool refused, const wire::ServerLoad& d, Microseconds now) -> void {
     auto i = servers_.find(n);
     if (i == servers_.end()) return;
     auto& s = i->second;
-    s.misses = ok ? 0 : s.misses + 1;
-    if (!ok && !refused && s.misses < 2) return;
+    s.failedProbes = ok ? 0 : s.failedProbes + 1;
+    if (!ok && !refused && s.failedProbes < 2) return;
     auto dark = !ok;
-    if (s.seen && s.load.dark != dark) logf("server {} is {}", n, dark ? "dark" : "back");
-    if (ok && s.seen && s.load.boot != d.boot) s.first = now;
+    if (s.loadReadAt && s.load.dark != dark) logf("server {} is {}", n, dark ? "dark" : "back");
+    if (ok && s.loadReadAt && s.load.boot != d.boot) s.firstSeenAt = now;
     if (ok) s.load = d;
     s.load.server = n;
     s.load.dark = dark;
     s.load.watcher = me_.node;
-    s.seen = now;
+    s.loadReadAt = now;
 }
 
 // ---- time
@@ -723,16 +726,16 @@
     auto look = !st_.gossip || now >= lookAt_;
     if (look) lookAt_ = now + 50 * MILLISECOND;
     for (auto i = rows_.begin(); look && i != rows_.end();)
-        // Told on for FORGET, kept for longer: what has been dropped is not learnt anew from one
+        // Told on for FORGET_TIMEOUT, kept for longer: what has been dropped is not learnt anew from one
         // that was told of it last.
-        if (now - i->second.at >= 4 * FORGET) {
+        if (now - i->second.lastHeartbeatAt >= 4 * FORGET_TIMEOUT) {
             logf("node {} forgotten", i->first);
             i = rows_.erase(i);
         } else ++i;
     for (auto i = servers_.begin(); look && i != servers_.end();) {
         auto& s = i->second;
-        auto lim = s.listing.state != UP ? MARKED : st_.gossip ? INT64_MAX : LISTED;
-        if (now - s.told >= lim) {
+        auto lim = s.listing.state != UP ? DRAIN_MARK_TIMEOUT : st_.gossip ? INT64_MAX : LISTING_TIMEOUT;
+        if (now - s.listedAt >= lim) {
             logf("server {} lapsed from the listing", i->first);
             ct_.add("listings_lapsed_total");
             // Who holds an older listing does not know that it left: it is told the whole.
@@ -750,7 +753,7 @@
         bookAt_ = now;
         auto v = std::vector<std::string>();
         for (auto& [n, k] : rows_) v.push_back(k.record.peer);
-        if (!v.empty() && v != booked_) po_.book(booked_ = v);
+        if (!v.empty() && v != booked_) po_.savePeerHints(booked_ = v);
     }
     me_.ready = ready(now);
     if (auto f = withinLease(now); f != wasWithinLease_) {
@@ -797,13 +800,14 @@
         else if (vt_->leads()) {
             auto of = std::vector<std::pair<std::string, std::string>>();
             for (auto& [n, k] : rows_)
-                if (now - k.at < alive_ && !k.record.disk.empty() && !voterDisks_.count(k.record.disk))
+                if (now - k.lastHeartbeatAt < alive_ && !k.record.disk.empty()
+                    && !voterDisks_.count(k.record.disk))
                     of.emplace_back(n, k.record.disk);
             vt_->setSpareDisks(of);
         }
         auto un = std::vector<std::string>();
         for (auto& [n, k] : rows_)
-            if (now - k.at < alive_ && k.record.blank && voterDisks_.count(k.record.disk))
+            if (now - k.lastHeartbeatAt < alive_ && k.record.blank && voterDisks_.count(k.record.disk))
                 un.push_back(k.record.disk);
         vt_->setBlankVoters(un);
         fire(now, wall);
@@ -828,7 +832,8 @@
     if (!vt_->ready() || now - firedAt_ < 500 * MILLISECOND) return;
     auto ws = std::vector<Microseconds>{wall};
     for (auto& [n, k] : rows_)
-        if (now - k.at < alive_) ws.push_back(k.record.wall + (now - (st_.gossip ? k.told : k.at)));
+        if (now - k.lastHeartbeatAt < alive_)
+            ws.push_back(k.record.wall + (now - (st_.gossip ? k.recordAt : k.lastHeartbeatAt)));
     std::nth_element(ws.begin(), ws.begin() + std::ptrdiff_t(ws.size() / 2), ws.end());
     auto m = ws[ws.size() / 2];
     for (auto& [id, at] : vt_->latestState().scheduledOperations())
@@ -891,7 +896,7 @@
     // Rebuild. A seat counts as lost only when its machine is there with another disk. Where
     // a disk of the old reign survives it is the one that rebuilds, and so leaves that
     // reign in the same step: no majority of it, nor of a change under way, can act again.
-    auto best = std::pair(newest().epoch, newest().version);
+    auto best = std::pair(newestKnownState().epoch, newestKnownState().version);
     auto lostSeat = std::string(), keptSeat = std::string();
     auto lost = std::size_t(0);
     for (auto& v : top) {
@@ -911,7 +916,7 @@
     };
     see(me_);
     for (auto& [k, x] : rows_)
-        if (x.t0 && now - x.t0 <= LEASE) see(x.record);
+        if (x.acknowledgedSince && now - x.acknowledgedSince <= LEASE_DURATION) see(x.record);
     auto dead = lost * 2 > top.size() || (lost * 2 == top.size() && !keptSeat.empty());
     auto by = keptSeat.empty() ? lostSeat : keptSeat;
     if (!dead || by != me_.node || newer || n * 2 <= roster_.size()) {
@@ -924,7 +929,7 @@
     beginEpochFromNewest(now);
 }
 
-auto Node::newest() const -> const ReplicatedState& {
+auto Node::newestKnownState() const -> const ReplicatedState& {
     return std::pair(heard_.epoch, heard_.version)
             > std::pair(replicatedState_.epoch, replicatedState_.version)
         ? heard_
@@ -933,7 +938,7 @@
 
 // A new reign on this disk and on those that sit in the seats now, from the newest word known.
 auto Node::beginEpochFromNewest(Microseconds now) -> void {
-    auto w = newest();
+    auto w = newestKnownState();
     auto vs = std::vector<VoterIdentity>();
     auto term = me_.term;
     for (auto& v : w.voters())
@@ -943,7 +948,8 @@
     if (std::none_of(vs.begin(), vs.end(), [&](auto& x) { return x.disk == me_.disk; }))
         vs.push_back({me_.node, me_.disk});
     for (auto& [k, x] : rows_)
-        if (st_.gossip ? now - x.at < alive_ : x.t0 && now - x.t0 <= LEASE)
+        if (st_.gossip ? now - x.lastHeartbeatAt < alive_
+                       : x.acknowledgedSince && now - x.acknowledgedSince <= LEASE_DURATION)
             term = std::max(term, x.record.term);
     w.beginEpoch(
         (w.epoch / EPOCH_STRIDE + 1) * EPOCH_STRIDE + std::int64_t(hash64(me_.disk) % EPOCH_STRIDE), vs);
@@ -956,12 +962,12 @@
     auto no = [&](const std::string& why) {
         ct_.add("rescues_denied_total");
         return Outcome{409,
-            bodyOf({{"error", jsQuote(why)}, {"reign", fmt::to_string(newest().epoch)},
-                {"generation", fmt::to_string(newest().version)}})};
+            bodyOf({{"error", jsQuote(why)}, {"reign", fmt::to_string(newestKnownState().epoch)},
+                {"generation", fmt::to_string(newestKnownState().version)}})};
     };
     if (!vt_) return no("no disk here; give this to a core, which takes the newest word it hears of");
-    if (newest().version == 0) return no("nothing is held here");
-    if (std::pair(epoch, version) != std::pair(newest().epoch, newest().version))
+    if (newestKnownState().version == 0) return no("nothing is held here");
+    if (std::pair(epoch, version) != std::pair(newestKnownState().epoch, newestKnownState().version))
         return no("this is not what is held here");
     if (!leaderNode(now).empty() || (st_.gossip ? counted(now, false) : withinLease(now)))
         return no("a majority stands: there is a leader");
@@ -974,7 +980,7 @@
     };
     see(me_);
     for (auto& [k, x] : rows_)
-        if (now - x.at < alive_) see(x.record);
+        if (now - x.lastHeartbeatAt < alive_) see(x.record);
     if (disks * 2 > voterDisks_.size()) return no("a majority of the disks stands; they elect a leader");
     if (nodes * 2 > roster_.size()) return no("a majority of the nodes stands; they rebuild by themselves");
     if (!newer.empty()) return no(newer + " holds a newer word; it comes here by itself");
@@ -997,12 +1003,12 @@
     else sendHeartbeat(now, true);
 }
 
-auto Node::seatHandedOver(Microseconds now) const -> bool {
+auto Node::voteHandedOver(Microseconds now) const -> bool {
     if (!st_.gossip || !vt_ || vt_->blank() || !voterDisks_.count(me_.disk)) return true;
     return std::none_of(rows_.begin(), rows_.end(), [&](auto& known) {
         auto& r = known.second.record;
         auto voter = voterDisks_.count(r.disk) > 0;
-        return now - known.second.at < alive_ && !r.disk.empty() && !r.stopping && !voter;
+        return now - known.second.lastHeartbeatAt < alive_ && !r.disk.empty() && !r.stopping && !voter;
     });
 }
 
@@ -1020,7 +1026,7 @@
 }
 auto Node::voterWrite(const DiskWrite& w) -> void { po_.disk(w); }
 
-auto Node::creditGrant(const std::string& n, std::int64_t c, Microseconds) -> void {
+auto Node::grantCredit(const std::string& n, std::int64_t c, Microseconds) -> void {
     auto r = row(n);
     if (!r) return;
     auto e = env();
@@ -1056,20 +1062,20 @@
                 {"credit", fmt::to_string(r.credit)}});
     };
     put(me_, 0, now);
-    for (auto& [n, k] : rows_) put(k.record, now - k.at, k.t0);
+    for (auto& [n, k] : rows_) put(k.record, now - k.lastHeartbeatAt, k.acknowledgedSince);
     for (auto& [n, s] : servers_) {
-        auto l = s.seen && now - s.seen < SEEN
+        auto l = s.loadReadAt && now - s.loadReadAt < LOAD_MAX_AGE
             ? bodyOf({{"prefill", fmt::to_string(s.load.prefill)}, {"decode", fmt::to_string(s.load.decode)},
                 {"slots", fmt::to_string(s.load.slots)}, {"dark", s.load.dark ? "true" : "false"},
-                {"watcher", jsQuote(s.load.watcher)}, {"ageUs", fmt::to_string(now - s.seen)}})
+                {"watcher", jsQuote(s.load.watcher)}, {"ageUs", fmt::to_string(now - s.loadReadAt)}})
             : std::string("null");
         ss += (ss.empty() ? "" : ",")
             + bodyOf({{"server", jsQuote(n)}, {"address", jsQuote(s.listing.address)},
                 {"region", jsQuote(s.listing.region)}, {"district", jsQuote(s.listing.zone)},
                 {"pool", jsQuote(s.listing.serviceName)}, {"weights", jsQuote(s.listing.weights)},
                 {"state", jsQuote(stateName(s.listing.state))},
-                {"generation", fmt::to_string(s.listing.revision)}, {"toldUs", fmt::to_string(now - s.told)},
-                {"occupancy", l}});
+                {"generation", fmt::to_string(s.listing.revision)},
+                {"toldUs", fmt::to_string(now - s.listedAt)}, {"occupancy", l}});
     }
     auto t = tree(now);
     auto tr = std::string();
@@ -1118,7 +1124,7 @@
     for (auto lim : {late_, alive_})
         if (lim == late_ || v.empty())
             for (auto& [n, k] : rows_)
-                if (now - k.at < lim) see(k.record);
+                if (now - k.lastHeartbeatAt < lim) see(k.record);
     auto key = rg + "/" + zone + fmt::to_string(now / SECOND);  // callers are spread
     std::sort(v.begin(), v.end(), [&](auto& a, auto& b) {
         return a.first != b.first ? a.first < b.first : rank(key, a.second->node) > rank(key, b.second->node);
@@ -1174,8 +1180,8 @@
     if (n == me_.node) return me_;
     auto& k = rows_.at(n);
     auto r = k.record;
-    r.wall += now - k.told;
-    r.age = now - k.at;
+    r.wall += now - k.recordAt;
+    r.age = now - k.lastHeartbeatAt;
     return r;
 }
 
@@ -1207,7 +1213,7 @@
     put(me_);
     if (!own) {
         for (auto& [x, k] : rows_)
-            if (x != n && now - k.at < alive_ && (whole || k.from != n)) put(k.record);
+            if (x != n && now - k.lastHeartbeatAt < alive_ && (whole || k.heardFrom != n)) put(k.record);
         for (auto i = t.rows.begin(); i != t.rows.end();)
             if (i->first != me_.node && !rows_.count(i->first)) i = t.rows.erase(i);
             else ++i;
@@ -1224,16 +1230,17 @@
             for (auto& [x, s] : servers_)
                 if (s.listing.revision > base) {
                     b.listings.push_back(s.listing);
-                    b.listings.back().age = now - s.told;
-                    b.listings.back().cold = std::max<Microseconds>(0, s.coldTill - now);
+                    b.listings.back().age = now - s.listedAt;
+                    b.listings.back().cold = std::max<Microseconds>(0, s.coldUntil - now);
                 }
             t.saidNo = listNo_;
             t.saidAt = now;
         }
         for (auto& [x, s] : servers_)
-            if (s.seen && now - s.seen < SEEN && s.heard > t.loads && (whole || s.from != n)) {
+            if (s.loadReadAt && now - s.loadReadAt < LOAD_MAX_AGE && s.loadHeardAt > t.loads
+                && (whole || s.loadHeardFrom != n)) {
                 b.loads.push_back(s.load);
-                b.loads.back().age = now - s.seen;
+                b.loads.back().age = now - s.loadReadAt;
             }
         t.loads = now;
     }
@@ -1286,11 +1293,11 @@
     if (vt_)
         for (auto& [n, k] : rows_)
             if (!to.count(n) && !k.record.disk.empty()
-                && (now - k.at < alive_ || voterDisks_.count(k.record.disk)))
+                && (now - k.lastHeartbeatAt < alive_ || voterDisks_.count(k.record.disk)))
                 gossipHeartbeat(n, false, true, now);
     // Whoever is out of touch asks the leader, seeds and hints in turn for all they know.
     auto led = leaderNode(now);
-    auto silent = !p.empty() && now - std::max(rows_.at(p).direct, parentSince_) > heartbeat_ * 5 / 2;
+    auto silent = !p.empty() && now - std::max(rows_.at(p).lastDirectAt, parentSince_) > heartbeat_ * 5 / 2;
     if (led.empty() || silent) {
         auto v = places();
         auto n = aliveNodes(now).size() < 2 ? 3 : 1;
@@ -1313,7 +1320,7 @@
     auto list = gossipListing(b, e.node, now);
     auto k = rows_.find(e.node);
     if (k == rows_.end()) return;
-    k->second.direct = now;
+    k->second.lastDirectAt = now;
     auto news = list || led_ != led;
     auto i = told_.find(e.node);
     if (b.fullAsk) {
@@ -1333,14 +1340,14 @@
 }
 
 auto Node::gossipRecords(const wire::Heartbeat& b, const std::string& from, Microseconds now) -> void {
-    auto seen = [&](Known& k, std::int64_t heartbeat) {
-        if (now - k.at >= alive_) {
+    auto seen = [&](KnownNode& k, std::int64_t heartbeat) {
+        if (now - k.lastHeartbeatAt >= alive_) {
             ct_.add("node_heard_again_total");
             treeAt_ = 0;
         }
         k.record.heartbeat = heartbeat;
-        k.at = now;
-        k.from = from;
+        k.lastHeartbeatAt = now;
+        k.heardFrom = from;
     };
     auto self = [&](std::int64_t boot, std::int64_t heartbeat, const std::string& peer) {
         if (std::pair(boot, heartbeat) <= std::pair(me_.boot, me_.heartbeat)) return;
@@ -1359,7 +1366,7 @@
         auto first = i == rows_.end();
         if (first) {
             if (rows_.size() >= 4096) continue;
-            i = rows_.emplace(r.node, Known()).first;
+            i = rows_.emplace(r.node, KnownNode()).first;
             logf("node {} known at {}", r.node, r.peer);
         }
         auto& k = i->second;
@@ -1368,18 +1375,18 @@
             == std::tie(k.record.boot, k.record.heartbeat, k.record.version))
             continue;
         if (k.record.boot != r.boot) {
-            k.first = now;
+            k.firstSeenAt = now;
             if (!first) told_.erase(r.node);
         }
-        auto at = k.at;
+        auto at = k.lastHeartbeatAt;
         auto newer = std::pair(r.boot, r.heartbeat) > std::pair(k.record.boot, k.record.heartbeat);
         auto led = k.record.leader || r.leader;
         k.record = r;
-        k.told = now;
+        k.recordAt = now;
         if (newer) seen(k, r.heartbeat);
         // Of one that was unknown it counts how long ago it was heard.
-        if (first) k.at = now - std::max<Microseconds>(0, r.age);
-        else if (!newer) k.at = at;
+        if (first) k.lastHeartbeatAt = now - std::max<Microseconds>(0, r.age);
+        else if (!newer) k.lastHeartbeatAt = at;
         if (led) led_ = leaderNode(now);
         if (first || led) treeAt_ = 0;
         // A gap in the news that the tree does not close by itself is closed by pulling.
@@ -1421,7 +1428,7 @@
 
 auto Node::gossipList(std::int64_t id, const rapidjson::Document& d, Microseconds now) -> void {
     // One that was superseded meanwhile may hold a listing older than what the others have.
-    if (!duty(now) || (vt_ && vt_->leads() && vt_->term() < (listNo_ >> 34)))
+    if (!hasSingletonDuty(now) || (vt_ && vt_->leads() && vt_->term() < (listNo_ >> 34)))
         return po_.done(id, {409, bodyOf({{"error", jsQuote("another node does this duty now")}})});
     auto g = std::int64_t(0);
     auto no = [&] { return g ? g : g = raiseList(now); };
@@ -1441,21 +1448,21 @@
         l.state = jsStr(v, "state", "up") == "up" ? UP : LEAVING;
         l.inc = jsInt(v, "incarnation");
         auto cold = jsInt(v, "coldUs") > 0 ? now + jsInt(v, "coldUs") : 0;
-        auto was = s.coldTill > now ? s.coldTill : 0;
+        auto was = s.coldUntil > now ? s.coldUntil : 0;
         auto same = l == s.listing && std::abs(cold - was) < SECOND;
-        s.told = now;
+        s.listedAt = now;
         if (same && !s.listing.server.empty()) continue;
         if (s.listing.server.empty() || s.listing.inc != l.inc || s.listing.state == GONE)
-            s.first = now, s.seen = 0;
+            s.firstSeenAt = now, s.loadReadAt = 0;
         s.listing = l;
         s.listing.revision = no();
-        s.coldTill = cold;
+        s.coldUntil = cold;
     }
     for (auto& [n, s] : servers_)
         if (!has.count(n) && s.listing.state == UP) {
             s.listing.state = LEAVING;
             s.listing.revision = no();
-            s.told = now;
+            s.listedAt = now;
         }
     if (!listNo_) no();  // an empty listing is one too
     listTold_ = now;
@@ -1473,11 +1480,11 @@
         if (wokeAt_ && now - wokeAt_ < SECOND) break;
         auto i = servers_.find(d.server);
         if (i == servers_.end() || d.age < 0) continue;
-        if (auto t = now - d.age; t > i->second.seen) {
+        if (auto t = now - d.age; t > i->second.loadReadAt) {
             i->second.load = d;
-            i->second.seen = t;
-            i->second.heard = now;
-            i->second.from = from;
+            i->second.loadReadAt = t;
+            i->second.loadHeardAt = now;
+            i->second.loadHeardFrom = from;
         }
     }
     if (b.listBase < 0 || b.listNo <= listNo_ || (b.listBase && b.listBase != listNo_)) return false;
@@ -1488,10 +1495,10 @@
         if (!servers_.count(l.server) && servers_.size() >= 4096) continue;
         auto& s = servers_[l.server];
         if (s.listing.server.empty() || l.inc != s.listing.inc || s.listing.state == GONE)
-            s.first = now, s.seen = 0;
+            s.firstSeenAt = now, s.loadReadAt = 0;
         s.listing = l;
-        s.told = now - std::max<Microseconds>(0, l.age);
-        s.coldTill = l.cold > 0 ? now + l.cold : 0;
+        s.listedAt = now - std::max<Microseconds>(0, l.age);
+        s.coldUntil = l.cold > 0 ? now + l.cold : 0;
     }
     if (!b.listBase) {
         for (auto i = servers_.begin(); i != servers_.end();)
@@ -1508,7 +1515,7 @@
 
 // ---- duties and seats, where membership is learnt
 
-auto Node::duty(Microseconds now) const -> bool {
+auto Node::hasSingletonDuty(Microseconds now) const -> bool {
     if (vt_ && vt_->leads()) return now - vt_->quorumAt() < SECOND;
     // After a start of all at once there is no leader yet, and nobody has a listing: each core that has
     // none asks for it, and the root of what is known by then doesn't wait for the election.
@@ -1530,7 +1537,7 @@
     auto near = -1;
     for (auto& [n, k] : rows_) {
         auto& r = k.record;
-        if (now - k.at >= alive_
+        if (now - k.lastHeartbeatAt >= alive_
             || std::pair(r.epoch, r.stateVersion)
                 <= std::pair(replicatedState_.epoch, replicatedState_.version))
             continue;
@@ -1556,7 +1563,7 @@
     for (auto& a : st_.seeds) {
         auto r = a == me_.peer ? &me_ : nullptr;
         for (auto& [n, k] : rows_)
-            if (k.record.peer == a && now - k.at < alive_) r = &k.record;
+            if (k.record.peer == a && now - k.lastHeartbeatAt < alive_) r = &k.record;
         if (!r) return;
         if (founder.empty() && !r->disk.empty()) founder = r->node;
     }
@@ -1566,7 +1573,7 @@
     by[me_.zone].push_back({me_.node, me_.disk});
     for (auto& [x, k] : rows_) {
         if (k.record.stateVersion > 0) return;
-        if (now - k.at >= alive_ || k.record.disk.empty() || !k.record.blank) continue;
+        if (now - k.lastHeartbeatAt >= alive_ || k.record.disk.empty() || !k.record.blank) continue;
         by[k.record.zone].push_back({x, k.record.disk});
         n++;
     }
@@ -1597,10 +1604,11 @@
     auto of = std::vector<std::pair<std::string, std::string>>();
     if (vt_->leads()) {
         auto vs = vt_->voters();
-        auto spare = std::vector<const Known*>();
+        auto spare = std::vector<const KnownNode*>();
         for (auto& [n, k] : rows_)
-            if (now - k.at < alive_ && now - k.first >= 500 * MILLISECOND && !k.record.disk.empty()
-                && !k.record.stopping && (k.record.blank || k.record.term <= vt_->term())
+            if (now - k.lastHeartbeatAt < alive_ && now - k.firstSeenAt >= 500 * MILLISECOND
+                && !k.record.disk.empty() && !k.record.stopping
+                && (k.record.blank || k.record.term <= vt_->term())
                 && std::none_of(vs.begin(), vs.end(), [&](auto& v) { return v.disk == k.record.disk; }))
                 spare.push_back(&k);
         auto where = std::map<std::string, int>();  // districts of the voters that live
@@ -1610,22 +1618,22 @@
             auto r = v.disk == me_.disk ? &me_ : nullptr;
             for (auto& [n, k] : rows_)
                 if (k.record.disk == v.disk) {
-                    at = std::max(at, k.at);
+                    at = std::max(at, k.lastHeartbeatAt);
                     r = &k.record;
                 }
             // Its machine is there with another disk: the old one does not come back.
             auto own = row(v.node);
             auto swapped = own && alive(v.node, now) && !r && !own->disk.empty();
-            if (v.disk != me_.disk && (swapped || now - at >= SEAT_LOST)) lost.push_back(v.node);
+            if (v.disk != me_.disk && (swapped || now - at >= VOTER_LOST_TIMEOUT)) lost.push_back(v.node);
             else if (v.disk != me_.disk && r && r->stopping) leaving.push_back(v.node);
             else if (r) where[r->zone]++;
         }
         lost.insert(lost.end(), leaving.begin(), leaving.end());
         for (auto& s : lost) {
-            auto best = static_cast<const Known*>(nullptr);
-            auto key = [&](const Known* k) {
+            auto best = static_cast<const KnownNode*>(nullptr);
+            auto key = [&](const KnownNode* k) {
                 return std::tuple(
-                    k->record.node == s, -where[k->record.zone], k->record.blank, k->first * -1);
+                    k->record.node == s, -where[k->record.zone], k->record.blank, k->firstSeenAt * -1);
             };
             for (auto k : spare)
                 if (!best || key(k) > key(best)) best = k;
--- a/src/membership/node.hpp
+++ b/src/membership/node.hpp
@@ -20,24 +20,26 @@
 
 namespace duneturn {
 
-constexpr Microseconds HEARTBEAT = 200 * MILLISECOND;  // how often a node speaks of itself
-constexpr Microseconds LEASE = 2 * SECOND;          // how old the proof may be that the newest word is held
-constexpr Microseconds ALIVE = 1500 * MILLISECOND;  // silence after which a node is thought gone
-constexpr Microseconds LATE = 800 * MILLISECOND;    // silence after which senders are not sent to a node
-constexpr Microseconds FORGET = 30 * SECOND;        // silence after which a node's row is dropped
-constexpr Microseconds LISTED = 15 * SECOND;        // a listing not told again for this long lapses
-constexpr Microseconds MARKED = 60 * SECOND;        // a leaving mark not told again for this long lapses
+constexpr Microseconds ROSTER_HEARTBEAT = 200 * MILLISECOND;  // how often a node speaks of itself
+constexpr Microseconds LEASE_DURATION = 2 * SECOND;  // how old the proof may be that the newest word is held
+constexpr Microseconds ALIVE_TIMEOUT = 1500 * MILLISECOND;  // silence after which a node is thought gone
+constexpr Microseconds LATE_TIMEOUT =
+    800 * MILLISECOND;                                 // silence after which senders are not sent to a node
+constexpr Microseconds FORGET_TIMEOUT = 30 * SECOND;   // silence after which a node's row is dropped
+constexpr Microseconds LISTING_TIMEOUT = 15 * SECOND;  // a listing not told again for this long lapses
+constexpr Microseconds DRAIN_MARK_TIMEOUT =
+    60 * SECOND;                             // a leaving mark not told again for this long lapses
 constexpr std::int64_t EPOCH_STRIDE = 1024;  // a reign's number is its count times this, plus who began it
-constexpr Microseconds FROZEN = 1 * SECOND;  // a process that sees so long a gap in its time was frozen
+constexpr Microseconds FREEZE_GAP = 1 * SECOND;  // a process that sees so long a gap in its time was frozen
 constexpr Microseconds RESUME_GRACE =
     300 * MILLISECOND;  // after a freeze, requests that came in it are read within this
-constexpr Microseconds STALE =
+constexpr Microseconds LOAD_STALE_AFTER =
     1 * SECOND;  // a load older than this tells nothing of whether it is the same life
-constexpr Microseconds SEEN = 3 * SECOND;  // a load report older than this is not believed
+constexpr Microseconds LOAD_MAX_AGE = 3 * SECOND;  // a load report older than this is not believed
 constexpr Microseconds GOSSIP_HEARTBEAT =
     500 * MILLISECOND;  // how often a node speaks of itself where membership is learnt
 constexpr Microseconds TRANSFER_RETRY = 2 * SECOND;  // a stopping leader's next try to transfer leadership
-constexpr Microseconds SEAT_LOST =
+constexpr Microseconds VOTER_LOST_TIMEOUT =
     2500 * MILLISECOND;  // learnt: silence after which a voter's seat is given to a spare disk
 
 enum State { UP = 0, LEAVING = 1, GONE = 2 };
@@ -49,31 +51,33 @@
     /// The outcome of an operator's or the platform's request of this node.
     virtual auto done(std::int64_t id, const Outcome& o) -> void = 0;
     /// Keeps the peers' addresses beside the store, as hints for a start after a total loss.
-    virtual auto book(const std::vector<std::string>& addrs) -> void = 0;
+    virtual auto savePeerHints(const std::vector<std::string>& addrs) -> void = 0;
     /// Asks a watched server for its load.
     virtual auto probe(const std::string& server, const std::string& addr) -> void = 0;
 };
 
-struct Known {
+struct KnownNode {
     wire::NodeRecord record;
-    Microseconds at = 0;  // when its newest beat came
-    Microseconds t0 = 0;  // when that beat of ours was sent which it had heard by then
-    // Learnt membership: when this life was first heard of, when the row itself came, when the node
-    // last spoke to this one, and who told of its newest beat.
-    Microseconds first = 0, told = 0, direct = 0;
-    std::string from;
+    Microseconds lastHeartbeatAt = 0;  // when the newest heartbeat of the node came, by any path
+    Microseconds acknowledgedSince =
+        0;  // roster: when that heartbeat of ours was sent which it had heard by then
+    // Membership by gossip only:
+    Microseconds firstSeenAt = 0;   // when this life of the node was first heard of
+    Microseconds recordAt = 0;      // when the record itself came
+    Microseconds lastDirectAt = 0;  // when the node last spoke to this one
+    std::string heardFrom;          // who passed on its newest heartbeat
 };
 
-struct Server {
+struct KnownServer {
     wire::ServerListing listing;
-    Microseconds told = 0;   // when the platform last told of it, as far as known here
-    Microseconds first = 0;  // when this life of it was first heard of
+    Microseconds listedAt = 0;     // when the platform last listed it, as far as known here
+    Microseconds firstSeenAt = 0;  // when this life of it was first heard of
     wire::ServerLoad load;
-    Microseconds seen = 0;  // when the load was read; 0 if never
-    int misses = 0;
-    Microseconds coldTill = 0;  // as the platform told, on this node's clock; 0 if it did not
-    Microseconds heard = 0;     // when the load came here
-    std::string from;           // who told the load
+    Microseconds loadReadAt = 0;   // when the load was read at the server; 0 if never
+    int failedProbes = 0;          // in a row, by this node
+    Microseconds coldUntil = 0;    // as the platform said, on the clock of this node; 0 if it did not
+    Microseconds loadHeardAt = 0;  // when the load came here
+    std::string loadHeardFrom;     // who passed the load on
 };
 
 struct Node : VoterPort, OrderServicePort, OrderClientPort {
@@ -83,12 +87,12 @@
     /// Makes this a core: what its disk holds, and the identity to take if that is nothing.
     auto startCore(const DiskState& s, const std::string& newDiskId, Microseconds now) -> void;
     /// Addresses kept by an earlier life; tried beside the seeds.
-    auto hints(const std::vector<std::string>& addrs) -> void;
+    auto addPeerHints(const std::vector<std::string>& addrs) -> void;
     auto tick(Microseconds now, Microseconds wall) -> void;
     auto handle(const wire::Envelope& e, Microseconds now) -> void;
     auto diskDone(std::int64_t seq, bool ok, Microseconds now) -> void;
     /// What a probe brought; `refused`: the server said itself that nobody is there.
-    auto loadSeen(const std::string& server, bool ok, bool refused, const wire::ServerLoad& d,
+    auto probeFinished(const std::string& server, bool ok, bool refused, const wire::ServerLoad& d,
         Microseconds now) -> void;
 
     /// May this node act on the word and the marks it holds? Asked at the moment of acting.
@@ -96,16 +100,16 @@
     auto ready(Microseconds now) const -> bool;
     /// Whether this process was stopped for long at or after `arrived`, or so shortly before it that what
     /// arrived by then may have lain unread meanwhile.
-    auto frozenSince(Microseconds arrived, Microseconds now) const -> bool;
+    auto wasFrozenSince(Microseconds arrived, Microseconds now) const -> bool;
     /// Begins a planned stop: leadership is transferred, others send no more here, and a voter's
     /// seat passes to a spare disk.
     auto leave(Microseconds now) -> void;
     /// Whether a planned stop may end as far as the replicated log is concerned: this disk does
     /// not vote any more, or there is no spare disk that could take its seat.
-    auto seatHandedOver(Microseconds now) const -> bool;
+    auto voteHandedOver(Microseconds now) const -> bool;
     /// Does this node do the fleet's single duties now? The leader does, or, when none was
     /// heard for 2 s, the root of the relays' tree.
-    auto duty(Microseconds now) const -> bool;
+    auto hasSingletonDuty(Microseconds now) const -> bool;
 
     /// An operator's order or readback; answered through NodePort::done.
     auto order(std::int64_t id, const std::string& op, const std::string& key, const std::string& body,
@@ -117,22 +121,22 @@
     /// The last resort when disks and nodes have lost their majorities: see node.cpp.
     auto rescue(std::int64_t epoch, std::int64_t version, Microseconds now) -> Outcome;
     /// The newest word held here or heard of.
-    auto newest() const -> const ReplicatedState&;
+    auto newestKnownState() const -> const ReplicatedState&;
     /// The platform's whole listing, and one server marked as leaving. The platform numbers
     /// what it says (`revision`), so that what is held up on its way undoes nothing newer.
     auto list(std::int64_t id, const std::string& body, Microseconds now) -> void;
     auto mark(std::int64_t id, const std::string& server, std::int64_t revision, Microseconds now) -> void;
 
     auto replicatedState() const -> const ReplicatedState& { return replicatedState_; }
-    auto rows() const -> const std::map<std::string, Known>& { return rows_; }
-    auto servers() const -> const std::map<std::string, Server>& { return servers_; }
-    auto me() const -> const wire::NodeRecord& { return me_; }
+    auto nodes() const -> const std::map<std::string, KnownNode>& { return rows_; }
+    auto servers() const -> const std::map<std::string, KnownServer>& { return servers_; }
+    auto ownRecord() const -> const wire::NodeRecord& { return me_; }
     auto settings() const -> const Settings& { return st_; }
     auto voter() -> Voter* { return vt_.get(); }
     auto alive(const std::string& node, Microseconds now) const -> bool;
     auto aliveNodes(Microseconds now) const -> std::vector<std::string>;
     auto leaderNode(Microseconds now) const -> std::string;
-    auto creditGrant(const std::string& node, std::int64_t credit, Microseconds now) -> void;
+    auto grantCredit(const std::string& node, std::int64_t credit, Microseconds now) -> void;
     auto setCredit(std::int64_t c, std::int64_t want) -> void;
     /// A grant that another node gave to this one, taken once.
     std::function<void(std::int64_t)> onGrant;
@@ -226,8 +230,8 @@
     Counters& ct_;
     Rng rng_;
     wire::NodeRecord me_;
-    std::map<std::string, Known> rows_;
-    std::map<std::string, Server> servers_;
+    std::map<std::string, KnownNode> rows_;
+    std::map<std::string, KnownServer> servers_;
     std::map<std::int64_t, Microseconds> sentAt_;
     ReplicatedState replicatedState_;
     ReplicatedState heard_;  // a voter's: a newer word than its disk holds, kept for a rebuild only
@@ -245,7 +249,7 @@
     Microseconds bookAt_ = 0;
     std::size_t seed_ = 0;
     bool wasWithinLease_ = false;
-    Microseconds heartbeat_ = HEARTBEAT, alive_ = ALIVE, late_ = LATE;
+    Microseconds heartbeat_ = ROSTER_HEARTBEAT, alive_ = ALIVE_TIMEOUT, late_ = LATE_TIMEOUT;
     std::map<std::string, Told> told_;
     std::map<std::string, std::set<std::string>> wants_;
     wire::NodeRecord said_;
--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -57,9 +57,9 @@
     x.method = method;
     x.path = path;
     x.host = header(h, "Host");
-    x.exid = fmt::format("{}-{:x}-{}", n_.me().node, n_.me().boot, id);
+    x.exid = fmt::format("{}-{:x}-{}", n_.ownRecord().node, n_.ownRecord().boot, id);
     if (!di_.clientNamesRequests) x.region = header(h, "X-Region");
-    if (x.region.empty()) x.region = n_.me().region;
+    if (x.region.empty()) x.region = n_.ownRecord().region;
     x.m.name = "none";
     x.m.deadline = 10 * SECOND;
     x.due = now + x.m.deadline;
--- a/src/routing/edge.cpp
+++ b/src/routing/edge.cpp
@@ -81,7 +81,7 @@
 auto Edge::tick(Microseconds now) -> void {
     if (!born_) born_ = now;
     if (!listedAt_ && !n_.servers().empty()) listedAt_ = now;
-    if (auto k = n_.rows().size() + 1; k >= peak_ || now - peakAt_ > 120 * SECOND) peak_ = k, peakAt_ = now;
+    if (auto k = n_.nodes().size() + 1; k >= peak_ || now - peakAt_ > 120 * SECOND) peak_ = k, peakAt_ = now;
     if (evacuatedAt_ < 0) evacuatedAt_ = now;
     for (auto i = restoredZones_.begin(); i != restoredZones_.end();) {
         if (i->second < 0) i->second = now;
@@ -134,17 +134,18 @@
     // Spare credit goes to a node that lacks it: taken off here first, so none is minted.
     if (now - grantAt_ > 200 * MILLISECOND && credit_ > 8 * ONE) {
         grantAt_ = now;
-        for (auto& [n, k] : n_.rows()) {
-            if (now - k.at >= ALIVE || !k.record.want || k.record.credit >= 2 * ONE || credit_ <= 8 * ONE)
+        for (auto& [n, k] : n_.nodes()) {
+            if (now - k.lastHeartbeatAt >= ALIVE_TIMEOUT || !k.record.want || k.record.credit >= 2 * ONE
+                || credit_ <= 8 * ONE)
                 continue;
             auto mine = true;
-            for (auto& [o, q] : n_.rows())
-                if (o != n && now - q.at < ALIVE && q.record.credit > 8 * ONE
-                    && rank(n, o) > rank(n, n_.me().node))
+            for (auto& [o, q] : n_.nodes())
+                if (o != n && now - q.lastHeartbeatAt < ALIVE_TIMEOUT && q.record.credit > 8 * ONE
+                    && rank(n, o) > rank(n, n_.ownRecord().node))
                     mine = false;
             if (!mine) continue;
             credit_ -= 2 * ONE;
-            n_.creditGrant(n, 2 * ONE, now);
+            n_.grantCredit(n, 2 * ONE, now);
             ct_.add("grants_given_total");
         }
     }
--- a/src/routing/edge.hpp
+++ b/src/routing/edge.hpp
@@ -296,7 +296,7 @@
     };
     struct Cand {
         const std::string* n;
-        const Server* s;
+        const KnownServer* s;
         double occ;  // of its slots, all that is known to be there
     };
     auto rebuild() -> void;
@@ -305,11 +305,11 @@
     auto nodes() const -> std::size_t;
     auto settled(Microseconds now) const -> bool { return born_ && now - born_ >= 3 * SECOND; }
     auto readLoad(const std::string& server, const Headers& h, Microseconds now) -> void;
-    auto load(const std::string& name, const Server& s, Microseconds now) -> double;
-    auto slots(const std::string& name, const Server& s, const ServiceRule& pr) -> int;
-    auto cold(const std::string& name, const Server& s, const ServiceRule& pr, Microseconds now) -> bool;
-    auto coldLets(
-        const std::string& name, const Server& s, const ServiceRule& pr, Microseconds now, bool take) -> bool;
+    auto load(const std::string& name, const KnownServer& s, Microseconds now) -> double;
+    auto slots(const std::string& name, const KnownServer& s, const ServiceRule& pr) -> int;
+    auto cold(const std::string& name, const KnownServer& s, const ServiceRule& pr, Microseconds now) -> bool;
+    auto coldLets(const std::string& name, const KnownServer& s, const ServiceRule& pr, Microseconds now,
+        bool take) -> bool;
     auto unread(const Fitness& f, const Request& x, bool home) const -> std::int64_t;
     auto fits(const Cand& c, const Request& x, const ServiceRule& pr, Microseconds now) -> bool;
     auto claim(const Request& x) -> void;
@@ -330,13 +330,13 @@
     auto forClient(const Headers& h) const -> Headers;
     auto headOut(Request& x) -> void;
     auto beginning(std::string_view body) -> std::uint64_t;
-    auto occupancy(const std::string& server, const Server& s) -> double;
-    auto rampShare(const std::string& name, const Server& s, Microseconds now) -> int;
+    auto occupancy(const std::string& server, const KnownServer& s) -> double;
+    auto rampShare(const std::string& name, const KnownServer& s, Microseconds now) -> int;
     auto fitOf(const std::string& s, Microseconds now) -> double;
     auto hurt(const std::string& s, double k, Microseconds now) -> void;
     auto bind(Request& x) -> bool;
     auto bar(const Request& x, bool ran, bool more) const -> std::string;
-    auto keeps(const Step& st, const Request& x, const Server& s) const -> bool;
+    auto keeps(const Step& st, const Request& x, const KnownServer& s) const -> bool;
     auto resume(Request& x, const std::string& last, const std::string& weights) -> std::string;
     auto count(Request& x, Microseconds now) -> void;
     auto queue(Request& x, Microseconds now) -> bool;
--- a/src/routing/placement.cpp
+++ b/src/routing/placement.cpp
@@ -19,7 +19,7 @@
 namespace duneturn {
 
 // Whether a step's rule lets this server in. What is weighed and not ruled is not asked here.
-auto Edge::keeps(const Step& st, const Request& x, const Server& s) const -> bool {
+auto Edge::keeps(const Step& st, const Request& x, const KnownServer& s) const -> bool {
     switch (st.op) {
     case Op::Service: return s.listing.serviceName == x.m.service;
     case Op::Listed: {
@@ -196,7 +196,8 @@
                 if (pr && f.strikes > 0
                     && (f.inflight > 0 || now < f.avoidTill + (x.m.again() ? 0 : 2 * SECOND)))
                     return false;
-                return !(c.s->seen && now - c.s->seen < SEEN && c.s->load.dark) && fitOf(*c.n, now) >= st.w;
+                return !(c.s->loadReadAt && now - c.s->loadReadAt < LOAD_MAX_AGE && c.s->load.dark)
+                    && fitOf(*c.n, now) >= st.w;
             });
             break;
         case Op::Ramp:
--- a/src/routing/server_load.cpp
+++ b/src/routing/server_load.cpp
@@ -34,14 +34,14 @@
     total = 0;
 }
 
-auto Edge::occupancy(const std::string& name, const Server& s) -> double {
+auto Edge::occupancy(const std::string& name, const KnownServer& s) -> double {
     auto& f = fit_[name];
-    if (s.seen > f.seen) {
-        f.seen = s.seen;
+    if (s.loadReadAt > f.seen) {
+        f.seen = s.loadReadAt;
         f.atSeen = f.inflight;
     }
     auto own = double(f.inflight);
-    if (!s.seen) return own;
+    if (!s.loadReadAt) return own;
     return std::max(own, double(s.load.prefill + s.load.decode + f.inflight - f.atSeen));
 }
 
@@ -75,7 +75,7 @@
 
 // How many nodes share what the fleet may do: all that were heard of lately, so that a part of
 // the fleet that is cut off takes no more than its part.
-auto Edge::nodes() const -> std::size_t { return std::max({n_.rows().size() + 1, roster_, peak_}); }
+auto Edge::nodes() const -> std::size_t { return std::max({n_.nodes().size() + 1, roster_, peak_}); }
 
 // What a server says of itself in the headers of a reply.
 auto Edge::readLoad(const std::string& name, const Headers& h, Microseconds now) -> void {
@@ -102,17 +102,17 @@
             f.coldTill = n ? now + std::min<std::int64_t>(n, 3600000) * MILLISECOND : 0;
 }
 
-auto Edge::slots(const std::string& name, const Server& s, const ServiceRule& pr) -> int {
+auto Edge::slots(const std::string& name, const KnownServer& s, const ServiceRule& pr) -> int {
     auto& f = fit_[name];
     return std::max(1, f.slots ? f.slots : s.listing.slots ? int(s.listing.slots) : pr.slots);
 }
 
 // How many exchanges a server holds: ours, and what it last said of others'. As those come to
 // their ends, what was said tells less and less, and the pool's average more.
-auto Edge::load(const std::string& name, const Server& s, Microseconds now) -> double {
+auto Edge::load(const std::string& name, const KnownServer& s, Microseconds now) -> double {
     auto& f = fit_[name];
     auto own = double(f.inflight);
-    if (s.seen > f.loadAt) return occupancy(name, s);
+    if (s.loadReadAt > f.loadAt) return occupancy(name, s);
     auto& p = seen_[s.listing.serviceName];
     if (!f.loadAt) return own + p.others;
     auto others = double(std::max(0, f.running + f.waiting - f.atLoad));
--- a/src/sim/faults.cpp
+++ b/src/sim/faults.cpp
@@ -429,7 +429,7 @@
         if (ended || !k.up) return;
         for (auto& x : ms)
             if (x->node->withinLease(x->now())) broke("without any majority nobody serves", x->st.node);
-        auto& w = k.node->newest();
+        auto& w = k.node->newestKnownState();
         if (k.node->rescue(w.epoch, w.version + 1, k.now()).status != 409)
             broke("a rescue names what is held", k.st.node);
         auto o = k.node->rescue(w.epoch, w.version, k.now());
--- a/src/sim/scale_fleet.cpp
+++ b/src/sim/scale_fleet.cpp
@@ -95,7 +95,7 @@
     if (core) {
         writing.clear();
         syncing = false;
-        node->hints(peerHints);
+        node->addPeerHints(peerHints);
         auto diskSeed = fleet.options.seed * 77 + std::uint64_t(life);
         node->startCore(held, fmt::format("{:016x}", hash64(settings.node, diskSeed)), fleet.now);
     }
@@ -202,8 +202,8 @@
     load.up = fleet.now;
     auto roundTrip = 2 * fleet.latency(zone, region, serverZone, serverRegion);
     fleet.atNode(*this, roundTrip, [server, load](HollowNode& self) {
-        self.fleet.spend(
-            self, &Stats::other, [&] { self.node->loadSeen(server, true, false, load, self.fleet.now); });
+        self.fleet.spend(self, &Stats::other,
+            [&] { self.node->probeFinished(server, true, false, load, self.fleet.now); });
     });
 }
 
@@ -274,8 +274,9 @@
     // What the node holds is read over before, so that it is in the processor's caches as on a machine
     // of its own: hundreds of nodes in one process drive each other out of them.
     if (warmCaches_) {
-        for (auto& [name, known] : node.node->rows()) readSink_ += known.at + known.record.heartbeat;
-        for (auto& [name, server] : node.node->servers()) readSink_ += server.told + server.load.slots;
+        for (auto& [name, known] : node.node->nodes())
+            readSink_ += known.lastHeartbeatAt + known.record.heartbeat;
+        for (auto& [name, server] : node.node->servers()) readSink_ += server.listedAt + server.load.slots;
     }
     auto began = cpuNow(), encodingBefore = encoding_;
     call();
@@ -383,7 +384,8 @@
     in(LISTING_PERIOD, [this] { tellListing(); });
     auto chosen = int(rng.below(nodes.size()));
     for (auto& node : nodes) {
-        if (!node->up || (options.gossip ? !node->node->duty(now) : node->index != chosen)) continue;
+        if (!node->up || (options.gossip ? !node->node->hasSingletonDuty(now) : node->index != chosen))
+            continue;
         auto text = listing();
         point.counts["listing.jsonBytes"] = std::int64_t(text.size());
         node->stats.lists++;
--- a/src/sim/scale_fleet.hpp
+++ b/src/sim/scale_fleet.hpp
@@ -64,7 +64,7 @@
     auto send(const std::string& addr, const wire::Envelope& envelope) -> void override;
     auto disk(const DiskWrite& write) -> void override;
     auto done(std::int64_t id, const Outcome& outcome) -> void override;
-    auto book(const std::vector<std::string>& peers) -> void override { peerHints = peers; }
+    auto savePeerHints(const std::vector<std::string>& peers) -> void override { peerHints = peers; }
     auto probe(const std::string& server, const std::string& addr) -> void override;
 
   private:
--- a/src/sim/scale_measure.cpp
+++ b/src/sim/scale_measure.cpp
@@ -406,7 +406,7 @@
     for (auto& node : nodes)
         if (node->up) byRole.emplace(roleOf(*node, relayNames), node.get());
     for (auto& [role, node] : byRole) {
-        point.counts[role + ".rowsHeld"] = std::int64_t(node->node->rows().size()) + 1;
+        point.counts[role + ".rowsHeld"] = std::int64_t(node->node->nodes().size()) + 1;
         point.counts[role + ".listingsHeld"] = std::int64_t(node->node->servers().size());
         auto before = heapNow();
         node->kill();
--- a/src/sim/simulate.cpp
+++ b/src/sim/simulate.cpp
@@ -80,7 +80,7 @@
         dk.under.clear();
         dk.gate = {};
         dk.busy = false;
-        node->hints(kept);
+        node->addPeerHints(kept);
         node->startCore(
             dk.held, fmt::format("{:016x}", hash64(st.node, w.op.seed * 77 + std::uint64_t(life))), now());
         node->voter()->broken.ackBeforeSync = b == "ack-before-sync";
@@ -191,7 +191,7 @@
             ok         ? w.lat()
                 : v.up ? 900 * MILLISECOND
                        : w.lat(),
-            [this, server, ok, no = !v.up, d] { node->loadSeen(server, ok, no, d, now()); });
+            [this, server, ok, no = !v.up, d] { node->probeFinished(server, ok, no, d, now()); });
     });
 }
 
--- a/src/sim/world.hpp
+++ b/src/sim/world.hpp
@@ -62,7 +62,7 @@
     auto disk(const DiskWrite& x) -> void override;
     auto diskStep() -> void;
     auto done(std::int64_t id, const Outcome& o) -> void override;
-    auto book(const std::vector<std::string>& v) -> void override { kept = v; }
+    auto savePeerHints(const std::vector<std::string>& v) -> void override { kept = v; }
     auto probe(const std::string& server, const std::string& addr) -> void override;
     auto send(std::int64_t x, int a, const std::string& server, const std::string& addr) -> void override;
     auto drop(std::int64_t x, int a) -> void override;
--- a/tests/membership/fleet_fixture.hpp
+++ b/tests/membership/fleet_fixture.hpp
@@ -47,7 +47,7 @@
     auto send(const std::string& addr, const wire::Envelope& e) -> void override;
     auto disk(const DiskWrite& w) -> void override;
     auto done(std::int64_t id, const Outcome& o) -> void override;
-    auto book(const std::vector<std::string>& a) -> void override { kept = a; }
+    auto savePeerHints(const std::vector<std::string>& a) -> void override { kept = a; }
     auto probe(const std::string&, const std::string&) -> void override;
 };
 
@@ -109,7 +109,7 @@
         b.top = 0;
         b.n = std::make_unique<Node>(b.st, b, b.ct, 1'700'000'000 * SECOND + t + b.life, r.next());
         if (!b.core) return;
-        b.n->hints(b.kept);
+        b.n->addPeerHints(b.kept);
         b.n->startCore(b.held, fmt::format("disk-{}-{}", b.st.node, r.below(1000000)), t);
     }
     auto stop(Box& b) -> void {  // power: what was not synced is lost
@@ -218,7 +218,8 @@
         auto x = static_cast<Box*>(nullptr);
         for (auto& b : bs)
             if (b->up && b->frozen <= t && b->n->voter() && b->n->voter()->ready()
-                && t - b->n->voter()->quorumAt() < SECOND && (!x || b->n->me().term > x->n->me().term))
+                && t - b->n->voter()->quorumAt() < SECOND
+                && (!x || b->n->ownRecord().term > x->n->ownRecord().term))
                 x = b.get();
         return x;
     }
@@ -256,7 +257,7 @@
     }
     auto seated(Box& b) -> bool {
         auto v = leader() ? voters() : std::vector<std::string>();
-        return b.n && std::find(v.begin(), v.end(), b.n->me().disk) != v.end();
+        return b.n && std::find(v.begin(), v.end(), b.n->ownRecord().disk) != v.end();
     }
     auto show() -> void {
         if (!getenv("DT_SHOW")) return;
@@ -291,7 +292,7 @@
     auto duties() -> std::vector<Box*> {
         auto v = std::vector<Box*>();
         for (auto& b : bs)
-            if (b->up && b->n->duty(t)) v.push_back(b.get());
+            if (b->up && b->n->hasSingletonDuty(t)) v.push_back(b.get());
         return v;
     }
     auto state(Box& b, const std::string& s) -> int {
--- a/tests/membership/node_fixture.hpp
+++ b/tests/membership/node_fixture.hpp
@@ -46,7 +46,7 @@
     auto send(const std::string&, const wire::Envelope&) -> void override {}
     auto disk(const DiskWrite& w) -> void override { dq.push_back(w); }
     auto done(std::int64_t id, const Outcome& o) -> void override { outs[id] = o; }
-    auto book(const std::vector<std::string>&) -> void override {}
+    auto savePeerHints(const std::vector<std::string>&) -> void override {}
     auto probe(const std::string& s, const std::string&) -> void override { probes.push_back(s); }
     std::vector<std::string> probes;
     auto send(std::int64_t x, int, const std::string& s, const std::string&) -> void override {
@@ -71,7 +71,7 @@
             for (auto& s : p) {
                 auto l = wire::ServerLoad();
                 l.slots = 4, l.boot = 1, l.up = 3600 * SECOND;
-                n->loadSeen(s, true, false, l, now);
+                n->probeFinished(s, true, false, l, now);
             }
         }
     }
--- a/tests/membership/node_learnt_test.cpp
+++ b/tests/membership/node_learnt_test.cpp
@@ -120,7 +120,7 @@
         }
         f.loss = 0;
         f.run(4 * SECOND);
-        CHECK(f.leader() && f.leader()->n->duty(f.t));
+        CHECK(f.leader() && f.leader()->n->hasSingletonDuty(f.t));
         auto& l = *f.leader()->n;
         for (auto& b : f.bs) {
             CHECK_EQ(std::size_t(12), b->n->aliveNodes(f.t).size());
@@ -132,10 +132,10 @@
             }
             for (auto& o : f.bs)
                 if (o != b) {
-                    auto& r = b->n->rows().at(o->st.node).record;
-                    CHECK_EQ(o->n->me().version, r.version);
-                    CHECK_EQ(o->n->me().stateVersion, r.stateVersion);
-                    CHECK_EQ(o->n->me().leader, r.leader);
+                    auto& r = b->n->nodes().at(o->st.node).record;
+                    CHECK_EQ(o->n->ownRecord().version, r.version);
+                    CHECK_EQ(o->n->ownRecord().stateVersion, r.stateVersion);
+                    CHECK_EQ(o->n->ownRecord().leader, r.leader);
                 }
         }
     }
@@ -219,7 +219,7 @@
     auto l = f.leader();
     auto other = std::string();
     for (auto& d : f.voters())
-        if (d != l->n->me().disk) other = d;
+        if (d != l->n->ownRecord().disk) other = d;
     auto say = [&](const std::string& disk) {
         auto e = wire::Envelope();
         auto r = wire::AppendEntriesReply();
@@ -339,7 +339,7 @@
     CHECK(!f.until(10 * SECOND, [&] { return f.leader() != nullptr; }));
     // None founds anew; what is known is served on, and a survivor can be told to begin.
     for (auto i = 2u; i < 12; i++) CHECK(f.bs[i]->n->withinLease(f.t));
-    auto& w = f.bs[2]->n->newest();
+    auto& w = f.bs[2]->n->newestKnownState();
     CHECK_EQ(409, f.bs[2]->n->rescue(w.epoch, w.version - 1, f.t).status);
     CHECK_EQ(200, f.bs[2]->n->rescue(w.epoch, w.version, f.t).status);
     CHECK(f.until(8 * SECOND, [&] { return f.leader() != nullptr; }));
@@ -375,14 +375,14 @@
         f.standing();
         CHECK(f.ordered("a", 4 * SECOND));
         auto& leaving = *f.bs[k];
-        CHECK(leaving.n->seatHandedOver(f.t));
+        CHECK(leaving.n->voteHandedOver(f.t));
         auto& spare = f.add(leaving.st.region, leaving.st.zone, true, false);
         f.start(spare);
         f.run(2 * SECOND);
         CHECK(!f.seated(spare));
-        CHECK(!leaving.n->seatHandedOver(f.t));
+        CHECK(!leaving.n->voteHandedOver(f.t));
         leaving.n->leave(f.t);
-        CHECK(f.until(3 * SECOND, [&] { return leaving.n->seatHandedOver(f.t); }));
+        CHECK(f.until(3 * SECOND, [&] { return leaving.n->voteHandedOver(f.t); }));
         CHECK(f.seated(spare) && f.voters().size() == 3);
         f.stop(leaving);
         CHECK(f.ordered("b", 4 * SECOND));
@@ -399,7 +399,7 @@
         auto f = Fleet(seed);
         f.standing();
         auto& old = *(f.leader() == f.bs[0].get() ? f.bs[1] : f.bs[0]);
-        auto was = old.n->me().disk;
+        auto was = old.n->ownRecord().disk;
         f.lone(old, true);
         auto& n = f.add(old.st.region, old.st.zone, true, false);
         f.lone(old, true);
@@ -413,8 +413,8 @@
         CHECK(f.leader() == l);
         CHECK_EQ(term, l->n->voter()->term());
         CHECK(!f.seated(old));
-        CHECK(old.n->me().blank);
-        CHECK(old.n->me().disk != was);
+        CHECK(old.n->ownRecord().blank);
+        CHECK(old.n->ownRecord().disk != was);
         CHECK(f.everywhere("z19"));
         // Two seats' worth of losses, one after the other: the old machine takes the first.
         f.stop(n);
@@ -537,7 +537,7 @@
     CHECK_EQ(200, f.list(*l, {"s1", "s2"}, R"(,"coldUs":5000000)"));
     CHECK(f.until(400 * MILLISECOND, [&] { return f.listed("s1", UP) && f.listed("s2", UP); }));
     for (auto& b : f.bs) {
-        auto left = b->n->servers().at("s1").coldTill - f.t;
+        auto left = b->n->servers().at("s1").coldUntil - f.t;
         CHECK(left > 4 * SECOND && left <= 5 * SECOND + 300 * MILLISECOND);
     }
     // Not told again it still stands: the platform may be out of reach.
--- a/tests/membership/node_test.cpp
+++ b/tests/membership/node_test.cpp
@@ -22,17 +22,17 @@
     b.rows[1].node = "a", b.rows[1].boot = 900, b.rows[1].heartbeat = 44, b.rows[1].peer = "127.0.0.1:1";
     e.__set_heartbeat(b);
     r.n->handle(e, r.now);
-    CHECK(r.n->me().boot > 900);
+    CHECK(r.n->ownRecord().boot > 900);
     // The load that comes after a freeze was written before it.
     r.list({{"x", "near", "z", "p", "w"}});
-    auto seen = r.n->servers().at("x").seen;
+    auto seen = r.n->servers().at("x").loadReadAt;
     r.now += 5 * SECOND;
     e.heartbeat.rows.resize(1);
     e.heartbeat.rows[0].heartbeat = 2;
     e.heartbeat.loads.resize(1);
     e.heartbeat.loads[0].server = "x";
     r.n->handle(e, r.now);
-    CHECK_EQ(seen, r.n->servers().at("x").seen);
+    CHECK_EQ(seen, r.n->servers().at("x").loadReadAt);
     CHECK_EQ(std::int64_t(1), r.ct.get("woke_total"));
     CHECK(!r.n->withinLease(r.now) || r.n->replicatedState().roster().size() == 1);
 }
--- a/tests/platform/platform_orders_test.cpp
+++ b/tests/platform/platform_orders_test.cpp
@@ -272,18 +272,18 @@
     auto fleet = Fleet(10);
     fleet.standing(3, 5);
     auto& node = *fleet.bs[4];
-    CHECK(!node.n->frozenSince(fleet.t, fleet.t));
+    CHECK(!node.n->wasFrozenSince(fleet.t, fleet.t));
     node.frozen = fleet.t + 3 * SECOND;
     auto before = fleet.t;
     fleet.run(2980 * MILLISECOND);
     // The process goes on, and a request is read before anything else.
-    CHECK(node.n->frozenSince(fleet.t, fleet.t));
+    CHECK(node.n->wasFrozenSince(fleet.t, fleet.t));
     fleet.run(100 * MILLISECOND);
-    CHECK(node.n->frozenSince(before, fleet.t));
-    CHECK(node.n->frozenSince(fleet.t, fleet.t));
+    CHECK(node.n->wasFrozenSince(before, fleet.t));
+    CHECK(node.n->wasFrozenSince(fleet.t, fleet.t));
     fleet.run(SECOND);
-    CHECK(node.n->frozenSince(before, fleet.t));
-    CHECK(!node.n->frozenSince(fleet.t, fleet.t));
+    CHECK(node.n->wasFrozenSince(before, fleet.t));
+    CHECK(!node.n->wasFrozenSince(fleet.t, fleet.t));
 }
 
 // An answer to an earlier life of the node that waits ends no order of the present one.
--- a/tests/routing/incident_edge_test.cpp
+++ b/tests/routing/incident_edge_test.cpp
@@ -72,7 +72,7 @@
     auto send(const std::string&, const wire::Envelope&) -> void override {}
     auto disk(const DiskWrite& w) -> void override { dq.push_back(w); }
     auto done(std::int64_t id, const Outcome& o) -> void override { outs[id] = o.status; }
-    auto book(const std::vector<std::string>&) -> void override {}
+    auto savePeerHints(const std::vector<std::string>&) -> void override {}
     auto probe(const std::string&, const std::string&) -> void override {}
     auto send(std::int64_t x, int a, const std::string& s, const std::string&) -> void override {
         sends.push_back({x, a, s});
