--- a/src/routing/cold_ramp.cpp
+++ b/src/routing/cold_ramp.cpp
@@ -31,7 +31,7 @@
     auto cap = int(ru_.rampFirst + (slots - ru_.rampFirst) * double(up) / double(ru_.rampOver));
     auto ns = n_.aliveNodes(now);
     auto k = 0;
-    for (auto& n : ns) k += rank(name, n) > rank(name, n_.ownRecord().node);
+    for (auto& n : ns) k += rendezvousRank(name, n) > rendezvousRank(name, n_.ownRecord().node);
     return cap / int(ns.size()) + (k < cap % int(ns.size()));
 }
 
@@ -59,7 +59,8 @@
     auto most = 0.8 * ((ru_.coldOverrun - 0.9) * pr.coldRate + ru_.coldSlack);
     auto k = std::min(nodes(), std::size_t(std::max(1.0, most)));
     auto before = std::size_t(0);
-    for (auto& [n, r] : n_.nodes()) before += rank(name, n) > rank(name, n_.ownRecord().node);
+    for (auto& [n, r] : n_.nodes())
+        before += rendezvousRank(name, n) > rendezvousRank(name, n_.ownRecord().node);
     if (before >= k) return false;
     auto& f = fit_[name];
     f.coldLeft =
--- a/src/routing/edge.cpp
+++ b/src/routing/edge.cpp
@@ -141,7 +141,7 @@
             auto mine = true;
             for (auto& [o, q] : n_.nodes())
                 if (o != n && now - q.lastHeartbeatAt < ALIVE_TIMEOUT && q.record.credit > 8 * ONE
-                    && rank(n, o) > rank(n, n_.ownRecord().node))
+                    && rendezvousRank(n, o) > rendezvousRank(n, n_.ownRecord().node))
                     mine = false;
             if (!mine) continue;
             credit_ -= 2 * ONE;
--- a/tests/consensus/consensus_fixture.hpp
+++ b/tests/consensus/consensus_fixture.hpp
@@ -70,7 +70,7 @@
         }
     };
 
-    Rng random{1};
+    RandomSource random{1};
     Microseconds now = SECOND;
     Voter::Broken broken;
     bool record = false;
@@ -86,7 +86,7 @@
     static auto sizeOf(const wire::Envelope& e) -> std::int64_t {
         auto n = std::int64_t(100);
         for (auto& x : e.appendEntries.entries) n += std::int64_t(x.body.size()) + 20;
-        return n + std::int64_t(e.installSnapshot.doc.size() + e.snapshotChunk.data.size());
+        return n + std::int64_t(e.installSnapshot.document.size() + e.snapshotChunk.data.size());
     }
     auto post(const std::string& from, const std::string& to, wire::Envelope e) -> void {
         if (cut.count({from, to}) || !members.count(to)) return;
@@ -124,8 +124,11 @@
         auto state = ReplicatedState();
         state.bootstrap({"n"}, initialVoters);
         if (!name.empty()) {
-            auto& al = state.d.GetAllocator();
-            state.d["config"].AddMember("name", rapidjson::Value(name, al), al);
+            auto document = rapidjson::Document();
+            CHECK(parseJson(state.text(), document));
+            auto& allocator = document.GetAllocator();
+            document["config"].AddMember("name", rapidjson::Value(name, allocator), allocator);
+            CHECK(state.load(jsonText(document)));
         }
         at(disks[0]).bootstrap(state, 1, now);
         run(10 * SECOND);
--- a/tests/storage/stored_format_test.cpp
+++ b/tests/storage/stored_format_test.cpp
@@ -17,11 +17,11 @@
 #include "base/log.hpp"
 #include "base/time.hpp"
 #include "consensus/consensus_fixture.hpp"
-#include "net/compress.hpp"
+#include "net/envelope_compression.hpp"
 #include "pinned_files.hpp"
 #include "state/state_query.hpp"
-#include "storage/store.hpp"
 #include "storage/storage_fixture.hpp"
+#include "storage/store.hpp"
 
 namespace duneturn {
 namespace {
@@ -103,18 +103,18 @@
     for (auto& file : std::filesystem::directory_iterator(directory))
         if (file.path().string().find(std::string(STORE_FILE) + ".bad-") != std::string::npos)
             found.push_back(file.path().string());
-    return found.size() == 1 ? *fileRead(found[0]) : std::string();
+    return found.size() == 1 ? *readFile(found[0]) : std::string();
 }
 
 /// A store of these records is refused: it is renamed as it is, and nothing of it is taken.
 auto isRefused(const Records& records) -> bool {
     auto directory = TemporaryDirectory();
     makeStore(directory.path, records);
-    auto before = *fileRead(directory.path + STORE_FILE);
+    auto before = *readFile(directory.path + STORE_FILE);
     auto store = Store();
-    logMute(true);
+    muteLog(true);
     auto state = store.open(directory.path);
-    logMute(false);
+    muteLog(false);
     if (!state || !store.setAside) return false;
     return sameState(*state, DiskState()) && asideBytes(directory.path) == before;
 }
@@ -163,7 +163,7 @@
     auto pinned = std::set<int>();
     for (auto& line : readPinned("envelopes.txt", 2)) {
         auto values = rapidjson::Document();
-        CHECK(jsParse(line[0], values) && values.IsObject());
+        CHECK(parseJson(line[0], values) && values.IsObject());
         for (auto& field : values.GetObject()) pinned.insert(std::stoi(field.name.GetString()));
     }
     auto known = std::set<int>();
@@ -191,13 +191,13 @@
         auto bytes = fromHex(line[2]);
         auto envelope = wire::Envelope();
         CHECK(unpackRecord(bytes, envelope));
-        auto content = decompressed(envelope);
+        auto content = decompressEnvelope(envelope);
         CHECK(bool(content));
         CHECK_EQ(line[1], valuesText(*content));
-        auto compressor = Compressor();
+        auto compressor = EnvelopeCompressor();
         auto again = compressor(*content);
         CHECK(bool(again));
-        CHECK(decompressed(*again) == content);
+        CHECK(decompressEnvelope(*again) == content);
         // Another release of zlib may compress the same bytes otherwise.
         if (std::string(zlibVersion()) == line[0]) CHECK_EQ(toHex(bytes), toHex(packRecord(*again)));
     }
@@ -271,9 +271,9 @@
     CHECK_EQ(std::int64_t(9), state.term);
     CHECK_EQ(std::string("disk-2"), state.vote);
     CHECK_EQ(std::int64_t(6), state.commit);
-    CHECK_EQ(std::int64_t(4), state.snapIdx);
-    CHECK_EQ(std::int64_t(8), state.snapTerm);
-    CHECK_EQ(toHex(pinnedState()), toHex(state.snapDoc));
+    CHECK_EQ(std::int64_t(4), state.snapshotIndex);
+    CHECK_EQ(std::int64_t(8), state.snapshotTerm);
+    CHECK_EQ(toHex(pinnedState()), toHex(state.snapshotDocument));
     auto entries = readPinned("entries.txt", 2);
     CHECK_EQ(entries.size(), state.log.size());
     for (auto i = std::size_t(0); i < entries.size(); i++) {
@@ -289,9 +289,9 @@
     copyPinnedStore(source.path);
     auto write = DiskWrite();
     write.meta = openSound(source.path);
-    write.add = write.meta.log;
-    write.snap = true;
-    write.doc = write.meta.snapDoc;
+    write.entries = write.meta.log;
+    write.hasSnapshot = true;
+    write.document = write.meta.snapshotDocument;
     {
         auto store = Store();
         CHECK(bool(store.open(target.path)));
@@ -355,13 +355,13 @@
             sealed = sealRecord(key, packRecord(meta));
         }
     makeStore(directory.path, records);
-    auto before = *fileRead(directory.path + STORE_FILE);
+    auto before = *readFile(directory.path + STORE_FILE);
     auto store = Store();
     auto state = store.open(directory.path);
     CHECK(!state);
     CHECK(state.error().kind == StoreError::Kind::NewerFormat);
     CHECK(!store.setAside);
-    CHECK(before == *fileRead(directory.path + STORE_FILE));
+    CHECK(before == *readFile(directory.path + STORE_FILE));
 }
 
 // ---- the entries by which voters are replaced
