--- a/src/base/address.hpp
+++ b/src/base/address.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Addresses of processes, by number.
+// Network addresses of processes, always numeric: nothing here asks a name server.
 #include <cstdint>
 #include <string>
 #include <string_view>
@@ -10,10 +10,11 @@
 
 /// Where a process listens.
 struct Address {
-    std::string ip;
-    std::uint16_t port = 0;
+    std::string ip;          ///< IPv4 or IPv6, without brackets.
+    std::uint16_t port = 0;  ///< 1 to 65535; 0 in an address that was not set.
 };
-/// Reads "IP:PORT", numbers only; the error says what is wrong.
-auto parseAddress(std::string_view text) -> tl::expected<Address, std::string>;
+
+/// Reads "IP:PORT", an IPv6 address in brackets; the error says what is wrong.
+[[nodiscard]] auto parseAddress(std::string_view text) -> tl::expected<Address, std::string>;
 
 }  // namespace duneturn
--- a/src/base/counters.cpp
+++ b/src/base/counters.cpp
@@ -1,4 +1,3 @@
-// Counters of a process, and their text for Prometheus.
 #include "base/counters.hpp"
 
 #include <cstdint>
@@ -9,22 +8,22 @@
 
 namespace duneturn {
 
-auto Counters::add(std::string_view n, std::int64_t k) -> void {
-    auto found = c.find(n);
-    if (found == c.end()) found = c.emplace(std::string(n), 0).first;
-    found->second += k;
+auto Counters::add(std::string_view name, std::int64_t by) -> void {
+    auto found = values_.find(name);
+    if (found == values_.end()) found = values_.emplace(std::string(name), 0).first;
+    found->second += by;
 }
 
-auto Counters::set(std::string_view n, std::int64_t k) -> void { c[std::string(n)] = k; }
+auto Counters::set(std::string_view name, std::int64_t value) -> void { values_[std::string(name)] = value; }
 
-auto Counters::get(std::string_view n) const -> std::int64_t {
-    auto found = c.find(n);
-    return found == c.end() ? 0 : found->second;
+auto Counters::get(std::string_view name) const -> std::int64_t {
+    auto found = values_.find(name);
+    return found == values_.end() ? 0 : found->second;
 }
 
 auto Counters::text() const -> std::string {
     auto lines = std::string(), lastFamily = std::string();
-    for (auto& [name, value] : c) {
+    for (auto& [name, value] : values_) {
         auto family = name.substr(0, name.find('{'));
         if (family != lastFamily)
             lines += fmt::format(
--- a/src/base/file.cpp
+++ b/src/base/file.cpp
@@ -1,4 +1,3 @@
-// Files read whole.
 #include "base/file.hpp"
 
 #include <fstream>
@@ -10,9 +9,9 @@
 
 namespace duneturn {
 
-auto readFile(const std::string& p) -> tl::expected<std::string, std::string> {
-    auto file = std::ifstream(p, std::ios::binary);
-    if (!file) return tl::make_unexpected(fmt::format("{}: cannot be read", p));
+auto readFile(const std::string& path) -> tl::expected<std::string, std::string> {
+    auto file = std::ifstream(path, std::ios::binary);
+    if (!file) return tl::make_unexpected(fmt::format("{}: cannot be read", path));
     auto text = std::stringstream();
     text << file.rdbuf();
     return text.str();
--- a/src/base/file.hpp
+++ b/src/base/file.hpp
@@ -6,7 +6,7 @@
 
 namespace duneturn {
 
-/// What the file at `path` holds; the error names the file and the cause.
-auto readFile(const std::string& path) -> tl::expected<std::string, std::string>;
+/// The bytes of the file at `path`; the error names the file and the cause.
+[[nodiscard]] auto readFile(const std::string& path) -> tl::expected<std::string, std::string>;
 
 }  // namespace duneturn
--- a/src/base/hash.cpp
+++ b/src/base/hash.cpp
@@ -1,4 +1,3 @@
-// Hashes of text, and rendezvous ranks.
 #include "base/hash.hpp"
 
 #include <cstdint>
@@ -7,8 +6,8 @@
 
 namespace duneturn {
 
-auto hash64(std::string_view s, std::uint64_t seed) -> std::uint64_t {
-    return XXH3_64bits_withSeed(s.data(), s.size(), seed);
+auto hash64(std::string_view text, std::uint64_t seed) -> std::uint64_t {
+    return XXH3_64bits_withSeed(text.data(), text.size(), seed);
 }
 
 auto rendezvousRank(std::string_view key, std::string_view name) -> std::uint64_t {
--- a/src/base/json.cpp
+++ b/src/base/json.cpp
@@ -1,4 +1,3 @@
-// Reading, writing and merging of JSON documents.
 #include "base/json.hpp"
 
 #include <cstdint>
@@ -12,105 +11,113 @@
 
 namespace duneturn {
 
-static constexpr auto MOST_DEPTH = 64;  // of nested objects and lists
+namespace {
 
-auto jsonMember(const rapidjson::Value& v, const char* k) -> const rapidjson::Value* {
-    if (!v.IsObject()) return nullptr;
-    auto found = v.FindMember(k);
-    return found == v.MemberEnd() ? nullptr : &found->value;
+constexpr auto MAX_DEPTH = 64;  // of nested objects and lists
+
+// The depth is bounded before the recursive parts (schema, merge, writer) see the document.
+auto nestsTooDeep(std::string_view text) -> bool {
+    auto depth = 0;
+    auto quoted = false;
+    for (auto i = std::size_t(0); i < text.size(); i++) {
+        auto letter = text[i];
+        if (quoted) {
+            if (letter == '\\') i++;
+            else if (letter == '"') quoted = false;
+        } else if (letter == '"') {
+            quoted = true;
+        } else if (letter == '{' || letter == '[') {
+            if (++depth > MAX_DEPTH) return true;
+        } else if (letter == '}' || letter == ']') {
+            depth--;
+        }
+    }
+    return false;
 }
 
-auto jsonText(const rapidjson::Value& v) -> std::string {
-    auto b = rapidjson::StringBuffer();
-    auto w = rapidjson::Writer<rapidjson::StringBuffer>(b);
-    v.Accept(w);
-    return {b.GetString(), b.GetSize()};
+}  // namespace
+
+auto jsonText(const rapidjson::Value& value) -> std::string {
+    auto buffer = rapidjson::StringBuffer();
+    auto writer = rapidjson::Writer<rapidjson::StringBuffer>(buffer);
+    value.Accept(writer);
+    return {buffer.GetString(), buffer.GetSize()};
 }
 
-auto jsonPrettyText(const rapidjson::Value& v) -> std::string {
-    auto b = rapidjson::StringBuffer();
-    auto w = rapidjson::PrettyWriter<rapidjson::StringBuffer>(b);
-    w.SetIndent(' ', 2);
-    w.SetFormatOptions(rapidjson::kFormatSingleLineArray);
-    v.Accept(w);
-    return {b.GetString(), b.GetSize()};
+auto jsonPrettyText(const rapidjson::Value& value) -> std::string {
+    auto buffer = rapidjson::StringBuffer();
+    auto writer = rapidjson::PrettyWriter<rapidjson::StringBuffer>(buffer);
+    writer.SetIndent(' ', 2);
+    writer.SetFormatOptions(rapidjson::kFormatSingleLineArray);
+    value.Accept(writer);
+    return {buffer.GetString(), buffer.GetSize()};
 }
 
-auto jsonString(const rapidjson::Value& v, const char* k, std::string_view d) -> std::string {
-    auto p = jsonMember(v, k);
-    return p && p->IsString() ? std::string(p->GetString(), p->GetStringLength()) : std::string(d);
+auto jsonQuote(std::string_view text) -> std::string {
+    return jsonText(rapidjson::Value(rapidjson::StringRef(text.data(), text.size())));
 }
 
-auto jsonInteger(const rapidjson::Value& v, const char* k, std::int64_t d) -> std::int64_t {
-    auto p = jsonMember(v, k);
-    return p && p->IsInt64() ? p->GetInt64() : d;
+auto parseJson(std::string_view text, rapidjson::Document& document) -> bool {
+    if (nestsTooDeep(text)) return false;
+    document.Parse<rapidjson::kParseIterativeFlag | rapidjson::kParseValidateEncodingFlag>(
+        text.data(), text.size());
+    return !document.HasParseError();
 }
 
-auto jsonNumber(const rapidjson::Value& v, const char* k, double d) -> double {
-    auto p = jsonMember(v, k);
-    return p && p->IsNumber() ? p->GetDouble() : d;
+auto jsonMember(const rapidjson::Value& value, const char* name) -> const rapidjson::Value* {
+    if (!value.IsObject()) return nullptr;
+    auto found = value.FindMember(name);
+    return found == value.MemberEnd() ? nullptr : &found->value;
 }
 
-auto jsonBool(const rapidjson::Value& v, const char* k, bool d) -> bool {
-    auto p = jsonMember(v, k);
-    return p && p->IsBool() ? p->GetBool() : d;
+auto jsonString(const rapidjson::Value& value, const char* name, std::string_view otherwise) -> std::string {
+    auto member = jsonMember(value, name);
+    if (!member || !member->IsString()) return std::string(otherwise);
+    return {member->GetString(), member->GetStringLength()};
 }
 
-auto jsonStrings(const rapidjson::Value& v, const char* k) -> std::vector<std::string> {
-    auto o = std::vector<std::string>();
-    auto p = jsonMember(v, k);
-    if (p && p->IsArray())
-        for (auto& e : p->GetArray())
-            if (e.IsString()) o.emplace_back(e.GetString(), e.GetStringLength());
-    return o;
+auto jsonInteger(const rapidjson::Value& value, const char* name, std::int64_t otherwise) -> std::int64_t {
+    auto member = jsonMember(value, name);
+    return member && member->IsInt64() ? member->GetInt64() : otherwise;
 }
 
-auto jsonQuote(std::string_view s) -> std::string {
-    auto v = rapidjson::Value(rapidjson::StringRef(s.data(), s.size()));
-    return jsonText(v);
+auto jsonNumber(const rapidjson::Value& value, const char* name, double otherwise) -> double {
+    auto member = jsonMember(value, name);
+    return member && member->IsNumber() ? member->GetDouble() : otherwise;
 }
 
-// The depth is bounded before the recursive parts (schema, merge, writer) see the document.
-static auto nestsTooDeep(std::string_view s) -> bool {
-    auto depth = 0;
-    auto quoted = false;
-    for (auto i = std::size_t(0); i < s.size(); i++) {
-        auto letter = s[i];
-        if (quoted) {
-            if (letter == '\\') i++;
-            else if (letter == '"') quoted = false;
-        } else if (letter == '"') quoted = true;
-        else if (letter == '{' || letter == '[') {
-            if (++depth > MOST_DEPTH) return true;
-        } else if (letter == '}' || letter == ']') depth--;
-    }
-    return false;
+auto jsonBool(const rapidjson::Value& value, const char* name, bool otherwise) -> bool {
+    auto member = jsonMember(value, name);
+    return member && member->IsBool() ? member->GetBool() : otherwise;
 }
 
-auto parseJson(std::string_view s, rapidjson::Document& d) -> bool {
-    if (nestsTooDeep(s)) return false;
-    d.Parse<rapidjson::kParseIterativeFlag | rapidjson::kParseValidateEncodingFlag>(s.data(), s.size());
-    return !d.HasParseError();
+auto jsonStrings(const rapidjson::Value& value, const char* name) -> std::vector<std::string> {
+    auto strings = std::vector<std::string>();
+    auto member = jsonMember(value, name);
+    if (!member || !member->IsArray()) return strings;
+    for (auto& item : member->GetArray())
+        if (item.IsString()) strings.emplace_back(item.GetString(), item.GetStringLength());
+    return strings;
 }
 
-auto applyMergePatch(rapidjson::Value& t, const rapidjson::Value& p, rapidjson::Document::AllocatorType& al)
-    -> void {
-    if (!p.IsObject()) {
-        t.CopyFrom(p, al);
+auto applyMergePatch(rapidjson::Value& target, const rapidjson::Value& patch,
+    rapidjson::Document::AllocatorType& allocator) -> void {
+    if (!patch.IsObject()) {
+        target.CopyFrom(patch, allocator);
         return;
     }
-    if (!t.IsObject()) t.SetObject();
-    for (auto& m : p.GetObject()) {
-        auto i = t.FindMember(m.name);
-        if (m.value.IsNull()) {
-            if (i != t.MemberEnd()) t.EraseMember(i);
+    if (!target.IsObject()) target.SetObject();
+    for (auto& member : patch.GetObject()) {
+        auto found = target.FindMember(member.name);
+        if (member.value.IsNull()) {
+            if (found != target.MemberEnd()) target.EraseMember(found);
             continue;
         }
-        if (i == t.MemberEnd()) {
-            t.AddMember(rapidjson::Value(m.name, al), rapidjson::Value(), al);
-            i = t.FindMember(m.name);
+        if (found == target.MemberEnd()) {
+            target.AddMember(rapidjson::Value(member.name, allocator), rapidjson::Value(), allocator);
+            found = target.FindMember(member.name);
         }
-        applyMergePatch(i->value, m.value, al);
+        applyMergePatch(found->value, member.value, allocator);
     }
 }
 
--- a/src/base/json_schema.cpp
+++ b/src/base/json_schema.cpp
@@ -18,14 +18,15 @@
 auto checkMembers(const rapidjson::Value& object, const rapidjson::Value& schema, const std::string& path,
     std::vector<Fault>& faults) -> void {
     auto properties = jsonMember(schema, "properties");
-    auto others = jsonMember(schema, "additionalProperties");
+    auto additional = jsonMember(schema, "additionalProperties");
     for (auto& member : object.GetObject()) {
         auto name = std::string(member.name.GetString(), member.name.GetStringLength());
         auto memberPath = fmt::format("{}/{}", path, name);
-        auto own = properties ? jsonMember(*properties, name.c_str()) : nullptr;
-        if (own) checkNode(member.value, *own, memberPath, faults);
-        else if (others && others->IsObject()) checkNode(member.value, *others, memberPath, faults);
-        else if (others && others->IsBool() && !others->GetBool())
+        auto declared = properties ? jsonMember(*properties, name.c_str()) : nullptr;
+        if (declared) checkNode(member.value, *declared, memberPath, faults);
+        else if (additional && additional->IsObject())
+            checkNode(member.value, *additional, memberPath, faults);
+        else if (additional && additional->IsBool() && !additional->GetBool())
             faults.push_back({memberPath, "unknown field"});
     }
     auto required = jsonMember(schema, "required");
@@ -43,19 +44,19 @@
 }
 
 /// The value against the schema's keywords other than those of its members and items.
-auto checkOwn(const rapidjson::Value& value, const rapidjson::Value& schema, const std::string& path,
+auto checkKeywords(const rapidjson::Value& value, const rapidjson::Value& schema, const std::string& path,
     std::vector<Fault>& faults) -> void {
-    auto own = rapidjson::Document();
-    own.SetObject();
-    auto& memory = own.GetAllocator();
+    auto keywords = rapidjson::Document();
+    keywords.SetObject();
+    auto& allocator = keywords.GetAllocator();
     for (auto& keyword : schema.GetObject()) {
         auto name = std::string_view(keyword.name.GetString());
         if (name == "properties" || name == "additionalProperties" || name == "required" || name == "items")
             continue;
-        own.AddMember(
-            rapidjson::Value(keyword.name, memory), rapidjson::Value(keyword.value, memory), memory);
+        keywords.AddMember(
+            rapidjson::Value(keyword.name, allocator), rapidjson::Value(keyword.value, allocator), allocator);
     }
-    auto document = rapidjson::SchemaDocument(own);
+    auto document = rapidjson::SchemaDocument(keywords);
     auto validator = rapidjson::SchemaValidator(document);
     if (value.Accept(validator)) return;
     auto keyword = validator.GetInvalidSchemaKeyword();
@@ -68,16 +69,16 @@
     std::vector<Fault>& faults) -> void {
     if (value.IsObject()) checkMembers(value, schema, path, faults);
     else if (value.IsArray()) checkItems(value, schema, path, faults);
-    checkOwn(value, schema, path, faults);
+    checkKeywords(value, schema, path, faults);
 }
 
 }  // namespace
 
-auto checkSchema(const rapidjson::Value& v, const char* schema) -> std::vector<Fault> {
+auto checkSchema(const rapidjson::Value& value, const char* schema) -> std::vector<Fault> {
     auto parsed = rapidjson::Document();
     if (!parseJson(schema, parsed)) return {{"/", "the schema itself is malformed"}};
     auto faults = std::vector<Fault>();
-    checkNode(v, parsed, "", faults);
+    checkNode(value, parsed, "", faults);
     return faults;
 }
 
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -1,4 +1,3 @@
-// Lines for changes of state, to standard error.
 #include "base/log.hpp"
 
 #include <cstdio>
@@ -11,15 +10,15 @@
 
 namespace duneturn {
 
-static auto muted = false;
+static auto logIsMuted = false;
 
-auto muteLog(bool on) -> void { muted = on; }
+auto muteLog(bool muted) -> void { logIsMuted = muted; }
 
-auto logLine(std::string_view s) -> void {
-    if (muted) return;
+auto logLine(std::string_view line) -> void {
+    if (logIsMuted) return;
     static std::mutex mutex;
     auto lock = std::lock_guard(mutex);
-    fmt::print(stderr, "{} {}\n", formatWallTime(wallNow()), s);
+    fmt::print(stderr, "{} {}\n", formatWallTime(wallNow()), line);
 }
 
 }  // namespace duneturn
--- a/src/base/settings.cpp
+++ b/src/base/settings.cpp
@@ -1,4 +1,3 @@
-// The settings file, with the flags laid over it.
 #include "base/settings.hpp"
 
 #include <algorithm>
@@ -20,8 +19,6 @@
 
 namespace {
 
-using Names = std::vector<std::string>;
-
 constexpr auto SETTINGS_SCHEMA = R"({
  "type":"object","additionalProperties":false,
  "required":["node","district","region","peer","sender","operator","seeds"],
@@ -60,29 +57,29 @@
 }
 
 /// A flag's text as the value of its field.
-auto flagValue(const std::string& name, const std::string& text, rapidjson::Document::AllocatorType& memory)
-    -> rapidjson::Value {
-    constexpr auto MOST_DIGITS = std::size_t(9);
+auto flagValue(const std::string& name, const std::string& text,
+    rapidjson::Document::AllocatorType& allocator) -> rapidjson::Value {
+    constexpr auto MAX_DIGITS = std::size_t(9);
     if (name == "seeds" || name == "roster" || name == "seats") {
         auto list = rapidjson::Value(rapidjson::kArrayType);
         auto stream = std::stringstream(text);
-        for (auto word = std::string(); std::getline(stream, word, ',');)
-            list.PushBack(rapidjson::Value(word, memory), memory);
+        for (auto item = std::string(); std::getline(stream, item, ',');)
+            list.PushBack(rapidjson::Value(item, allocator), allocator);
         return list;
     }
     if ((name == "bootstrap" || name == "probes") && (text == "true" || text == "false"))
         return rapidjson::Value(text == "true");
-    auto digits = !text.empty() && text.size() <= MOST_DIGITS
+    auto isNumber = !text.empty() && text.size() <= MAX_DIGITS
         && text.find_first_not_of("0123456789") == std::string::npos;
-    if (name == "beatUs" && digits) return rapidjson::Value(std::int64_t(std::stoll(text)));
-    return rapidjson::Value(text, memory);
+    if (name == "beatUs" && isNumber) return rapidjson::Value(std::int64_t(std::stoll(text)));
+    return rapidjson::Value(text, allocator);
 }
 
-auto layFlagsOver(const std::map<std::string, std::string>& flags, rapidjson::Document& document) -> void {
-    auto& memory = document.GetAllocator();
+auto applyFlags(const std::map<std::string, std::string>& flags, rapidjson::Document& document) -> void {
+    auto& allocator = document.GetAllocator();
     for (auto& [name, text] : flags) {
         document.RemoveMember(name);
-        document.AddMember(rapidjson::Value(name, memory), flagValue(name, text, memory), memory);
+        document.AddMember(rapidjson::Value(name, allocator), flagValue(name, text, allocator), allocator);
     }
 }
 
@@ -90,13 +87,13 @@
     for (auto name : {"peer", "sender", "operator"}) {
         auto member = jsonMember(document, name);
         if (!member || !member->IsString()) continue;
-        if (auto addr = parseAddress(member->GetString()); !addr)
-            faults.push_back({std::string("/") + name, addr.error()});
+        if (auto address = parseAddress(member->GetString()); !address)
+            faults.push_back({std::string("/") + name, address.error()});
     }
     auto number = 0;
     for (auto& seed : jsonStrings(document, "seeds")) {
-        if (auto addr = parseAddress(seed); !addr)
-            faults.push_back({fmt::format("/seeds/{}", number), addr.error()});
+        if (auto address = parseAddress(seed); !address)
+            faults.push_back({fmt::format("/seeds/{}", number), address.error()});
         number++;
     }
 }
@@ -131,18 +128,18 @@
     if (settings.gossip && !(settings.roster.empty() && settings.initialVoters.empty()))
         faults.push_back({"/membership", "a learnt membership takes no roster and no seats"});
     if (settings.roster.empty()) return;
-    for (auto& seat : settings.initialVoters)
-        if (std::find(settings.roster.begin(), settings.roster.end(), seat) == settings.roster.end())
-            faults.push_back({"/seats", seat + " is not on the roster"});
+    for (auto& voter : settings.initialVoters)
+        if (std::find(settings.roster.begin(), settings.roster.end(), voter) == settings.roster.end())
+            faults.push_back({"/seats", voter + " is not on the roster"});
 }
 
 }  // namespace
 
-auto readSettings(const std::string& file, const std::map<std::string, std::string>& over)
+auto readSettings(const std::string& file, const std::map<std::string, std::string>& flags)
     -> tl::expected<Settings, SettingsError> {
     auto document = rapidjson::Document();
     if (auto read = readDocument(file, document); !read) return tl::make_unexpected(read.error());
-    layFlagsOver(over, document);
+    applyFlags(flags, document);
     auto faults = checkSchema(document, SETTINGS_SCHEMA);
     checkAddresses(document, faults);
     auto settings = settingsOf(document);
--- a/src/base/time.hpp
+++ b/src/base/time.hpp
@@ -12,13 +12,13 @@
 constexpr Microseconds MILLISECOND = 1000;
 constexpr Microseconds SECOND = 1000 * MILLISECOND;
 
-/// Time since the machine started, counting time suspended.
-auto bootNow() -> Microseconds;
-/// The calendar's time since 1970 in UTC.
-auto wallNow() -> Microseconds;
+/// Time since the machine started, counting time suspended (CLOCK_BOOTTIME). Never goes backwards.
+[[nodiscard]] auto bootNow() -> Microseconds;
+/// The calendar's time since 1970 in UTC (CLOCK_REALTIME). May be set back.
+[[nodiscard]] auto wallNow() -> Microseconds;
 /// Calendar time as RFC 3339 in UTC, to the second.
-auto formatWallTime(Microseconds time) -> std::string;
-/// The time that `text` of formatWallTime's form names; -1 if it has another form.
-auto parseWallTime(const std::string& text) -> Microseconds;
+[[nodiscard]] auto formatWallTime(Microseconds time) -> std::string;
+/// The time that a text of formatWallTime's form names; -1 if it has another form.
+[[nodiscard]] auto parseWallTime(const std::string& text) -> Microseconds;
 
 }  // namespace duneturn
--- a/src/sim/oracles.cpp
+++ b/src/sim/oracles.cpp
@@ -271,7 +271,7 @@
     }
     for (auto& m : ms)
         if (m->up)
-            for (auto& [k, v] : m->ct->c)
+            for (auto& [k, v] : m->ct->values())
                 if (k.ends_with("_total")) sumCt[k] += v;
     if (auto x = sumCt["illegal_transitions_total"])
         broke("the tables of states hold", fmt::format("{} illegal transitions", x));
--- a/src/sim/scale_measure.cpp
+++ b/src/sim/scale_measure.cpp
@@ -55,7 +55,7 @@
     auto id = ++node.callId;
     node.calls[id] = std::move(answered);
     spend(node, &Stats::other, [&] {
-        auto key = fmt::format("order-{:08x}-{}", rng.s & 0xffffffff, ++orders_);
+        auto key = fmt::format("order-{:08x}-{}", rng.state & 0xffffffff, ++orders_);
         node.node->order(id, operation, key, body, now);
     });
 }
--- a/src/sim/simulate.cpp
+++ b/src/sim/simulate.cpp
@@ -95,7 +95,7 @@
     if (!up) return;
     up = frozen = false;
     w.say(fmt::format("{} {}", st.node, power ? "loses power" : "is killed"));
-    for (auto& [k, v] : ct->c)
+    for (auto& [k, v] : ct->values())
         if (k.ends_with("_total")) w.sumCt[k] += v;
     // Under a kill alone the machine may still sync what the process had begun to write.
     if (!power)
@@ -402,7 +402,7 @@
                 if (i > tokens) {
                     later([c, body, hd, w, stream](Machine& m) {
                         if (stream) {
-                            auto e = Event{"", "done", "{}", "event: done\ndata: {}\n\n"};
+                            auto e = ServerSentEvent{"", "done", "{}", "event: done\ndata: {}\n\n"};
                             m.edge->upEvent(c->x, c->a, e, m.now());
                         } else if (m.edge->upHead(c->x, c->a, 200, hd, m.now()))
                             m.edge->upWhole(c->x, c->a, 200, hd,
@@ -413,7 +413,8 @@
                 if (stream) {
                     auto n = md == "skip" && late ? i + 1 : i;
                     auto d = bodyOf({{"text", jsonQuote(fakePiece(body, w, n))}});
-                    auto e = Event{fmt::to_string(n), "", d, fmt::format("id: {}\ndata: {}\n\n", n, d)};
+                    auto e =
+                        ServerSentEvent{fmt::to_string(n), "", d, fmt::format("id: {}\ndata: {}\n\n", n, d)};
                     later([c, e](Machine& m) { m.edge->upEvent(c->x, c->a, e, m.now()); });
                 }
                 in(20 * MILLISECOND * slow, [step, i] { (*step)(i + 1); });
--- a/tests/pinned_files.hpp
+++ b/tests/pinned_files.hpp
@@ -29,9 +29,8 @@
     for (auto line = std::string(); std::getline(stream, line);) {
         if (line.empty() || line[0] == '#') continue;
         auto& found = lines.emplace_back();
-        auto words = std::stringstream(line);
-        for (auto replicatedState = std::string(); std::getline(words, replicatedState, '\t');)
-            found.push_back(replicatedState);
+        auto fieldStream = std::stringstream(line);
+        for (auto field = std::string(); std::getline(fieldStream, field, '\t');) found.push_back(field);
         CPPUNIT_ASSERT_EQUAL_MESSAGE(name + ": " + line, fields, found.size());
     }
     CPPUNIT_ASSERT_MESSAGE(name + " is empty", !lines.empty());
