--- a/src/storage/environment.cpp
+++ b/src/storage/environment.cpp
@@ -65,7 +65,8 @@
     if (!error_) error_ = mdb_drop(transaction_, database_, 0);
 }
 
-auto Environment::open(const std::string& path, std::size_t mapBytes, Sync sync) -> Opened {
+auto Environment::open(const std::string& path, std::size_t mapBytes, Sync sync)
+    -> tl::expected<std::unique_ptr<Environment>, int> {
     MDB_env* raw = nullptr;
     if (auto error = mdb_env_create(&raw); error) return tl::make_unexpected(error);
     auto opened = std::unique_ptr<Environment>(new Environment(raw));
--- a/src/storage/environment.hpp
+++ b/src/storage/environment.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// One LMDB file: opened, read and changed by one thread at a time.
+// One LMDB file (http://www.lmdb.tech/doc/): opened, read and changed by one thread at a time.
 #include <functional>
 #include <memory>
 #include <string>
@@ -30,16 +30,17 @@
     int error_ = 0;
 };
 
-/// Errors are LMDB's codes: negative ones of its own, positive ones of the operating system.
+/// One open LMDB file. Errors are LMDB's codes: 0 for none, negative ones of its own, positive ones of the
+/// operating system.
 class Environment {
   public:
     enum class Sync {
-        EachChange,  // a change's pages are durable before the page that makes it count is written
-        ByCaller     // nothing is durable before the caller syncs the file
+        EachChange,  ///< A change's pages are durable before the page that makes it count is written.
+        ByCaller     ///< Nothing is durable before the caller syncs the file.
     };
-    using Opened = tl::expected<std::unique_ptr<Environment>, int>;
-    /// Opens the file at `path`, which may be empty.
-    static auto open(const std::string& path, std::size_t mapBytes, Sync sync) -> Opened;
+    /// Opens the file at `path`, which may be empty; it never grows beyond `mapBytes`.
+    static auto open(const std::string& path, std::size_t mapBytes, Sync sync)
+        -> tl::expected<std::unique_ptr<Environment>, int>;
     ~Environment();
     Environment(const Environment&) = delete;
     auto operator=(const Environment&) -> Environment& = delete;
--- a/src/storage/file_layer.hpp
+++ b/src/storage/file_layer.hpp
@@ -25,8 +25,8 @@
 auto systemFiles() -> FileLayer&;
 
 /// The directory that holds `path`, "." for a bare name.
-auto parentDirectory(std::string path) -> std::string;
+[[nodiscard]] auto parentDirectory(std::string path) -> std::string;
 /// The length of a file; 0 if it does not exist.
-auto fileBytes(const std::string& path) -> std::size_t;
+[[nodiscard]] auto fileBytes(const std::string& path) -> std::size_t;
 
 }  // namespace duneturn
--- a/src/storage/store.cpp
+++ b/src/storage/store.cpp
@@ -13,8 +13,11 @@
 #include <fmt/format.h>
 #include <tl/expected.hpp>
 
+#include "base/json.hpp"
 #include "base/log.hpp"
 #include "base/time.hpp"
+#include "storage/record_codec.hpp"
+#include "storage/state_reader.hpp"
 
 namespace duneturn {
 
@@ -33,9 +36,9 @@
     auto own = error < 0 && error != MDB_MAP_FULL && error != MDB_PANIC;
     return own ? StoreError::Kind::Damaged : StoreError::Kind::Refused;
 }
-auto unexpected(std::string what, int error) -> tl::unexpected<StoreError> {
+auto unexpected(std::string_view what, int error) -> tl::unexpected<StoreError> {
     return tl::make_unexpected(
-        StoreError{fmt::format("{}: {}", what, environmentErrorText(error)), kindOf(error)});
+        StoreError{fmt::format("{}: {}", what, environmentErrorText(error)), kindOf(error), FILE_RECORD});
 }
 
 auto metaRecord(const DiskState& state) -> std::string {
@@ -55,56 +58,6 @@
     transaction.put(key, sealRecord(key, bytes));
 }
 
-/// Gathers a state from a store's records, and notes the first fault.
-struct StateReader {
-    DiskState state;
-    std::string fault;
-    bool newer = false;
-    bool sawMeta = false;
-
-    auto take(std::string_view key, std::string_view sealed) -> bool {
-        auto bytes = openRecord(key, sealed);
-        if (!bytes) fault = "a checksum does not match";
-        else if (key == META_KEY) takeMeta(*bytes);
-        else if (key == SNAPSHOT_KEY) state.snapDoc = std::string(*bytes);
-        else if (entryIndex(key)) takeEntry(*bytes);
-        return fault.empty();
-    }
-    auto takeMeta(std::string_view bytes) -> void {
-        auto meta = wire::Meta();
-        if (!unpackRecord(bytes, meta)) {
-            fault = "the record of the voter cannot be read";
-            return;
-        }
-        if (meta.format > FORMAT) {
-            fault = fmt::format("written in format {}, this program knows {}", meta.format, FORMAT);
-            newer = true;
-        }
-        state.disk = meta.disk;
-        state.epoch = meta.epoch;
-        state.term = meta.term;
-        state.vote = meta.vote;
-        state.commit = meta.commit;
-        state.snapIdx = meta.snapIdx;
-        state.snapTerm = meta.snapTerm;
-        sawMeta = true;
-    }
-    auto takeEntry(std::string_view bytes) -> void {
-        auto entry = wire::Entry();
-        if (unpackRecord(bytes, entry)) state.log.push_back(std::move(entry));
-        else fault = "an entry cannot be read";
-    }
-    /// What only all records together can show.
-    auto finish() -> void {
-        if (!fault.empty()) return;
-        if (!sawMeta && !state.log.empty()) fault = "entries without the record of the voter";
-        std::erase_if(state.log, [&](auto& entry) { return entry.idx <= state.snapIdx; });
-        for (auto i = std::size_t(0); fault.empty() && i < state.log.size(); i++)
-            if (state.log[i].idx != state.snapIdx + 1 + std::int64_t(i)) fault = "an entry is missing";
-        if (fault.empty() && state.snapIdx > 0 && state.snapDoc.empty()) fault = "the snapshot is missing";
-    }
-};
-
 }  // namespace
 
 auto Store::path() const -> std::string { return directory_ + FILE_NAME; }
@@ -125,7 +78,7 @@
         if (auto error = createEmpty(); error) return unexpected("a new store", error);
     auto state = readState();
     if (!state && state.error().kind == StoreError::Kind::Damaged) {
-        if (auto error = moveDamagedAside(state.error().why); error)
+        if (auto error = moveDamagedAside(state.error()); error)
             return unexpected("setting a damaged store aside", error);
         if (auto error = createEmpty(); error) return unexpected("a new store", error);
         state = readState();
@@ -134,7 +87,7 @@
         environment_.reset();
         return state;
     }
-    // An earlier life may have ended before it synced the names that it made.
+    // An earlier process may have ended before it synced the names that it made.
     namesUnsynced_ = true;
     if (auto error = syncNames(); error) {
         environment_.reset();
@@ -162,13 +115,13 @@
     return replaceFile(std::move(*target));
 }
 
-auto Store::moveDamagedAside(const std::string& why) -> int {
+auto Store::moveDamagedAside(const StoreError& damage) -> int {
     environment_.reset();
     auto aside = fmt::format("{}.bad-{}", path(), wallNow());
     if (auto error = files_.renameFile(path(), aside); error) return error;
     if (auto error = files_.syncDirectory(directory_); error) return error;
-    logf("disk: the store is damaged ({}) and was set aside as {}", why, aside);
-    setAside = true;
+    logEvent("store_set_aside", "record={} cause={} file={}", damage.record, jsonQuote(damage.why), aside);
+    damage_ = damage;
     return 0;
 }
 
@@ -185,10 +138,11 @@
     auto error = environment_->forEach(
         [&](std::string_view key, std::string_view sealed) { return reader.take(key, sealed); });
     if (error) return unexpected("read", error);
-    reader.finish();
-    if (reader.fault.empty()) return std::move(reader.state);
-    auto kind = reader.newer ? StoreError::Kind::NewerFormat : StoreError::Kind::Damaged;
-    return tl::make_unexpected(StoreError{reader.fault, kind});
+    auto state = reader.finish();
+    auto& fault = reader.fault();
+    if (!fault) return state;
+    auto kind = fault->newerFormat ? StoreError::Kind::NewerFormat : StoreError::Kind::Damaged;
+    return tl::make_unexpected(StoreError{fault->why, kind, fault->record});
 }
 
 // Before the first write after a name has changed, the change is made durable.
@@ -201,30 +155,29 @@
 
 // ---- writing
 
-auto Store::owe(const DiskWrite& write) -> void {
-    oweReset_ = oweReset_ || write.reset;
+auto Store::carryOver(const DiskWrite& write) -> void {
+    carried_.reset = carried_.reset || write.reset;
     if (!write.reset && !write.snap) return;
-    oweSnapshot_ = write.snap;
-    oweDocument_ = write.doc;
+    carried_.snapshot = write.snap;
+    carried_.document = write.doc;
 }
 
 auto Store::write(const DiskWrite& write) -> tl::expected<void, StoreError> {
-    auto own = write.reset || write.snap;
-    auto change = Change{
-        write, write.reset || oweReset_, own ? write.snap : oweSnapshot_, own ? write.doc : oweDocument_};
+    auto replacesSnapshot = write.reset || write.snap;
+    auto change = Change{write, write.reset || carried_.reset,
+        replacesSnapshot ? write.snap : carried_.snapshot, replacesSnapshot ? write.doc : carried_.document};
     auto error = syncNames();
     if (!error && !environment_) error = openFile();
     if (!error) error = contentsDoubted_ ? MDB_MAP_FULL : commit(change);
     // A full file is written anew: what the change drops is not copied, and nothing is in pieces.
     if (error == MDB_MAP_FULL) error = rewrite(&change);
     if (error) {
-        // LMDB denies everything after some failures, until it is opened anew.
+        // After some failures LMDB refuses everything until it is opened anew.
         environment_.reset();
-        owe(write);
+        carryOver(write);
         return unexpected("write", error);
     }
-    oweReset_ = oweSnapshot_ = false;
-    oweDocument_.clear();
+    carried_ = {};
     if (change.snapshot || change.reset) shrinkIfSparse();
     return {};
 }
@@ -300,7 +253,10 @@
     auto error = environment_->forEach([&](std::string_view key, std::string_view sealed) {
         if (change && !survives(key, change->reset, change->snapshot, change->write)) return true;
         // Damage is not carried over as if it were sound.
-        if (!openRecord(key, sealed)) failure = MDB_CORRUPTED;
+        if (!openRecord(key, sealed)) {
+            logEvent("store_record_damaged", "record={} file={}", recordName(key), path());
+            failure = MDB_CORRUPTED;
+        }
         if (failure) return false;
         batch.emplace_back(key, sealed);
         batchBytes += sealed.size();
@@ -334,7 +290,7 @@
     auto size = fileBytes(path());
     if (size <= limits_.sparseBytes || environment_->liveBytes() * 2 > size) return;
     if (auto error = rewrite(nullptr); error)
-        logf("disk: the store could not be made smaller: {}", environmentErrorText(error));
+        logEvent("store_shrink_failed", "cause={}", jsonQuote(environmentErrorText(error)));
 }
 
 }  // namespace duneturn
--- a/tests/storage/disk_test.cpp
+++ b/tests/storage/disk_test.cpp
@@ -85,7 +85,7 @@
         x.meta.snapTerm = 1;
         x.snap = true;
         x.doc = "new" + std::string(100000, 'n');
-        if (behind) s->owe(x);
+        if (behind) s->carryOver(x);
         else {
             auto no = Full(32 * 1024);
             CHECK(!s->write(x));
@@ -103,7 +103,7 @@
         s = std::make_unique<Store>();
         auto r = s->open(f.p);
         CHECK(bool(r));
-        CHECK(!s->setAside);
+        CHECK(!s->setAside());
         CHECK(same(*r, m));
         // Paid once: a later write without a snapshot leaves the document as it is.
         auto z = y;
@@ -191,7 +191,7 @@
             auto s = Store();
             auto x = s.open(g.p);
             CHECK(bool(x));
-            CHECK(!s.setAside);
+            CHECK(!s.setAside());
             CHECK(same(*x, before) || same(*x, after));
             tries++;
         }
--- a/tests/storage/storage_full_test.cpp
+++ b/tests/storage/storage_full_test.cpp
@@ -12,6 +12,7 @@
 #include "base/hash.hpp"
 #include "base/time.hpp"
 #include "storage/storage_fixture.hpp"
+#include "storage/record_codec.hpp"
 #include "storage/store.hpp"
 #include "test.hpp"
 
@@ -120,7 +121,7 @@
     explicit LoneVoter(const std::string& directory) {
         auto state = store.open(directory);
         CHECK(bool(state));
-        CHECK(!store.setAside);
+        CHECK(!store.setAside());
         voter.start(*state, "d", now);
     }
     auto voterSend(const std::string&, wire::Envelope&) -> void override {}
@@ -202,7 +203,7 @@
                 store = std::make_unique<Store>();
                 auto state = store->open(directory.path);
                 CHECK(bool(state));
-                CHECK(!store->setAside);
+                CHECK(!store->setAside());
                 CHECK(sameState(*state, writer.state));
                 writer.store = store.get();
             }
@@ -214,7 +215,7 @@
         store = std::make_unique<Store>();
         auto state = store->open(directory.path);
         CHECK(bool(state));
-        CHECK(!store->setAside);
+        CHECK(!store->setAside());
         CHECK(sameState(*state, writer.state));
     }
 }
@@ -264,7 +265,7 @@
     auto store = std::make_unique<Store>();
     auto opened = store->open(directory.path);
     CHECK(bool(opened));
-    CHECK(!store->setAside);
+    CHECK(!store->setAside());
     CHECK(sameState(*opened, state));
     auto writer = Writer{store.get(), state};
     auto next = writer.base();
@@ -286,7 +287,7 @@
     auto store = Store();
     auto opened = store.open(directory.path);
     CHECK(bool(opened));
-    CHECK(!store.setAside);
+    CHECK(!store.setAside());
     CHECK(sameState(*opened, state));
     auto writer = Writer{&store, state};
     auto vote = writer.base();
--- a/tests/storage/storage_power_test.cpp
+++ b/tests/storage/storage_power_test.cpp
@@ -38,7 +38,8 @@
         auto store = Store(systemFiles(), SMALL);
         auto state = store.open(path);
         images++;
-        auto sound = state && !store.setAside && (sameState(*state, promised) || sameState(*state, underWay));
+        auto sound =
+            state && !store.setAside() && (sameState(*state, promised) || sameState(*state, underWay));
         violations += !sound;
     }
     auto open() -> bool { return bool(store.open(files.folder())); }
@@ -168,7 +169,7 @@
     };
     auto state = trial.store.open(trial.files.folder());
     CHECK(bool(state));
-    CHECK(trial.store.setAside);
+    CHECK(trial.store.setAside());
     CHECK(state->disk.empty());
     CHECK(points.size() > 5);
     for (auto& image : points) {
--- a/tests/storage/store_test.cpp
+++ b/tests/storage/store_test.cpp
@@ -20,6 +20,7 @@
 #include "base/hash.hpp"
 #include "base/random.hpp"
 #include "base/version.hpp"
+#include "storage/record_codec.hpp"
 #include "storage/store.hpp"
 #include "test.hpp"
 
@@ -109,7 +110,7 @@
                 s = std::make_unique<Store>();
                 auto x = s->open(f.p);
                 CHECK(bool(x));
-                CHECK(!s->setAside);
+                CHECK(!s->setAside());
                 CHECK(same(*x, m));
             }
         }
@@ -157,7 +158,7 @@
         auto s = Store();
         auto x = s.open(g.p);
         CHECK(bool(x));
-        CHECK(!s.setAside);
+        CHECK(!s.setAside());
         return *x;
     };
     auto tries = 0;
@@ -216,7 +217,7 @@
     s = std::make_unique<Store>();
     auto x = s->open(f.p);
     CHECK(bool(x));
-    CHECK(!s->setAside);
+    CHECK(!s->setAside());
     CHECK(same(*x, m));
 }
 
@@ -253,8 +254,8 @@
         auto x = s.open(f.p);
         CHECK(bool(x));
         // Either the page was an old copy, and all is there, or it is as if wiped; never a part.
-        CHECK(s.setAside ? x->disk.empty() && x->log.empty() : same(*x, m));
-        found += s.setAside;
+        CHECK(s.setAside() ? x->disk.empty() && x->log.empty() : same(*x, m));
+        found += s.setAside();
     }
     CHECK(found > 5);
 }
@@ -288,7 +289,7 @@
     auto x = s.open(f.p);
     CHECK(!x);
     CHECK(x.error().kind == StoreError::Kind::NewerFormat);
-    CHECK(!s.setAside);
+    CHECK(!s.setAside());
 }
 
 // What processes say to each other: any envelope comes out as it went in; any damage to it is
--- a/tests/storage/stored_format_test.cpp
+++ b/tests/storage/stored_format_test.cpp
@@ -17,7 +17,7 @@
 #include "base/log.hpp"
 #include "base/time.hpp"
 #include "consensus/consensus_fixture.hpp"
-#include "net/compress.hpp"
+#include "net/envelope_compression.hpp"
 #include "pinned_files.hpp"
 #include "state/state_query.hpp"
 #include "storage/store.hpp"
@@ -93,7 +93,7 @@
     auto store = Store();
     auto state = store.open(directory);
     CHECK(bool(state));
-    CHECK(!store.setAside);
+    CHECK(!store.setAside());
     return *state;
 }
 
@@ -106,8 +106,9 @@
     return found.size() == 1 ? *readFile(found[0]) : std::string();
 }
 
-/// A store of these records is refused: it is renamed as it is, and nothing of it is taken.
-auto isRefused(const Records& records) -> bool {
+/// The record that a store of these records is refused for, as recordName names it; empty if it is not
+/// refused. A refused store is renamed as it is, and nothing of it is taken.
+auto refusedRecord(const Records& records) -> std::string {
     auto directory = TemporaryDirectory();
     makeStore(directory.path, records);
     auto before = *readFile(directory.path + STORE_FILE);
@@ -115,8 +116,10 @@
     muteLog(true);
     auto state = store.open(directory.path);
     muteLog(false);
-    if (!state || !store.setAside) return false;
-    return sameState(*state, DiskState()) && asideBytes(directory.path) == before;
+    if (!state || !store.setAside()) return "";
+    CHECK(sameState(*state, DiskState()));
+    CHECK(asideBytes(directory.path) == before);
+    return store.damage()->record;
 }
 
 /// The state that the pinned orders begin with.
@@ -310,7 +313,7 @@
 
 TEST(StoredFormat, alteredRecordIsRefused) {
     auto sound = pinnedRecords();
-    CHECK(!isRefused(sound));
+    CHECK_EQ(std::string(), refusedRecord(sound));
     for (auto i = std::size_t(0); i < sound.size(); i++) {
         auto& [key, sealed] = sound[i];
         CHECK(bool(openRecord(key, sealed)));
@@ -323,10 +326,10 @@
         }
         auto records = sound;
         records[i].second.back() ^= 1;
-        CHECK(isRefused(records));
+        CHECK_EQ(recordName(key), refusedRecord(records));
         records = sound;
         records[i].second.pop_back();
-        CHECK(isRefused(records));
+        CHECK_EQ(recordName(key), refusedRecord(records));
     }
 }
 
@@ -338,7 +341,10 @@
     for (auto i = std::size_t(0); i < sound.size(); i++) {
         auto records = sound;
         records.erase(records.begin() + std::ptrdiff_t(i));
-        refused += isRefused(records);
+        auto record = refusedRecord(records);
+        if (record.empty()) continue;
+        CHECK_EQ(recordName(sound[i].first), record);
+        refused++;
     }
     CHECK_EQ(sound.size() - 1, refused);
 }
@@ -360,7 +366,8 @@
     auto state = store.open(directory.path);
     CHECK(!state);
     CHECK(state.error().kind == StoreError::Kind::NewerFormat);
-    CHECK(!store.setAside);
+    CHECK_EQ(std::string("meta"), state.error().record);
+    CHECK(!store.setAside());
     CHECK(before == *readFile(directory.path + STORE_FILE));
 }
 
