--- a/tests/checks.sh
+++ b/tests/checks.sh
@@ -197,6 +197,34 @@
   fails "a test that is not there" "README.md names the test Suite.other" scripts/check-docs.sh
 }
 
+test_layers() {
+  good_tree
+  mkdir src/net src/state src/sim platform/sim
+  printf '#include "base/sound.hpp"\n#include "wire_types.h"\n#include <string>\n' >src/net/sound.hpp
+  printf '#include "sim/world.hpp"\n#include "net/sound.hpp"\n' >src/sim/world.cpp
+  printf '#include "names.hpp"\n#include "days.hpp"\n' >platform/sim/days.cpp
+  touch platform/sim/days.hpp platform/names.hpp
+  track
+  passes "headers of lower layers" scripts/check-layers.sh
+  printf '#include "net/sound.hpp"\n' >src/base/sound.cpp
+  fails "a header of a higher layer" "src/base/sound.cpp includes net/sound.hpp" scripts/check-layers.sh
+  printf '// Nothing.\n' >src/base/sound.cpp
+  printf '#include "net/sound.hpp"\n' >src/state/sound.hpp
+  track
+  fails "a header of the same layer's other folder" "src/state/sound.hpp includes net/sound.hpp" scripts/check-layers.sh
+  printf '#include "names.hpp"\n' >src/state/sound.hpp
+  fails "a header of the platform" "src/state/sound.hpp includes names.hpp" scripts/check-layers.sh
+  printf '// Nothing.\n' >src/state/sound.hpp
+  mkdir src/other
+  printf '#include "base/sound.hpp"\n' >src/other/sound.cpp
+  track
+  fails "a folder that is in no layer" "src/other/sound.cpp includes base/sound.hpp" scripts/check-layers.sh
+  rm -r src/other
+  printf '#include "days.hpp"\n' >platform/names.cpp
+  track
+  fails "the simulator's header in the platform" "platform/names.cpp includes days.hpp" scripts/check-layers.sh
+}
+
 test_lint() {
   good_tree
   compile_commands
@@ -300,6 +328,7 @@
 test_platform_names
 test_withdrawn_words
 test_docs
+test_layers
 test_lint
 test_function_sizes
 test_known_red
