--- a/src/base/settings.hpp
+++ b/src/base/settings.hpp
@@ -12,7 +12,7 @@
 namespace duneturn {
 
 /// What one process of the fleet must know before it has met the others. Addresses are "IP:PORT". The key
-/// of the settings file is named where it is another word.
+/// of the settings file is named where it differs.
 struct Settings {
     std::string node;                 ///< The node's name, unique in the fleet.
     std::string zone;                 ///< Key "district": what may be evacuated or lost as one.
--- a/src/storage/store.cpp
+++ b/src/storage/store.cpp
@@ -287,7 +287,7 @@
     return syncNames();
 }
 
-// LMDB never gives back what a file has grown to. A failure leaves the larger file in use.
+// LMDB never shrinks a file. A failure leaves the larger file in use.
 auto Store::shrinkIfSparse() -> void {
     auto size = fileBytes(path());
     if (size <= limits_.sparseBytes || environment_->liveBytes() * 2 > size) return;
--- a/tests/net/shell_test.cpp
+++ b/tests/net/shell_test.cpp
@@ -38,7 +38,7 @@
     CHECK_EQ(4 * SECOND, keepFor({{"Connection", "keep-alive"}, {"Keep-Alive", "max=1"}}));
 }
 
-TEST(Shell, isHopByHopHeader) {
+TEST(Shell, hopByHop) {
     for (auto k : {"connection", "Keep-Alive", "transfer-encoding", "Content-Length", "TE", "Upgrade"})
         CHECK(isHopByHopHeader(k, ""));
     CHECK(!isHopByHopHeader("X-One", ""));
