--- a/tests/storage/power_loss_files.cpp
+++ b/tests/storage/power_loss_files.cpp
@@ -16,7 +16,7 @@
 constexpr auto PAGE_BYTES = std::size_t(4096);
 constexpr auto LAST_PAGES = 2 * PAGE_BYTES;  // written last and alone, behind a sync
 
-auto readFile(const std::string& path) -> std::string { return readFile(path).value_or(""); }
+auto contentsOf(const std::string& path) -> std::string { return readFile(path).value_or(""); }
 
 // Every other page of `newer` over `older`, and none of the pages written last.
 auto torn(const std::string& older, const std::string& newer) -> std::string {
