--- a/src/daemon/answer_reader.cpp
+++ b/src/daemon/answer_reader.cpp
@@ -73,7 +73,7 @@
     auto declined = hasHeader(headers_, options_.notExecuted);
     streamed_ = status == OK && isStream && !declined && !options_.answersHead;
     if (streamed_) parser_->body_limit(boost::none);
-    parts_.push_back(AnswerHead{status_, headers_});
+    parts_.emplace_back(AnswerHead{status_, headers_});
     auto framed = parser_->is_done() || parser_->chunked() || parser_->content_length();
     // Nothing tells the whole of such an answer from one that was cut.
     if (!framed && !options_.mayEndByClose) fail(AttemptEvent::MalformedAnswer, "an answer without a length");
@@ -84,7 +84,7 @@
     auto& body = parser_->get().body();
     events_.feed(body);
     body.clear();
-    while (auto event = events_.next()) parts_.push_back(*event);
+    while (auto event = events_.next()) parts_.emplace_back(*event);
     if (events_.tooLong()) fail(AttemptEvent::MalformedAnswer, "an event is too long");
 }
 
@@ -93,7 +93,7 @@
         return fail(AttemptEvent::MalformedAnswer, "bytes after the stream's last event");
     over_ = whole_ = true;
     surplus_ = surplus_ || buffer_.size() > 0;
-    parts_.push_back(AnswerEnd{status_, headers_, std::move(parser_->get().body()), streamed_});
+    parts_.emplace_back(AnswerEnd{status_, headers_, std::move(parser_->get().body()), streamed_});
 }
 
 auto AnswerReader::end(ConnectionEnd how) -> void {
@@ -110,7 +110,7 @@
 
 auto AnswerReader::fail(AttemptEvent event, std::string why) -> void {
     over_ = true;
-    parts_.push_back(AnswerFailure{event, std::move(why)});
+    parts_.emplace_back(AnswerFailure{event, std::move(why)});
 }
 
 auto AnswerReader::take() -> std::vector<AnswerPart> { return std::exchange(parts_, {}); }
