--- a/tests/checks.sh
+++ b/tests/checks.sh
@@ -200,6 +200,23 @@
   fails "a test that is not there" "README.md names the test Suite.other" scripts/check-docs.sh
 }
 
+test_module_arrows() {
+  good_tree
+  mkdir src/routing src/net docs
+  printf '#include "net/http.hpp"\n#include "base/time.hpp"\n' >src/routing/edge.cpp
+  printf '#include "base/time.hpp"\n' >src/net/http.hpp
+  : >src/base/time.hpp
+  printf 'Printed by `scripts/module-arrows.sh`:\n\n```\nrouting      -> net\nnet\nbase\n```\n' >docs/page.md
+  track
+  passes "a picture that is that of the includes" scripts/module-arrows.sh --check docs/page.md
+  sed -i 's/-> net/-> nothing/' docs/page.md
+  fails "a picture that is not" "+routing      -> net" scripts/module-arrows.sh --check docs/page.md
+  printf '#include "routing/edge.hpp"\n' >src/net/http.cpp
+  : >src/routing/edge.hpp
+  track
+  fails "folders that include each other" "include each other" scripts/module-arrows.sh
+}
+
 test_lint() {
   good_tree
   compile_commands
@@ -303,6 +320,7 @@
 test_platform_names
 test_withdrawn_words
 test_docs
+test_module_arrows
 test_lint
 test_function_sizes
 test_known_red
