--- a/src/sim/scale_measure.cpp
+++ b/src/sim/scale_measure.cpp
@@ -55,7 +55,7 @@
     auto id = ++node.callId;
     node.calls[id] = std::move(answered);
     spend(node, &Stats::other, [&] {
-        auto key = fmt::format("order-{:08x}-{}", rng.s & 0xffffffff, ++orders_);
+        auto key = fmt::format("order-{:08x}-{}", rng.state & 0xffffffff, ++orders_);
         node.node->order(id, operation, key, body, now);
     });
 }
@@ -406,7 +406,7 @@
     for (auto& node : nodes)
         if (node->up) byRole.emplace(roleOf(*node, relayNames), node.get());
     for (auto& [role, node] : byRole) {
-        point.counts[role + ".rowsHeld"] = std::int64_t(node->node->rows().size()) + 1;
+        point.counts[role + ".rowsHeld"] = std::int64_t(node->node->nodes().size()) + 1;
         point.counts[role + ".listingsHeld"] = std::int64_t(node->node->servers().size());
         auto before = heapNow();
         node->kill();
