--- a/src/consensus/snapshot_transfer.hpp
+++ b/src/consensus/snapshot_transfer.hpp
@@ -2,7 +2,7 @@
 // A snapshot on its way to another replica: numbered chunks, a few in flight, resumed after a loss
 // (InstallSnapshot; Ongaro 2014, 5.3).
 //
-// The receiver answers each chunk with the offset that it expects next. What it has is told apart by
+// The receiver answers each chunk with the offset that it expects next. What it has is known by
 // index, term and digest, so that it goes on where it was also under another leader, whose snapshot
 // of the same entry is the same document.
 #include <cstddef>
--- a/src/modelcheck/invariants.cpp
+++ b/src/modelcheck/invariants.cpp
@@ -124,7 +124,7 @@
         fail(fmt::format(
             "commit index: {} went from {} back to {}", seen().disk, before().commit, seen().commit));
     if (seen().version < before().version)
-        fail(fmt::format("commit index: {} went from applied generation {} back to {}", seen().disk,
+        fail(fmt::format("commit index: {} went from applied version {} back to {}", seen().disk,
             before().version, seen().version));
 }
 
@@ -142,8 +142,8 @@
     for (auto& state : node().applied) {
         if (state.version == 0) continue;
         if (remember(&History::applied, state.version, state.digest) != state.digest)
-            fail(fmt::format("state machine safety: {} applied another state as generation {}", seen().disk,
-                state.version));
+            fail(fmt::format(
+                "state machine safety: {} applied another state as version {}", seen().disk, state.version));
     }
 }
 
@@ -166,10 +166,10 @@
     fail(fmt::format("acknowledged is synced: {} acknowledges an order that no majority holds", seen().disk));
 }
 auto Check::acknowledgements() -> void {
-    auto fresh = seen().ordersApplied & ~history().acknowledged;
-    for (auto order = std::uint32_t(1); order <= fresh && order != 0; order <<= 1)
-        if (fresh & order) acknowledgedOnMajority(order);
-    if (fresh != 0) edit().acknowledged |= fresh;
+    auto newlyApplied = seen().ordersApplied & ~history().acknowledged;
+    for (auto order = std::uint32_t(1); order <= newlyApplied && order != 0; order <<= 1)
+        if (newlyApplied & order) acknowledgedOnMajority(order);
+    if (newlyApplied != 0) edit().acknowledged |= newlyApplied;
 }
 
 // What was acknowledged is on some disk for as long as no more is lost than the budget allows.
--- a/src/modelcheck/model.cpp
+++ b/src/modelcheck/model.cpp
@@ -92,14 +92,14 @@
 }
 
 auto actionParse(const std::string& line) -> tl::expected<Action, std::string> {
-    auto words = std::istringstream(line);
+    auto fields = std::istringstream(line);
     auto name = std::string();
     auto replica = 0, peer = 0, position = 0;
-    words >> name >> replica >> peer >> position;
+    fields >> name >> replica >> peer >> position;
     auto inRange = replica >= 0 && replica < int(REPLICAS) && peer >= 0 && peer < int(REPLICAS)
         && position >= 0 && position < 256;
     for (auto& known : ACTION_NAMES)
-        if (words && inRange && known.name == name)
+        if (fields && inRange && known.name == name)
             return Action{known.kind, std::uint8_t(replica), std::uint8_t(peer), std::uint8_t(position)};
     return tl::make_unexpected("not an action: " + line);
 }
--- a/src/modelcheck/search.cpp
+++ b/src/modelcheck/search.cpp
@@ -23,9 +23,9 @@
 
 namespace {
 
-auto hashOf(const std::vector<std::uint32_t>& words) -> std::uint64_t {
-    auto bytes = reinterpret_cast<const char*>(words.data());
-    auto hash = hash64(std::string_view(bytes, words.size() * sizeof(std::uint32_t)));
+auto hashOf(const std::vector<std::uint32_t>& encoded) -> std::uint64_t {
+    auto bytes = reinterpret_cast<const char*>(encoded.data());
+    auto hash = hash64(std::string_view(bytes, encoded.size() * sizeof(std::uint32_t)));
     return hash == 0 ? 1 : hash;
 }
 
@@ -186,8 +186,8 @@
 // The states of a search, in the order in which they were found.
 class StateTable {
   public:
-    auto add(const std::vector<std::uint32_t>& words, std::uint32_t parent, const Action& action) -> bool {
-        if (!hashes_.insert(hashOf(words))) return false;
+    auto add(const std::vector<std::uint32_t>& encoded, std::uint32_t parent, const Action& action) -> bool {
+        if (!hashes_.insert(hashOf(encoded))) return false;
         origins_.push_back({parent, action});
         return true;
     }
@@ -206,7 +206,7 @@
 
 struct FrontierState {
     std::uint32_t number;
-    std::vector<std::uint32_t> words;
+    std::vector<std::uint32_t> encoded;
 };
 
 auto fullTrace(const Scenario& scenario, const std::vector<Action>& found) -> std::vector<Action> {
@@ -257,20 +257,20 @@
         for (auto remaining = frontier.size(); remaining > 0; remaining--) {
             auto current = std::move(frontier.front());
             frontier.pop_front();
-            auto state = decode(current.words);
+            auto state = decode(current.encoded);
             for (auto& action : model.enabled(state)) {
                 auto next = state;
                 result.transitions++;
                 result.violation = model.apply(next, action);
-                auto words = encode(next);
+                auto encoded = encode(next);
                 if (!result.violation.empty()) {
                     auto found = table.trace(current.number);
                     found.push_back(action);
                     result.trace = fullTrace(scenario, found);
                     return finish();
                 }
-                if (!table.add(words, current.number, action)) continue;
-                frontier.push_back({std::uint32_t(table.size() - 1), std::move(words)});
+                if (!table.add(encoded, current.number, action)) continue;
+                frontier.push_back({std::uint32_t(table.size() - 1), std::move(encoded)});
             }
             if (table.size() >= options.maxStates) return finish();
         }
--- a/src/modelcheck/search.hpp
+++ b/src/modelcheck/search.hpp
@@ -24,7 +24,7 @@
     std::string violation;
     std::vector<Action> trace;  // from the initial state, the scenario's actions first
     std::size_t scenarioLength = 0;
-    std::size_t states = 0;  // told apart by a 64-bit hash; walks: steps taken
+    std::size_t states = 0;  // distinguished by a 64-bit hash; walks: steps taken
     std::size_t transitions = 0;
     std::size_t depth = 0;  // the last depth that was searched whole
     bool complete = false;  // every state within the bounds was seen
