--- a/tests/consensus/consensus_membership_test.cpp
+++ b/tests/consensus/consensus_membership_test.cpp
@@ -240,9 +240,8 @@
     entry.term = cluster.at(leader).term();
     entry.index = index + 1;
     entry.kind = ENTRY_VOTERS;
-    entry.body =
-        R"([{"replaced":"s-a","disk":"a"},{"replaced":"s-b","disk":"b"},{"replaced":"s-c","disk":"c"},)"
-        R"({"replaced":"s-c","disk":"disk"}])";
+    entry.body = R"([{"seat":"s-a","disk":"a"},{"seat":"s-b","disk":"b"},{"seat":"s-c","disk":"c"},)"
+                 R"({"seat":"s-c","disk":"d"}])";
     for (auto& disk : {"a", "b", "c"}) {
         auto& member = *cluster.members.at(disk);
         cluster.stop(disk);
