--- a/src/state/accepted_changes.cpp
+++ b/src/state/accepted_changes.cpp
@@ -31,11 +31,11 @@
 
 }  // namespace
 
-auto AcceptedChanges::parse(std::int64_t forgottenConfigVersion, std::int64_t forgottenDocumentVersion,
+auto AcceptedChanges::parse(std::int64_t forgottenVersion, std::int64_t forgottenDocumentVersion,
     const std::string& records) -> std::optional<AcceptedChanges> {
     if (records.size() % RECORD_SIZE != 0 || records.size() > CAPACITY * RECORD_SIZE) return std::nullopt;
     if (!isHexadecimal(records)) return std::nullopt;
-    auto changes = AcceptedChanges(forgottenConfigVersion, forgottenDocumentVersion);
+    auto changes = AcceptedChanges(forgottenVersion, forgottenDocumentVersion);
     for (auto i = std::size_t(0); i < records.size() / RECORD_SIZE; i++)
         changes.records_.push_back({numberAt(records, i, 0), std::int64_t(numberAt(records, i, 1)),
             std::int64_t(numberAt(records, i, 2))});
@@ -48,7 +48,7 @@
     records_.push_back({hash64(key), notNegative(documentVersion), notNegative(stateVersion)});
     if (records_.size() <= CAPACITY) return;
     forgottenDocumentVersion_ = std::max(forgottenDocumentVersion_, records_.front().documentVersion);
-    forgottenConfigVersion_++;
+    forgottenVersion_++;
     records_.erase(records_.begin());
 }
 
@@ -58,14 +58,14 @@
     for (auto position = records_.size(); position-- > 0;) {
         auto& record = records_[position];
         if (record.keyDigest != digest) continue;
-        auto configVersion = forgottenConfigVersion_ + 1 + std::int64_t(position);
+        auto configVersion = forgottenVersion_ + 1 + std::int64_t(position);
         return AcceptedChange{configVersion, record.documentVersion, record.stateVersion};
     }
     return std::nullopt;
 }
 
 auto AcceptedChanges::configVersion() const -> std::int64_t {
-    return forgottenConfigVersion_ + std::int64_t(records_.size());
+    return forgottenVersion_ + std::int64_t(records_.size());
 }
 
 auto AcceptedChanges::recordsText() const -> std::string {
--- a/src/state/accepted_changes.hpp
+++ b/src/state/accepted_changes.hpp
@@ -12,7 +12,7 @@
 struct AcceptedChange {
     std::int64_t configVersion = 0;    // that it made
     std::int64_t documentVersion = 0;  // of the operator's document; 0 if it bears none
-    std::int64_t stateVersion = 0;     // of the state that holds it; 0 if an earlier format did not tell
+    std::int64_t stateVersion = 0;     // of the state that holds it; 0 if an earlier format did not keep it
 };
 
 /// The changes that made the last versions of the configuration, one by one without a gap. Nothing is
@@ -25,10 +25,10 @@
     /// A memory that knows nothing of the changes up to `configVersion`, whose documents' versions were at
     /// most `documentVersion`.
     AcceptedChanges(std::int64_t configVersion, std::int64_t documentVersion)
-        : forgottenConfigVersion_(configVersion), forgottenDocumentVersion_(documentVersion) {}
+        : forgottenVersion_(configVersion), forgottenDocumentVersion_(documentVersion) {}
     /// A memory with the records of recordsText(); none if the text is malformed.
-    [[nodiscard]] static auto parse(std::int64_t forgottenConfigVersion,
-        std::int64_t forgottenDocumentVersion, const std::string& records) -> std::optional<AcceptedChanges>;
+    [[nodiscard]] static auto parse(std::int64_t forgottenVersion, std::int64_t forgottenDocumentVersion,
+        const std::string& records) -> std::optional<AcceptedChanges>;
 
     /// Adds the change that made the next version of the configuration. Beyond CAPACITY the oldest one is
     /// forgotten.
@@ -39,7 +39,7 @@
     /// The version that the newest known change made.
     [[nodiscard]] auto configVersion() const -> std::int64_t;
     /// The highest version of the configuration, and of documents, of which it is not known who made it.
-    [[nodiscard]] auto forgottenConfigVersion() const -> std::int64_t { return forgottenConfigVersion_; }
+    [[nodiscard]] auto forgottenVersion() const -> std::int64_t { return forgottenVersion_; }
     [[nodiscard]] auto forgottenDocumentVersion() const -> std::int64_t { return forgottenDocumentVersion_; }
 
     /// All records in order, as stored: of each the digest of its key, its document's version and the
@@ -53,7 +53,7 @@
         std::int64_t stateVersion = 0;
     };
 
-    std::int64_t forgottenConfigVersion_ = 0;
+    std::int64_t forgottenVersion_ = 0;
     std::int64_t forgottenDocumentVersion_ = 0;
     std::vector<Record> records_;  // the one at position i made the forgotten version + 1 + i
 };
--- a/src/state/config_change.hpp
+++ b/src/state/config_change.hpp
@@ -2,8 +2,8 @@
 // The difference between two configurations: items to put and to remove by name. Commands may
 // carry it in place of a whole configuration where that is shorter.
 //
-//   {"mappings": {"put": [mapping...], "remove": [name...]},
-//    "pools":    {"put": {name: pool...}, "remove": [name...]},
+//   {"mappings": {"put": [route...], "remove": [name...]},
+//    "pools":    {"put": {name: service...}, "remove": [name...]},
 //    "models":   {"put": {name: model...}, "remove": [name...]},
 //    "origin":   {"number": n, "text": [part...]},        parts as in text_change.hpp
 //    "set":      {member: value...}, "unset": [member...]}     all other members
--- a/src/state/configuration_validation.cpp
+++ b/src/state/configuration_validation.cpp
@@ -99,7 +99,7 @@
             checkNames(routes[i]);
             checkStream(routes[i]);
             checkHomes(routes[i]);
-            checkPools(routes[i]);
+            checkServices(routes[i]);
             checkPlace(routes[i]);
         }
     }
@@ -133,26 +133,26 @@
         if (hasHome && hasHomes) fault("homes", "home or homes, not both");
     }
 
-    auto checkPools(const rapidjson::Value& route) -> void {
-        auto hasPool = route.HasMember("pool");
-        auto hasPools = route.HasMember("pools");
-        if (hasPool == hasPools) fault("pool", hasPool ? "pool or pools, not both" : "missing");
-        if (hasPool) checkPoolExists("pool", jsonString(route, "pool"));
-        if (!hasPools) return;
+    auto checkServices(const rapidjson::Value& route) -> void {
+        auto hasService = route.HasMember("pool");
+        auto hasShares = route.HasMember("pools");
+        if (hasService == hasShares) fault("pool", hasService ? "pool or pools, not both" : "missing");
+        if (hasService) checkServiceExists("pool", jsonString(route, "pool"));
+        if (!hasShares) return;
         auto sum = std::int64_t(0);
         for (auto& part : route["pools"].GetArray()) {
             sum += jsonInteger(part, "share");
-            checkPoolExists("pools", jsonString(part, "pool"));
+            checkServiceExists("pools", jsonString(part, "pool"));
         }
         if (sum <= 0) fault("pools", "the shares sum to 0");
     }
 
-    auto checkPoolExists(std::string_view member, const std::string& pool) -> void {
-        auto pools = jsonMember(configuration_, "pools");
-        if (pools && !pools->HasMember(pool)) fault(member, "no such pool under /pools: " + pool);
+    auto checkServiceExists(std::string_view member, const std::string& service) -> void {
+        auto services = jsonMember(configuration_, "pools");
+        if (services && !services->HasMember(service)) fault(member, "no such pool under /pools: " + service);
     }
 
-    /// No two routes take the same host, method and path. Those without a host are told apart by name.
+    /// No two routes take the same host, method and path. Those without a host differ by name.
     auto checkPlace(const rapidjson::Value& route) -> void {
         auto host = jsonString(route, "host");
         if (host.empty()) return;
--- a/src/state/outcome.hpp
+++ b/src/state/outcome.hpp
@@ -24,7 +24,7 @@
 
 /// A refusal for one reason.
 [[nodiscard]] auto refusal(int status, const std::string& why) -> Outcome;
-/// The answer where it cannot be told whether a command was accepted.
+/// The answer where it is not known whether a command was accepted.
 [[nodiscard]] auto outcomeUnknown() -> Outcome;
 
 }  // namespace duneturn
--- a/src/state/replicated_state.cpp
+++ b/src/state/replicated_state.cpp
@@ -79,7 +79,7 @@
 }
 
 auto ReplicatedState::baseRefusal(std::int64_t base) const -> Outcome {
-    if (base < outcomes_.changes().forgottenConfigVersion()) return outcomeUnknown();
+    if (base < outcomes_.changes().forgottenVersion()) return outcomeUnknown();
     return {409,
         bodyOf({{"error", jsonQuote("based on a generation that is not the newest")},
             {"configGeneration", fmt::to_string(configVersion_)}})};
--- a/src/state/state_codec.cpp
+++ b/src/state/state_codec.cpp
@@ -119,7 +119,7 @@
 
     auto changes(const AcceptedChanges& changes) -> void {
         json_.StartObject();
-        member("forgottenGeneration", changes.forgottenConfigVersion());
+        member("forgottenGeneration", changes.forgottenVersion());
         member("forgottenVersion", changes.forgottenDocumentVersion());
         member("records", changes.recordsText());
         json_.EndObject();
--- a/src/state/state_codec.hpp
+++ b/src/state/state_codec.hpp
@@ -1,16 +1,16 @@
 #pragma once
 // The JSON document of a replicated state, as it is stored and sent. The names of members are the stored
 // format, and are mapped to the typed state here only:
-//   reign, generation             epoch, version
-//   configGeneration, config      the configuration and its version
-//   empties                       {zone: since when it is evacuated}
-//   plan                          [{id, at, state, move, fired}...]    the schedule
-//   roster                        [node...]
-//   voters                        [{seat, disk}...]
-//   outcomes, refusals            [{key, status, body, base}...]       outcomes of requests
-//   acceptedChanges               {forgottenGeneration, forgottenVersion, records}
-//   zoneRevisions                 {zone: revision}
-//   zoneRevisionFloor             a bound of the revisions that are forgotten
+//   "reign", "generation"           epoch and version of the state
+//   "configGeneration", "config"    the configuration and its version
+//   "empties"                       {zone: since when it is evacuated}
+//   "plan"                          the schedule, [{"id", "at", "state", "move", "fired"}...]
+//   "roster"                        [node...]
+//   "voters"                        [{"seat", "disk"}...]
+//   "outcomes", "refusals"          outcomes of requests, [{"key", "status", "body", "base"}...]
+//   "acceptedChanges"               {"forgottenGeneration", "forgottenVersion", "records"}
+//   "zoneRevisions"                 {zone: revision}
+//   "zoneRevisionFloor"             a bound of the revisions that are forgotten
 #include <optional>
 #include <string>
 
--- a/src/state/state_migration.cpp
+++ b/src/state/state_migration.cpp
@@ -66,7 +66,7 @@
     auto& allocator = document.GetAllocator();
     auto changes = rebuildAcceptedChanges(document);
     auto member = rapidjson::Value(rapidjson::kObjectType);
-    member.AddMember("forgottenGeneration", changes.forgottenConfigVersion(), allocator);
+    member.AddMember("forgottenGeneration", changes.forgottenVersion(), allocator);
     member.AddMember("forgottenVersion", changes.forgottenDocumentVersion(), allocator);
     member.AddMember("records", rapidjson::Value(changes.recordsText(), allocator), allocator);
     document.RemoveMember("acceptedChanges");
--- a/tests/state/order_state_test.cpp
+++ b/tests/state/order_state_test.cpp
@@ -35,7 +35,7 @@
     CHECK_EQ(std::int64_t(5), changes.configVersion());
     auto most = std::int64_t(AcceptedChanges::CAPACITY);
     for (auto i = std::int64_t(1); i <= most; i++) changes.record(fmt::format("k{}", i), 50 + 2 * i, 100 + i);
-    CHECK_EQ(std::int64_t(5), changes.forgottenConfigVersion());
+    CHECK_EQ(std::int64_t(5), changes.forgottenVersion());
     CHECK_EQ(std::int64_t(6), changes.find("k1")->configVersion);
     CHECK_EQ(std::int64_t(52), changes.find("k1")->documentVersion);
     CHECK_EQ(std::int64_t(101), changes.find("k1")->stateVersion);
@@ -44,7 +44,7 @@
     CHECK(!changes.find(""));
     changes.record("more", 9000000, 7000);
     CHECK(!changes.find("k1"));
-    CHECK_EQ(std::int64_t(6), changes.forgottenConfigVersion());
+    CHECK_EQ(std::int64_t(6), changes.forgottenVersion());
     CHECK_EQ(std::int64_t(52), changes.forgottenDocumentVersion());
     CHECK_EQ(std::int64_t(9000000), changes.find("more")->documentVersion);
     CHECK_EQ(6 + most, changes.configVersion());
@@ -176,7 +176,7 @@
     CHECK_EQ(409, state.outcome("lost").status);
     CHECK(state.evacuated("z"));
     // Who made the first is not known, so a change as old as that is not refused.
-    CHECK_EQ(std::int64_t(1), state.outcomes().changes().forgottenConfigVersion());
+    CHECK_EQ(std::int64_t(1), state.outcomes().changes().forgottenVersion());
     CHECK_EQ(504, lay(state, "config", "old", configBody(0, 10)).status);
     CHECK_EQ(409, lay(state, "config", "new", configBody(2, 40)).status);
     CHECK_EQ(409, lay(state, "empty", "late", zoneBody("z", 4)).status);
@@ -188,7 +188,7 @@
     parseJson(state.text(), behind);
     behind["configGeneration"].SetInt64(7);
     CHECK(again.load(jsonText(behind)));
-    CHECK_EQ(std::int64_t(7), again.outcomes().changes().forgottenConfigVersion());
+    CHECK_EQ(std::int64_t(7), again.outcomes().changes().forgottenVersion());
     behind["acceptedChanges"].SetString("damaged");
     CHECK(again.load(jsonText(behind)));
     behind["refusals"].SetString("damaged");
