--- a/scripts/check-layers.sh
+++ b/scripts/check-layers.sh
@@ -14,7 +14,7 @@
 control storage modelcheck
 membership
 routing
-cli daemon standins
+cli daemon fakes standins
 sim"
 # Headers that the build makes of thrift/.
 readonly GENERATED=' wire_types.h Peer.h '
--- a/src/membership/node.cpp
+++ b/src/membership/node.cpp
@@ -211,8 +211,8 @@
         // The few that rendezvous hashing names for this node.
         auto ns = aliveNodes(now);
         ns.erase(std::remove(ns.begin(), ns.end(), me_.node), ns.end());
-        std::sort(
-            ns.begin(), ns.end(), [&](auto& a, auto& b) { return rendezvousRank(me_.node, a) > rendezvousRank(me_.node, b); });
+        std::sort(ns.begin(), ns.end(),
+            [&](auto& a, auto& b) { return rendezvousRank(me_.node, a) > rendezvousRank(me_.node, b); });
         for (auto i = std::size_t(0); i < ns.size() && i < 3; i++) to.insert(ns[i]);
         for (auto& [n, k] : rows_)
             if (voterDisks_.count(k.record.disk)) to.insert(n);
@@ -453,7 +453,8 @@
     // A voter takes its word from its own disk only: what it says it holds must last.
     if (vt_ && !vt_->blank()) {
         if (std::pair(w.epoch, w.version) > std::pair(heard_.epoch, heard_.version))
-            if (auto n = ReplicatedState(); n.load(w.document) && n.epoch == w.epoch && n.version == w.version)
+            if (auto n = ReplicatedState();
+                n.load(w.document) && n.epoch == w.epoch && n.version == w.version)
                 heard_ = n;
         if (st_.gossip && w.epoch == vt_->epoch()) {
             // Acknowledgement rests on the disks alone, so a newer word may be acted on at once.
@@ -1100,7 +1101,7 @@
             {"nodesAlive", fmt::to_string(aliveNodes(now).size())},
             {"roster", fmt::to_string(roster_.size())}, {"servers", fmt::to_string(servers_.size())},
             {"role",
-                jsonQuote(!vt_           ? "edge"
+                jsonQuote(!vt_         ? "edge"
                         : vt_->leads() ? "core, leader"
                         : vt_->blank() ? "core, blank"
                                        : "core, follower")}});
@@ -1127,7 +1128,8 @@
                 if (now - k.lastHeartbeatAt < lim) see(k.record);
     auto key = rg + "/" + zone + fmt::to_string(now / SECOND);  // callers are spread
     std::sort(v.begin(), v.end(), [&](auto& a, auto& b) {
-        return a.first != b.first ? a.first < b.first : rendezvousRank(key, a.second->node) > rendezvousRank(key, b.second->node);
+        return a.first != b.first ? a.first < b.first
+                                  : rendezvousRank(key, a.second->node) > rendezvousRank(key, b.second->node);
     });
     auto o = std::string();
     for (auto& [d, r] : v)
--- a/tests/consensus/consensus_fixture.hpp
+++ b/tests/consensus/consensus_fixture.hpp
@@ -108,7 +108,7 @@
     auto lose(const std::string& disk) -> void { members.erase(disk); }
     auto isolate(const std::string& disk, bool on) -> void {
         for (auto& [other, member] : members)
-            for (auto link : {std::pair(disk, other), std::pair(other, disk)})
+            for (const auto& link : {std::pair(disk, other), std::pair(other, disk)})
                 if (on) cut.insert(link);
                 else cut.erase(link);
     }
--- a/tests/net/event_stream_test.cpp
+++ b/tests/net/event_stream_test.cpp
@@ -1,3 +1,4 @@
+// The split of a text/event-stream into its events.
 #include <string>
 #include <string_view>
 #include <vector>
@@ -10,49 +11,71 @@
 
 namespace duneturn {
 
+namespace {
+
+auto randomStream(RandomSource& random) -> std::string {
+    auto text = std::string();
+    for (auto events = random.below(6); events > 0; events--) {
+        auto lineEnd = random.chance(.3) ? "\r\n" : "\n";
+        if (random.chance(.7)) text += fmt::format("id: {}{}", random.below(100), lineEnd);
+        if (random.chance(.3)) text += fmt::format("event:e{}{}", random.below(3), lineEnd);
+        for (auto lines = random.below(3); lines > 0; lines--)
+            text += fmt::format("data: {}{}", std::string(random.below(9), 'd'), lineEnd);
+        if (random.chance(.1)) {
+            auto bytes = random.below(4);
+            text += std::string(bytes, char(random.below(256)));
+        }
+        text += lineEnd;
+    }
+    return text;
+}
+
+auto takeAll(EventStreamSplitter& splitter, std::vector<ServerSentEvent>& events) -> void {
+    while (auto event = splitter.next()) events.push_back(*event);
+}
+
+auto textOf(const std::vector<ServerSentEvent>& events) -> std::string {
+    auto text = std::string();
+    for (auto& event : events)
+        text += fmt::format("{}|{}|{}|{}\n", event.id, event.type, event.data, event.raw);
+    return text;
+}
+
+}  // namespace
+
 // Any text cut into any pieces gives the events that it gives in one piece.
 TEST(EventStreamSplitter, fuzzPieces) {
-    auto r = RandomSource{11};
-    auto whole = 0;
+    auto random = RandomSource{11};
+    auto found = std::size_t(0);
     for (auto i = 0; i < 2000; i++) {
-        auto t = std::string();
-        for (auto n = r.below(6); n > 0; n--) {
-            auto nl = r.chance(.3) ? "\r\n" : "\n";
-            if (r.chance(.7)) t += fmt::format("id: {}{}", r.below(100), nl);
-            if (r.chance(.3)) t += fmt::format("event:e{}{}", r.below(3), nl);
-            for (auto k = r.below(3); k > 0; k--)
-                t += fmt::format("data: {}{}", std::string(r.below(9), 'd'), nl);
-            t += r.chance(.1) ? std::string(r.below(4), char(r.below(256))) : std::string();
-            t += nl;
-        }
-        auto take = [](EventStreamSplitter& s, std::vector<std::string>& o) {
-            while (auto e = s.next()) o.push_back(e->id + "|" + e->type + "|" + e->data + "|" + e->raw);
-        };
-        auto a = EventStreamSplitter(), b = EventStreamSplitter();
-        auto x = std::vector<std::string>(), y = std::vector<std::string>();
-        a.feed(t);
-        take(a, x);
-        for (auto p = std::size_t(0); p < t.size();) {
-            auto n = 1 + r.below(7);
-            b.feed(std::string_view(t).substr(p, n));
-            take(b, y);
-            p += n;
+        auto text = randomStream(random);
+        auto whole = EventStreamSplitter(), pieces = EventStreamSplitter();
+        auto fromWhole = std::vector<ServerSentEvent>(), fromPieces = fromWhole;
+        whole.feed(text);
+        takeAll(whole, fromWhole);
+        for (auto rest = std::string_view(text); !rest.empty();) {
+            auto piece = rest.substr(0, 1 + random.below(7));
+            pieces.feed(piece);
+            takeAll(pieces, fromPieces);
+            rest.remove_prefix(piece.size());
         }
-        CHECK(x == y);
-        CHECK_EQ(a.rest(), b.rest());
-        auto j = std::string();
-        for (auto& l : x) j += l.substr(l.rfind('|') + 1);
-        whole += int(x.size());
+        CHECK_EQ(textOf(fromWhole), textOf(fromPieces));
+        CHECK_EQ(whole.rest(), pieces.rest());
+        // Not a byte is lost.
+        auto joined = std::string();
+        for (auto& event : fromWhole) joined += event.raw;
+        CHECK_EQ(text, joined + whole.rest());
+        found += fromWhole.size();
     }
-    CHECK(whole > 1000);
-    auto s = EventStreamSplitter();
-    s.feed("id: 7\r\nevent: done\r\ndata: a\r\ndata: b\r\n\r\nid: 8\n");
-    auto e = s.next();
-    CHECK(bool(e));
-    CHECK_EQ(std::string("7"), e->id);
-    CHECK(e->done());
-    CHECK_EQ(std::string("a\nb"), e->data);
-    CHECK(!s.next());
+    CHECK(found > 1000);
+    auto splitter = EventStreamSplitter();
+    splitter.feed("id: 7\r\nevent: done\r\ndata: a\r\ndata: b\r\n\r\nid: 8\n");
+    auto event = splitter.next();
+    CHECK(bool(event));
+    CHECK_EQ(std::string("7"), event->id);
+    CHECK(event->done());
+    CHECK_EQ(std::string("a\nb"), event->data);
+    CHECK(!splitter.next());
 }
 
 }  // namespace duneturn
--- a/tests/pinned_files.hpp
+++ b/tests/pinned_files.hpp
@@ -31,7 +31,7 @@
         auto& found = lines.emplace_back();
         auto fieldStream = std::stringstream(line);
         for (auto field = std::string(); std::getline(fieldStream, field, '\t');) found.push_back(field);
-        CPPUNIT_ASSERT_EQUAL_MESSAGE(name + ": " + line, fields, found.size());
+        CPPUNIT_ASSERT_EQUAL_MESSAGE(fmt::format("{}: {}", name, line), fields, found.size());
     }
     CPPUNIT_ASSERT_MESSAGE(name + " is empty", !lines.empty());
     return lines;
