--- a/src/consensus/configuration.cpp
+++ b/src/consensus/configuration.cpp
@@ -23,11 +23,11 @@
     return voters;
 }
 
-auto jointParse(const std::string& body) -> Configuration {
+auto jointParse(const std::string& body) -> VoterConfiguration {
     auto document = rapidjson::Document();
     if (!parseJson(body, document) || !document.IsObject()) return {};
     if (!document.HasMember("before") || !document.HasMember("after")) return {};
-    return Configuration::joint(
+    return VoterConfiguration::joint(
         votersParse(jsonText(document["before"])), votersParse(jsonText(document["after"])));
 }
 
@@ -79,30 +79,30 @@
     return entry.kind == ENTRY_VOTERS || entry.kind == ENTRY_JOINT;
 }
 
-auto Configuration::joint(std::vector<VoterIdentity> outgoing, std::vector<VoterIdentity> incoming)
-    -> Configuration {
-    auto configuration = Configuration(std::move(incoming));
+auto VoterConfiguration::joint(std::vector<VoterIdentity> outgoing, std::vector<VoterIdentity> incoming)
+    -> VoterConfiguration {
+    auto configuration = VoterConfiguration(std::move(incoming));
     configuration.outgoing_ = std::move(outgoing);
     return configuration;
 }
 
-auto Configuration::ofEntry(const wire::Entry& entry) -> Configuration {
-    return entry.kind == ENTRY_JOINT ? jointParse(entry.body) : Configuration(votersParse(entry.body));
+auto VoterConfiguration::ofEntry(const wire::Entry& entry) -> VoterConfiguration {
+    return entry.kind == ENTRY_JOINT ? jointParse(entry.body) : VoterConfiguration(votersParse(entry.body));
 }
 
-auto Configuration::entryBody() const -> std::string {
+auto VoterConfiguration::entryBody() const -> std::string {
     if (!isJoint()) return votersText(voters_);
     return bodyOf({{"before", votersText(outgoing_)}, {"after", votersText(voters_)}});
 }
 
-auto Configuration::isVoter(const std::string& disk) const -> bool {
+auto VoterConfiguration::isVoter(const std::string& disk) const -> bool {
     auto has = [&](const std::vector<VoterIdentity>& voters) {
         return std::any_of(voters.begin(), voters.end(), [&](auto& voter) { return voter.disk == disk; });
     };
     return has(voters_) || has(outgoing_);
 }
 
-auto Configuration::disks() const -> std::vector<std::string> {
+auto VoterConfiguration::disks() const -> std::vector<std::string> {
     auto all = std::vector<std::string>();
     for (auto set : {&voters_, &outgoing_})
         for (auto& voter : *set)
@@ -110,7 +110,7 @@
     return all;
 }
 
-auto Configuration::hasMajority(
+auto VoterConfiguration::hasMajority(
     const std::function<bool(const std::string& disk)>& holds, const QuorumFaults& faults) const -> bool {
     auto count = countOf(voters_, holds);
     if (faults.anyVoter) return count > 0;
@@ -118,7 +118,7 @@
     return !isJoint() || faults.incomingOnly || isMajority(outgoing_, countOf(outgoing_, holds));
 }
 
-auto Configuration::majorityIndex(const std::function<std::int64_t(const std::string& disk)>& indexOf,
+auto VoterConfiguration::majorityIndex(const std::function<std::int64_t(const std::string& disk)>& indexOf,
     const QuorumFaults& faults) const -> std::int64_t {
     auto index = majorityIndexOf(voters_, indexOf, faults.anyVoter);
     if (!isJoint() || faults.incomingOnly) return index;
--- a/src/consensus/configuration.hpp
+++ b/src/consensus/configuration.hpp
@@ -34,16 +34,16 @@
 };
 
 /// A set of voters, or the two sets of a joint configuration.
-class Configuration {
+class VoterConfiguration {
   public:
-    Configuration() = default;
+    VoterConfiguration() = default;
     /// A configuration of one set.
-    explicit Configuration(std::vector<VoterIdentity> voters) : voters_(std::move(voters)) {}
+    explicit VoterConfiguration(std::vector<VoterIdentity> voters) : voters_(std::move(voters)) {}
     /// The joint configuration of a change from `outgoing` to `incoming`.
     static auto joint(std::vector<VoterIdentity> outgoing, std::vector<VoterIdentity> incoming)
-        -> Configuration;
+        -> VoterConfiguration;
     /// What an entry of kind ENTRY_VOTERS or ENTRY_JOINT says.
-    static auto ofEntry(const wire::Entry& entry) -> Configuration;
+    static auto ofEntry(const wire::Entry& entry) -> VoterConfiguration;
 
     /// The voters; of a joint configuration those after the change.
     [[nodiscard]] auto voters() const -> const std::vector<VoterIdentity>& { return voters_; }
--- a/src/consensus/membership.cpp
+++ b/src/consensus/membership.cpp
@@ -18,7 +18,7 @@
 // The configuration in force is the newest in the log, committed or not.
 auto Voter::refreshConfiguration() -> void {
     auto entry = log_.newestConfigurationEntry();
-    configuration_ = entry ? Configuration::ofEntry(*entry) : Configuration(snapshot_.voters);
+    configuration_ = entry ? VoterConfiguration::ofEntry(*entry) : VoterConfiguration(snapshot_.voters);
     configurationIndex_ = entry ? entry->index : snapshot_.index;
 }
 
@@ -33,7 +33,7 @@
         appliedJoint_ = true;
     } else if (entry.kind == ENTRY_VOTERS) {
         appliedJoint_ = false;
-        replicatedState_.applyVoters(Configuration::ofEntry(entry).voters());
+        replicatedState_.applyVoters(VoterConfiguration::ofEntry(entry).voters());
         port_.voterApplied(replicatedState_, "", {});
     }
 }
@@ -112,7 +112,7 @@
     auto mayChange = broken.changeBeforeNoop ? leads() : ready();
     if (!mayChange || diskBad() || configurationIndex_ > commitIndex_) return;
     if (joint()) {
-        auto final = Configuration(configuration_.voters());
+        auto final = VoterConfiguration(configuration_.voters());
         logEvent("voters_change_ends", "voters={}", final.entryBody());
         append(final.entryKind(), final.entryBody(), now);
         return;
@@ -172,7 +172,7 @@
     }
     logEvent(
         "voters_change_begins", "from={} to={}", votersText(configuration_.voters()), votersText(voters));
-    auto joint = Configuration::joint(configuration_.voters(), std::move(voters));
+    auto joint = VoterConfiguration::joint(configuration_.voters(), std::move(voters));
     append(joint.entryKind(), joint.entryBody(), now);
     return true;
 }
--- a/src/consensus/voter.hpp
+++ b/src/consensus/voter.hpp
@@ -283,7 +283,7 @@
     ReplicatedState latestState_;
 
     // The configuration in force: the newest in the log, committed or not (4.1).
-    Configuration configuration_;
+    VoterConfiguration configuration_;
     std::int64_t configurationIndex_ = 0;  // its entry
     std::vector<std::pair<std::string, std::string>> spareDisks_;
     std::vector<std::string> blankVoters_;
--- a/tests/net/connection_limits_test.cpp
+++ b/tests/net/connection_limits_test.cpp
@@ -17,8 +17,7 @@
 }  // namespace
 
 TEST(ConnectionLimits, fromConfiguration) {
-    for (auto text :
-        {"{}", "null", R"({"limits":{}})", R"({"limits":3})", R"({"limits":{"bodyBytes":0}})"}) {
+    for (auto text : {"{}", "null", R"({"limits":{}})", R"({"limits":3})", R"({"limits":{"bodyBytes":0}})"}) {
         auto limits = limitsIn(text);
         CHECK_EQ(std::size_t(16 * 1024), limits.headerBytes);
         CHECK_EQ(std::size_t(8) << 20, limits.bodyBytes);
--- a/tests/net/connection_pool_test.cpp
+++ b/tests/net/connection_pool_test.cpp
@@ -20,7 +20,8 @@
 
 /// What IdleConnections must hold, as a plain list.
 struct IdleModel {
-    std::map<std::int64_t, std::pair<std::string, Microseconds>> held;  // the server and the expiry, by number
+    std::map<std::int64_t, std::pair<std::string, Microseconds>>
+        held;  // the server and the expiry, by number
     int taken = 0, closed = 0;
 
     auto take(std::int64_t id, const std::string& server, Microseconds now) -> void {
