--- a/scripts/check-docs.sh
+++ b/scripts/check-docs.sh
@@ -7,13 +7,15 @@
 # - the names of counters and gauges there with the table "Counters", both ways;
 # - what README.md or a page names in backquotes: each path (src/, platform/, tests/, scripts/, docs/, thrift/,
 #   deploy/, examples/; patterns too) must be tracked, each Type::member must be a name in the sources, and
-#   each Suite.test a test.
+#   each Suite.test a test;
+# - the picture of the modules in docs/architecture.md with the includes (scripts/module-arrows.sh).
 # docs/CAPACITY.md, docs/incidents.md and docs/measurements.md speak of the trees of their time, so what they
 # name is not checked.
 set -eu
 cd "$(git rev-parse --show-toplevel)"
 
 readonly TABLES=docs/operators.md
+readonly MODULES_PAGE=docs/architecture.md
 readonly DATED_PAGES='^docs/(CAPACITY|incidents|measurements)\.md$'
 readonly NAME='[a-z][a-z0-9_]*'
 
@@ -98,5 +100,6 @@
 check_paths
 check_members
 check_tests
+[ ! -f $MODULES_PAGE ] || scripts/module-arrows.sh --check $MODULES_PAGE || faults=$((faults + 1))
 [ $faults -eq 0 ] || exit 1
 echo "check-docs: clean"
--- a/scripts/module-arrows.sh
+++ b/scripts/module-arrows.sh
@@ -1,10 +1,10 @@
 #!/usr/bin/env bash
-# Usage: module-arrows.sh [--check PAGE]
+# Usage: module-arrows.sh [--check PAGE | --write PAGE]
 #
 # Prints the folders of src/ and platform/ from the top to the bottom, each with those whose headers its
 # sources include, so that every arrow points to a lower line. What all use (base) is left out of the lists.
 # Fails if folders include each other, in which case no such order exists. --check PAGE compares the output
-# with the code block of that page that follows a line with "module-arrows.sh".
+# with the code block of that page that follows a line with "module-arrows.sh"; --write PAGE puts it there.
 set -eu -o pipefail
 cd "$(git rev-parse --show-toplevel)"
 
@@ -66,12 +66,21 @@
   printf '%-13s%s\n' "$folder" "${used:+-> $used}" | sed 's/ *$//'
 done <"$scratch/order" >"$scratch/picture"
 
-if [ "${1:-}" = --check ]; then
-  sed -n '/module-arrows\.sh/,$p' "$2" | sed -n '/^```/,/^```$/p' | sed '1d; /^```$/,$d' >"$scratch/stated"
-  diff -u --label "$2" --label "the includes" "$scratch/stated" "$scratch/picture" || {
-    echo "module-arrows: the picture in $2 is not that of the includes; scripts/module-arrows.sh prints it" >&2
-    exit 1
-  }
-else
-  cat "$scratch/picture"
-fi
+case ${1:-} in
+  --check)
+    sed -n '/module-arrows\.sh/,$p' "$2" | sed -n '/^```/,/^```$/p' | sed '1d; /^```$/,$d' >"$scratch/stated"
+    diff -u --label "$2" --label "the includes" "$scratch/stated" "$scratch/picture" || {
+      echo "module-arrows: the picture in $2 is not that of the includes; module-arrows.sh --write $2 renews it" >&2
+      exit 1
+    }
+    ;;
+  --write)
+    awk -v picture="$scratch/picture" '
+      /module-arrows\.sh/ { announced = 1 }
+      announced && /^```/ && !inside { print; inside = 1; while ((getline line < picture) > 0) print line; next }
+      inside && /^```$/ { inside = 0; announced = 0 }
+      !inside { print }' "$2" >"$scratch/page"
+    cp "$scratch/page" "$2"
+    ;;
+  *) cat "$scratch/picture" ;;
+esac
--- a/tests/checks.sh
+++ b/tests/checks.sh
@@ -239,6 +239,8 @@
   passes "a picture that is that of the includes" scripts/module-arrows.sh --check docs/page.md
   sed -i 's/-> net/-> nothing/' docs/page.md
   fails "a picture that is not" "+routing      -> net" scripts/module-arrows.sh --check docs/page.md
+  scripts/module-arrows.sh --write docs/page.md
+  passes "the picture written anew" scripts/module-arrows.sh --check docs/page.md
   printf '#include "routing/edge.hpp"\n' >src/net/http.cpp
   : >src/routing/edge.hpp
   track
