--- /dev/null
+++ b/src/membership/gossip_receiving.cpp
@@ -0,0 +1,129 @@
+// GossipMembership: taking what another node sent.
+#include <algorithm>
+#include <cstdint>
+#include <string>
+#include <tuple>
+#include <utility>
+
+#include "base/log.hpp"
+#include "base/time.hpp"
+#include "membership/gossip_membership.hpp"
+
+namespace duneturn {
+
+static constexpr Microseconds STATE_PULL_DELAY =
+    100 * MILLISECOND;  // in which the tree mostly brings the state
+static constexpr Microseconds ANSWER_ALL_INTERVAL = 100 * MILLISECOND;  // to one node that asks for all
+static constexpr Microseconds RESUME_PERIOD = 1 * SECOND;  // in which what lay unread during a freeze is read
+
+auto GossipMembership::handleHeartbeat(const wire::Envelope& envelope, Microseconds now) -> void {
+    auto& heartbeat = envelope.heartbeat;
+    auto& from = envelope.node;
+    auto leaderBefore = leader_;
+    for (auto& record : heartbeat.rows) mergeRecord(record, from, now);
+    for (auto& pulse : heartbeat.pulses) mergePulse(pulse, from, now);
+    auto neighbour = neighbours_.find(from);
+    if (heartbeat.listNo && neighbour != neighbours_.end()) neighbour->second.listingHeld = heartbeat.listNo;
+    mergeLoads(heartbeat, from, now);
+    auto newListing = listing_.merge(heartbeat, now);
+    auto sender = context_.members.others().find(from);
+    if (sender == context_.members.others().end()) return;
+    sender->second.lastDirectAt = now;
+    answerRequests(envelope, now);
+    if (newListing || leader_ != leaderBefore) context_.nextHeartbeatAt = now;
+}
+
+/// Sends what the other node asks for; it must be known.
+auto GossipMembership::answerRequests(const wire::Envelope& envelope, Microseconds now) -> void {
+    auto& heartbeat = envelope.heartbeat;
+    auto& from = envelope.node;
+    if (heartbeat.fullAsk) {
+        auto& neighbour = neighbours_[from];
+        if (neighbour.askedAllAt && now - neighbour.askedAllAt < ANSWER_ALL_INTERVAL) return;
+        neighbour.askedAllAt = now;
+        sendTo(from, Extent::Everything, now);
+        auto& record = *context_.members.find(from);
+        if (versionOf(record) < versionOf(context_.state)) context_.sendState(record.peer);
+        return;
+    }
+    auto neighbour = neighbours_.find(from);
+    if (heartbeat.rowAsk.empty() || neighbour == neighbours_.end()) return;
+    for (auto& name : heartbeat.rowAsk) neighbour->second.records.erase(name);
+    sendTo(from, Extent::Changes, now);
+}
+
+auto GossipMembership::noteHeartbeat(
+    KnownNode& known, std::int64_t heartbeat, const std::string& from, Microseconds now) -> void {
+    if (!context_.members.isAlive(known, now)) {
+        context_.counters.add("node_heard_again_total");
+        treeBuiltAt_ = 0;
+    }
+    known.record.heartbeat = heartbeat;
+    known.lastHeartbeatAt = now;
+    known.heardFrom = from;
+}
+
+auto GossipMembership::mergeRecord(const wire::NodeRecord& record, const std::string& from, Microseconds now)
+    -> void {
+    if (!acceptable(record)) return;
+    if (record.node == context_.members.own().node)
+        return context_.refuteOwnRecord(record.boot, record.heartbeat, record.peer);
+    auto& others = context_.members.others();
+    auto entry = others.find(record.node);
+    auto first = entry == others.end();
+    if (first) {
+        if (others.size() >= MAX_KNOWN) return;
+        entry = others.emplace(record.node, KnownNode()).first;
+        logEvent("node_discovered", "node={} peer={}", record.node, record.peer);
+    }
+    auto& known = entry->second;
+    auto& held = known.record;
+    auto newer = std::pair(record.boot, record.heartbeat) > std::pair(held.boot, held.heartbeat);
+    if (std::pair(record.boot, record.heartbeat) < std::pair(held.boot, held.heartbeat)) return;
+    if (!newer && record.version == held.version) return;
+    if (held.boot != record.boot) {
+        known.firstSeenAt = now;
+        if (!first) neighbours_.erase(record.node);
+    }
+    auto leaderMayChange = held.leader || record.leader;
+    held = record;
+    known.recordAt = now;
+    if (newer) noteHeartbeat(known, record.heartbeat, from, now);
+    // Of a node that was unknown it counts how long ago it was heard.
+    if (first) known.lastHeartbeatAt = now - std::max<Microseconds>(0, record.age);
+    if (leaderMayChange) leader_ = context_.members.leaderNode(now);
+    if (first || leaderMayChange) treeBuiltAt_ = 0;
+    // A gap in the news that the tree does not close by itself is closed by pulling the state.
+    if (!nextStateRequestAt_ && versionOf(record) > versionOf(context_.state))
+        nextStateRequestAt_ = now + STATE_PULL_DELAY;
+}
+
+auto GossipMembership::mergePulse(
+    const wire::HeartbeatPulse& pulse, const std::string& from, Microseconds now) -> void {
+    if (pulse.node == context_.members.own().node)
+        return context_.refuteOwnRecord(pulse.boot, pulse.heartbeat, "");
+    auto entry = context_.members.others().find(pulse.node);
+    if (entry != context_.members.others().end()) {
+        auto& held = entry->second.record;
+        if (std::pair(pulse.boot, pulse.heartbeat) <= std::pair(held.boot, held.heartbeat)) return;
+        if (held.boot == pulse.boot && held.version == pulse.version)
+            return noteHeartbeat(entry->second, pulse.heartbeat, from, now);
+    }
+    if (auto& missing = missingRecords_[from]; missing.size() < MAX_KNOWN) missing.insert(pulse.node);
+}
+
+auto GossipMembership::mergeLoads(const wire::Heartbeat& heartbeat, const std::string& from, Microseconds now)
+    -> void {
+    // What lay unread while this process was stopped is older than it says.
+    if (context_.resumedAt && now - context_.resumedAt < RESUME_PERIOD) return;
+    for (auto& load : heartbeat.loads) {
+        auto server = context_.directory.find(load.server);
+        if (!server || load.age < 0 || now - load.age <= server->loadReadAt) continue;
+        server->load = load;
+        server->loadReadAt = now - load.age;
+        server->loadHeardAt = now;
+        server->loadHeardFrom = from;
+    }
+}
+
+}  // namespace duneturn
--- /dev/null
+++ b/src/membership/gossip_sending.cpp
@@ -0,0 +1,244 @@
+// GossipMembership: what is sent to whom.
+#include <algorithm>
+#include <cstddef>
+#include <cstdint>
+#include <cstdlib>
+#include <set>
+#include <string>
+#include <tuple>
+#include <vector>
+
+#include "base/time.hpp"
+#include "membership/gossip_membership.hpp"
+
+namespace duneturn {
+
+static constexpr Microseconds RESEND_ALL_INTERVAL = 15 * SECOND;  // what was sent may have been lost
+static constexpr Microseconds CLOCK_TOLERANCE = 1 * SECOND;  // a smaller shift of the calendar is no news
+static constexpr int LISTING_RETRY_HEARTBEATS = 3;    // a listing that is not confirmed by then is sent again
+static constexpr int NEIGHBOUR_KEPT_HEARTBEATS = 10;  // since something was last sent to it
+
+/// What others act on; a change of it is sent as a new version of the record.
+static auto actedOn(const wire::NodeRecord& record) {
+    return std::tie(record.peer, record.clientAddress, record.operatorAddress, record.epoch,
+        record.stateVersion, record.settled, record.disk, record.blank, record.term, record.leader,
+        record.ready, record.stopping, record.boot);
+}
+
+/// Whether a budget differs by more than a quarter from what was sent.
+static auto differsMuch(std::int64_t value, std::int64_t sent) -> bool {
+    return std::abs(value - sent) * 4 > std::abs(sent) + 4;
+}
+
+auto GossipMembership::raiseOwnVersion(Microseconds now) -> void {
+    refreshOwnRecord();
+    auto& own = context_.members.own();
+    own.wall = context_.wall;
+    auto clockOffset = context_.wall - now;
+    if (own.version && actedOn(own) == actedOn(sentOwnRecord_)
+        && std::abs(clockOffset - sentClockOffset_) < CLOCK_TOLERANCE
+        && !differsMuch(own.credit, sentOwnRecord_.credit) && !differsMuch(own.want, sentOwnRecord_.want))
+        return;
+    own.version++;
+    if (own.leader != sentOwnRecord_.leader) {
+        leader_ = context_.members.leaderNode(now);
+        treeBuiltAt_ = 0;
+    }
+    sentOwnRecord_ = own;
+    sentClockOffset_ = clockOffset;
+}
+
+auto GossipMembership::currentTree(Microseconds now) -> const DisseminationTree& {
+    if (!treeBuiltAt_ || now - treeBuiltAt_ >= context_.timeouts.heartbeat / 4) {
+        tree_ = context_.tree(now);
+        treeBuiltAt_ = now;
+    }
+    return tree_;
+}
+
+auto GossipMembership::followParent(Microseconds now) -> std::string {
+    auto parent = currentTree(now).parentOf(context_.members.own().node);
+    if (parent != parent_) {
+        parent_ = parent;
+        parentSince_ = now;
+    }
+    return parent;
+}
+
+auto GossipMembership::sendHeartbeats(Microseconds now) -> void {
+    auto& own = context_.members.own();
+    own.heartbeat++;
+    raiseOwnVersion(now);
+    auto parent = followParent(now);
+    auto neighbours = std::set<std::string>();
+    for (auto& child : currentTree(now).childrenOf(own.node)) neighbours.insert(child);
+    if (!parent.empty()) neighbours.insert(parent);
+    for (auto& name : neighbours) sendTo(name, Extent::Changes, now);
+    if (context_.voter) sendToVoters(neighbours, now);
+    seekContact(parent, now);
+    dropOldNeighbours(now);
+    context_.counters.add("beats_sent_total");
+}
+
+/// Nodes with disks keep hearing of each other whatever the tree is: voters find each other's address so.
+auto GossipMembership::sendToVoters(const std::set<std::string>& alreadySent, Microseconds now) -> void {
+    for (auto& [name, known] : context_.members.others()) {
+        if (alreadySent.count(name) || known.record.disk.empty()) continue;
+        if (context_.members.isAlive(known, now) || context_.isVoter(known.record))
+            sendTo(name, Extent::OwnRecord, now);
+    }
+}
+
+/// A node that is out of touch asks the leader, and seeds and hints in turn, for all they know.
+auto GossipMembership::seekContact(const std::string& parent, Microseconds now) -> void {
+    auto& members = context_.members;
+    auto leader = members.leaderNode(now);
+    auto silent = false;
+    if (!parent.empty()) {
+        auto heardAt = std::max(members.others().at(parent).lastDirectAt, parentSince_);
+        silent = now - heardAt > context_.timeouts.heartbeat * 5 / 2;
+    }
+    if (!leader.empty() && !silent) return;
+    auto addresses = contactAddresses();
+    auto number = members.aliveNodes(now).size() < 2 ? std::size_t(3) : std::size_t(1);
+    if (silent && !leader.empty() && leader != parent && leader != members.own().node)
+        askForAll(members.find(leader)->peer);
+    for (auto i = std::size_t(0); i < number && i < addresses.size(); i++)
+        askForAll(context_.nextInTurn(addresses));
+}
+
+auto GossipMembership::contactAddresses() const -> std::vector<std::string> {
+    auto addresses = context_.peerHints;
+    for (auto& [name, known] : context_.members.others())
+        if (std::find(addresses.begin(), addresses.end(), known.record.peer) == addresses.end())
+            addresses.push_back(known.record.peer);
+    std::erase(addresses, context_.members.own().peer);
+    return addresses;
+}
+
+auto GossipMembership::askForAll(const std::string& address) -> void {
+    auto heartbeat = wire::Heartbeat();
+    heartbeat.rows.push_back(context_.members.own());
+    heartbeat.fullAsk = true;
+    heartbeat.listNo = listing_.number();
+    auto envelope = context_.envelope();
+    envelope.__set_heartbeat(heartbeat);
+    context_.port.send(address, envelope);
+    context_.counters.add("asked_total");
+}
+
+auto GossipMembership::dropOldNeighbours(Microseconds now) -> void {
+    auto kept = NEIGHBOUR_KEPT_HEARTBEATS * context_.timeouts.heartbeat;
+    std::erase_if(neighbours_, [&](auto& entry) { return now - entry.second.sentAt > kept; });
+    std::erase_if(
+        missingRecords_, [&](auto& entry) { return context_.members.others().count(entry.first) == 0; });
+}
+
+// ---- one heartbeat
+
+static auto isEmpty(const wire::Heartbeat& heartbeat) -> bool {
+    return heartbeat.rows.empty() && heartbeat.pulses.empty() && heartbeat.rowAsk.empty()
+        && heartbeat.loads.empty() && heartbeat.listBase < 0;
+}
+
+auto GossipMembership::sendTo(const std::string& name, Extent extent, Microseconds now) -> void {
+    auto& own = context_.members.own();
+    auto receiver = context_.members.find(name);
+    if (!receiver || name == own.node) return;
+    auto& neighbour = neighbours_[name];
+    neighbour.sentAt = now;
+    if (now - neighbour.recordsResetAt >= RESEND_ALL_INTERVAL) {
+        neighbour.recordsResetAt = now;
+        neighbour.records.clear();
+    }
+    if (extent == Extent::Everything) neighbour.records.clear();
+    auto heartbeat = wire::Heartbeat();
+    addRecord(heartbeat, neighbour, own, now);
+    if (extent != Extent::OwnRecord) {
+        addOtherRecords(heartbeat, neighbour, name, extent, now);
+        addListing(heartbeat, neighbour, name, extent, now);
+        addLoads(heartbeat, neighbour, name, extent, now);
+    }
+    addMissingRecords(heartbeat, name);
+    if (isEmpty(heartbeat)) return;
+    auto envelope = context_.envelope();
+    envelope.__set_heartbeat(heartbeat);
+    context_.port.send(receiver->peer, envelope);
+}
+
+auto GossipMembership::recordToSend(const std::string& name, Microseconds now) const -> wire::NodeRecord {
+    if (name == context_.members.own().node) return context_.members.own();
+    auto& known = context_.members.others().at(name);
+    auto record = known.record;
+    record.wall += now - known.recordAt;
+    record.age = now - known.lastHeartbeatAt;
+    return record;
+}
+
+/// Adds the record or its pulse, if the neighbour has not been sent it.
+auto GossipMembership::addRecord(wire::Heartbeat& heartbeat, Neighbour& neighbour,
+    const wire::NodeRecord& record, Microseconds now) const -> void {
+    auto& sent = neighbour.records[record.node];
+    if (sent.boot != record.boot || sent.version != record.version) {
+        heartbeat.rows.push_back(recordToSend(record.node, now));
+    } else if (sent.heartbeat != record.heartbeat) {
+        auto pulse = wire::HeartbeatPulse();
+        pulse.node = record.node;
+        pulse.boot = record.boot;
+        pulse.heartbeat = record.heartbeat;
+        pulse.version = record.version;
+        heartbeat.pulses.push_back(pulse);
+    } else return;
+    sent = {record.boot, record.version, record.heartbeat};
+}
+
+auto GossipMembership::addOtherRecords(wire::Heartbeat& heartbeat, Neighbour& neighbour,
+    const std::string& name, Extent extent, Microseconds now) const -> void {
+    auto& others = context_.members.others();
+    for (auto& [other, known] : others) {
+        if (other == name || !context_.members.isAlive(known, now)) continue;
+        if (extent == Extent::Everything || known.heardFrom != name)
+            addRecord(heartbeat, neighbour, known.record, now);
+    }
+    std::erase_if(neighbour.records, [&](auto& entry) {
+        return entry.first != context_.members.own().node && others.count(entry.first) == 0;
+    });
+}
+
+auto GossipMembership::addListing(wire::Heartbeat& heartbeat, Neighbour& neighbour, const std::string& name,
+    Extent extent, Microseconds now) const -> void {
+    auto number = listing_.number();
+    auto everything = extent == Extent::Everything;
+    heartbeat.listNo = number;
+    if (number <= 0 || neighbour.listingHeld >= number) return;
+    // The parent is sent none before it has said what it holds: it is the one that has the news first.
+    if (neighbour.listingHeld < 0 && !everything && name == parent_) return;
+    auto recentlySent =
+        now - neighbour.listingSentAt < LISTING_RETRY_HEARTBEATS * context_.timeouts.heartbeat;
+    if (!everything && neighbour.listingSent == number && recentlySent) return;
+    auto base = neighbour.listingHeld;
+    if (!everything && neighbour.listingSent > base && recentlySent) base = neighbour.listingSent;
+    listing_.addChanges(heartbeat, base, now);
+    neighbour.listingSent = number;
+    neighbour.listingSentAt = now;
+}
+
+auto GossipMembership::addLoads(wire::Heartbeat& heartbeat, Neighbour& neighbour, const std::string& name,
+    Extent extent, Microseconds now) const -> void {
+    for (auto& [server, known] : context_.directory.servers()) {
+        if (!hasUsableLoad(known, now) || known.loadHeardAt <= neighbour.loadsSentAt) continue;
+        if (extent == Extent::Everything || known.loadHeardFrom != name)
+            heartbeat.loads.push_back(agedLoad(known, now));
+    }
+    neighbour.loadsSentAt = now;
+}
+
+/// Asks for the records of which the neighbour sent only pulses.
+auto GossipMembership::addMissingRecords(wire::Heartbeat& heartbeat, const std::string& name) -> void {
+    auto missing = missingRecords_.find(name);
+    if (missing == missingRecords_.end()) return;
+    heartbeat.rowAsk.assign(missing->second.begin(), missing->second.end());
+    missingRecords_.erase(missing);
+}
+
+}  // namespace duneturn
