--- a/src/membership/disaster_recovery.cpp
+++ b/src/membership/disaster_recovery.cpp
@@ -36,7 +36,7 @@
     return voters;
 }
 
-/// Begins a new epoch on this disk from the newest state known, in a term above all that were heard.
+/// Begins a new epoch on this disk from the newest state known, in a term above all that were received.
 static auto beginEpochFromNewest(NodeContext& context, Microseconds now) -> void {
     auto state = context.newestKnownState();
     auto& own = context.members.own();
@@ -81,7 +81,7 @@
     return losses;
 }
 
-/// Whether a majority of the roster was heard within the lease and none of the roster knows a newer state.
+/// Whether a majority of the roster was in touch within the lease and none of the roster knows a newer state.
 static auto rosterKnowsNothingNewer(const NodeContext& context, Microseconds now) -> bool {
     auto newest = versionOf(context.newestKnownState());
     auto settled = std::size_t(0);
--- a/src/membership/dissemination_tree.hpp
+++ b/src/membership/dissemination_tree.hpp
@@ -14,7 +14,7 @@
 /// How a node that calls itself leader beside a newer leader is placed within its zone.
 enum class StaleLeaders {
     RankedAsOthers,  // fixed roster: each record shows itself how recent it is
-    RankedLast,      // gossip: such a node has not been heard since, and would be a bad relay
+    RankedLast,      // gossip: such a node has been silent since, and would be a bad relay
 };
 
 class DisseminationTree {
--- a/src/membership/gossip_membership.hpp
+++ b/src/membership/gossip_membership.hpp
@@ -1,7 +1,7 @@
 #pragma once
 // Membership by gossip: no roster. A node learns of the others from its seeds and from whoever sends to it.
 // Heartbeats go along the edges of the dissemination tree, both ways, and each carries only what its receiver
-// has not been sent: a record when its version rose, a pulse (the heartbeat's counter) when only that did.
+// has not been sent: a record when its version rose, only the heartbeat counter when nothing else did.
 // Nothing goes back to the node that it came from. After delta gossip in van Renesse, Dumitriu, Gough,
 // Thomas, "Efficient Reconciliation and Flow Control for Anti-Entropy Protocols", LADIS 2008.
 #include <cstdint>
@@ -56,7 +56,7 @@
             std::int64_t boot = 0, version = 0, heartbeat = 0;
         };
         std::map<std::string, SentRecord> records;
-        std::int64_t listingHeld = NO_LISTING;  // by its own word
+        std::int64_t listingHeld = NO_LISTING;  // as it last said
         std::int64_t listingSent = NO_LISTING;
         Microseconds listingSentAt = 0;
         Microseconds loadsSentAt = 0;
@@ -90,7 +90,8 @@
 
     // Receiving.
     auto mergeRecord(const wire::NodeRecord& record, const std::string& from, Microseconds now) -> void;
-    auto mergePulse(const wire::HeartbeatPulse& pulse, const std::string& from, Microseconds now) -> void;
+    auto mergeHeartbeatPulse(
+        const wire::HeartbeatPulse& heartbeatPulse, const std::string& from, Microseconds now) -> void;
     auto mergeLoads(const wire::Heartbeat& heartbeat, const std::string& from, Microseconds now) -> void;
     auto noteHeartbeat(KnownNode& known, std::int64_t heartbeat, const std::string& from, Microseconds now)
         -> void;
@@ -100,7 +101,7 @@
     GossipListing listing_;
     GossipBootstrap bootstrap_;
     std::map<std::string, Neighbour> neighbours_;
-    /// Nodes of which a neighbour sent a pulse of a record that is not held here, by neighbour.
+    /// Nodes of which a neighbour sent the heartbeat counter of a record that is not held here, by neighbour.
     std::map<std::string, std::set<std::string>> missingRecords_;
     wire::NodeRecord sentOwnRecord_;       // as of its last version
     Microseconds sentClockOffset_ = 0;     // calendar time less process time, as of that version
--- a/src/membership/gossip_receiving.cpp
+++ b/src/membership/gossip_receiving.cpp
@@ -21,14 +21,14 @@
     auto& from = envelope.node;
     auto leaderBefore = leader_;
     for (auto& record : heartbeat.rows) mergeRecord(record, from, now);
-    for (auto& pulse : heartbeat.pulses) mergePulse(pulse, from, now);
+    for (auto& heartbeatPulse : heartbeat.pulses) mergeHeartbeatPulse(heartbeatPulse, from, now);
     auto neighbour = neighbours_.find(from);
     if (heartbeat.listNo && neighbour != neighbours_.end()) neighbour->second.listingHeld = heartbeat.listNo;
     mergeLoads(heartbeat, from, now);
     auto newListing = listing_.merge(heartbeat, now);
-    auto sender = context_.members.others().find(from);
-    if (sender == context_.members.others().end()) return;
-    sender->second.lastDirectAt = now;
+    auto origin = context_.members.others().find(from);
+    if (origin == context_.members.others().end()) return;
+    origin->second.lastDirectAt = now;
     answerRequests(envelope, now);
     if (newListing || leader_ != leaderBefore) context_.nextHeartbeatAt = now;
 }
@@ -89,7 +89,7 @@
     held = record;
     known.recordAt = now;
     if (newer) noteHeartbeat(known, record.heartbeat, from, now);
-    // Of a node that was unknown it counts how long ago it was heard.
+    // Of a node that was unknown it counts how long ago it was in touch with the other.
     if (first) known.lastHeartbeatAt = now - std::max<Microseconds>(0, record.age);
     if (leaderMayChange) leader_ = context_.members.leaderNode(now);
     if (first || leaderMayChange) treeBuiltAt_ = 0;
@@ -98,18 +98,20 @@
         nextStateRequestAt_ = now + STATE_PULL_DELAY;
 }
 
-auto GossipMembership::mergePulse(
-    const wire::HeartbeatPulse& pulse, const std::string& from, Microseconds now) -> void {
-    if (pulse.node == context_.members.own().node)
-        return context_.refuteOwnRecord(pulse.boot, pulse.heartbeat, "");
-    auto entry = context_.members.others().find(pulse.node);
+auto GossipMembership::mergeHeartbeatPulse(
+    const wire::HeartbeatPulse& heartbeatPulse, const std::string& from, Microseconds now) -> void {
+    if (heartbeatPulse.node == context_.members.own().node)
+        return context_.refuteOwnRecord(heartbeatPulse.boot, heartbeatPulse.heartbeat, "");
+    auto entry = context_.members.others().find(heartbeatPulse.node);
     if (entry != context_.members.others().end()) {
         auto& held = entry->second.record;
-        if (std::pair(pulse.boot, pulse.heartbeat) <= std::pair(held.boot, held.heartbeat)) return;
-        if (held.boot == pulse.boot && held.version == pulse.version)
-            return noteHeartbeat(entry->second, pulse.heartbeat, from, now);
+        if (std::pair(heartbeatPulse.boot, heartbeatPulse.heartbeat) <= std::pair(held.boot, held.heartbeat))
+            return;
+        if (held.boot == heartbeatPulse.boot && held.version == heartbeatPulse.version)
+            return noteHeartbeat(entry->second, heartbeatPulse.heartbeat, from, now);
     }
-    if (auto& missing = missingRecords_[from]; missing.size() < MAX_KNOWN) missing.insert(pulse.node);
+    if (auto& missing = missingRecords_[from]; missing.size() < MAX_KNOWN)
+        missing.insert(heartbeatPulse.node);
 }
 
 auto GossipMembership::mergeLoads(const wire::Heartbeat& heartbeat, const std::string& from, Microseconds now)
--- a/src/membership/gossip_sending.cpp
+++ b/src/membership/gossip_sending.cpp
@@ -95,8 +95,8 @@
     auto leader = members.leaderNode(now);
     auto silent = false;
     if (!parent.empty()) {
-        auto heardAt = std::max(members.others().at(parent).lastDirectAt, parentSince_);
-        silent = now - heardAt > context_.timeouts.heartbeat * 5 / 2;
+        auto contactAt = std::max(members.others().at(parent).lastDirectAt, parentSince_);
+        silent = now - contactAt > context_.timeouts.heartbeat * 5 / 2;
     }
     if (!leader.empty() && !silent) return;
     auto addresses = contactAddresses();
@@ -175,19 +175,19 @@
     return record;
 }
 
-/// Adds the record or its pulse, if the neighbour has not been sent it.
+/// Adds the record or only its heartbeat counter, if the neighbour has not been sent it.
 auto GossipMembership::addRecord(wire::Heartbeat& heartbeat, Neighbour& neighbour,
     const wire::NodeRecord& record, Microseconds now) const -> void {
     auto& sent = neighbour.records[record.node];
     if (sent.boot != record.boot || sent.version != record.version) {
         heartbeat.rows.push_back(recordToSend(record.node, now));
     } else if (sent.heartbeat != record.heartbeat) {
-        auto pulse = wire::HeartbeatPulse();
-        pulse.node = record.node;
-        pulse.boot = record.boot;
-        pulse.heartbeat = record.heartbeat;
-        pulse.version = record.version;
-        heartbeat.pulses.push_back(pulse);
+        auto heartbeatPulse = wire::HeartbeatPulse();
+        heartbeatPulse.node = record.node;
+        heartbeatPulse.boot = record.boot;
+        heartbeatPulse.heartbeat = record.heartbeat;
+        heartbeatPulse.version = record.version;
+        heartbeat.pulses.push_back(heartbeatPulse);
     } else return;
     sent = {record.boot, record.version, record.heartbeat};
 }
@@ -233,7 +233,7 @@
     neighbour.loadsSentAt = now;
 }
 
-/// Asks for the records of which the neighbour sent only pulses.
+/// Asks for the records of which the neighbour sent heartbeats without state.
 auto GossipMembership::addMissingRecords(wire::Heartbeat& heartbeat, const std::string& name) -> void {
     auto missing = missingRecords_.find(name);
     if (missing == missingRecords_.end()) return;
--- a/src/membership/lease.cpp
+++ b/src/membership/lease.cpp
@@ -15,18 +15,18 @@
 }
 
 auto majorityHeard(const NodeContext& context, VotersCounted voters, Microseconds now) -> bool {
-    auto votersHeard = std::size_t(0), rosterHeard = std::size_t(0);
+    auto votersConfirming = std::size_t(0), rosterConfirming = std::size_t(0);
     auto count = [&](const wire::NodeRecord& record) {
         if (versionOf(record) > versionOf(context.state)) return;
         auto counts = record.settled || voters == VotersCounted::All;
-        if (!record.blank && context.isVoter(record) && counts) votersHeard++;
-        if (record.settled && context.voting.roster.count(record.node)) rosterHeard++;
+        if (!record.blank && context.isVoter(record) && counts) votersConfirming++;
+        if (record.settled && context.voting.roster.count(record.node)) rosterConfirming++;
     };
     count(context.members.own());
     for (auto& [name, known] : context.members.others())
         if (countsForLease(context, known, now)) count(known.record);
-    return votersHeard * 2 > context.voting.voterDisks.size()
-        || rosterHeard * 2 > context.voting.roster.size();
+    return votersConfirming * 2 > context.voting.voterDisks.size()
+        || rosterConfirming * 2 > context.voting.roster.size();
 }
 
 /// Whether majorities of the voters and of the roster satisfy `holds`, which is given each record and since
--- a/src/membership/lease.hpp
+++ b/src/membership/lease.hpp
@@ -3,17 +3,17 @@
 // change is held so widely that it may be acknowledged.
 //
 // Fixed roster. An order is acknowledged when a majority of the voters' disks and a majority of the roster
-// were seen holding it at one same moment (majorityHolds). A node acts on its state only while it has heard,
-// within LEASE_DURATION, a majority of the voters or of the roster, none of which knew a newer state than it
-// holds (majorityHeard). Any majority of the heard kind meets the one of the same kind that held the order
-// when it was acknowledged; so at least one of those heard would have shown the newer state, and a node
+// were seen holding it at one same moment (majorityHolds). A node acts on its state only while it was in
+// touch, within LEASE_DURATION, a majority of the voters or of the roster, none of which knew a newer state
+// than it holds (majorityHeard). Any majority of that kind meets the one of the same kind that held the order
+// when it was acknowledged; so at least one of those would have shown the newer state, and a node
 // within its lease holds every acknowledged order. Two conditions are needed for this:
 //
 //  - The age of a record is known by this node's clock alone: a record that acknowledges heartbeat h of this
 //    node was written after h was sent, whatever path it came (LeaseEvidence::AcknowledgedHeartbeat). The
 //    clock counts the time that the process was stopped, so a lease has expired when a process wakes up.
 //  - A node that has restarted without its memory does not vouch for what it forgot: it counts only once it
-//    is settled, that is, once it has itself heard such a majority.
+//    is settled, that is, once it has itself been in touch with such a majority.
 //
 // Membership by gossip. Orders are acknowledged by the voters' disks alone, and heartbeats carry no
 // acknowledgements; the lease is then a bound on how long a node acts without hearing a majority of voters
@@ -36,7 +36,7 @@
 [[nodiscard]] auto countsForLease(const NodeContext& context, const KnownNode& node, Microseconds now)
     -> bool;
 
-/// Whether a majority of the voters, or of the roster, was heard within the lease and knew of no newer
+/// Whether a majority of the voters, or of the roster, was in touch within the lease and knew of no newer
 /// replicated state than is held here.
 [[nodiscard]] auto majorityHeard(const NodeContext& context, VotersCounted voters, Microseconds now) -> bool;
 
--- a/src/membership/membership_table.hpp
+++ b/src/membership/membership_table.hpp
@@ -27,7 +27,7 @@
     /// Fixed roster: when that heartbeat of ours was sent which the node had received by then.
     Microseconds acknowledgedSince = 0;
     // Membership by gossip:
-    Microseconds firstSeenAt = 0;   // when this life of the node was first heard of
+    Microseconds firstSeenAt = 0;   // when this life of the node was first known
     Microseconds recordAt = 0;      // when the record itself came
     Microseconds lastDirectAt = 0;  // when the node last sent something to this one
     std::string heardFrom;          // who passed on its newest heartbeat
--- a/src/membership/node.cpp
+++ b/src/membership/node.cpp
@@ -66,7 +66,7 @@
 
 // ---- time
 
-/// A gap in its own time tells a process that it was stopped.
+/// A gap in its own time shows a process that it was stopped.
 auto Node::noticeFreeze(Microseconds now) -> void {
     if (context_.now && now - context_.now > FREEZE_GAP) {
         context_.resumedAt = now;
--- a/src/membership/node.hpp
+++ b/src/membership/node.hpp
@@ -81,7 +81,7 @@
     auto cancelOrder(std::int64_t id) -> void;
     /// The last resort when disks and nodes have lost their majorities (disaster_recovery.hpp).
     auto rescue(std::int64_t epoch, std::int64_t version, Microseconds now) -> Outcome;
-    /// The newest replicated state held here or heard of.
+    /// The newest replicated state held here or received.
     [[nodiscard]] auto newestKnownState() const -> const ReplicatedState& {
         return context_.newestKnownState();
     }
--- a/src/membership/node_context.hpp
+++ b/src/membership/node_context.hpp
@@ -49,7 +49,7 @@
     /// An envelope from this node, empty.
     [[nodiscard]] auto envelope() const -> wire::Envelope;
     [[nodiscard]] auto tree(Microseconds now) const -> DisseminationTree;
-    /// The newest replicated state held here or heard of.
+    /// The newest replicated state held here or received.
     [[nodiscard]] auto newestKnownState() const -> const ReplicatedState&;
     [[nodiscard]] auto isVoter(const wire::NodeRecord& record) const -> bool {
         return voting.voterDisks.count(record.disk) > 0;
@@ -63,7 +63,8 @@
     auto nextInTurn(const std::vector<std::string>& addresses) -> const std::string&;
     /// A record of this node's life `boot` at heartbeat `heartbeat` came from elsewhere. If that is newer
     /// than this life, an earlier life had a clock that has since been set back, or another node has the
-    /// same name: this life takes a higher number, or it would not be heard. `peer`: that record's address.
+    /// same name: this life takes a higher number, or its records would not be taken. `peer`: that record's
+    /// address.
     auto refuteOwnRecord(std::int64_t boot, std::int64_t heartbeat, const std::string& peer) -> void;
 
     Settings settings;
--- a/src/membership/operator_views.cpp
+++ b/src/membership/operator_views.cpp
@@ -126,13 +126,13 @@
         if (record.zone == zone) distance = Distance::SameZone;
         nodes.push_back({distance, &record});
     };
-    auto considerHeardWithin = [&](Microseconds limit) {
+    auto considerAliveWithin = [&](Microseconds limit) {
         for (auto& [name, known] : context.members.others())
             if (now - known.lastHeartbeatAt < limit) consider(known.record);
     };
     consider(context.members.own());
-    considerHeardWithin(context.timeouts.late);
-    if (nodes.empty()) considerHeardWithin(context.timeouts.alive);
+    considerAliveWithin(context.timeouts.late);
+    if (nodes.empty()) considerAliveWithin(context.timeouts.alive);
     return nodes;
 }
 
--- a/src/membership/roster_membership.cpp
+++ b/src/membership/roster_membership.cpp
@@ -219,12 +219,12 @@
 
 auto RosterMembership::mergeLoads(const wire::Heartbeat& heartbeat, const std::string& from, Microseconds now)
     -> void {
-    // What lay unread while this process was stopped is older than it says. What its sender wrote after
-    // hearing this node awake is not.
-    auto sender = context_.members.others().find(from);
+    // What lay unread while this process was stopped is older than it says. What the other node wrote after
+    // receiving a heartbeat of this node since is not.
+    auto origin = context_.members.others().find(from);
     auto resumedAt = context_.resumedAt;
     auto datable = !resumedAt
-        || (sender != context_.members.others().end() && sender->second.acknowledgedSince >= resumedAt);
+        || (origin != context_.members.others().end() && origin->second.acknowledgedSince >= resumedAt);
     if (!datable) return;
     for (auto& load : heartbeat.loads) {
         auto server = context_.directory.find(load.server);
--- a/src/membership/roster_membership.hpp
+++ b/src/membership/roster_membership.hpp
@@ -24,7 +24,7 @@
     [[nodiscard]] auto scanDue(Microseconds now) -> bool override;
     [[nodiscard]] auto listingTimeout() const -> Microseconds override;
     auto serverLapsed(const wire::ServerListing& listing) -> void override;
-    /// Settles this node if it has heard what it needs to vouch for its state.
+    /// Settles this node if it has received what it needs to vouch for its state.
     auto tick(Microseconds now, bool scanned) -> void override;
     auto placeVoters(Microseconds now) -> void override;
     auto beginEpochIfDue(Microseconds now) -> void override;
--- a/src/membership/singleton_duty.hpp
+++ b/src/membership/singleton_duty.hpp
@@ -1,6 +1,6 @@
 #pragma once
 // Which node does what must be done once in the fleet, such as fetching the platform's listing: the leader,
-// while a majority follows it; when no leader is heard of for long enough, the root of the dissemination
+// while a majority follows it; when no leader is known for long enough, the root of the dissemination
 // tree. Two nodes may both think so for a short time; what they do is numbered so that the later one
 // prevails.
 #include "base/time.hpp"
--- a/src/membership/voter_placement.cpp
+++ b/src/membership/voter_placement.cpp
@@ -56,11 +56,11 @@
     auto& own = context.members.own();
     auto& voter = *context.voter;
     auto isOwn = identity.disk == own.disk;
-    auto lastHeardAt = std::max(voter.lastContact(identity.disk), voter.leadSince());
+    auto lastContactAt = std::max(voter.lastContact(identity.disk), voter.leadSince());
     auto judged = JudgedVoter{VoterHealth::Well, isOwn ? &own : nullptr};
     for (auto& [name, known] : context.members.others())
         if (known.record.disk == identity.disk) {
-            lastHeardAt = std::max(lastHeardAt, known.lastHeartbeatAt);
+            lastContactAt = std::max(lastContactAt, known.lastHeartbeatAt);
             judged.record = &known.record;
         }
     if (isOwn) return judged;
@@ -68,7 +68,7 @@
     auto machine = context.members.find(identity.node);
     auto swapped =
         machine && context.members.isAlive(identity.node, now) && !judged.record && !machine->disk.empty();
-    if (swapped || now - lastHeardAt >= VOTER_LOST_TIMEOUT) judged.health = VoterHealth::Lost;
+    if (swapped || now - lastContactAt >= VOTER_LOST_TIMEOUT) judged.health = VoterHealth::Lost;
     else if (judged.record && judged.record->stopping) judged.health = VoterHealth::Stopping;
     return judged;
 }
--- a/src/membership/voter_placement.hpp
+++ b/src/membership/voter_placement.hpp
@@ -15,7 +15,7 @@
 [[nodiscard]] auto rosterSpareDisks(const NodeContext& context, Microseconds now)
     -> std::vector<std::pair<std::string, std::string>>;
 
-/// Membership by gossip, on the leader: for each voter whose disk has not been heard for VOTER_LOST_TIMEOUT,
+/// Membership by gossip, on the leader: for each voter whose disk was silent for VOTER_LOST_TIMEOUT,
 /// whose machine is back with another disk, or whose node is stopping, the best disk that does not vote. The
 /// same node's new disk is preferred, then a zone with fewer voters, then a blank disk, then the one known
 /// for longest.
