--- a/src/membership/dissemination_tree.cpp
+++ b/src/membership/dissemination_tree.cpp
@@ -6,6 +6,8 @@
 #include <string>
 #include <vector>
 
+#include <fmt/format.h>
+
 #include "base/hash.hpp"
 #include "base/time.hpp"
 
@@ -31,7 +33,7 @@
     auto zones = std::map<std::string, std::vector<std::string>>();
     for (auto& name : names) zones[members.find(name)->zone].push_back(name);
     for (auto& [zone, inZone] : zones) {
-        auto key = zone + "/" + root;
+        auto key = fmt::format("{}/{}", zone, root);
         std::sort(inZone.begin(), inZone.end(), [&](auto& left, auto& right) {
             if ((left == root) != (right == root)) return left == root;
             auto leftLeads = members.find(left)->leader, rightLeads = members.find(right)->leader;
--- a/src/membership/gossip_listing.cpp
+++ b/src/membership/gossip_listing.cpp
@@ -90,9 +90,9 @@
 }
 
 auto GossipListing::merge(const wire::Heartbeat& heartbeat, Microseconds now) -> bool {
-    auto whole = heartbeat.listBase == 0;
-    if (heartbeat.listBase < 0 || heartbeat.listNo <= number_) return false;
-    if (!whole && heartbeat.listBase != number_) return false;
+    auto whole = heartbeat.listingBase == 0;
+    if (heartbeat.listingBase < 0 || heartbeat.listingNumber <= number_) return false;
+    if (!whole && heartbeat.listingBase != number_) return false;
     auto listed = std::set<std::string>();
     for (auto& listing : heartbeat.listings) {
         if (listing.server.empty() || listing.server.size() > MAX_NAME_BYTES) continue;
@@ -104,16 +104,16 @@
             context_.directory.servers(), [&](auto& entry) { return listed.count(entry.first) == 0; });
         recent_.clear();
     }
-    remember(heartbeat.listNo);
+    remember(heartbeat.listingNumber);
     return true;
 }
 
 auto GossipListing::addChanges(wire::Heartbeat& heartbeat, std::int64_t base, Microseconds now) const
     -> void {
     auto known = std::find(recent_.begin(), recent_.end(), base) != recent_.end();
-    heartbeat.listBase = base > 0 && known ? base : 0;
+    heartbeat.listingBase = base > 0 && known ? base : 0;
     for (auto& [name, server] : context_.directory.servers())
-        if (server.listing.revision > heartbeat.listBase)
+        if (server.listing.revision > heartbeat.listingBase)
             heartbeat.listings.push_back(agedListing(server, now));
 }
 
--- a/src/membership/gossip_membership.cpp
+++ b/src/membership/gossip_membership.cpp
@@ -99,18 +99,18 @@
     if (context_.faults.noLease) return state.version > 0;
     if (context_.settings.serveOn) return state.configVersion() > 0;
     return state.version > 0 && context_.members.own().settled
-        && majorityHeard(context_, VotersCounted::SettledOnly, now);
+        && majorityConfirms(context_, VotersCounted::SettledOnly, now);
 }
 
 auto GossipMembership::majorityStands(Microseconds now) const -> bool {
-    return majorityHeard(context_, VotersCounted::All, now);
+    return majorityConfirms(context_, VotersCounted::All, now);
 }
 
 // A majority of the voters' disks is enough, and those hold what the log has committed.
 auto GossipMembership::acknowledged(MajorityProof&, std::int64_t, Microseconds) -> bool { return true; }
 
 // An acknowledgement rests on the disks alone, so a newer state may be acted on at once.
-auto GossipMembership::actsOnHeardState() const -> bool { return true; }
+auto GossipMembership::actsOnReceivedState() const -> bool { return true; }
 
 // A leader's voters take the state from the log.
 auto GossipMembership::sendsStateTo(const wire::NodeRecord& record) const -> bool {
--- a/src/membership/gossip_receiving.cpp
+++ b/src/membership/gossip_receiving.cpp
@@ -20,10 +20,11 @@
     auto& heartbeat = envelope.heartbeat;
     auto& from = envelope.node;
     auto leaderBefore = leader_;
-    for (auto& record : heartbeat.rows) mergeRecord(record, from, now);
-    for (auto& heartbeatPulse : heartbeat.pulses) mergeHeartbeatPulse(heartbeatPulse, from, now);
+    for (auto& record : heartbeat.records) mergeRecord(record, from, now);
+    for (auto& heartbeatPulse : heartbeat.heartbeatPulses) mergeHeartbeatPulse(heartbeatPulse, from, now);
     auto neighbour = neighbours_.find(from);
-    if (heartbeat.listNo && neighbour != neighbours_.end()) neighbour->second.listingHeld = heartbeat.listNo;
+    if (heartbeat.listingNumber && neighbour != neighbours_.end())
+        neighbour->second.listingHeld = heartbeat.listingNumber;
     mergeLoads(heartbeat, from, now);
     auto newListing = listing_.merge(heartbeat, now);
     auto origin = context_.members.others().find(from);
@@ -37,7 +38,7 @@
 auto GossipMembership::answerRequests(const wire::Envelope& envelope, Microseconds now) -> void {
     auto& heartbeat = envelope.heartbeat;
     auto& from = envelope.node;
-    if (heartbeat.fullAsk) {
+    if (heartbeat.wantsAll) {
         auto& neighbour = neighbours_[from];
         if (neighbour.askedAllAt && now - neighbour.askedAllAt < ANSWER_ALL_INTERVAL) return;
         neighbour.askedAllAt = now;
@@ -47,8 +48,8 @@
         return;
     }
     auto neighbour = neighbours_.find(from);
-    if (heartbeat.rowAsk.empty() || neighbour == neighbours_.end()) return;
-    for (auto& name : heartbeat.rowAsk) neighbour->second.records.erase(name);
+    if (heartbeat.wantedRecords.empty() || neighbour == neighbours_.end()) return;
+    for (auto& name : heartbeat.wantedRecords) neighbour->second.records.erase(name);
     sendTo(from, Extent::Changes, now);
 }
 
@@ -60,7 +61,7 @@
     }
     known.record.heartbeat = heartbeat;
     known.lastHeartbeatAt = now;
-    known.heardFrom = from;
+    known.receivedFrom = from;
 }
 
 auto GossipMembership::mergeRecord(const wire::NodeRecord& record, const std::string& from, Microseconds now)
@@ -123,8 +124,8 @@
         if (!server || load.age < 0 || now - load.age <= server->loadReadAt) continue;
         server->load = load;
         server->loadReadAt = now - load.age;
-        server->loadHeardAt = now;
-        server->loadHeardFrom = from;
+        server->loadReceivedAt = now;
+        server->loadReceivedFrom = from;
     }
 }
 
--- a/src/membership/gossip_sending.cpp
+++ b/src/membership/gossip_sending.cpp
@@ -118,9 +118,9 @@
 
 auto GossipMembership::askForAll(const std::string& address) -> void {
     auto heartbeat = wire::Heartbeat();
-    heartbeat.rows.push_back(context_.members.own());
-    heartbeat.fullAsk = true;
-    heartbeat.listNo = listing_.number();
+    heartbeat.records.push_back(context_.members.own());
+    heartbeat.wantsAll = true;
+    heartbeat.listingNumber = listing_.number();
     auto envelope = context_.envelope();
     envelope.__set_heartbeat(heartbeat);
     context_.port.send(address, envelope);
@@ -137,8 +137,8 @@
 // ---- one heartbeat
 
 static auto isEmpty(const wire::Heartbeat& heartbeat) -> bool {
-    return heartbeat.rows.empty() && heartbeat.pulses.empty() && heartbeat.rowAsk.empty()
-        && heartbeat.loads.empty() && heartbeat.listBase < 0;
+    return heartbeat.records.empty() && heartbeat.heartbeatPulses.empty() && heartbeat.wantedRecords.empty()
+        && heartbeat.loads.empty() && heartbeat.listingBase < 0;
 }
 
 auto GossipMembership::sendTo(const std::string& name, Extent extent, Microseconds now) -> void {
@@ -180,14 +180,14 @@
     const wire::NodeRecord& record, Microseconds now) const -> void {
     auto& sent = neighbour.records[record.node];
     if (sent.boot != record.boot || sent.version != record.version) {
-        heartbeat.rows.push_back(recordToSend(record.node, now));
+        heartbeat.records.push_back(recordToSend(record.node, now));
     } else if (sent.heartbeat != record.heartbeat) {
         auto heartbeatPulse = wire::HeartbeatPulse();
         heartbeatPulse.node = record.node;
         heartbeatPulse.boot = record.boot;
         heartbeatPulse.heartbeat = record.heartbeat;
         heartbeatPulse.version = record.version;
-        heartbeat.pulses.push_back(heartbeatPulse);
+        heartbeat.heartbeatPulses.push_back(heartbeatPulse);
     } else return;
     sent = {record.boot, record.version, record.heartbeat};
 }
@@ -197,7 +197,7 @@
     auto& others = context_.members.others();
     for (auto& [other, known] : others) {
         if (other == name || !context_.members.isAlive(known, now)) continue;
-        if (extent == Extent::Everything || known.heardFrom != name)
+        if (extent == Extent::Everything || known.receivedFrom != name)
             addRecord(heartbeat, neighbour, known.record, now);
     }
     std::erase_if(neighbour.records, [&](auto& entry) {
@@ -209,7 +209,7 @@
     Extent extent, Microseconds now) const -> void {
     auto number = listing_.number();
     auto everything = extent == Extent::Everything;
-    heartbeat.listNo = number;
+    heartbeat.listingNumber = number;
     if (number <= 0 || neighbour.listingHeld >= number) return;
     // The parent is sent none before it has said what it holds: it is the one that has the news first.
     if (neighbour.listingHeld < 0 && !everything && name == parent_) return;
@@ -226,8 +226,8 @@
 auto GossipMembership::addLoads(wire::Heartbeat& heartbeat, Neighbour& neighbour, const std::string& name,
     Extent extent, Microseconds now) const -> void {
     for (auto& [server, known] : context_.directory.servers()) {
-        if (!hasUsableLoad(known, now) || known.loadHeardAt <= neighbour.loadsSentAt) continue;
-        if (extent == Extent::Everything || known.loadHeardFrom != name)
+        if (!hasUsableLoad(known, now) || known.loadReceivedAt <= neighbour.loadsSentAt) continue;
+        if (extent == Extent::Everything || known.loadReceivedFrom != name)
             heartbeat.loads.push_back(agedLoad(known, now));
     }
     neighbour.loadsSentAt = now;
@@ -237,7 +237,7 @@
 auto GossipMembership::addMissingRecords(wire::Heartbeat& heartbeat, const std::string& name) -> void {
     auto missing = missingRecords_.find(name);
     if (missing == missingRecords_.end()) return;
-    heartbeat.rowAsk.assign(missing->second.begin(), missing->second.end());
+    heartbeat.wantedRecords.assign(missing->second.begin(), missing->second.end());
     missingRecords_.erase(missing);
 }
 
--- a/src/membership/lease.cpp
+++ b/src/membership/lease.cpp
@@ -14,7 +14,7 @@
     return node.acknowledgedSince && now - node.acknowledgedSince <= LEASE_DURATION;
 }
 
-auto majorityHeard(const NodeContext& context, VotersCounted voters, Microseconds now) -> bool {
+auto majorityConfirms(const NodeContext& context, VotersCounted voters, Microseconds now) -> bool {
     auto votersConfirming = std::size_t(0), rosterConfirming = std::size_t(0);
     auto count = [&](const wire::NodeRecord& record) {
         if (versionOf(record) > versionOf(context.state)) return;
--- a/src/membership/lease.hpp
+++ b/src/membership/lease.hpp
@@ -4,9 +4,9 @@
 //
 // Fixed roster. An order is acknowledged when a majority of the voters' disks and a majority of the roster
 // were seen holding it at one same moment (majorityHolds). A node acts on its state only while it was in
-// touch, within LEASE_DURATION, a majority of the voters or of the roster, none of which knew a newer state
-// than it holds (majorityHeard). Any majority of that kind meets the one of the same kind that held the order
-// when it was acknowledged; so at least one of those would have shown the newer state, and a node
+// touch, within LEASE_DURATION, with a majority of the voters or of the roster, none of which knew a newer
+// state than it holds (majorityConfirms). That majority has a member in common with the one of the same kind
+// that held the order when it was acknowledged, and this member would have shown the newer state; so a node
 // within its lease holds every acknowledged order. Two conditions are needed for this:
 //
 //  - The age of a record is known by this node's clock alone: a record that acknowledges heartbeat h of this
@@ -38,7 +38,8 @@
 
 /// Whether a majority of the voters, or of the roster, was in touch within the lease and knew of no newer
 /// replicated state than is held here.
-[[nodiscard]] auto majorityHeard(const NodeContext& context, VotersCounted voters, Microseconds now) -> bool;
+[[nodiscard]] auto majorityConfirms(const NodeContext& context, VotersCounted voters, Microseconds now)
+    -> bool;
 
 /// Whether a majority of the voters and a majority of the roster hold, at one same moment, what `holds`
 /// looks for. Each must be seen holding it by `proof.begun`, and again, in the same life, by a record that
--- a/src/membership/membership_protocol.hpp
+++ b/src/membership/membership_protocol.hpp
@@ -56,7 +56,7 @@
     [[nodiscard]] virtual auto acknowledged(MajorityProof& proof, std::int64_t version, Microseconds now)
         -> bool = 0;
     /// Whether a voter may act on a newer state of its epoch that another node sent, before its log has it.
-    [[nodiscard]] virtual auto actsOnHeardState() const -> bool = 0;
+    [[nodiscard]] virtual auto actsOnReceivedState() const -> bool = 0;
     /// Whether a new state is sent down the tree to the node with this record.
     [[nodiscard]] virtual auto sendsStateTo(const wire::NodeRecord& record) const -> bool = 0;
     /// The leader as last looked up; empty if none was known or the way of membership keeps none.
--- a/src/membership/membership_table.hpp
+++ b/src/membership/membership_table.hpp
@@ -30,13 +30,13 @@
     Microseconds firstSeenAt = 0;   // when this life of the node was first known
     Microseconds recordAt = 0;      // when the record itself came
     Microseconds lastDirectAt = 0;  // when the node last sent something to this one
-    std::string heardFrom;          // who passed on its newest heartbeat
+    std::string receivedFrom;       // who passed on its newest heartbeat
 };
 
 /// The position of a replicated state; the greater one is the newer.
 struct StateVersion {
     std::int64_t epoch = 0, version = 0;
-    auto operator<=>(const StateVersion&) const = default;
+    auto operator<=>(const StateVersion&) const = default;  // NOLINT(modernize-use-nullptr): false alarm
 };
 [[nodiscard]] auto versionOf(const wire::NodeRecord& record) -> StateVersion;
 [[nodiscard]] auto versionOf(const ReplicatedState& state) -> StateVersion;
--- a/src/membership/node.cpp
+++ b/src/membership/node.cpp
@@ -187,9 +187,9 @@
 
 // ---- orders of operators
 
-auto Node::order(std::int64_t id, const std::string& op, const std::string& key, const std::string& body,
-    Microseconds now) -> void {
-    orderClient_.order(id, op, key, body, now);
+auto Node::order(std::int64_t id, const std::string& operation, const std::string& key,
+    const std::string& body, Microseconds now) -> void {
+    orderClient_.order(id, operation, key, body, now);
     context_.counters.add("orders_taken_total");
 }
 
--- a/src/membership/node.hpp
+++ b/src/membership/node.hpp
@@ -73,7 +73,7 @@
     }
 
     /// An operator's order or read; answered through NodePort::done.
-    auto order(std::int64_t id, const std::string& op, const std::string& key, const std::string& body,
+    auto order(std::int64_t id, const std::string& operation, const std::string& key, const std::string& body,
         Microseconds now) -> void;
     auto read(std::int64_t id, const StateQuery& query, Microseconds now) -> void;
     auto read(std::int64_t id, Microseconds now) -> void { read(id, StateQuery::document(), now); }
@@ -157,7 +157,7 @@
 
     auto handleState(const wire::ReplicatedState& message, Microseconds now) -> void;
     auto handleStateAsVoter(const wire::ReplicatedState& message, Microseconds now) -> void;
-    auto actOnHeardState(const wire::ReplicatedState& message, Microseconds now) -> void;
+    auto actOnReceivedState(const wire::ReplicatedState& message, Microseconds now) -> void;
     auto handleStateRequest(const wire::ReplicatedStateRequest& request, const std::string& from) -> void;
     auto handleCreditGrant(const wire::CreditGrant& grant, const std::string& from) -> void;
     auto sendStateDown() -> void;
--- a/src/membership/node_context.cpp
+++ b/src/membership/node_context.cpp
@@ -47,7 +47,7 @@
 }
 
 auto NodeContext::newestKnownState() const -> const ReplicatedState& {
-    return versionOf(heardState) > versionOf(state) ? heardState : state;
+    return versionOf(receivedState) > versionOf(state) ? receivedState : state;
 }
 
 auto NodeContext::sendState(const std::string& address) -> void {
--- a/src/membership/node_context.hpp
+++ b/src/membership/node_context.hpp
@@ -78,7 +78,7 @@
     ServerDirectory directory;
     ReplicatedState state;
     /// A voter's: a newer state than its disk holds, kept for a new epoch only.
-    ReplicatedState heardState;
+    ReplicatedState receivedState;
     VotingMembers voting;
     std::unique_ptr<Voter> voter;  // null on a node without a disk
     Microseconds now = 0;
--- a/src/membership/node_messages.cpp
+++ b/src/membership/node_messages.cpp
@@ -68,9 +68,10 @@
 auto Node::handleStateAsVoter(const wire::ReplicatedState& message, Microseconds now) -> void {
     auto& voter = *context_.voter;
     auto version = StateVersion{message.epoch, message.version};
-    if (version > versionOf(context_.heardState))
-        if (auto state = stateOf(message)) context_.heardState = *state;
-    if (protocol_->actsOnHeardState() && message.epoch == voter.epoch()) return actOnHeardState(message, now);
+    if (version > versionOf(context_.receivedState))
+        if (auto state = stateOf(message)) context_.receivedState = *state;
+    if (protocol_->actsOnReceivedState() && message.epoch == voter.epoch())
+        return actOnReceivedState(message, now);
     if (message.epoch <= voter.epoch()) return;
     // Two nodes may begin an epoch at once: a disk that voted in one of those stays with it. A later one was
     // begun after a majority of these voters was seen to be lost.
@@ -80,7 +81,7 @@
 
 /// Acts on a newer state of the voter's own epoch before its log has it, and retires the disk if the state
 /// names the voters without it.
-auto Node::actOnHeardState(const wire::ReplicatedState& message, Microseconds now) -> void {
+auto Node::actOnReceivedState(const wire::ReplicatedState& message, Microseconds now) -> void {
     auto& voter = *context_.voter;
     if (message.version <= context_.state.version) return;
     auto state = stateOf(message);
--- a/src/membership/roster_membership.cpp
+++ b/src/membership/roster_membership.cpp
@@ -79,9 +79,9 @@
 
 auto RosterMembership::heartbeatEnvelope(Microseconds now) const -> wire::Envelope {
     auto heartbeat = wire::Heartbeat();
-    heartbeat.rows.push_back(context_.members.own());
+    heartbeat.records.push_back(context_.members.own());
     for (auto& [name, known] : context_.members.others())
-        if (now - known.lastHeartbeatAt < FORGET_TIMEOUT) heartbeat.rows.push_back(known.record);
+        if (now - known.lastHeartbeatAt < FORGET_TIMEOUT) heartbeat.records.push_back(known.record);
     for (auto& [name, server] : context_.directory.servers()) {
         heartbeat.listings.push_back(agedListing(server, now));
         if (hasUsableLoad(server, now)) heartbeat.loads.push_back(agedLoad(server, now));
@@ -129,7 +129,7 @@
     auto held = versionOf(context_.newestKnownState());
     auto newest = held;
     auto holder = std::string();  // the address of the node that holds the newest state
-    for (auto& record : heartbeat.rows) {
+    for (auto& record : heartbeat.records) {
         if (!acceptable(record) || !mergeRecord(record, now)) continue;
         if (versionOf(record) <= newest) continue;
         newest = versionOf(record);
@@ -243,8 +243,8 @@
 auto RosterMembership::tick(Microseconds now, bool) -> void {
     auto& own = context_.members.own();
     if (own.settled || context_.state.version == 0) return;
-    if (!majorityHeard(context_, VotersCounted::All, now)) return;
-    auto vouchedFor = majorityHeard(context_, VotersCounted::SettledOnly, now);
+    if (!majorityConfirms(context_, VotersCounted::All, now)) return;
+    auto vouchedFor = majorityConfirms(context_, VotersCounted::SettledOnly, now);
     if (!vouchedFor && listingTakenAt_ <= context_.startedAt) return;
     own.settled = true;
     logEvent("node_settled", "epoch={} version={}", context_.state.epoch, context_.state.version);
@@ -269,7 +269,7 @@
 auto RosterMembership::withinLease(Microseconds now) const -> bool {
     if (context_.faults.noLease) return context_.state.version > 0;
     return context_.state.version > 0 && context_.members.own().settled
-        && majorityHeard(context_, VotersCounted::SettledOnly, now);
+        && majorityConfirms(context_, VotersCounted::SettledOnly, now);
 }
 
 auto RosterMembership::majorityStands(Microseconds now) const -> bool { return withinLease(now); }
@@ -280,7 +280,7 @@
     return majorityHolds(context_, proof, holds, now);
 }
 
-auto RosterMembership::actsOnHeardState() const -> bool { return false; }
+auto RosterMembership::actsOnReceivedState() const -> bool { return false; }
 auto RosterMembership::sendsStateTo(const wire::NodeRecord&) const -> bool { return true; }
 auto RosterMembership::lastLeader() const -> std::string { return ""; }
 auto RosterMembership::voteHandedOver(Microseconds) const -> bool { return true; }
--- a/src/membership/roster_membership.hpp
+++ b/src/membership/roster_membership.hpp
@@ -32,7 +32,7 @@
     [[nodiscard]] auto majorityStands(Microseconds now) const -> bool override;
     [[nodiscard]] auto acknowledged(MajorityProof& proof, std::int64_t version, Microseconds now)
         -> bool override;
-    [[nodiscard]] auto actsOnHeardState() const -> bool override;
+    [[nodiscard]] auto actsOnReceivedState() const -> bool override;
     [[nodiscard]] auto sendsStateTo(const wire::NodeRecord& record) const -> bool override;
     [[nodiscard]] auto lastLeader() const -> std::string override;
     [[nodiscard]] auto voteHandedOver(Microseconds now) const -> bool override;
--- a/src/membership/server_directory.hpp
+++ b/src/membership/server_directory.hpp
@@ -24,11 +24,11 @@
     Microseconds listedAt = 0;     // when the platform last listed it, as far as known here
     Microseconds firstSeenAt = 0;  // when this life of it was first known
     wire::ServerLoad load;
-    Microseconds loadReadAt = 0;   // when the load was read at the server; 0 if never
-    int failedProbes = 0;          // one after another, by this node
-    Microseconds coldUntil = 0;    // as the platform said, on the clock of this node; 0 if it did not
-    Microseconds loadHeardAt = 0;  // gossip: when the load came here
-    std::string loadHeardFrom;     // gossip: who passed the load on
+    Microseconds loadReadAt = 0;      // when the load was read at the server; 0 if never
+    int failedProbes = 0;             // one after another, by this node
+    Microseconds coldUntil = 0;       // as the platform said, on the clock of this node; 0 if it did not
+    Microseconds loadReceivedAt = 0;  // gossip: when the load came here
+    std::string loadReceivedFrom;     // gossip: who passed the load on
 };
 
 /// What a probe of a server brought.
--- a/src/sim/scale_fleet.cpp
+++ b/src/sim/scale_fleet.cpp
@@ -150,9 +150,9 @@
         return;
     }
     stats.wordsIn += envelope.__isset.replicatedState;
-    stats.rowsIn += std::int64_t(envelope.heartbeat.rows.size());
-    for (auto& row : envelope.heartbeat.rows) stats.echoesIn += std::int64_t(row.acks.size());
-    stats.pulsesIn += std::int64_t(envelope.heartbeat.pulses.size());
+    stats.rowsIn += std::int64_t(envelope.heartbeat.records.size());
+    for (auto& row : envelope.heartbeat.records) stats.echoesIn += std::int64_t(row.acks.size());
+    stats.pulsesIn += std::int64_t(envelope.heartbeat.heartbeatPulses.size());
     stats.listingsIn += std::int64_t(envelope.heartbeat.listings.size());
     stats.loadsIn += std::int64_t(envelope.heartbeat.loads.size());
     fleet.spend(*this, &Stats::handle, [&] { node->handle(envelope, fleet.now); });
--- a/tests/membership/fleet_fixture.hpp
+++ b/tests/membership/fleet_fixture.hpp
@@ -1,6 +1,6 @@
 #pragma once
 // A fleet whose membership is learnt, over virtual time: twelve nodes in two regions, three of
-// them cores, told three seeds and nothing else.
+// them cores, given three seeds and nothing else.
 #include <algorithm>
 #include <cstdint>
 #include <deque>
@@ -199,7 +199,7 @@
                 }
                 if ((t / MILLISECOND + Microseconds(i) * 2) % 20 == 0)
                     b.n->tick(t, 1'700'000'000 * SECOND + t);
-                // Within one life no word goes back.
+                // Within one life no state goes back.
                 if (b.n->replicatedState().version < b.top)
                     bad = fmt::format("{} went back to {}", b.st.node, b.n->replicatedState().version);
                 b.top = b.n->replicatedState().version;
--- a/tests/membership/gossip_dissemination_test.cpp
+++ b/tests/membership/gossip_dissemination_test.cpp
@@ -54,7 +54,7 @@
         }
 }
 
-// What was lost on its way is told again: all hold the same rows and the same listing.
+// What was lost on its way is sent again: all hold the same records and the same listing.
 TEST(GossipMembership, lossIsMadeUp) {
     auto q = Quiet();
     for (auto seed = 1u; seed < 13; seed++) {
@@ -92,7 +92,7 @@
     }
 }
 
-// Where out of touch means to deny, it is denied.
+// Where out of touch means to reject, requests are rejected.
 TEST(GossipMembership, cutNodeRejectsIfConfigured) {
     auto q = Quiet();
     auto f = Fleet(50);
--- a/tests/membership/gossip_listing_test.cpp
+++ b/tests/membership/gossip_listing_test.cpp
@@ -9,7 +9,7 @@
 
 namespace duneturn {
 
-// A server that left while a node was cut off is not known there any more, nor told anew by it.
+// A server that left while a node was cut off is not known there any more, nor announced anew by it.
 TEST(GossipMembership, longCutForgetsServers) {
     auto q = Quiet();
     for (auto i : {2u, 9u}) {
@@ -93,7 +93,7 @@
         auto left = b->n->servers().at("s1").coldUntil - f.t;
         CHECK(left > 4 * SECOND && left <= 5 * SECOND + 300 * MILLISECOND);
     }
-    // Not told again it still stands: the platform may be out of reach.
+    // Without confirmation it still stands: the platform may be out of reach.
     f.run(20 * SECOND);
     CHECK(f.listed("s1", UP));
     CHECK_EQ(200, f.list(*l, {"s1"}));
--- a/tests/membership/gossip_voters_test.cpp
+++ b/tests/membership/gossip_voters_test.cpp
@@ -40,7 +40,7 @@
     CHECK(!l->n->voter()->leads());
 }
 
-// A disk retires only when what it heard of stands behind all that its own log could hold.
+// A disk retires only when the state it received stands behind all that its own log could hold.
 TEST(GossipMembership, retiresBehindItsLogOnly) {
     auto q = Quiet();
     struct Port : VoterPort {
@@ -81,7 +81,7 @@
 }
 
 // One core loses its disk at the moment of an acknowledgement, others their power. True if all
-// that was acknowledged can be read back, and the seat is filled again.
+// that was acknowledged can be read back, and the voter is replaced.
 static auto wiped(std::uint64_t seed, Microseconds sync, bool broken) -> bool {
     {
         auto f = Fleet(seed);
@@ -110,7 +110,7 @@
             CHECK(parseJson(f.outs[id].body, d));
             for (auto& a : acked)
                 if (!d["empties"].HasMember(a.c_str())) return false;
-            // The wiped one sits in its seat again before the next.
+            // The wiped one is a voter again before the next.
             auto back = f.until(8 * SECOND, [&] { return f.seated(*cs[w]) && f.voters().size() == 3; });
             if (!back) {
                 f.show();
@@ -141,7 +141,7 @@
     f.run(500 * MILLISECOND);
     for (auto i : {0, 1}) f.restart(*f.bs[std::size_t(i)]);
     CHECK(!f.until(10 * SECOND, [&] { return f.leader() != nullptr; }));
-    // None founds anew; what is known is served on, and a survivor can be told to begin.
+    // None founds anew; what is known is served on, and a survivor can be ordered to begin.
     for (auto i = 2u; i < 12; i++) CHECK(f.bs[i]->n->withinLease(f.t));
     auto& w = f.bs[2]->n->newestKnownState();
     CHECK_EQ(409, f.bs[2]->n->rescue(w.epoch, w.version - 1, f.t).status);
@@ -171,7 +171,7 @@
     }
 }
 
-// A stopping voter's seat passes while it still runs; without a spare nothing is waited for.
+// A stopping voter's place passes while it still runs; without a spare nothing is waited for.
 TEST(GossipMembership, stoppingVoterPassesItsSeat) {
     auto q = Quiet();
     for (auto k = 0u; k < 3; k++) {
@@ -220,7 +220,7 @@
         CHECK(old.n->ownRecord().blank);
         CHECK(old.n->ownRecord().disk != was);
         CHECK(f.everywhere("z19"));
-        // Two seats' worth of losses, one after the other: the old machine takes the first.
+        // Two voters lost, one after the other: the old machine takes the first.
         f.stop(n);
         CHECK(f.until(6 * SECOND, [&] { return f.seated(old) && f.voters().size() == 3; }));
         CHECK(f.ordered("after", 4 * SECOND));
@@ -310,7 +310,7 @@
             f.lone(*c, false);
         } else if (fault == 5) f.stop(*c), f.run(d), f.back(*c);
         else f.stop(*e), f.run(d), f.back(*e);
-        // One loss at a time: the next one only when all seats are filled again.
+        // One loss at a time: the next one only when all voters are replaced.
         auto whole = f.until(20 * SECOND, [&] {
             if (!f.leader() || f.voters().size() != size) return false;
             auto n = 0u;
--- a/tests/membership/node_test.cpp
+++ b/tests/membership/node_test.cpp
@@ -17,9 +17,11 @@
     e.wire = WIRE;
     e.node = "b";
     auto b = wire::Heartbeat();
-    b.rows.resize(2);
-    b.rows[0].node = "b", b.rows[0].boot = 5, b.rows[0].heartbeat = 1, b.rows[0].peer = "127.0.0.1:2";
-    b.rows[1].node = "a", b.rows[1].boot = 900, b.rows[1].heartbeat = 44, b.rows[1].peer = "127.0.0.1:1";
+    b.records.resize(2);
+    b.records[0].node = "b", b.records[0].boot = 5, b.records[0].heartbeat = 1,
+    b.records[0].peer = "127.0.0.1:2";
+    b.records[1].node = "a", b.records[1].boot = 900, b.records[1].heartbeat = 44,
+    b.records[1].peer = "127.0.0.1:1";
     e.__set_heartbeat(b);
     r.n->handle(e, r.now);
     CHECK(r.n->ownRecord().boot > 900);
@@ -27,8 +29,8 @@
     r.list({{"x", "near", "z", "p", "w"}});
     auto seen = r.n->servers().at("x").loadReadAt;
     r.now += 5 * SECOND;
-    e.heartbeat.rows.resize(1);
-    e.heartbeat.rows[0].heartbeat = 2;
+    e.heartbeat.records.resize(1);
+    e.heartbeat.records[0].heartbeat = 2;
     e.heartbeat.loads.resize(1);
     e.heartbeat.loads[0].server = "x";
     r.n->handle(e, r.now);
@@ -60,7 +62,7 @@
     CHECK_EQ(int(UP), int(r.n->servers().at("x").listing.state));
 }
 
-// The last resort is denied here: one node that stands is its own majority.
+// The last resort is refused here: one node that stands is its own majority.
 TEST(Node, rescueRejected) {
     auto r = NodeFixture();
     CHECK_EQ(409, r.n->rescue(r.n->replicatedState().epoch, r.n->replicatedState().version, r.now).status);
--- a/tests/routing/edge_fixture.hpp
+++ b/tests/routing/edge_fixture.hpp
@@ -105,7 +105,7 @@
                 w.node = fmt::format("n{}", i);
                 if (w.node == st.node) continue;
                 w.boot = 5, w.heartbeat = heartbeat, w.peer = fmt::format("127.0.0.2:{}", 100 + i);
-                b.rows.push_back(w);
+                b.records.push_back(w);
             }
             v.__set_heartbeat(b);
             if (st.node == "n1") v.node = "n0";
--- a/tests/storage/store_test.cpp
+++ b/tests/storage/store_test.cpp
@@ -314,7 +314,7 @@
                 w.credit = -std::int64_t(r.below(1000));
                 w.acks.resize(r.below(5));
                 w.marks.resize(r.below(3));
-                b.rows.push_back(w);
+                b.records.push_back(w);
             }
             b.listings.resize(r.below(4));
             b.loads.resize(r.below(4));
--- a/thrift/wire.thrift
+++ b/thrift/wire.thrift
@@ -40,12 +40,12 @@
   6: bool dark, 7: i64 up, 8: string watcher, 9: i64 age, 10: bool cold
 }
 
-// Fields from 4 on: learnt membership only. `listNo` numbers the listing that the teller holds;
-// `listings` holds what changed in it since `listBase` (0: all of it; -1: none are told).
+// Fields from 4 on: learnt membership only. `listingNumber` numbers the listing that the teller holds;
+// `listings` holds what changed in it since `listingBase` (0: all of it; -1: none are told).
 struct Heartbeat {
-  1: list<NodeRecord> rows, 2: list<ServerListing> listings, 3: list<ServerLoad> loads,
-  4: list<HeartbeatPulse> pulses, 5: list<string> rowAsk, 6: bool fullAsk,
-  7: i64 listNo, 8: i64 listBase = -1
+  1: list<NodeRecord> records, 2: list<ServerListing> listings, 3: list<ServerLoad> loads,
+  4: list<HeartbeatPulse> heartbeatPulses, 5: list<string> wantedRecords, 6: bool wantsAll,
+  7: i64 listingNumber, 8: i64 listingBase = -1
 }
 
 // The operator's word: everything an operator ordered, as one document.
