--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -151,11 +151,12 @@
     }
 
     // ---- EdgePort
-    auto send(std::int64_t x, int a, const std::string& server, const std::string& addr) -> void override {
+    auto startAttempt(std::int64_t x, int a, const std::string& server, const std::string& addr)
+        -> void override {
         auto u = std::make_shared<Up>();
         u->server = server;
         u->key = server + " " + addr;
-        if (auto e = edge->find(x); reuse_ && e && edge->reusable(*e))
+        if (auto e = edge->find(x); reuse_ && e && edge->mayReuseConnection(*e))
             if (auto s = kept_.take(u->key, bootNow())) {
                 u->s = *s;
                 u->ex = u->s->get_executor();
@@ -170,7 +171,7 @@
         // Not begun here: mu_ is held, and a strand may run at once what it is given.
         asio::post(u->ex, [=, this] { asio::co_spawn(u->ex, upRun(x, a, addr, u), asio::detached); });
     }
-    auto drop(std::int64_t x, int a) -> void override {
+    auto cancelAttempt(std::int64_t x, int a) -> void override {
         auto i = ups_.find({x, a});
         if (i == ups_.end()) return;
         auto u = i->second;
@@ -202,16 +203,16 @@
         }
         if (w) w();
     }
-    auto head(std::int64_t x, int status, const Headers& h) -> void override {
+    auto sendHead(std::int64_t x, int status, const Headers& h) -> void override {
         push(x, [&](Down& d) { d.status = status, d.h = h, d.stream = d.headReady = true; });
     }
-    auto part(std::int64_t x, const std::string& s) -> void override {
+    auto sendPart(std::int64_t x, const std::string& s) -> void override {
         push(x, [&](Down& d) { d.parts.push_back(s), d.bytes += s.size(); });
     }
-    auto end(std::int64_t x, bool whole) -> void override {
+    auto endStream(std::int64_t x, bool whole) -> void override {
         push(x, [&](Down& d) { d.ended = true, d.whole = whole; });
     }
-    auto reply(std::int64_t x, int status, const Headers& h, const std::string& body) -> void override {
+    auto sendReply(std::int64_t x, int status, const Headers& h, const std::string& body) -> void override {
         push(x, [&](Down& d) {
             d.status = status, d.h = h, d.parts = {body}, d.headReady = d.ended = d.whole = true;
         });
@@ -463,7 +464,7 @@
         co_return true;
     }
     auto l = std::lock_guard(mu_);
-    edge->refused(x, a, bootNow());
+    edge->onConnectionRefused(x, a, bootNow());
     co_return false;
 }
 
@@ -472,11 +473,12 @@
     -> std::optional<ServerRequest> {
     auto l = std::lock_guard(mu_);
     auto e = edge->find(x);
-    if (u.dropped || !e || !edge->maySend(x, a, bootNow(), u.kept)) return std::nullopt;
+    if (u.dropped || !e || !edge->beforeFirstByte(x, a, bootNow(), u.kept)) return std::nullopt;
     auto r = ServerRequest();
-    r.body = e->body;
-    r.head = requestHead(e->method, e->path, edge->outgoing(*e, bootNow()), r.body.size(), addr, reuse_);
-    r.answer.answersHead = e->method == "HEAD";
+    r.body = e->received.body;
+    r.head = requestHead(e->received.method, e->received.path, edge->requestHeaders(*e, bootNow()),
+        r.body.size(), addr, reuse_);
+    r.answer.answersHead = e->received.method == "HEAD";
     r.answer.mayEndByClose = ad != nullptr;
     r.answer.notExecuted = edge->dialect().notExecuted;
     return r;
@@ -497,7 +499,7 @@
         }
         {
             auto l = std::lock_guard(mu_);
-            edge->waiting(x, a, bootNow());
+            edge->onClientSlow(x, a, bootNow());
         }
         auto t = asio::steady_timer(u.ex, std::chrono::milliseconds(20));
         co_await t.async_wait(quiet);
@@ -534,7 +536,7 @@
         u->broken = bool(ec);
         if (!ec) {
             auto l = std::lock_guard(mu_);
-            edge->written(x, a);
+            edge->onRequestWritten(x, a);
         }
         request->head = request->body = std::string();
         co_await readAnswer(x, a, *u, request->answer);
@@ -646,7 +648,7 @@
                 }
             }
             auto l = std::lock_guard(w->d.mu_);
-            w->d.edge->gone(w->id, bootNow());
+            w->d.edge->clientClosed(w->id, bootNow());
             w->d.push(w->id, [](Down& d) { d.ended = true, d.whole = false; });
         });
     };
@@ -728,7 +730,7 @@
     w->over = true;  // the wait itself ends with the sender's next bytes
     {
         auto l = std::lock_guard(mu_);
-        edge->gone(id, bootNow());
+        edge->clientClosed(id, bootNow());
         downs_.erase(id);
     }
     co_return good;
@@ -1023,14 +1025,14 @@
         r.body() = node->beliefs(now);
     } else if (path == "/v1/exchanges" && get) {
         auto l = std::lock_guard(mu_);
-        r.body() = edge->liveText(now);
+        r.body() = edge->liveRequestsJson(now);
     } else if (path.starts_with("/v1/exchanges/") && get) {
         auto l = std::lock_guard(mu_);
-        r.body() = edge->explainText(path.substr(14), now);
+        r.body() = edge->explainedRequestJson(path.substr(14), now);
         if (r.body().empty()) set({404, errorBody({{"/", "no such exchange is live or remembered here"}})});
     } else if (path == "/v1/decisions" && get) {
         auto l = std::lock_guard(mu_);
-        r.body() = edge->decisions(std::atoll(query(target, "after").c_str()));
+        r.body() = edge->decisionsJson(std::atoll(query(target, "after").c_str()));
     } else if ((path == "/v1/config" || path == "/v1/word" || path == "/v1/plan"
                    || path.starts_with("/v1/orders/"))
         && get) {
@@ -1165,13 +1167,13 @@
 auto Daemon::stopStep(Microseconds now) -> bool {
     // A reply that its session has not written yet is as unfinished as its exchange was.
     // Nor is a voter's seat without its successor.
-    auto busy = edge->busy() > 0 || !downs_.empty() || !node->seatHandedOver(now);
+    auto busy = edge->activeRequests() > 0 || !downs_.empty() || !node->seatHandedOver(now);
     auto cut = [&] {
         if (cut_) return;
         cut_ = true;
-        if (edge->busy()) {
-            logf("stop: {} exchanges cut at the drain's limit", edge->busy());
-            edge->cutAll(now);
+        if (edge->activeRequests()) {
+            logf("stop: {} exchanges cut at the drain's limit", edge->activeRequests());
+            edge->abortAll(now);
             edge->tick(now);
         }
     };
@@ -1184,7 +1186,7 @@
     if (st == StopSchedule::Serve) return false;
     if (!refusing_) {
         refusing_ = true;
-        edge->refuseNew();
+        edge->stopAccepting();
         idleClose();
     }
     if (st == StopSchedule::Cut) cut();
--- a/src/net/answer_reader.cpp
+++ b/src/net/answer_reader.cpp
@@ -84,7 +84,7 @@
     auto& body = parser_->get().body();
     events_.feed(body);
     body.clear();
-    for (auto event = Event(); events_.next(event);) parts_.push_back(event);
+    for (auto event = StreamEvent(); events_.next(event);) parts_.push_back(event);
     if (events_.tooLong()) fail(AttemptEvent::MalformedAnswer, "an event is too long");
 }
 
@@ -130,20 +130,20 @@
     Microseconds now;
 
     auto operator()(const AnswerHead& head) const -> Delivery {
-        auto wanted = edge.upHead(request, attempt, head.status, head.headers, now);
+        auto wanted = edge.onResponseHead(request, attempt, head.status, head.headers, now);
         return wanted ? Delivery::Reading : Delivery::Over;
     }
-    auto operator()(const Event& event) const -> Delivery {
-        edge.upEvent(request, attempt, event, now);
+    auto operator()(const StreamEvent& event) const -> Delivery {
+        edge.onStreamEvent(request, attempt, event, now);
         return Delivery::Reading;
     }
     auto operator()(const AnswerEnd& end) const -> Delivery {
-        if (end.streamed) edge.upEnd(request, attempt, now);
-        else edge.upWhole(request, attempt, end.status, end.headers, end.body, now);
+        if (end.streamed) edge.onStreamEnd(request, attempt, now);
+        else edge.onResponse(request, attempt, end.status, end.headers, end.body, now);
         return Delivery::Whole;
     }
     auto operator()(const AnswerFailure& failure) const -> Delivery {
-        edge.upFailed(request, attempt, failure.event, failure.why, now);
+        edge.onAttemptFailed(request, attempt, failure.event, failure.why, now);
         return Delivery::Over;
     }
 };
--- a/src/net/answer_reader.hpp
+++ b/src/net/answer_reader.hpp
@@ -44,7 +44,7 @@
     std::string why;
 };
 /// One part of an answer, in the order in which the server sent it.
-using AnswerPart = std::variant<AnswerHead, Event, AnswerEnd, AnswerFailure>;
+using AnswerPart = std::variant<AnswerHead, StreamEvent, AnswerEnd, AnswerFailure>;
 
 /// A parser of one answer.
 class AnswerReader {
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -42,7 +42,7 @@
     return head + "\r\n";
 }
 
-auto EventSplit::next(Event& e) -> bool {
+auto EventSplit::next(StreamEvent& e) -> bool {
     // An event ends at an empty line; lines end with LF or CRLF.
     auto p = std::size_t(0);
     while (true) {
--- a/src/net/http.hpp
+++ b/src/net/http.hpp
@@ -30,7 +30,7 @@
     std::size_t limit = 256 * 1024;
     auto feed(std::string_view s) -> void { buf += s; }
     /// The next whole event; false if there is none yet.
-    auto next(Event& e) -> bool;
+    auto next(StreamEvent& e) -> bool;
     auto tooLong() const -> bool { return buf.size() > limit; }
 };
 
--- a/src/routing/cold_ramp.cpp
+++ b/src/routing/cold_ramp.cpp
@@ -16,32 +16,34 @@
 // takes its part, the remainder goes to those that rendezvous hashing puts first.
 auto Edge::rampShare(const std::string& name, const Server& s, Microseconds now) -> int {
     constexpr auto ALL = 1 << 20;
-    if (broken.noRamp || ru_.rampOver <= 0) return ALL;
+    if (broken.noRamp || routes_.rampDuration <= 0) return ALL;
     auto up = now - s.first;
     // After a loss it may be another life that replies: cold, until its load says otherwise.
-    if (auto& f = fit_[name]; f.lostAt > s.seen && f.lostAt > s.first) up = 0;
+    if (auto& f = statistics_[name]; f.lastFailureAt > s.seen && f.lastFailureAt > s.first) up = 0;
     // So it does where it was last seen not to reply, or nobody has read its load of late.
     else if (s.seen && (s.load.dark || now - s.seen > STALE)) up = 0;
     else if (s.seen) {
-        if (!s.load.cold && s.load.up >= ru_.rampOver) return ALL;
+        if (!s.load.cold && s.load.up >= routes_.rampDuration) return ALL;
         up = s.load.up + (now - s.seen);
     }
-    if (up >= ru_.rampOver) return ALL;
+    if (up >= routes_.rampDuration) return ALL;
     auto slots = double(std::max(1, s.listing.slots));
-    auto cap = int(ru_.rampFirst + (slots - ru_.rampFirst) * double(up) / double(ru_.rampOver));
-    auto ns = n_.aliveNodes(now);
+    auto cap = int(routes_.rampFirstSlots
+        + (slots - routes_.rampFirstSlots) * double(up) / double(routes_.rampDuration));
+    auto ns = node_.aliveNodes(now);
     auto k = 0;
-    for (auto& n : ns) k += rank(name, n) > rank(name, n_.me().node);
+    for (auto& n : ns) k += rank(name, n) > rank(name, node_.me().node);
     return cap / int(ns.size()) + (k < cap % int(ns.size()));
 }
 
 auto Edge::cold(const std::string& name, const Server& s, const ServiceRule& pr, Microseconds now) -> bool {
     constexpr auto MORE = 250 * MILLISECOND;  // what is told is a little old
-    auto& f = fit_[name];
+    auto& f = statistics_[name];
     if (s.coldTill > s.told && now < s.coldTill + MORE) return true;
-    if (now < f.coldTill + MORE && f.coldTill > 0) return true;
+    if (now < f.coldUntil + MORE && f.coldUntil > 0) return true;
     // New in our time, and nobody says how it is.
-    if (!s.coldTill && listedAt_ && s.first > listedAt_ + SECOND && now < s.first + pr.coldUs) return true;
+    if (!s.coldTill && listedAt_ && s.first > listedAt_ + SECOND && now < s.first + pr.coldDuration)
+        return true;
     // Servers of a district that is given back may have turned cold just before.
     auto g = restoredZones_.find(s.listing.zone);
     return g != restoredZones_.end() && (g->second < 0 || s.told < g->second + SECOND);
@@ -50,21 +52,21 @@
 // A cold server bears a rate of exchanges, over all nodes. It is dealt out as buckets of one
 // exchange to the nodes that rendezvous hashing puts first, to no more of them than may find
 // their buckets full in the same second.
-auto Edge::coldLets(
+auto Edge::coldServerAdmits(
     const std::string& name, const Server& s, const ServiceRule& pr, Microseconds now, bool take) -> bool {
     if (pr.coldRate <= 0 || broken.noRamp || !cold(name, s, pr, now)) return true;
-    if (!settled(now)) return false;
-    auto most = 0.8 * ((ru_.coldOverrun - 0.9) * pr.coldRate + ru_.coldSlack);
-    auto k = std::min(nodes(), std::size_t(std::max(1.0, most)));
+    if (!nodeCountSettled(now)) return false;
+    auto most = 0.8 * ((routes_.coldOverrun - 0.9) * pr.coldRate + routes_.coldSlack);
+    auto k = std::min(nodeCount(), std::size_t(std::max(1.0, most)));
     auto before = std::size_t(0);
-    for (auto& [n, r] : n_.rows()) before += rank(name, n) > rank(name, n_.me().node);
+    for (auto& [n, r] : node_.rows()) before += rank(name, n) > rank(name, node_.me().node);
     if (before >= k) return false;
-    auto& f = fit_[name];
-    f.coldLeft =
-        std::min(1.0, f.coldLeft + double(now - f.coldAt) / double(SECOND) * 0.9 * pr.coldRate / double(k));
-    f.coldAt = now;
-    if (f.coldLeft < 1) return false;
-    if (take) f.coldLeft -= 1;
+    auto& f = statistics_[name];
+    f.coldBucket = std::min(
+        1.0, f.coldBucket + double(now - f.coldBucketAt) / double(SECOND) * 0.9 * pr.coldRate / double(k));
+    f.coldBucketAt = now;
+    if (f.coldBucket < 1) return false;
+    if (take) f.coldBucket -= 1;
     return true;
 }
 
--- a/src/routing/headers.hpp
+++ b/src/routing/headers.hpp
@@ -3,12 +3,14 @@
 #include <cstdint>
 #include <string>
 #include <string_view>
+#include <utility>
 #include <vector>
 
-#include "routing/edge.hpp"
-
 namespace duneturn {
 
+/// Names and values, in the order of the message.
+using Headers = std::vector<std::pair<std::string, std::string>>;
+
 auto toLower(std::string_view text) -> std::string;
 /// The value of the first header of this name, whatever its case; empty if there is none.
 auto header(const Headers& headers, std::string_view name) -> std::string;
--- a/src/routing/inspection.cpp
+++ b/src/routing/inspection.cpp
@@ -30,36 +30,36 @@
     auto t = std::string();
     if (steps)
         for (auto& l : x.trace) t += (t.empty() ? "" : ",") + jsQuote(l);
-    return bodyOf({{"id", fmt::to_string(x.id)}, {"exchange", jsQuote(x.exid)},
-        {"mapping", jsQuote(x.m.name)}, {"phase", jsQuote(phaseName(x.phase()))},
-        {"server", jsQuote(x.server)}, {"ageUs", fmt::to_string(now - x.born)},
-        {"sends", fmt::to_string(x.tries)}, {"migrationsLeft", fmt::to_string(x.left())},
-        {"lastEventId", fmt::to_string(x.last)}, {"steps", "[" + t + "]"}});
+    return bodyOf({{"id", fmt::to_string(x.id)}, {"exchange", jsQuote(x.received.name)},
+        {"mapping", jsQuote(x.route.name)}, {"phase", jsQuote(phaseName(x.phase()))},
+        {"server", jsQuote(x.attempts.server)}, {"ageUs", fmt::to_string(now - x.received.acceptedAt)},
+        {"sends", fmt::to_string(x.attempts.sent)}, {"migrationsLeft", fmt::to_string(x.migrationsLeft())},
+        {"lastEventId", fmt::to_string(x.relayed.lastEventId)}, {"steps", "[" + t + "]"}});
 }
 
 }  // namespace
 
-auto Edge::liveText(Microseconds now) const -> std::string {
+auto Edge::liveRequestsJson(Microseconds now) const -> std::string {
     auto o = std::string();
-    for (auto& [id, x] : xs_) o += (o.empty() ? "" : ",") + liveOne(x, now, false);
+    for (auto& [id, x] : requests_) o += (o.empty() ? "" : ",") + liveOne(x, now, false);
     return "{\"exchanges\":[" + o + "]}";
 }
 
 // By its whole name, or by the number at its end.
-auto Edge::explainText(const std::string& name, Microseconds now) const -> std::string {
+auto Edge::explainedRequestJson(const std::string& name, Microseconds now) const -> std::string {
     auto same = [&](const std::string& exid, std::int64_t id) {
         return name == exid || name == fmt::to_string(id);
     };
-    for (auto& [id, x] : xs_)
-        if (same(x.exid, id)) return liveOne(x, now, true);
-    for (auto i = past_.rbegin(); i != past_.rend(); ++i)
-        if (same(i->exid, i->id)) return i->text;
+    for (auto& [id, x] : requests_)
+        if (same(x.received.name, id)) return liveOne(x, now, true);
+    for (auto i = decisions_.rbegin(); i != decisions_.rend(); ++i)
+        if (same(i->name, i->id)) return i->text;
     return "";
 }
 
-auto Edge::decisions(std::int64_t after) const -> std::string {
+auto Edge::decisionsJson(std::int64_t after) const -> std::string {
     auto o = std::string();
-    for (auto& p : past_)
+    for (auto& p : decisions_)
         if (p.seq > after) o += (o.empty() ? "" : ",") + p.text;
     return "{\"decisions\":[" + o + "]}";
 }
--- a/src/routing/request_phases.cpp
+++ b/src/routing/request_phases.cpp
@@ -51,14 +51,14 @@
     }
 };
 
-Request::Request() : pm(std::make_unique<RequestMachine>()) {}
+Request::Request() : machine(std::make_unique<RequestMachine>()) {}
 Request::Request(Request&&) noexcept = default;
 auto Request::operator=(Request&&) noexcept -> Request& = default;
 Request::~Request() = default;
-auto Request::phase() const -> Phase { return Phase(pm->m.current_state()[0]); }
+auto Request::phase() const -> Phase { return Phase(machine->m.current_state()[0]); }
 
 auto turn(Request& request, Counters& counters, PhaseEvent event) -> void {
-    auto& machine = *request.pm;
+    auto& machine = *request.machine;
     auto legal = false;
     switch (event) {
     case PhaseEvent::Send: legal = machine.go(EvSend{}); break;
--- a/src/routing/rules.cpp
+++ b/src/routing/rules.cpp
@@ -16,90 +16,91 @@
 
 namespace duneturn {
 
-auto compile(const rapidjson::Value& c, std::int64_t configVersion) -> Rules {
-    auto r = Rules();
+auto compileRoutes(const rapidjson::Value& c, std::int64_t configVersion) -> RouteTable {
+    auto r = RouteTable();
     r.configVersion = configVersion;
     auto sub = [](const rapidjson::Value& v, const char* k) -> const rapidjson::Value& {
         static const auto none = rapidjson::Value(rapidjson::kObjectType);
         return v.IsObject() && v.HasMember(k) ? v[k] : none;
     };
-    r.share = jsNum(sub(c, "budget"), "share", r.share);
-    r.cap = jsInt(sub(c, "budget"), "cap", r.cap);
-    r.slack = jsNum(sub(c, "budget"), "slack", r.slack);
-    r.rampOver = jsInt(sub(c, "ramp"), "overUs", r.rampOver);
-    r.rampFirst = int(jsInt(sub(c, "ramp"), "first", r.rampFirst));
+    r.budgetShare = jsNum(sub(c, "budget"), "share", r.budgetShare);
+    r.budgetCap = jsInt(sub(c, "budget"), "cap", r.budgetCap);
+    r.budgetSlack = jsNum(sub(c, "budget"), "slack", r.budgetSlack);
+    r.rampDuration = jsInt(sub(c, "ramp"), "overUs", r.rampDuration);
+    r.rampFirstSlots = int(jsInt(sub(c, "ramp"), "first", r.rampFirstSlots));
     r.coldOverrun = jsNum(sub(c, "cold"), "overrun", r.coldOverrun);
     r.coldSlack = jsNum(sub(c, "cold"), "slack", r.coldSlack);
     for (auto& m : sub(c, "pools").GetObject()) {
         auto& p = r.services[m.name.GetString()];
-        p.maxConns = int(jsInt(m.value, "maxConns"));
+        p.maxConnections = int(jsInt(m.value, "maxConns"));
         p.slots = int(jsInt(m.value, "slots"));
-        p.stride = int(jsInt(m.value, "stride"));
-        p.coldUs = jsInt(m.value, "coldUs");
+        p.eventTokens = int(jsInt(m.value, "stride"));
+        p.coldDuration = jsInt(m.value, "coldUs");
         p.coldRate = jsNum(m.value, "coldRate");
-        p.kvTokens = jsInt(m.value, "kvTokens");
-        p.engine = jsBool(m.value, "engine");
+        p.memoryTokens = jsInt(m.value, "kvTokens");
+        p.isEngine = jsBool(m.value, "engine");
     }
     for (auto& m : sub(c, "models").GetObject()) {
         auto& d = r.models[m.name.GetString()];
-        d.limit = int(jsInt(m.value, "migrationLimit", 0));
-        d.maxSequence = jsInt(m.value, "maxSequence", d.maxSequence);
+        d.migrationLimit = int(jsInt(m.value, "migrationLimit", 0));
+        d.maxSequenceTokens = jsInt(m.value, "maxSequence", d.maxSequenceTokens);
     }
     if (!c.HasMember("mappings")) return r;
-    r.ms.reserve(c["mappings"].Size());
+    r.routes.reserve(c["mappings"].Size());
     for (auto& v : c["mappings"].GetArray()) {
         auto m = Route();
         m.name = jsStr(v, "name");
         m.host = toLower(jsStr(v, "host"));
         m.method = jsStr(v, "method", "POST");
         m.path = jsStr(v, "path");
-        if (m.path.ends_with("*")) m.prefix = true, m.path.pop_back();
+        if (m.path.ends_with("*")) m.pathIsPrefix = true, m.path.pop_back();
         m.service = jsStr(v, "pool");
         if (v.HasMember("pools"))
             for (auto& p : v["pools"].GetArray())
-                m.services.emplace_back(jsStr(p, "pool"), jsInt(p, "share"));
-        if (!m.services.empty()) m.service = m.services[0].first;
+                m.serviceShares.emplace_back(jsStr(p, "pool"), jsInt(p, "share"));
+        if (!m.serviceShares.empty()) m.service = m.serviceShares[0].first;
         m.model = jsStr(v, "model");
         m.homes = jsList(v, "homes");
         if (auto h = jsStr(v, "home"); !h.empty()) m.homes.push_back(h);
-        m.spill = jsList(v, "spill");
-        m.spillAt = jsNum(v, "spillAt", m.spillAt);
+        m.spillRegions = jsList(v, "spill");
+        m.spillOccupancy = jsNum(v, "spillAt", m.spillOccupancy);
         m.stream = jsBool(v, "stream");
         m.resumable = jsBool(v, "Resumable");
         m.repeatable = jsBool(v, "repeatable");
-        m.maxTries = int(jsInt(v, "MaxTries", m.maxTries));
+        m.maxAttempts = int(jsInt(v, "MaxTries", m.maxAttempts));
         m.urgency = int(jsInt(v, "urgency", m.urgency));
-        m.deadline = jsInt(v, "deadlineUs", m.deadline);
-        m.aim = jsInt(v, "aimUs");
-        m.gap = jsInt(v, "gapUs");
-        m.idleSaid = v.HasMember("idleUs");
-        m.idle = jsInt(v, "idleUs", m.idle);
+        m.timeout = jsInt(v, "deadlineUs", m.timeout);
+        m.firstByteTarget = jsInt(v, "aimUs");
+        m.eventGapTarget = jsInt(v, "gapUs");
+        m.idleTimeoutConfigured = v.HasMember("idleUs");
+        m.idleTimeout = jsInt(v, "idleUs", m.idleTimeout);
         // Whoever waits longer than a quarter of the aim would better have been told at once.
-        m.queueUs = jsInt(v, "queueUs", m.aim ? std::min(m.queueUs, m.aim / 5) : m.queueUs);
-        m.queue = std::size_t(jsInt(v, "queue", std::int64_t(m.queue)));
-        m.affinity = std::size_t(jsInt(v, "affinity"));
+        m.queueTimeout = jsInt(v, "queueUs",
+            m.firstByteTarget ? std::min(m.queueTimeout, m.firstByteTarget / 5) : m.queueTimeout);
+        m.queueCapacity = std::size_t(jsInt(v, "queue", std::int64_t(m.queueCapacity)));
+        m.affinityBytes = std::size_t(jsInt(v, "affinity"));
         if (auto i = r.models.find(m.model); i != r.models.end())
-            m.limit = i->second.limit, m.maxSequence = i->second.maxSequence;
-        m.prog = {{Op::Service}, {Op::Listed}, {Op::Evacuated}};
-        if (!m.homes.empty()) m.prog.push_back({Op::Home});
-        m.prog.push_back({Op::Weights});
-        m.prog.push_back({Op::Untried});
-        m.prog.push_back({Op::Fit, 0.3});
-        m.prog.push_back({Op::Ramp});
+            m.migrationLimit = i->second.migrationLimit, m.maxSequenceTokens = i->second.maxSequenceTokens;
+        m.steps = {{SelectionStage::Service}, {SelectionStage::Listed}, {SelectionStage::Evacuated}};
+        if (!m.homes.empty()) m.steps.push_back({SelectionStage::Home});
+        m.steps.push_back({SelectionStage::Weights});
+        m.steps.push_back({SelectionStage::Untried});
+        m.steps.push_back({SelectionStage::Fit, 0.3});
+        m.steps.push_back({SelectionStage::Ramp});
         // Less urgent work leaves a little room for what is more urgent.
-        m.prog.push_back({Op::Room, m.urgency >= 5 ? 1.0 : 0.85});
+        m.steps.push_back({SelectionStage::Room, m.urgency >= 5 ? 1.0 : 0.85});
         // Several homes are weighed as regions are; a single one leaves nothing to weigh.
-        if (m.homes.size() != 1) m.prog.push_back({Op::Near, m.spillAt});
-        m.prog.push_back({Op::Pick, double(m.affinity > 0)});
+        if (m.homes.size() != 1) m.steps.push_back({SelectionStage::Near, m.spillOccupancy});
+        m.steps.push_back({SelectionStage::Pick, double(m.affinityBytes > 0)});
         auto& h = r.hosts[m.host];
-        (m.prefix ? h.prefix : h.exact)[m.path].push_back(int(r.ms.size()));
-        if (m.prefix) h.lengths.insert(m.path.size());
-        r.ms.push_back(std::move(m));
+        (m.pathIsPrefix ? h.prefix : h.exact)[m.path].push_back(int(r.routes.size()));
+        if (m.pathIsPrefix) h.lengths.insert(m.path.size());
+        r.routes.push_back(std::move(m));
     }
     return r;
 }
 
-auto Rules::match(std::string_view me, std::string_view host, std::string_view p) const -> int {
+auto RouteTable::match(std::string_view me, std::string_view host, std::string_view p) const -> int {
     p = p.substr(0, p.find('?'));
     if (!host.empty() && host.back() != ']')  // the colons of an address in brackets are no port
         if (auto i = host.rfind(':'); i != std::string_view::npos) host = host.substr(0, i);
@@ -108,7 +109,7 @@
         auto b = -1;
         if (auto i = t.find(k); i != t.end())
             for (auto j : i->second) {
-                auto& m = ms[std::size_t(j)].method;
+                auto& m = routes[std::size_t(j)].method;
                 if (m == me) return j;
                 if (m == "*" && b < 0) b = j;
             }
@@ -123,9 +124,9 @@
             if (b >= 0 && n < p.size()) break;
             // As long as a prefix can be, it is as long as the path itself: the first named counts.
             if (auto j = best(i->second.prefix, p.substr(0, n)); j >= 0) {
-                auto same =
-                    b >= 0 && (ms[std::size_t(b)].method == "*") == (ms[std::size_t(j)].method == "*");
-                if (b < 0 || (same ? j < b : ms[std::size_t(b)].method == "*")) b = j;
+                auto same = b >= 0
+                    && (routes[std::size_t(b)].method == "*") == (routes[std::size_t(j)].method == "*");
+                if (b < 0 || (same ? j < b : routes[std::size_t(b)].method == "*")) b = j;
                 break;
             }
         }
@@ -138,11 +139,11 @@
 // What is an exchange's own in its mapping: the pool that its name draws, and its model.
 auto Edge::adapt(Request& x, const Route& m) const -> Route {
     auto o = m;
-    if (!o.services.empty()) {
+    if (!o.serviceShares.empty()) {
         auto sum = std::int64_t(0);
-        for (auto& [p, k] : o.services) sum += k;
-        auto at = std::int64_t(hash64(x.exid, 11) % std::uint64_t(std::max<std::int64_t>(1, sum)));
-        for (auto& [p, k] : o.services) {
+        for (auto& [p, k] : o.serviceShares) sum += k;
+        auto at = std::int64_t(hash64(x.received.name, 11) % std::uint64_t(std::max<std::int64_t>(1, sum)));
+        for (auto& [p, k] : o.serviceShares) {
             if (at < k) {
                 o.service = p;
                 break;
@@ -150,11 +151,11 @@
             at -= k;
         }
     }
-    if (!x.askedModel.empty() && o.stream) {
-        o.model = x.askedModel;
-        auto i = ru_.models.find(o.model);
-        o.limit = i == ru_.models.end() ? 0 : i->second.limit;
-        if (i != ru_.models.end()) o.maxSequence = i->second.maxSequence;
+    if (!x.received.model.empty() && o.stream) {
+        o.model = x.received.model;
+        auto i = routes_.models.find(o.model);
+        o.migrationLimit = i == routes_.models.end() ? 0 : i->second.migrationLimit;
+        if (i != routes_.models.end()) o.maxSequenceTokens = i->second.maxSequenceTokens;
     }
     return o;
 }
@@ -162,15 +163,16 @@
 // The newest configuration binds an exchange under way in all but its deadline: what it says
 // of this method and path is what counts. False if that is another mapping now.
 auto Edge::bind(Request& x) -> bool {
-    if (x.rulesRevision == rulesRevision_ || broken.oldRules) return true;
-    auto i = ru_.match(x.method, x.host, x.path);
+    if (x.limits.routesRevision == routesRevision_ || broken.oldRules) return true;
+    auto i = routes_.match(x.received.method, x.received.host, x.received.path);
     if (i < 0) return false;
-    auto m = adapt(x, ru_.ms[std::size_t(i)]);
-    auto begun = x.attempt.mayHaveRun() || x.tries > 0 || !di_.clientNamesRequests;
-    if (begun && (m.name != x.m.name || m.model != x.m.model || m.stream != x.m.stream)) return false;
-    x.m = m;
-    x.rulesRevision = rulesRevision_;
-    x.fixed = x.fixed || x.seq > x.m.maxSequence;
+    auto m = adapt(x, routes_.routes[std::size_t(i)]);
+    auto begun = x.attempts.tracker.mayHaveRun() || x.attempts.sent > 0 || !dialect_.clientNamesRequests;
+    if (begun && (m.name != x.route.name || m.model != x.route.model || m.stream != x.route.stream))
+        return false;
+    x.route = m;
+    x.limits.routesRevision = routesRevision_;
+    x.limits.immovable = x.limits.immovable || x.limits.sequenceTokens > x.route.maxSequenceTokens;
     return true;
 }
 
--- a/src/sim/oracles.cpp
+++ b/src/sim/oracles.cpp
@@ -196,10 +196,10 @@
     for (auto& m : ms) {
         if (!m->up) continue;
         auto& e = *m->edge;
-        if (e.busy() || e.queuedNow() || e.inflightNow())
+        if (e.activeRequests() || e.queuedCount() || e.inflightCount())
             broke("nothing is leaked",
-                fmt::format("{}: {} exchanges, {} places, {} sends", m->st.node, e.busy(), e.queuedNow(),
-                    e.inflightNow()));
+                fmt::format("{}: {} exchanges, {} places, {} sends", m->st.node, e.activeRequests(),
+                    e.queuedCount(), e.inflightCount()));
     }
     // Beyond four times the day's rates the servers themselves are full; see measurements.md.
     if (op.scale <= 4)
--- a/src/sim/simulate.cpp
+++ b/src/sim/simulate.cpp
@@ -195,12 +195,12 @@
     });
 }
 
-auto Machine::send(std::int64_t x, int a, const std::string&, const std::string& addr) -> void {
+auto Machine::startAttempt(std::int64_t x, int a, const std::string&, const std::string& addr) -> void {
     auto j = w.sByAddr.find(addr);
     w.r.sends++;
     auto l = life;
     if (j == w.sByAddr.end()) {
-        w.to(i, l, w.lat(), [this, x, a] { edge->refused(x, a, now()); });
+        w.to(i, l, w.lat(), [this, x, a] { edge->onConnectionRefused(x, a, now()); });
         return;
     }
     auto s = j->second;
@@ -216,13 +216,13 @@
                 if (!p->open) return;
                 p->open = false;
                 if (auto k = w.tryOf.find({i, l, x}); k != w.tryOf.end()) w.countSend(k->second);
-                edge->refused(x, a, now());
+                edge->onConnectionRefused(x, a, now());
             });
             return;
         }
         w.to(i, l, w.lat(), [this, p, x, a, l] {
             auto e = edge->find(x);
-            if (!p->open || !e || !edge->maySend(x, a, now())) {
+            if (!p->open || !e || !edge->beforeFirstByte(x, a, now())) {
                 p->open = false;
                 return;
             }
@@ -233,7 +233,7 @@
         });
     });
 }
-auto Machine::drop(std::int64_t x, int a) -> void {
+auto Machine::cancelAttempt(std::int64_t x, int a) -> void {
     auto k = w.connOf.find({i, life, x, a});
     if (k == w.connOf.end()) return;
     auto p = k->second;
@@ -241,7 +241,7 @@
     w.in(w.lat(), [this, p] { w.closeConn(p); });
 }
 
-auto Machine::head(std::int64_t x, int, const Headers& h) -> void {
+auto Machine::sendHead(std::int64_t x, int, const Headers& h) -> void {
     auto k = w.tryOf.find({i, life, x});
     if (k == w.tryOf.end()) return;
     auto& T = w.trs[std::size_t(k->second)];
@@ -249,21 +249,21 @@
     for (auto& [n, v] : h)
         if (n == "X-Weights") T.weights = v;
 }
-auto Machine::part(std::int64_t x, const std::string& s) -> void {
+auto Machine::sendPart(std::int64_t x, const std::string& s) -> void {
     auto k = w.tryOf.find({i, life, x});
     if (k == w.tryOf.end()) return;
     auto& l = w.linkAt[{1000 + i, int(x % 1000000)}];
     l = std::max(l, w.t + w.lat());
     w.at(l, [this, tr = k->second, s] { w.event(tr, s); });
 }
-auto Machine::end(std::int64_t x, bool whole) -> void {
+auto Machine::endStream(std::int64_t x, bool whole) -> void {
     auto k = w.tryOf.find({i, life, x});
     if (k == w.tryOf.end()) return;
     auto& l = w.linkAt[{1000 + i, int(x % 1000000)}];
     l = std::max(l, w.t + w.lat());
     w.at(l, [this, tr = k->second, whole] { w.endTry(tr, whole); });
 }
-auto Machine::reply(std::int64_t x, int status, const Headers& h, const std::string& body) -> void {
+auto Machine::sendReply(std::int64_t x, int status, const Headers& h, const std::string& body) -> void {
     // accept() may reply before the world knows the exchange's number.
     auto l = life;
     w.in(w.lat(), [this, l, x, status, h, body] {
@@ -307,14 +307,14 @@
 auto World::closeConn(Conn* c) -> void { c->open = false; }
 
 auto World::serve(Conn* c, int tr, const Request& x) -> void {
-    auto from = std::max<std::int64_t>(0, x.last);
-    auto body = x.body;
-    auto path = x.path;
-    auto exid = x.exid;
+    auto from = std::max<std::int64_t>(0, x.relayed.lastEventId);
+    auto body = x.received.body;
+    auto path = x.received.path;
+    auto exid = x.received.name;
     in(lat(), [this, c, tr, from, body, path, exid] {
         auto& s = ss[std::size_t(c->s)];
         if (!s.up || s.life != c->slife) {
-            up(c, lat(), [c](Machine& m) { m.edge->upLost(c->x, c->a, "reset", m.now()); });
+            up(c, lat(), [c](Machine& m) { m.edge->onConnectionLost(c->x, c->a, "reset", m.now()); });
             return;
         }
         if (s.dark) return;
@@ -323,7 +323,7 @@
         auto md = s.mode;
         if (md == "deny" || (model && s.prefill + s.decode >= s.slots)) {
             up(c, lat(), [c](Machine& m) {
-                m.edge->upWhole(
+                m.edge->onResponse(
                     c->x, c->a, 503, {{"X-Not-Executed", "true"}, {"Retry-After", "1"}}, "{}", m.now());
             });
             return;
@@ -340,9 +340,10 @@
                 if (!ss[std::size_t(c->s)].up || ss[std::size_t(c->s)].life != c->slife) return;
                 if (md == "stall") return;
                 up(c, lat(), [c, body, path, hd, w, md](Machine& m) {
-                    if (!m.edge->upHead(c->x, c->a, 200, hd, m.now())) return;
-                    if (md == "cut") return m.edge->upLost(c->x, c->a, "the reply was cut", m.now());
-                    m.edge->upWhole(c->x, c->a, 200, hd,
+                    if (!m.edge->onResponseHead(c->x, c->a, 200, hd, m.now())) return;
+                    if (md == "cut")
+                        return m.edge->onConnectionLost(c->x, c->a, "the reply was cut", m.now());
+                    m.edge->onResponse(c->x, c->a, 200, hd,
                         bodyOf({{"reply", jsQuote(fakeWhole(body + path, w))}}), m.now());
                 });
             });
@@ -374,7 +375,8 @@
             if (s.life != sl) return;
             s.prefill--;
             s.decode++;
-            if (stream) up(c, lat(), [c, hd](Machine& m) { m.edge->upHead(c->x, c->a, 200, hd, m.now()); });
+            if (stream)
+                up(c, lat(), [c, hd](Machine& m) { m.edge->onResponseHead(c->x, c->a, 200, hd, m.now()); });
             auto step = std::make_shared<std::function<void(std::int64_t)>>();
             auto order = std::make_shared<Microseconds>(0);
             auto later = [this, c, order](std::function<void(Machine&)> f) {
@@ -391,7 +393,8 @@
                 auto late = i > from + 3;
                 if (stream && md == "cut" && late) {
                     later([c](Machine& m) {
-                        m.edge->upLost(c->x, c->a, "the stream closed before its completion mark", m.now());
+                        m.edge->onConnectionLost(
+                            c->x, c->a, "the stream closed before its completion mark", m.now());
                     });
                     return leave();
                 }
@@ -402,10 +405,10 @@
                 if (i > tokens) {
                     later([c, body, hd, w, stream](Machine& m) {
                         if (stream) {
-                            auto e = Event{"", "done", "{}", "event: done\ndata: {}\n\n"};
-                            m.edge->upEvent(c->x, c->a, e, m.now());
-                        } else if (m.edge->upHead(c->x, c->a, 200, hd, m.now()))
-                            m.edge->upWhole(c->x, c->a, 200, hd,
+                            auto e = StreamEvent{"", "done", "{}", "event: done\ndata: {}\n\n"};
+                            m.edge->onStreamEvent(c->x, c->a, e, m.now());
+                        } else if (m.edge->onResponseHead(c->x, c->a, 200, hd, m.now()))
+                            m.edge->onResponse(c->x, c->a, 200, hd,
                                 bodyOf({{"reply", jsQuote(fakeWhole(body, w))}}), m.now());
                     });
                     return leave();
@@ -413,8 +416,8 @@
                 if (stream) {
                     auto n = md == "skip" && late ? i + 1 : i;
                     auto d = bodyOf({{"text", jsQuote(fakePiece(body, w, n))}});
-                    auto e = Event{fmt::to_string(n), "", d, fmt::format("id: {}\ndata: {}\n\n", n, d)};
-                    later([c, e](Machine& m) { m.edge->upEvent(c->x, c->a, e, m.now()); });
+                    auto e = StreamEvent{fmt::to_string(n), "", d, fmt::format("id: {}\ndata: {}\n\n", n, d)};
+                    later([c, e](Machine& m) { m.edge->onStreamEvent(c->x, c->a, e, m.now()); });
                 }
                 in(20 * MILLISECOND * slow, [step, i] { (*step)(i + 1); });
             };
@@ -434,7 +437,7 @@
         if (c->s == k && c->open && !silent) {
             auto p = c.get();
             if (ms[std::size_t(p->m)]->up && ms[std::size_t(p->m)]->life == p->life)
-                up(p, lat(), [p](Machine& m) { m.edge->upLost(p->x, p->a, "reset", m.now()); });
+                up(p, lat(), [p](Machine& m) { m.edge->onConnectionLost(p->x, p->a, "reset", m.now()); });
         }
 }
 
@@ -553,7 +556,8 @@
                 if (T.over) return;
                 lostTry(tr);
                 to(to1, l2, 0, [this, tr, to1] {
-                    ms[std::size_t(to1)]->edge->gone(trs[std::size_t(tr)].x, ms[std::size_t(to1)]->now());
+                    ms[std::size_t(to1)]->edge->clientClosed(
+                        trs[std::size_t(tr)].x, ms[std::size_t(to1)]->now());
                 });
             });
         });
--- a/src/sim/world.hpp
+++ b/src/sim/world.hpp
@@ -64,12 +64,13 @@
     auto done(std::int64_t id, const Outcome& o) -> void override;
     auto book(const std::vector<std::string>& v) -> void override { kept = v; }
     auto probe(const std::string& server, const std::string& addr) -> void override;
-    auto send(std::int64_t x, int a, const std::string& server, const std::string& addr) -> void override;
-    auto drop(std::int64_t x, int a) -> void override;
-    auto head(std::int64_t x, int status, const Headers& h) -> void override;
-    auto part(std::int64_t x, const std::string& s) -> void override;
-    auto end(std::int64_t x, bool whole) -> void override;
-    auto reply(std::int64_t x, int status, const Headers& h, const std::string& body) -> void override;
+    auto startAttempt(std::int64_t x, int a, const std::string& server, const std::string& addr)
+        -> void override;
+    auto cancelAttempt(std::int64_t x, int a) -> void override;
+    auto sendHead(std::int64_t x, int status, const Headers& h) -> void override;
+    auto sendPart(std::int64_t x, const std::string& s) -> void override;
+    auto endStream(std::int64_t x, bool whole) -> void override;
+    auto sendReply(std::int64_t x, int status, const Headers& h, const std::string& body) -> void override;
 };
 
 struct SimServer {
--- a/src/standins/fake_client.cpp
+++ b/src/standins/fake_client.cpp
@@ -154,8 +154,8 @@
     auto request() -> Req;
     auto readReply(beast::tcp_stream& stream, Reply& reply) -> awaitable<bool>;
     auto takeEvents(EventSplit& events, Reply& reply) -> void;
-    auto takeEvent(const Event& event, Reply& reply) -> void;
-    auto judgeData(const Event& event, std::int64_t number, Reply& reply) -> void;
+    auto takeEvent(const StreamEvent& event, Reply& reply) -> void;
+    auto judgeData(const StreamEvent& event, std::int64_t number, Reply& reply) -> void;
     auto wrong(Reply& reply, const std::string& why) -> void;
     auto judgeStream(const Reply& reply) -> awaitable<Step>;
     auto judgeWhole(const Reply& reply) -> Step;
@@ -323,17 +323,17 @@
 }
 
 auto Request::takeEvents(EventSplit& events, Reply& reply) -> void {
-    auto event = Event();
+    auto event = StreamEvent();
     while (events.next(event)) takeEvent(event, reply);
 }
 
-auto Request::takeEvent(const Event& event, Reply& reply) -> void {
+auto Request::takeEvent(const StreamEvent& event, Reply& reply) -> void {
     if (reply.done || reply.failed) wrong(reply, "an event after the end");
     if (event.type == "failed") {
         reply.failed = true;
         return;
     }
-    if (event.done()) {
+    if (event.isCompletionMark()) {
         reply.done = true;
         if (lastEvent_ != kind_.tokens)
             wrong(reply, fmt::format("complete after {} of {} events", lastEvent_, kind_.tokens));
@@ -347,7 +347,7 @@
 }
 
 // All events of one request must be of the same weights.
-auto Request::judgeData(const Event& event, std::int64_t number, Reply& reply) -> void {
+auto Request::judgeData(const StreamEvent& event, std::int64_t number, Reply& reply) -> void {
     auto data = rapidjson::Document();
     auto text = jsParse(event.data, data) ? jsStr(data, "text") : std::string();
     if (weightsSeen_.empty())
--- a/tests/membership/node_fixture.hpp
+++ b/tests/membership/node_fixture.hpp
@@ -49,14 +49,14 @@
     auto book(const std::vector<std::string>&) -> void override {}
     auto probe(const std::string& s, const std::string&) -> void override { probes.push_back(s); }
     std::vector<std::string> probes;
-    auto send(std::int64_t x, int, const std::string& s, const std::string&) -> void override {
+    auto startAttempt(std::int64_t x, int, const std::string& s, const std::string&) -> void override {
         sends.emplace_back(x, s);
     }
-    auto drop(std::int64_t, int) -> void override {}
-    auto head(std::int64_t x, int, const Headers& h) -> void override { heads[x] = h; }
-    auto part(std::int64_t, const std::string&) -> void override {}
-    auto end(std::int64_t x, bool w) -> void override { (w ? whole : cut).insert(x); }
-    auto reply(std::int64_t x, int s, const Headers&, const std::string& b) -> void override {
+    auto cancelAttempt(std::int64_t, int) -> void override {}
+    auto sendHead(std::int64_t x, int, const Headers& h) -> void override { heads[x] = h; }
+    auto sendPart(std::int64_t, const std::string&) -> void override {}
+    auto endStream(std::int64_t x, bool w) -> void override { (w ? whole : cut).insert(x); }
+    auto sendReply(std::int64_t x, int s, const Headers&, const std::string& b) -> void override {
         replies[x] = {s, b};
     }
     auto run(Microseconds d) -> void {
--- a/tests/net/answer_reader_test.cpp
+++ b/tests/net/answer_reader_test.cpp
@@ -27,7 +27,7 @@
         auto operator()(const AnswerHead& head) const -> std::string {
             return fmt::format("head {};", head.status);
         }
-        auto operator()(const Event& event) const -> std::string {
+        auto operator()(const StreamEvent& event) const -> std::string {
             return fmt::format("event {};", event.id);
         }
         auto operator()(const AnswerEnd& end) const -> std::string {
--- a/tests/net/event_split_test.cpp
+++ b/tests/net/event_split_test.cpp
@@ -26,7 +26,8 @@
             t += nl;
         }
         auto take = [](EventSplit& s, std::vector<std::string>& o) {
-            for (auto e = Event(); s.next(e);) o.push_back(e.id + "|" + e.type + "|" + e.data + "|" + e.raw);
+            for (auto e = StreamEvent(); s.next(e);)
+                o.push_back(e.id + "|" + e.type + "|" + e.data + "|" + e.raw);
         };
         auto a = EventSplit(), b = EventSplit();
         auto x = std::vector<std::string>(), y = std::vector<std::string>();
@@ -47,10 +48,10 @@
     CHECK(whole > 1000);
     auto s = EventSplit();
     s.feed("id: 7\r\nevent: done\r\ndata: a\r\ndata: b\r\n\r\nid: 8\n");
-    auto e = Event();
+    auto e = StreamEvent();
     CHECK(s.next(e));
     CHECK_EQ(std::string("7"), e.id);
-    CHECK(e.done());
+    CHECK(e.isCompletionMark());
     CHECK_EQ(std::string("a\nb"), e.data);
     CHECK(!s.next(e));
 }
--- a/tests/routing/edge_fixture.hpp
+++ b/tests/routing/edge_fixture.hpp
@@ -78,17 +78,17 @@
     auto done(std::int64_t id, const Outcome& o) -> void override { outs[id] = o; }
     auto book(const std::vector<std::string>&) -> void override {}
     auto probe(const std::string&, const std::string&) -> void override {}
-    auto send(std::int64_t x, int a, const std::string& s, const std::string&) -> void override {
+    auto startAttempt(std::int64_t x, int a, const std::string& s, const std::string&) -> void override {
         sends.push_back({x, a, s});
     }
-    auto drop(std::int64_t x, int a) -> void override { drops.emplace_back(x, a); }
-    auto head(std::int64_t x, int s, const Headers& h) -> void override { heads[x] = {s, h}; }
-    auto part(std::int64_t x, const std::string& s) -> void override { parts[x] += s; }
-    auto end(std::int64_t x, bool w) -> void override {
+    auto cancelAttempt(std::int64_t x, int a) -> void override { drops.emplace_back(x, a); }
+    auto sendHead(std::int64_t x, int s, const Headers& h) -> void override { heads[x] = {s, h}; }
+    auto sendPart(std::int64_t x, const std::string& s) -> void override { parts[x] += s; }
+    auto endStream(std::int64_t x, bool w) -> void override {
         CHECK(!cut.count(x) && !whole.count(x));
         (w ? whole : cut).insert(x);
     }
-    auto reply(std::int64_t x, int s, const Headers& h, const std::string& b) -> void override {
+    auto sendReply(std::int64_t x, int s, const Headers& h, const std::string& b) -> void override {
         CHECK(!replies.count(x));
         replies[x] = {s, h, b};
     }
@@ -162,19 +162,20 @@
     }
     auto acks(std::int64_t x, Headers h = {}) -> Headers {
         auto p = e->find(x);
-        h.emplace_back("X-Try", p ? p->exid : "");
+        h.emplace_back("X-Try", p ? p->received.name : "");
         return h;
     }
     auto last() -> Sent { return sends.back(); }
-    auto go(std::int64_t x) -> bool { return e->maySend(x, last().a, now); }
+    auto go(std::int64_t x) -> bool { return e->beforeFirstByte(x, last().a, now); }
     auto ok(std::int64_t x, Headers h = {}) -> void {
         auto p = e->find(x);
-        auto a = p->a;
+        auto a = p->attempts.current;
         h = acks(x, h);
-        if (e->upHead(x, a, 200, h, now)) e->upWhole(x, a, 200, h, "done", now);
+        if (e->onResponseHead(x, a, 200, h, now)) e->onResponse(x, a, 200, h, "done", now);
     }
     auto event(std::int64_t x, const std::string& id, const std::string& data = "d") -> void {
-        e->upEvent(x, e->find(x)->a, {id, "", data, fmt::format("id: {}\ndata: {}\n\n", id, data)}, now);
+        e->onStreamEvent(x, e->find(x)->attempts.current,
+            {id, "", data, fmt::format("id: {}\ndata: {}\n\n", id, data)}, now);
     }
     /// Ended, and how: the status of a reply, 1 for a whole stream, 2 for a cut one, 0 for neither.
     auto fate(std::int64_t x) -> int {
--- a/tests/routing/edge_platform_test.cpp
+++ b/tests/routing/edge_platform_test.cpp
@@ -35,40 +35,40 @@
         {{"X-Left", "900"}, {"Connection", "close, X-Mine"}, {"X-Mine", "1"}, {"X-Else", "2"}, {"Te", "x"}},
         "H.example:80");
     CHECK(r.go(x));
-    auto h = r.e->outgoing(*r.e->find(x), r.now + 100 * MILLISECOND);
+    auto h = r.e->requestHeaders(*r.e->find(x), r.now + 100 * MILLISECOND);
     CHECK_EQ(std::string("H.example:80"), get(h, "Host"));
-    CHECK_EQ(r.e->find(x)->exid, get(h, "X-Try"));
+    CHECK_EQ(r.e->find(x)->received.name, get(h, "X-Try"));
     CHECK_EQ(std::string("x"), get(h, "X-For"));
     CHECK_EQ(std::string("800"), get(h, "X-Left"));
     CHECK_EQ(std::string("0"), get(h, "X-Urgency"));
     CHECK_EQ(std::string("2"), get(h, "X-Else"));
     for (auto k : {"Connection", "X-Mine", "Te"}) CHECK_EQ(std::string("-"), get(h, k));
     auto back = r.acks(x, {{"X-Seal", "s"}, {"Keep-Alive", "3"}, {"Content-Length", "4"}});
-    CHECK(r.e->upHead(x, 1, 201, back, r.now));
-    r.e->upWhole(x, 1, 201, back, "body", r.now);
+    CHECK(r.e->onResponseHead(x, 1, 201, back, r.now));
+    r.e->onResponse(x, 1, 201, back, "body", r.now);
     CHECK_EQ(201, r.fate(x));
     CHECK_EQ(std::string("s"), get(r.replies[x].h, "X-Seal"));
     CHECK_EQ(std::size_t(2), r.replies[x].h.size());
     // Its own failure is passed on; what promises that nothing ran is not, unless the server says so.
     auto y = r.ask("/a/x");
     CHECK(r.go(y));
-    r.e->upWhole(y, 1, 500, r.acks(y), "oops", r.now);
+    r.e->onResponse(y, 1, 500, r.acks(y), "oops", r.now);
     CHECK_EQ(500, r.fate(y));
     CHECK_EQ(std::string("oops"), r.replies[y].body);
     auto z = r.ask("/a/x");
     CHECK(r.go(z));
-    r.e->upWhole(z, 1, 503, r.acks(z), "", r.now);
+    r.e->onResponse(z, 1, 503, r.acks(z), "", r.now);
     CHECK_EQ(502, r.fate(z));
     auto w = r.ask("/a/x");
     CHECK(r.go(w));
-    r.e->upWhole(w, 1, 503, {{"X-Not-Run", "1"}}, "", r.now);
+    r.e->onResponse(w, 1, 503, {{"X-Not-Run", "1"}}, "", r.now);
     CHECK_EQ(503, r.fate(w));
     CHECK_EQ(std::string("true"), get(r.replies[w].h, "X-Not-Run"));
     // Another's reply, and a success that says not whose it is.
     for (auto& o : {Headers{{"X-Try", "t1"}}, Headers{}}) {
         auto v = r.ask("/a/x");
         CHECK(r.go(v));
-        CHECK(!r.e->upHead(v, 1, 200, o, r.now));
+        CHECK(!r.e->onResponseHead(v, 1, 200, o, r.now));
         CHECK_EQ(502, r.fate(v));
     }
     // The shorter of both deadlines; what ran is not told to come back.
@@ -87,7 +87,7 @@
     r.e->drain();
     auto on = r.ask("/a/x");
     CHECK_EQ(0, r.fate(on));
-    r.e->refuseNew();
+    r.e->stopAccepting();
     CHECK_EQ(503, r.fate(r.ask("/a/x")));
     CHECK_EQ(0, r.fate(on));
     CHECK_EQ(std::int64_t(0), r.ct.get("illegal_transitions_total"));
@@ -105,16 +105,16 @@
     // Ids rise, by whatever; the end of the message is the end.
     auto x = r.ask("/a/1", m);
     CHECK(r.go(x));
-    CHECK(r.e->upHead(x, 1, 200, r.acks(x, {{"X-Seal", "1"}}), r.now));
+    CHECK(r.e->onResponseHead(x, 1, 200, r.acks(x, {{"X-Seal", "1"}}), r.now));
     for (auto i : {"3", "5", "6"}) r.event(x, i);
     auto first = r.last().server;
-    r.e->upLost(x, 1, "reset", r.now);
+    r.e->onConnectionLost(x, 1, "reset", r.now);
     CHECK(r.last().server != first);
     CHECK(r.go(x));
-    CHECK_EQ(std::string("6"), get(r.e->outgoing(*r.e->find(x), r.now), "Last-Event-Id"));
-    CHECK(r.e->upHead(x, r.last().a, 200, r.acks(x, {{"X-Seal", "2"}}), r.now));
+    CHECK_EQ(std::string("6"), get(r.e->requestHeaders(*r.e->find(x), r.now), "Last-Event-Id"));
+    CHECK(r.e->onResponseHead(x, r.last().a, 200, r.acks(x, {{"X-Seal", "2"}}), r.now));
     r.event(x, "9");
-    r.e->upEnd(x, r.last().a, r.now);
+    r.e->onStreamEnd(x, r.last().a, r.now);
     CHECK_EQ(1, r.fate(x));
     CHECK_EQ(std::string("1"), get(r.heads[x].second, "X-Seal"));
     CHECK_EQ(
@@ -123,7 +123,7 @@
     for (auto bad : {"5", "4", "x", ""}) {
         auto y = r.ask("/a/1", m);
         CHECK(r.go(y));
-        CHECK(r.e->upHead(y, 1, 200, r.acks(y), r.now));
+        CHECK(r.e->onResponseHead(y, 1, 200, r.acks(y), r.now));
         r.event(y, "5");
         r.event(y, bad, "");
         CHECK_EQ(2, r.fate(y));
@@ -133,12 +133,12 @@
     auto lost = [&](const std::string& p, const Headers& h, int events) {
         auto y = r.ask(p, h);
         CHECK(r.go(y));
-        CHECK(r.e->upHead(y, 1, 200, r.acks(y), r.now));
+        CHECK(r.e->onResponseHead(y, 1, 200, r.acks(y), r.now));
         for (auto i = 1; i <= events; i++) r.event(y, fmt::to_string(i));
         auto k = r.sends.size();
-        r.e->upLost(y, 1, "reset", r.now);
+        r.e->onConnectionLost(y, 1, "reset", r.now);
         CHECK_EQ(r.sends.size() > k ? 0 : events ? 2 : 502, r.fate(y));
-        r.e->gone(y, r.now);
+        r.e->clientClosed(y, r.now);
         return r.sends.size() > k;
     };
     CHECK(lost("/a/1", m, 5));
@@ -150,23 +150,23 @@
     // What may be repeated is not joined: its events are no stream that can be resumed.
     auto p = r.ask("/p/1");
     CHECK(r.go(p));
-    CHECK(r.e->upHead(p, 1, 200, r.acks(p), r.now));
+    CHECK(r.e->onResponseHead(p, 1, 200, r.acks(p), r.now));
     r.event(p, "1");
-    r.e->upLost(p, 1, "reset", r.now);
+    r.e->onConnectionLost(p, 1, "reset", r.now);
     CHECK_EQ(2, r.fate(p));
     // A sender's own resumption is a first send and passes on what it says.
     auto ct = r.ct.get("extra_sends_total");
     auto z = r.ask("/a/1", {{"X-Model", "m"}, {"Last-Event-Id", "7"}});
     CHECK(r.go(z));
-    CHECK_EQ(std::string("7"), get(r.e->outgoing(*r.e->find(z), r.now), "Last-Event-Id"));
+    CHECK_EQ(std::string("7"), get(r.e->requestHeaders(*r.e->find(z), r.now), "Last-Event-Id"));
     CHECK_EQ(ct, r.ct.get("extra_sends_total"));
-    CHECK(r.e->upHead(z, 1, 200, r.acks(z), r.now));
+    CHECK(r.e->onResponseHead(z, 1, 200, r.acks(z), r.now));
     auto k = r.sends.size();
     r.event(z, "7");  // it began anew; another server may do better
     CHECK_EQ(k + 1, r.sends.size());
     auto v = r.ask("/n/1", {{"Last-Event-Id", "q 7"}});
     CHECK(r.go(v));
-    CHECK_EQ(std::string("q 7"), get(r.e->outgoing(*r.e->find(v), r.now), "Last-Event-Id"));
+    CHECK_EQ(std::string("q 7"), get(r.e->requestHeaders(*r.e->find(v), r.now), "Last-Event-Id"));
 }
 
 // Against a plain reading: of its host, else of any; the longest path; this very method first.
@@ -198,7 +198,7 @@
         }
         auto d = rapidjson::Document();
         CHECK(jsParse("{\"mappings\":[" + t + "]}", d));
-        auto ru = compile(d, 1);
+        auto ru = compileRoutes(d, 1);
         for (auto i = 0; i < 40; i++) {
             auto h = host(), me = any({"GET", "POST", "DELETE"}), p = path();
             auto want = -1;
@@ -270,11 +270,11 @@
     auto d = rapidjson::Document();
     CHECK(jsParse(t, d));
     auto best = 1e9;
-    auto ru = Rules();
+    auto ru = RouteTable();
     for (auto k = 0; k < 5; k++) {
         auto a = clock();
         CHECK(configCheck(d).empty());
-        ru = compile(d, 1);
+        ru = compileRoutes(d, 1);
         best = std::min(best, double(clock() - a) / CLOCKS_PER_SEC);
     }
 #if !defined(__SANITIZE_ADDRESS__) && !defined(__SANITIZE_THREAD__)
@@ -325,10 +325,10 @@
             for (auto n = r.sends.size(), j = std::size_t(0); j < r.sends.size() && j < n + 40; j++) {
                 auto s = r.sends[j];
                 auto x = r.e->find(s.x);
-                if (!x || x->a != s.a || x->attempt.written()) continue;
+                if (!x || x->attempts.current != s.a || x->attempts.tracker.written()) continue;
                 if (g.chance(.4)) {
-                    r.e->refused(s.x, s.a, r.now);
-                } else if (r.e->maySend(s.x, s.a, r.now)) {
+                    r.e->onConnectionRefused(s.x, s.a, r.now);
+                } else if (r.e->beforeFirstByte(s.x, s.a, r.now)) {
                     sent++;
                     auto l = std::find_if(ls.begin(), ls.end(), [&](auto& v) { return v.name == s.server; });
                     CHECK(l != ls.end());
@@ -351,7 +351,7 @@
     auto x = r.ask("/a/x");
     CHECK(r.go(x));
     auto bad = r.last().server;
-    r.e->upWhole(x, r.last().a, 421, {{"X-Server", "other"}}, "", r.now);
+    r.e->onResponse(x, r.last().a, 421, {{"X-Server", "other"}}, "", r.now);
     CHECK(r.last().server != bad);
     CHECK(r.go(x));
     r.ok(x);
@@ -378,7 +378,7 @@
         CHECK(r.go(y));
         if (r.last().server == bad) {
             rejected++;
-            r.e->upWhole(y, r.last().a, 421, {}, "", r.now);
+            r.e->onResponse(y, r.last().a, 421, {}, "", r.now);
             CHECK(r.go(y));
         }
         r.ok(y);
@@ -432,15 +432,15 @@
             for (auto& [x, v] : xs) {
                 auto e = r.e->find(x);
                 if (!e || r.fate(x) || e->phase() == Phase::Queued || g.chance(.4)) continue;
-                auto a = e->a;
-                if (!e->attempt.written()) {
-                    if (g.chance(.2)) r.e->refused(x, a, r.now);
-                    else if (g.chance(.1)) r.e->upLost(x, a, "broke", r.now);
-                    else if (r.e->maySend(x, a, r.now)) {
+                auto a = e->attempts.current;
+                if (!e->attempts.tracker.written()) {
+                    if (g.chance(.2)) r.e->onConnectionRefused(x, a, r.now);
+                    else if (g.chance(.1)) r.e->onConnectionLost(x, a, "broke", r.now);
+                    else if (r.e->beforeFirstByte(x, a, r.now)) {
                         v.runs++, v.sends++;
                         if (v.sends > v.most && k != 39) CHECK(false);
                         if (v.path == "/r") {
-                            auto l = get(r.e->outgoing(*r.e->find(x), r.now), "Last-Event-Id");
+                            auto l = get(r.e->requestHeaders(*r.e->find(x), r.now), "Last-Event-Id");
                             CHECK_EQ(v.given < 0 ? std::string("-") : fmt::to_string(v.given), l);
                         }
                     }
@@ -448,28 +448,28 @@
                 }
                 auto deny = [&](int s) {
                     v.runs--;
-                    r.e->upWhole(x, a, s,
+                    r.e->onResponse(x, a, s,
                         s == 421 && g.chance(.5) ? Headers{} : r.acks(x, {{"X-Not-Run", "1"}}), "", r.now);
                 };
                 auto h = r.acks(x, {{"X-Load", fmt::format("{},{},9", g.below(9), g.below(3))}});
                 switch (g.below(v.path == "/e" || v.path == "/s" ? 8 : 13)) {
-                case 0: r.e->upLost(x, a, "reset", r.now); break;
-                case 1: deny(e->headSent ? 421 : 503); break;
+                case 0: r.e->onConnectionLost(x, a, "reset", r.now); break;
+                case 1: deny(e->relayed.headSent ? 421 : 503); break;
                 case 2: deny(421); break;
-                case 3: r.e->upHead(x, a, 200, {{"X-Try", "not this"}}, r.now); break;
-                case 4: r.e->upHead(x, a, 200, {}, r.now); break;
-                case 5: r.e->upWhole(x, a, int(500 + 4 * g.below(2)), h, "", r.now); break;
-                case 6: r.e->upWhole(x, a, std::array{503, 429, 408}[g.below(3)], h, "", r.now); break;
+                case 3: r.e->onResponseHead(x, a, 200, {{"X-Try", "not this"}}, r.now); break;
+                case 4: r.e->onResponseHead(x, a, 200, {}, r.now); break;
+                case 5: r.e->onResponse(x, a, int(500 + 4 * g.below(2)), h, "", r.now); break;
+                case 6: r.e->onResponse(x, a, std::array{503, 429, 408}[g.below(3)], h, "", r.now); break;
                 case 7:
                     if (v.path == "/e" || v.path == "/s") r.ok(x);
-                    else r.e->upHead(x, a, 200, h, r.now);
+                    else r.e->onResponseHead(x, a, 200, h, r.now);
                     break;
-                case 8: r.e->upEnd(x, a, r.now); break;
+                case 8: r.e->onStreamEnd(x, a, r.now); break;
                 case 9:
                     if (v.given >= 0) r.event(x, g.chance(.5) ? "0" : "?");
                     break;
                 default:
-                    if (!r.e->upHead(x, a, 200, h, r.now)) break;
+                    if (!r.e->onResponseHead(x, a, 200, h, r.now)) break;
                     v.given = std::max<std::int64_t>(0, v.given) + 1 + std::int64_t(g.below(3));
                     r.event(x, fmt::to_string(v.given));
                 }
@@ -492,16 +492,16 @@
                 cuts += f == 2;
                 CHECK(!r.e->find(x) || r.e->find(x)->phase() == Phase::Finished);
                 auto e = r.e->find(x);
-                CHECK(!r.e->maySend(x, e ? e->a : 1, r.now));  // nothing runs later
+                CHECK(!r.e->beforeFirstByte(x, e ? e->attempts.current : 1, r.now));  // nothing runs later
             }
             if (g.chance(.05)) r.config(conf(3));
             if (g.chance(.1)) r.list(ls, 0);
             r.run(20 * MILLISECOND * Microseconds(1 + g.below(8)));
         }
         r.run(40 * SECOND);
-        CHECK_EQ(std::size_t(0), r.e->busy());
-        CHECK_EQ(0, r.e->inflightNow());
-        CHECK_EQ(std::size_t(0), r.e->queuedNow());
+        CHECK_EQ(std::size_t(0), r.e->activeRequests());
+        CHECK_EQ(0, r.e->inflightCount());
+        CHECK_EQ(std::size_t(0), r.e->queuedCount());
         CHECK_EQ(std::int64_t(0), r.ct.get("illegal_transitions_total"));
     }
     CHECK(again > 100 && promises > 100 && wholes > 100 && cuts > 50);
@@ -529,21 +529,21 @@
             auto want = std::string();
             for (auto j = from; j < 12; j++) want += fmt::format("id: {}\ndata: d\n\n", ids[j]);
             while (!r.fate(x) && r.e->find(x)->phase() == Phase::Sending) {
-                auto a = r.e->find(x)->a;
-                CHECK(r.e->maySend(x, a, r.now));
-                auto l = get(r.e->outgoing(*r.e->find(x), r.now), "Last-Event-Id");
+                auto a = r.e->find(x)->attempts.current;
+                CHECK(r.e->beforeFirstByte(x, a, r.now));
+                auto l = get(r.e->requestHeaders(*r.e->find(x), r.now), "Last-Event-Id");
                 auto j = l == "-"
                     ? std::size_t(0)
                     : std::size_t(std::find(ids.begin(), ids.end(), std::stoll(l)) - ids.begin()) + 1;
                 CHECK(j <= 12);
-                if (!r.e->upHead(x, a, 200, r.acks(x), r.now)) continue;
+                if (!r.e->onResponseHead(x, a, 200, r.acks(x), r.now)) continue;
                 auto lost = false;
                 for (; j < 12 && !lost; j++) {
                     r.event(x, fmt::to_string(ids[j]));
                     lost = g.chance(.1);
                 }
-                if (lost) r.e->upLost(x, a, "reset", r.now), moved++;
-                else r.e->upEnd(x, a, r.now);
+                if (lost) r.e->onConnectionLost(x, a, "reset", r.now), moved++;
+                else r.e->onStreamEnd(x, a, r.now);
             }
             if (r.fate(x) == 1) {
                 whole++;
@@ -590,11 +590,11 @@
     r.list({{"x"}, {"y"}, {"z"}, {"w"}, {"v"}, {"u"}});
     auto x = r.ask("/a/x");
     for (auto i = 0; i < 3; i++) {
-        r.e->refused(x, r.last().a, r.now);
+        r.e->onConnectionRefused(x, r.last().a, r.now);
         CHECK_EQ(std::size_t(2 + i), r.sends.size());
     }
     CHECK_EQ(std::int64_t(0), r.ct.get("extra_sends_total"));
-    r.e->refused(x, r.last().a, r.now);
+    r.e->onConnectionRefused(x, r.last().a, r.now);
     CHECK_EQ(503, r.fate(x));
     CHECK_EQ(std::string("true"), get(r.replies[x].h, "X-Not-Run"));
     // Those four are left alone for a while, and then asked one at a time.
@@ -614,7 +614,7 @@
     auto headers = Headers{{"Host", "h.example"}, {"X-Try", "t"}, {"X-Left", "1500"}};
     auto x = r.e->accept("POST", "/a/x", headers, "body", r.now, r.now - 600 * MILLISECOND);
     CHECK(r.go(x));
-    CHECK_EQ(std::string("900"), get(r.e->outgoing(*r.e->find(x), r.now), "X-Left"));
+    CHECK_EQ(std::string("900"), get(r.e->requestHeaders(*r.e->find(x), r.now), "X-Left"));
     r.run(960 * MILLISECOND);
     CHECK_EQ(504, r.fate(x));
     auto late = r.e->accept("POST", "/a/x", headers, "body", r.now, r.now - 2 * SECOND);
@@ -633,7 +633,7 @@
         CHECK(r.go(x));
         CHECK_EQ(200, r.config(one(repeatable)));
         auto sends = r.sends.size();
-        r.e->upLost(x, r.last().a, "reset", r.now);
+        r.e->onConnectionLost(x, r.last().a, "reset", r.now);
         CHECK_EQ(first == repeatable, r.sends.size() > sends);
         CHECK_EQ(first == repeatable ? 0 : 502, r.fate(x));
     }
@@ -646,8 +646,8 @@
         CHECK_EQ(200, r.config(one(R"(,"MaxTries":2,"repeatable":true)")));
         r.list({{"x"}});
         auto x = r.ask("/a/x");
-        CHECK(r.e->maySend(x, r.last().a, r.now, used));
-        r.e->upWhole(x, r.last().a, 404, {{"X-Seal", "1"}}, "of another", r.now);
+        CHECK(r.e->beforeFirstByte(x, r.last().a, r.now, used));
+        r.e->onResponse(x, r.last().a, 404, {{"X-Seal", "1"}}, "of another", r.now);
         CHECK_EQ(!used, r.fate(x) == 404);
     }
     // What may not be repeated does not go on one at all.
@@ -655,7 +655,7 @@
     CHECK_EQ(200, r.config(one("")));
     r.list({{"x"}});
     auto x = r.ask("/a/x");
-    CHECK(!r.e->maySend(x, r.last().a, r.now, true));
+    CHECK(!r.e->beforeFirstByte(x, r.last().a, r.now, true));
     CHECK_EQ(std::size_t(2), r.sends.size());
     CHECK(r.go(x));
 }
@@ -677,7 +677,7 @@
     r.run(60 * MILLISECOND);
     CHECK_EQ(e, r.last().x);
     CHECK(r.last().server != was.server);
-    CHECK(!r.e->maySend(e, was.a, r.now));
+    CHECK(!r.e->beforeFirstByte(e, was.a, r.now));
     CHECK(r.go(e));
     CHECK_EQ(std::int64_t(0), r.ct.get("extra_sends_total"));
     auto n = r.sends.size();
@@ -693,7 +693,7 @@
     CHECK(r.go(x));
     auto y = r.ask("/a/x", {{"X-Model", "m"}});
     CHECK(r.go(y));
-    CHECK(r.e->upHead(y, r.last().a, 200, r.acks(y), r.now));
+    CHECK(r.e->onResponseHead(y, r.last().a, 200, r.acks(y), r.now));
     r.event(y, "1");
     r.run(220 * MILLISECOND);
     CHECK_EQ(n + 3, r.sends.size());
@@ -727,8 +727,8 @@
     CHECK_EQ(std::string("true"), get(r.replies[a].h, "X-Not-Run"));
     // What the server says of itself counts too.
     r.run(10 * SECOND);
-    for (auto i = 1; i < 5; i++) r.e->gone(in[std::size_t(i)], r.now);
-    r.e->gone(b, r.now);
+    for (auto i = 1; i < 5; i++) r.e->clientClosed(in[std::size_t(i)], r.now);
+    r.e->clientClosed(b, r.now);
     r.run(100 * MILLISECOND);
     auto y = r.ask("/a/x");
     CHECK(r.go(y));
@@ -755,7 +755,7 @@
     }
     auto now() const -> Microseconds { return es[0]->now; }
     /// What edge `i` began since it was last asked.
-    auto withinLease(std::size_t i) -> std::vector<Sent> {
+    auto newSends(std::size_t i) -> std::vector<Sent> {
         auto& r = *es[i];
         auto o = std::vector<Sent>(r.sends.begin() + std::ptrdiff_t(seen[i]), r.sends.end());
         seen[i] = r.sends.size();
@@ -802,8 +802,8 @@
                 auto& r = *f.es[i];
                 for (auto k = 0; k < 400 / c.nodes; k++)
                     if (g.chance(crowd * .3)) r.ask("/a/x");
-                for (auto& s : f.withinLease(i)) {
-                    if (!r.e->maySend(s.x, s.a, r.now)) continue;
+                for (auto& s : f.newSends(i)) {
+                    if (!r.e->beforeFirstByte(s.x, s.a, r.now)) continue;
                     if (s.server == "c") at.push_back(r.now + Microseconds(g.below(5 * MILLISECOND)));
                     if (g.chance(.7)) r.ok(s.x);
                 }
@@ -837,13 +837,13 @@
                 if (g.chance(.4)) r.ask("/a/x");  // far more of one pool than of the other
                 if (g.chance(.02)) r.ask("/b/x");
                 for (auto n = 0; n < 8; n++)
-                    for (auto& s : f.withinLease(i)) {
-                        if (!r.e->maySend(s.x, s.a, r.now)) continue;
-                        auto p = r.e->find(s.x)->m.service;
-                        (r.e->find(s.x)->tries == 1 ? first : extra)[p].push_back(r.now);
+                    for (auto& s : f.newSends(i)) {
+                        if (!r.e->beforeFirstByte(s.x, s.a, r.now)) continue;
+                        auto p = r.e->find(s.x)->route.service;
+                        (r.e->find(s.x)->attempts.sent == 1 ? first : extra)[p].push_back(r.now);
                         // First only the smaller pool is in trouble, then both.
                         if (t < 700 ? p == "q" : t % 500 < 250 || g.chance(.6))
-                            r.e->upLost(s.x, s.a, "reset", r.now);
+                            r.e->onConnectionLost(s.x, s.a, "reset", r.now);
                         else r.ok(s.x);
                     }
             }
@@ -903,11 +903,12 @@
                         {{"X-Tokens", "383,48"},
                             {"X-Parts",
                                 fmt::format("{:x}:92,{:x}:291", 500 + g.below(20), 99000000 + r.names)}});
-                for (auto& s : f.withinLease(i)) {
-                    CHECK(r.e->maySend(s.x, s.a, r.now));
+                for (auto& s : f.newSends(i)) {
+                    CHECK(r.e->beforeFirstByte(s.x, s.a, r.now));
                     auto e = r.e->find(s.x);
-                    auto p =
-                        e->parts.size() > 1 && e->sharedTokens > 1000 ? get(e->h, "X-Parts") : std::string();
+                    auto p = e->received.promptParts.size() > 1 && e->received.sharedTokens > 1000
+                        ? get(e->received.headers, "X-Parts")
+                        : std::string();
                     auto& c = caches[s.server];
                     auto load = fmt::format("{},0,64", ++running[s.server]);
                     auto lat = 300 * MILLISECOND;
@@ -923,7 +924,7 @@
                         }
                         c[id] = r.now;
                     }
-                    r.e->upHead(s.x, s.a, 200, r.acks(s.x, {{"X-Load", load}}), r.now);
+                    r.e->onResponseHead(s.x, s.a, 200, r.acks(s.x, {{"X-Load", load}}), r.now);
                     r.event(s.x, "1");
                     runs.push_back({r.now + lat, i, s.x, s.server});
                 }
@@ -937,7 +938,7 @@
                 }
                 running[v.server]--;
                 auto& r = *f.es[v.e];
-                r.e->upEnd(v.x, r.e->find(v.x)->a, r.now);
+                r.e->onStreamEnd(v.x, r.e->find(v.x)->attempts.current, r.now);
             }
             f.step();
         }
@@ -990,12 +991,13 @@
                 for (auto k = 0; k < 2; k++)
                     if (g.chance(11 * 24 / (0.4 * 50) / c.nodes / 2))
                         refused += r.fate(r.ask("/b/x", {{"X-Tokens", "383,48"}})) != 0;
-                for (auto& s : f.withinLease(i)) {
-                    CHECK(r.e->maySend(s.x, s.a, r.now));
+                for (auto& s : f.newSends(i)) {
+                    CHECK(r.e->beforeFirstByte(s.x, s.a, r.now));
                     auto n = ++running[s.server];
                     if (t > 100 && t < 400) all++, over += n > 32;
                     if (s.server == "new") c.fresh = std::max(c.fresh, n);
-                    r.e->upHead(s.x, s.a, 200, r.acks(s.x, {{"X-Load", fmt::format("{},0,32", n)}}), r.now);
+                    r.e->onResponseHead(
+                        s.x, s.a, 200, r.acks(s.x, {{"X-Load", fmt::format("{},0,32", n)}}), r.now);
                     runs.push_back({r.now + 400 * MILLISECOND, i, s.x, s.server});
                 }
             }
@@ -1003,7 +1005,7 @@
                 auto v = runs.front();
                 runs.pop_front();
                 running[v.server]--;
-                f.es[v.e]->e->upEnd(v.x, f.es[v.e]->e->find(v.x)->a, f.now());
+                f.es[v.e]->e->onStreamEnd(v.x, f.es[v.e]->e->find(v.x)->attempts.current, f.now());
             }
             f.step();
         }
--- a/tests/routing/edge_test.cpp
+++ b/tests/routing/edge_test.cpp
@@ -40,17 +40,17 @@
         r.list({{"x", "near", "z", "p", "w"}, {"y", "near", "z", "p", "w"}});
         for (auto i = 0; i < 12; i++) {  // earns credit
             auto id = r.e->accept("POST", "/s", {}, "b", r.now);
-            CHECK(r.e->maySend(id, 1, r.now));
-            r.e->upHead(id, 1, 200, {}, r.now);
-            r.e->upEvent(id, 1, {"1", "", "d", "id: 1\ndata: d\n\n"}, r.now);
-            r.e->upEvent(id, 1, {"", "done", "", "event: done\n\n"}, r.now);
+            CHECK(r.e->beforeFirstByte(id, 1, r.now));
+            r.e->onResponseHead(id, 1, 200, {}, r.now);
+            r.e->onStreamEvent(id, 1, {"1", "", "d", "id: 1\ndata: d\n\n"}, r.now);
+            r.e->onStreamEvent(id, 1, {"", "done", "", "event: done\n\n"}, r.now);
         }
         auto id = r.e->accept("POST", "/s", {}, "b", r.now);
-        CHECK(r.e->maySend(id, 1, r.now));
-        r.e->upEvent(id, 1, {"1", "", "d", "id: 1\ndata: d\n\n"}, r.now);
+        CHECK(r.e->beforeFirstByte(id, 1, r.now));
+        r.e->onStreamEvent(id, 1, {"1", "", "d", "id: 1\ndata: d\n\n"}, r.now);
         CHECK_EQ(200, r.config(c.then));
         auto n = r.sends.size();
-        r.e->upLost(id, 1, "reset", r.now);
+        r.e->onConnectionLost(id, 1, "reset", r.now);
         CHECK_EQ(c.moves, r.sends.size() == n + 1);
         CHECK_EQ(!c.moves, r.cut.count(id) > 0);
         CHECK_EQ(std::int64_t(0), r.ct.get("illegal_transitions_total"));
@@ -63,8 +63,8 @@
     CHECK_EQ(200, r.config(route(R"(,"MaxTries":3)")));
     r.list({{"x", "near", "z", "p", "w"}, {"y", "near", "z", "p", "w"}});
     auto id = r.e->accept("POST", "/s", {}, "b", r.now);
-    CHECK(r.e->maySend(id, 1, r.now));
-    r.e->refused(id, 1, r.now);
+    CHECK(r.e->beforeFirstByte(id, 1, r.now));
+    r.e->onConnectionRefused(id, 1, r.now);
     CHECK_EQ(502, r.replies[id].first);
     CHECK_EQ(std::size_t(1), r.sends.size());
 }
@@ -89,17 +89,17 @@
     }
     auto h = Headers{{"last-event-id", "3"}, {"x-weights", "v"}};
     CHECK_EQ(503, r.replies[ask("/s", h)].first);  // no credit yet: it is an extra send
-    for (auto i = 0; i < 12; i++) r.e->maySend(ask("/s", {}), 1, r.now), r.run(20 * MILLISECOND);
-    r.e->cutAll(r.now);
+    for (auto i = 0; i < 12; i++) r.e->beforeFirstByte(ask("/s", {}), 1, r.now), r.run(20 * MILLISECOND);
+    r.e->abortAll(r.now);
     r.run(40 * MILLISECOND);
     auto credit = r.e->credit();
     auto id = ask("/s", h);
     CHECK_EQ(std::string("y"), r.sends.back().second);
-    CHECK(r.e->maySend(id, 1, r.now));
+    CHECK(r.e->beforeFirstByte(id, 1, r.now));
     CHECK(r.e->credit() < credit);
-    CHECK_EQ(1, r.e->find(id)->left());
+    CHECK_EQ(1, r.e->find(id)->migrationsLeft());
     // It must go on exactly behind what the sender holds, on the same weights.
-    CHECK(!r.e->upHead(id, 1, 200, {{"X-Weights", "w"}}, r.now));
+    CHECK(!r.e->onResponseHead(id, 1, 200, {{"X-Weights", "w"}}, r.now));
     CHECK(r.cut.empty() || !r.whole.count(id));
 }
 
@@ -119,7 +119,7 @@
     auto d = ask("/hi");
     CHECK_EQ(503, r.replies[b].first);
     CHECK(!r.replies.count(a) && !r.replies.count(d));
-    CHECK_EQ(std::size_t(2), r.e->queuedNow());
+    CHECK_EQ(std::size_t(2), r.e->queuedCount());
 }
 
 // The steps against a plain reading of the configuration, over random fleets.
@@ -177,8 +177,8 @@
                 CHECK_EQ(n + 1, r.sends.size());
                 CHECK(may.count(r.sends.back().second));
                 CHECK(near.empty() || !home.empty() || near.count(r.sends.back().second));
-                CHECK(r.e->maySend(id, 1, r.now));
-                r.e->upWhole(id, 1, 200, {}, "x", r.now);
+                CHECK(r.e->beforeFirstByte(id, 1, r.now));
+                r.e->onResponse(id, 1, 200, {}, "x", r.now);
             }
             r.run(20 * MILLISECOND);
         }
--- a/tests/routing/incident_edge_test.cpp
+++ b/tests/routing/incident_edge_test.cpp
@@ -74,14 +74,16 @@
     auto done(std::int64_t id, const Outcome& o) -> void override { outs[id] = o.status; }
     auto book(const std::vector<std::string>&) -> void override {}
     auto probe(const std::string&, const std::string&) -> void override {}
-    auto send(std::int64_t x, int a, const std::string& s, const std::string&) -> void override {
+    auto startAttempt(std::int64_t x, int a, const std::string& s, const std::string&) -> void override {
         sends.push_back({x, a, s});
     }
-    auto drop(std::int64_t, int) -> void override {}
-    auto head(std::int64_t, int, const Headers&) -> void override {}
-    auto part(std::int64_t, const std::string&) -> void override {}
-    auto end(std::int64_t x, bool w) -> void override { ends[x] = w; }
-    auto reply(std::int64_t x, int s, const Headers&, const std::string&) -> void override { replies[x] = s; }
+    auto cancelAttempt(std::int64_t, int) -> void override {}
+    auto sendHead(std::int64_t, int, const Headers&) -> void override {}
+    auto sendPart(std::int64_t, const std::string&) -> void override {}
+    auto endStream(std::int64_t x, bool w) -> void override { ends[x] = w; }
+    auto sendReply(std::int64_t x, int s, const Headers&, const std::string&) -> void override {
+        replies[x] = s;
+    }
     auto run(Microseconds d) -> void {
         for (auto t = now + d; now < t; now += 20 * MILLISECOND) {
             n->tick(now, 1800000000 * SECOND + now);
@@ -111,21 +113,21 @@
     for (auto path : {"/o/1", "/r/1"}) {
         auto r = Rig(fmt::format("{},{}", ONCE, AGAIN), six);
         auto x = r.ask(path);
-        for (auto i = 0; i < 3; i++) r.e->refused(x, r.last().a, r.now);
+        for (auto i = 0; i < 3; i++) r.e->onConnectionRefused(x, r.last().a, r.now);
         CHECK_EQ(std::size_t(4), r.sends.size());
         CHECK(!r.replies.count(x));
-        CHECK(r.e->maySend(x, r.last().a, r.now));
+        CHECK(r.e->beforeFirstByte(x, r.last().a, r.now));
     }
     // Of one that has run, the limit counts as before: one migration.
     auto r = Rig(fmt::format("{},{}", ONCE, AGAIN), six);
     auto x = r.ask("/r/1");
-    CHECK(r.e->maySend(x, r.last().a, r.now));
-    r.e->upLost(x, r.last().a, "reset", r.now);
+    CHECK(r.e->beforeFirstByte(x, r.last().a, r.now));
+    r.e->onConnectionLost(x, r.last().a, "reset", r.now);
     CHECK_EQ(std::size_t(2), r.sends.size());
-    r.e->refused(x, r.last().a, r.now);
+    r.e->onConnectionRefused(x, r.last().a, r.now);
     CHECK_EQ(std::size_t(3), r.sends.size());
-    CHECK(r.e->maySend(x, r.last().a, r.now));
-    r.e->upLost(x, r.last().a, "reset", r.now);
+    CHECK(r.e->beforeFirstByte(x, r.last().a, r.now));
+    r.e->onConnectionLost(x, r.last().a, "reset", r.now);
     CHECK_EQ(std::size_t(3), r.sends.size());
     CHECK_EQ(502, r.replies[x]);
 }
--- a/tests/routing/server_model.cpp
+++ b/tests/routing/server_model.cpp
@@ -77,7 +77,7 @@
 
 // ---- the daemon's part: connections and the reading of answers
 
-auto ServerModel::send(std::int64_t x, int a, const std::string& server, const std::string&) -> void {
+auto ServerModel::startAttempt(std::int64_t x, int a, const std::string& server, const std::string&) -> void {
     auto attempt = std::make_shared<Attempt>();
     attempt->request = x;
     attempt->number = a;
@@ -85,7 +85,7 @@
     attempts_[{x, a}] = attempt;
 }
 
-auto ServerModel::drop(std::int64_t x, int a) -> void {
+auto ServerModel::cancelAttempt(std::int64_t x, int a) -> void {
     auto i = attempts_.find({x, a});
     if (i == attempts_.end()) return;
     i->second->over = true;
@@ -95,7 +95,7 @@
 
 auto ServerModel::connect(Attempt& attempt) -> bool {
     auto request = e->find(attempt.request);
-    if (request && e->reusable(*request))
+    if (request && e->mayReuseConnection(*request))
         if (auto link = kept_.take(attempt.server, now)) {
             attempt.link = *link;
             reused++;
@@ -103,7 +103,7 @@
         }
     if (!script_.empty() && script_.front().kind == Kind::Refuse) {
         script_.erase(script_.begin());
-        e->refused(attempt.request, attempt.number, now);
+        e->onConnectionRefused(attempt.request, attempt.number, now);
         return false;
     }
     attempt.link = std::make_shared<Link>();
@@ -114,18 +114,19 @@
 auto ServerModel::begin(Attempt& attempt) -> bool {
     if (!connect(attempt)) return false;
     auto request = e->find(attempt.request);
-    if (!request || !e->maySend(attempt.request, attempt.number, now, attempt.link->used)) return false;
+    if (!request || !e->beforeFirstByte(attempt.request, attempt.number, now, attempt.link->used))
+        return false;
     if (left_) sendsAfterLeaving_++;
-    auto head = requestHead(
-        request->method, request->path, e->outgoing(*request, now), request->body.size(), "", true);
+    auto head = requestHead(request->received.method, request->received.path,
+        e->requestHeaders(*request, now), request->received.body.size(), "", true);
     auto options = AnswerOptions();
     options.mayEndByClose = true;
     options.notExecuted = e->dialect().notExecuted;
     attempt.reader = std::make_unique<AnswerReader>(options);
     for (auto bytes : {&attempt.link->unasked, &attempt.link->atNextSend})
         if (!bytes->empty()) attempt.pieces.push_back(std::exchange(*bytes, ""));
-    serve(attempt, head + request->body);
-    e->written(attempt.request, attempt.number);
+    serve(attempt, head + request->received.body);
+    e->onRequestWritten(attempt.request, attempt.number);
     return true;
 }
 
@@ -265,7 +266,7 @@
 
 auto ServerModel::leave() -> void {
     left_ = true;
-    e->gone(request_, now);
+    e->clientClosed(request_, now);
     for (auto& [key, attempt] : attempts_)
         if (key.first == request_) complain("a send lives on though its client has left");
 }
--- a/tests/routing/server_model.hpp
+++ b/tests/routing/server_model.hpp
@@ -66,8 +66,9 @@
     /// Connections that carried a further request.
     int reused = 0;
 
-    auto send(std::int64_t x, int a, const std::string& server, const std::string& addr) -> void override;
-    auto drop(std::int64_t x, int a) -> void override;
+    auto startAttempt(std::int64_t x, int a, const std::string& server, const std::string& addr)
+        -> void override;
+    auto cancelAttempt(std::int64_t x, int a) -> void override;
 
     static constexpr int EVENTS = 3;
     static constexpr int NEVER = 1 << 20;
