--- a/src/routing/completion.cpp
+++ b/src/routing/completion.cpp
@@ -1,88 +1,107 @@
 // How requests end.
-#include <algorithm>
-#include <cmath>
-#include <cstdint>
 #include <string>
+#include <string_view>
 
 #include <fmt/format.h>
 
 #include "base/json.hpp"
-#include "base/time.hpp"
 #include "routing/edge.hpp"
-#include "routing/headers.hpp"
 #include "routing/request_phases.hpp"
-#include "routing/tuning.hpp"
 
 namespace duneturn {
+namespace {
 
-// The final reply, at once. X-Not-Executed is said only where it is certain.
-auto Edge::fail(Request& x, int status, const std::string& why, Microseconds now) -> void {
-    release(x);
-    if (x.phase() == Phase::Sending || x.phase() == Phase::Delivering) {
-        port_.cancelAttempt(x.id, x.attempts.current);
-        x.attempts.current++;
+// Seconds after which a client that was refused may come back; spread, lest all come at once.
+constexpr auto RETRY_AFTER = 0.2;
+constexpr auto RETRY_AFTER_STEP = 0.002;
+constexpr auto RETRY_AFTER_STEPS = 100;
+
+}  // namespace
+
+// The request ends without a whole answer. 503 and its like promise that nothing ran and nothing will; all
+// else promises nothing.
+auto Edge::fail(Request& request, int status, const std::string& why, Microseconds now) -> void {
+    release(request);
+    if (request.phase() == Phase::Sending || request.phase() == Phase::Delivering) {
+        port_.cancelAttempt(request.id, request.attempts.current);
+        request.attempts.current++;
     }
-    // 503 and its like promise that nothing ran and nothing will; all else promises nothing.
-    auto mayHaveRun = x.attempts.tracker.mayHaveRun();
-    if (dialect_.clientNamesRequests && status >= 500)
-        status = !mayHaveRun ? 503 : status == 503 ? 502 : status;
-    if (x.relayed.headSent && dialect_.passHeaders) port_.endStream(x.id, broken.cutLooksWhole);
-    else if (x.relayed.headSent) {
-        port_.sendPart(x.id,
-            fmt::format("event: failed\ndata: {}\n\n",
-                bodyOf({{"error", jsQuote(why)}, {"lastEventId", fmt::to_string(x.relayed.lastEventId)},
-                    {"retryAfter", "1"}})));
-        port_.endStream(x.id, broken.cutLooksWhole);
+    auto mayHaveRun = request.attempts.tracker.mayHaveRun();
+    if (dialect_.clientNamesRequests && status >= 500) {
+        if (!mayHaveRun) status = 503;
+        else if (status == 503) status = 502;
+    }
+    if (request.relayed.headSent) {
+        cutStream(request, why);
+        countOutcome(request, "cut");
     } else {
-        auto h = Headers{{"Content-Type", "application/json"}};
-        if (status >= 500)  // else coming back changes nothing
-            h.emplace_back("Retry-After",
-                dialect_.clientNamesRequests
-                    ? fmt::format("{:.2f}", refusingNew_ ? 0.2 : 0.2 + 0.002 * double(random_.below(100)))
-                    : "1");
-        if (!mayHaveRun) h.emplace_back(dialect_.notExecuted, "true");
-        port_.sendReply(x.id, status, h,
-            bodyOf({{"error", jsQuote(why)}, {"executed", mayHaveRun ? "\"unknown\"" : "false"},
-                {"exchange", jsQuote(x.received.name)}}));
+        replyFailure(request, status, why);
+        countOutcome(request, mayHaveRun ? "failed" : "denied");
     }
-    countOutcome(x, x.relayed.headSent ? "cut" : mayHaveRun ? "failed" : "denied");
-    finish(x, "failed: " + why, now);
+    finish(request, "failed: " + why, now);
 }
 
-auto Edge::finish(Request& x, const std::string& how, Microseconds now) -> void {
-    if (x.attempts.countedInflight && x.attempts.tracker.written()) {
-        auto& k = serviceStatistics_[x.route.service].held;
-        auto t = double(now - x.attempts.chosenAt);
-        k = k > 0 ? k * 0.95 + t * 0.05 : t;
+// Ends a stream visibly incomplete.
+auto Edge::cutStream(Request& request, const std::string& why) -> void {
+    if (!dialect_.passHeaders)
+        port_.sendPart(request.id,
+            fmt::format("event: failed\ndata: {}\n\n",
+                bodyOf({{"error", jsQuote(why)}, {"lastEventId", fmt::to_string(request.relayed.lastEventId)},
+                    {"retryAfter", "1"}})));
+    port_.endStream(request.id, broken.cutLooksWhole);
+}
+
+// The header by which nothing ran is said only where it is certain.
+auto Edge::replyFailure(Request& request, int status, const std::string& why) -> void {
+    auto mayHaveRun = request.attempts.tracker.mayHaveRun();
+    auto headers = Headers{{"Content-Type", "application/json"}};
+    if (status >= 500) {  // else coming back changes nothing
+        auto after = std::string("1");
+        if (dialect_.clientNamesRequests) {
+            auto spread = refusingNew_ ? 0 : RETRY_AFTER_STEP * double(random_.below(RETRY_AFTER_STEPS));
+            after = fmt::format("{:.2f}", RETRY_AFTER + spread);
+        }
+        headers.emplace_back("Retry-After", after);
     }
-    release(x);
-    unqueue(x);
-    turn(x, counters_, PhaseEvent::End);
-    if (broken.badStep) turn(x, counters_, PhaseEvent::Loss);
-    note(x, fmt::format("+{} us {}", now - x.received.acceptedAt, how));
-    auto t = std::string();
-    for (auto& l : x.trace) t += (t.empty() ? "" : ",") + jsQuote(l);
-    decisions_.push_back({++lastDecision_, x.id, x.received.name,
-        bodyOf({{"seq", fmt::to_string(lastDecision_)}, {"exchange", jsQuote(x.received.name)},
-            {"mapping", jsQuote(x.route.name)}, {"end", jsQuote(how)}, {"steps", "[" + t + "]"}})});
-    if (decisions_.size() > 1024) decisions_.erase(decisions_.begin(), decisions_.begin() + 512);
-    finished_.push_back(x.id);
+    if (!mayHaveRun) headers.emplace_back(dialect_.notExecuted, "true");
+    port_.sendReply(request.id, status, headers,
+        bodyOf({{"error", jsQuote(why)}, {"executed", mayHaveRun ? "\"unknown\"" : "false"},
+            {"exchange", jsQuote(request.received.name)}}));
+}
+
+// What every end has in common, whatever the client was sent.
+auto Edge::finish(Request& request, const std::string& how, Microseconds now) -> void {
+    auto& attempts = request.attempts;
+    if (attempts.countedInflight && attempts.tracker.written())
+        statistics_.ofService(request.route.service).recordHoldTime(now - attempts.chosenAt);
+    release(request);
+    backlog_.leave(request);
+    turn(request, counters_, PhaseEvent::End);
+    if (broken.badStep) turn(request, counters_, PhaseEvent::Loss);
+    note(request, fmt::format("+{} us {}", now - request.received.acceptedAt, how));
+    decisions_.record(request, how);
+    finished_.push_back(request.id);
+}
+
+auto Edge::countOutcome(const Request& request, std::string_view outcome) -> void {
+    counters_.add(
+        fmt::format("exchanges_total{{mapping=\"{}\",outcome=\"{}\"}}", request.route.name, outcome));
 }
 
 auto Edge::clientClosed(std::int64_t id, Microseconds now) -> void {
-    auto i = requests_.find(id);
-    if (i == requests_.end() || i->second.phase() == Phase::Finished) return;
-    auto& x = i->second;
-    port_.cancelAttempt(x.id, x.attempts.current);
-    x.attempts.current++;
-    apply(x, AttemptEvent::ClientGone);
-    countOutcome(x, "sender_gone");
-    finish(x, "the sender has gone", now);
+    auto found = requests_.find(id);
+    if (found == requests_.end() || found->second.phase() == Phase::Finished) return;
+    auto& request = found->second;
+    port_.cancelAttempt(id, request.attempts.current);
+    request.attempts.current++;
+    apply(request, AttemptEvent::ClientGone);
+    countOutcome(request, "sender_gone");
+    finish(request, "the sender has gone", now);
 }
 
 auto Edge::abortAll(Microseconds now) -> void {
-    for (auto& [id, x] : requests_)
-        if (x.phase() != Phase::Finished) fail(x, 503, "this node is stopping", now);
+    for (auto& [id, request] : requests_)
+        if (request.phase() != Phase::Finished) fail(request, 503, "this node is stopping", now);
 }
 
 }  // namespace duneturn
--- a/src/routing/decision_log.cpp
+++ b/src/routing/decision_log.cpp
@@ -1,23 +1,19 @@
-// What operators are shown of requests.
-#include <algorithm>
-#include <cmath>
-#include <cstdint>
-#include <string>
+#include "routing/decision_log.hpp"
+
+#include <cstddef>
 
 #include <fmt/format.h>
 
 #include "base/json.hpp"
-#include "base/time.hpp"
-#include "routing/edge.hpp"
-#include "routing/headers.hpp"
-#include "routing/request_phases.hpp"
-#include "routing/tuning.hpp"
+#include "state/replicated_state.hpp"
 
 namespace duneturn {
 namespace {
 
-auto phaseName(Phase p) -> const char* {
-    switch (p) {
+constexpr auto MAX_DECISIONS = std::size_t(1024);  // the older half goes when there are more
+
+auto phaseName(Phase phase) -> const char* {
+    switch (phase) {
     case Phase::Queued: return "queued";
     case Phase::Sending: return "sending";
     case Phase::Delivering: return "delivering";
@@ -26,42 +22,60 @@
     }
 }
 
-auto liveOne(const Request& x, Microseconds now, bool steps) -> std::string {
-    auto t = std::string();
-    if (steps)
-        for (auto& l : x.trace) t += (t.empty() ? "" : ",") + jsQuote(l);
-    return bodyOf({{"id", fmt::to_string(x.id)}, {"exchange", jsQuote(x.received.name)},
-        {"mapping", jsQuote(x.route.name)}, {"phase", jsQuote(phaseName(x.phase()))},
-        {"server", jsQuote(x.attempts.server)}, {"ageUs", fmt::to_string(now - x.received.acceptedAt)},
-        {"sends", fmt::to_string(x.attempts.sent)}, {"migrationsLeft", fmt::to_string(x.migrationsLeft())},
-        {"lastEventId", fmt::to_string(x.relayed.lastEventId)}, {"steps", "[" + t + "]"}});
+auto appendTo(std::string& list, const std::string& element) -> void {
+    if (!list.empty()) list += ",";
+    list += element;
+}
+
+auto stepsJson(const Request& request) -> std::string {
+    auto steps = std::string();
+    for (auto& line : request.trace) appendTo(steps, jsQuote(line));
+    return "[" + steps + "]";
 }
 
 }  // namespace
 
-auto Edge::liveRequestsJson(Microseconds now) const -> std::string {
-    auto o = std::string();
-    for (auto& [id, x] : requests_) o += (o.empty() ? "" : ",") + liveOne(x, now, false);
-    return "{\"exchanges\":[" + o + "]}";
+auto requestJson(const Request& request, TraceDetail detail, Microseconds now) -> std::string {
+    return bodyOf({{"id", fmt::to_string(request.id)}, {"exchange", jsQuote(request.received.name)},
+        {"mapping", jsQuote(request.route.name)}, {"phase", jsQuote(phaseName(request.phase()))},
+        {"server", jsQuote(request.attempts.server)},
+        {"ageUs", fmt::to_string(now - request.received.acceptedAt)},
+        {"sends", fmt::to_string(request.attempts.sent)},
+        {"migrationsLeft", fmt::to_string(request.migrationsLeft())},
+        {"lastEventId", fmt::to_string(request.relayed.lastEventId)},
+        {"steps", detail == TraceDetail::WithSteps ? stepsJson(request) : "[]"}});
+}
+
+auto requestsJson(const std::map<std::int64_t, Request>& requests, Microseconds now) -> std::string {
+    auto list = std::string();
+    for (auto& [id, request] : requests) appendTo(list, requestJson(request, TraceDetail::WithoutSteps, now));
+    return "{\"exchanges\":[" + list + "]}";
+}
+
+auto isNamed(const std::string& name, const std::string& requestName, std::int64_t id) -> bool {
+    return name == requestName || name == fmt::to_string(id);
+}
+
+auto DecisionLog::record(const Request& request, const std::string& how) -> void {
+    auto number = ++lastNumber_;
+    auto json = bodyOf({{"seq", fmt::to_string(number)}, {"exchange", jsQuote(request.received.name)},
+        {"mapping", jsQuote(request.route.name)}, {"end", jsQuote(how)}, {"steps", stepsJson(request)}});
+    decisions_.push_back({number, request.id, request.received.name, json});
+    if (decisions_.size() > MAX_DECISIONS)
+        decisions_.erase(decisions_.begin(), decisions_.begin() + MAX_DECISIONS / 2);
 }
 
-// By its whole name, or by the number at its end.
-auto Edge::explainedRequestJson(const std::string& name, Microseconds now) const -> std::string {
-    auto same = [&](const std::string& exid, std::int64_t id) {
-        return name == exid || name == fmt::to_string(id);
-    };
-    for (auto& [id, x] : requests_)
-        if (same(x.received.name, id)) return liveOne(x, now, true);
-    for (auto i = decisions_.rbegin(); i != decisions_.rend(); ++i)
-        if (same(i->name, i->id)) return i->text;
+auto DecisionLog::find(const std::string& name) const -> std::string {
+    for (auto decision = decisions_.rbegin(); decision != decisions_.rend(); ++decision)
+        if (isNamed(name, decision->requestName, decision->requestId)) return decision->json;
     return "";
 }
 
-auto Edge::decisionsJson(std::int64_t after) const -> std::string {
-    auto o = std::string();
-    for (auto& p : decisions_)
-        if (p.seq > after) o += (o.empty() ? "" : ",") + p.text;
-    return "{\"decisions\":[" + o + "]}";
+auto DecisionLog::since(std::int64_t after) const -> std::string {
+    auto list = std::string();
+    for (auto& decision : decisions_)
+        if (decision.number > after) appendTo(list, decision.json);
+    return "{\"decisions\":[" + list + "]}";
 }
 
 }  // namespace duneturn
--- a/src/routing/edge_port.hpp
+++ b/src/routing/edge_port.hpp
@@ -12,8 +12,8 @@
 struct EdgePort {
     virtual ~EdgePort() = default;
     /// Connects to `address` and sends; Edge::beforeFirstByte is asked just before the first byte.
-    virtual auto startAttempt(std::int64_t request, int attempt, const std::string& server,
-        const std::string& address) -> void = 0;
+    virtual auto startAttempt(
+        std::int64_t request, int attempt, const std::string& server, const std::string& address) -> void = 0;
     /// Closes the attempt's connection for good; what still comes of it is ignored.
     virtual auto cancelAttempt(std::int64_t request, int attempt) -> void = 0;
     /// The head of a streamed answer to the client.
--- a/src/routing/request.hpp
+++ b/src/routing/request.hpp
@@ -41,24 +41,24 @@
 struct RequestAttempts {
     int current = 0;  ///< The present attempt's number; what names another is ignored.
     std::string server, weights;
-    Microseconds chosenAt = 0;            ///< When its server was chosen.
-    Microseconds lastActivityAt = 0;      ///< When its server was last heard, or begun to be written to.
-    Microseconds nextStallCheckAt = 0;    ///< Until then its silence is not looked at again.
-    bool countedInflight = false;         ///< It counts among its server's attempts under way.
-    std::int64_t unreadTokens = 0;        ///< Of the prompt, that its server has not read yet.
-    bool onReusedConnection = false;      ///< Its connection carried another request before.
-    double eventGap = 0;                  ///< Smoothed time between its events, in microseconds.
+    Microseconds chosenAt = 0;          ///< When its server was chosen.
+    Microseconds lastActivityAt = 0;    ///< When its server was last heard, or begun to be written to.
+    Microseconds nextStallCheckAt = 0;  ///< Until then its silence is not looked at again.
+    bool countedInflight = false;       ///< It counts among its server's attempts under way.
+    std::int64_t unreadTokens = 0;      ///< Of the prompt, that its server has not read yet.
+    bool onReusedConnection = false;    ///< Its connection carried another request before.
+    double eventGap = 0;                ///< Smoothed time between its events, in microseconds.
     int eventGapSamples = 0;
-    int headReadOf = 0;                   ///< The attempt whose head was read.
-    AttemptTracker tracker;               ///< What is known of it and of those before it.
-    int sent = 0;                         ///< Attempts that count against the route's maximum.
+    int headReadOf = 0;      ///< The attempt whose head was read.
+    AttemptTracker tracker;  ///< What is known of it and of those before it.
+    int sent = 0;            ///< Attempts that count against the route's maximum.
     int migrations = 0;
-    int heldBack = 0;                     ///< Attempts given up just before the first byte.
-    int refusals = 0;                     ///< Connections refused.
-    bool noneCounted = true;              ///< The budget has not counted the first attempt yet.
-    bool sentUnrepeatable = false;        ///< Sent while the configuration called it not repeatable.
-    std::vector<std::string> tried;       ///< Servers of earlier attempts,
-    std::vector<std::string> rejected;    ///< and those of them where nothing ran.
+    int heldBack = 0;                   ///< Attempts given up just before the first byte.
+    int refusals = 0;                   ///< Connections refused.
+    bool noneCounted = true;            ///< The budget has not counted the first attempt yet.
+    bool sentUnrepeatable = false;      ///< Sent while the configuration called it not repeatable.
+    std::vector<std::string> tried;     ///< Servers of earlier attempts,
+    std::vector<std::string> rejected;  ///< and those of them where nothing ran.
 };
 
 /// What was relayed of a streamed answer.
--- a/src/routing/request_phases.hpp
+++ b/src/routing/request_phases.hpp
@@ -1,7 +1,7 @@
 #pragma once
 // What may follow what in a request: queued, sending, delivering, migrating, finished.
 #include "base/counters.hpp"
-#include "routing/edge.hpp"
+#include "routing/request.hpp"
 
 namespace duneturn {
 
--- a/src/routing/retry_budget.cpp
+++ b/src/routing/retry_budget.cpp
@@ -1,65 +1,107 @@
-// What further sends are paid from.
+#include "routing/retry_budget.hpp"
+
 #include <algorithm>
-#include <cmath>
-#include <cstdint>
-#include <string>
-
-#include "base/time.hpp"
-#include "routing/edge.hpp"
-#include "routing/headers.hpp"
-#include "routing/request_phases.hpp"
+
+#include "base/hash.hpp"
 #include "routing/tuning.hpp"
 
 namespace duneturn {
+namespace {
+
+constexpr auto TOKENS_PER_CREDIT = 4096;  // of a prompt that is read again, beside the attempt itself
+constexpr auto GRANT = 2 * ONE;
+constexpr auto GRANT_RESERVE = 8 * ONE;  // what a node keeps for itself
+constexpr auto GRANT_INTERVAL = 200 * MILLISECOND;
+constexpr auto SHORTAGE_HOLDS = 2 * SECOND;  // how long a shortage is told of
+
+}  // namespace
+
+auto RetryBudget::account(const std::string& service, Microseconds now) -> std::int64_t& {
+    if (routes_.budgetSlack < 0) return credit_;
+    auto& account = accounts_[service];
+    auto cap = std::int64_t(routes_.budgetSlack * double(ONE) / double(fleet_.nodes()));
+    if (!account.opened && fleet_.settled(now)) {  // how many nodes there are is known by now
+        account.opened = true;
+        account.credit += cap / 2;
+    }
+    account.credit = std::min(account.credit, cap);
+    return account.credit;
+}
+
+// Reading a long prompt again costs more than reading a short one; where arrivals are what is counted,
+// each is one.
+auto RetryBudget::cost(const Request& request) const -> std::int64_t {
+    if (faults_.noBudget) return 0;
+    if (dialect_.clientNamesRequests) return ONE;
+    return ONE + ONE * request.limits.sequenceTokens / TOKENS_PER_CREDIT;
+}
+
+auto RetryBudget::allows(const Request& request, Microseconds now) -> bool {
+    return account(request.route.service, now) >= cost(request);
+}
+
+auto RetryBudget::pay(const Request& request, Microseconds now) -> void {
+    account(request.route.service, now) -= cost(request);
+}
 
-// Counts a send. The first of an exchange earns credit; one that carries on a stream whose
-// sender lost its node was begun elsewhere, so it is an extra one.
-auto Edge::count(Request& x, Microseconds now) -> void {
+auto RetryBudget::recordShortage(Microseconds now) -> void {
+    shortageAt_ = now;
+    counters_.add("budget_denied_total");
+}
+
+auto RetryBudget::recordAttempt(Request& request, Microseconds now) -> void {
     counters_.add("sends_total");
-    if (!x.attempts.noneCounted) return;
-    x.attempts.noneCounted = false;
-    auto& c = budgetOf(x.route.service, now);
-    if (x.limits.resumedByClient) {
-        c -= cost(x);
+    if (!request.attempts.noneCounted) return;
+    request.attempts.noneCounted = false;
+    auto& credit = account(request.route.service, now);
+    if (request.limits.resumedByClient) {
+        credit -= cost(request);
         counters_.add("resumptions_total");
         counters_.add("extra_sends_total");
-        counters_.add("prompt_tokens_again_total", x.limits.sequenceTokens);
-    } else {
-        counters_.add("first_sends_total");
-        c += std::int64_t(routes_.budgetShare * ONE);
-        if (routes_.budgetSlack < 0) c = std::min(c, routes_.budgetCap * ONE);
-        budgetOf(x.route.service, now);
+        counters_.add("prompt_tokens_again_total", request.limits.sequenceTokens);
+        return;
     }
+    counters_.add("first_sends_total");
+    credit += std::int64_t(routes_.budgetShare * ONE);
+    if (routes_.budgetSlack < 0) credit = std::min(credit, routes_.budgetCap * ONE);
+    account(request.route.service, now);  // bounds it
 }
 
-// What extra sends are paid from: one purse for all, or where a slack is named one for each
-// pool, since what one pool's exchanges earned must not fall on another pool's servers.
-auto Edge::budgetOf(const std::string& service, Microseconds now) -> std::int64_t& {
-    if (routes_.budgetSlack < 0) return credit_;
-    auto& p = budgets_[service];
-    auto cap = std::int64_t(routes_.budgetSlack * double(ONE) / double(nodeCount()));
-    if (!p.open && nodeCountSettled(now)) {  // how many nodes there are is known by now
-        p.open = true;
-        p.milli += cap / 2;
-    }
-    p.milli = std::min(p.milli, cap);
-    return p.milli;
+auto RetryBudget::countsAsFurther(Execution execution) const -> bool {
+    return execution != Execution::NotArrived || !dialect_.clientNamesRequests;
 }
 
-auto Edge::budgetAllows(const Request& x, Microseconds now) -> bool {
-    return budgetOf(x.route.service, now) >= cost(x);
+auto RetryBudget::receiveGrant(std::int64_t credit) -> void {
+    credit_ = std::min(credit_ + credit, routes_.budgetCap * ONE);
+    counters_.add("grants_taken_total");
 }
 
-// Reading a long prompt again costs more than reading a short one; where arrivals are what is
-// counted, each is one.
-auto Edge::cost(const Request& x) const -> std::int64_t {
-    if (broken.noBudget) return 0;
-    return dialect_.clientNamesRequests ? ONE : ONE + ONE * x.limits.sequenceTokens / 4096;
+auto RetryBudget::tick(Node& node, Microseconds now) -> void {
+    node.setCredit(credit_, shortageAt_ && now - shortageAt_ < SHORTAGE_HOLDS ? 1 : 0);
+    if (now - grantedAt_ > GRANT_INTERVAL && credit_ > GRANT_RESERVE) {
+        grantedAt_ = now;
+        grantToOthers(node, now);
+    }
+    counters_.set("credit_milli", credit_);
 }
 
-// Where arrivals are what is counted, what did not arrive is no extra send.
-auto Edge::isExtraSend(Execution execution) const -> bool {
-    return execution != Execution::NotArrived || !dialect_.clientNamesRequests;
+// Spare credit goes to nodes that lack it: taken off here first, so none is minted. Of several nodes that
+// could grant, the one that rendezvous hashing puts first does.
+auto RetryBudget::grantToOthers(Node& node, Microseconds now) -> void {
+    auto isFirst = [&](const std::string& poor) {
+        for (auto& [name, known] : node.rows())
+            if (name != poor && now - known.at < ALIVE && known.record.credit > GRANT_RESERVE
+                && rank(poor, name) > rank(poor, node.me().node))
+                return false;
+        return true;
+    };
+    for (auto& [name, known] : node.rows()) {
+        auto isPoor = known.record.want && known.record.credit < GRANT;
+        if (now - known.at >= ALIVE || !isPoor || credit_ <= GRANT_RESERVE || !isFirst(name)) continue;
+        credit_ -= GRANT;
+        node.creditGrant(name, GRANT, now);
+        counters_.add("grants_given_total");
+    }
 }
 
 }  // namespace duneturn
--- a/src/routing/route_table.cpp
+++ b/src/routing/route_table.cpp
@@ -1,179 +1,202 @@
-// Compiles a configuration into the rules that bind requests, and binds them.
+#include "routing/route_table.hpp"
+
 #include <algorithm>
-#include <cmath>
+#include <cstddef>
 #include <cstdint>
 #include <string>
 #include <string_view>
 #include <utility>
 #include <vector>
 
-#include "base/hash.hpp"
-#include "base/json.hpp"
-#include "routing/edge.hpp"
 #include "routing/headers.hpp"
-#include "routing/request_phases.hpp"
-#include "routing/tuning.hpp"
 
 namespace duneturn {
+namespace {
+
+constexpr auto LEAST_FITNESS = 0.3;           // below it a server is used only where no fitter one is left
+constexpr auto URGENT = 5;                    // from this urgency on a request may fill a server
+constexpr auto LESS_URGENT_THRESHOLD = 0.85;  // less urgent work leaves a little room for what is more urgent
+constexpr auto QUEUE_SHARE = 5;  // whoever waits longer than this part of the target is better told at once
+
+// A member that is an object; an empty one if there is none.
+auto section(const rapidjson::Value& value, const char* name) -> const rapidjson::Value& {
+    static const auto NONE = rapidjson::Value(rapidjson::kObjectType);
+    return value.IsObject() && value.HasMember(name) ? value[name] : NONE;
+}
+
+auto readFigures(const rapidjson::Value& config, RouteTable& table) -> void {
+    auto& budget = section(config, "budget");
+    table.budgetShare = jsNum(budget, "share", table.budgetShare);
+    table.budgetCap = jsInt(budget, "cap", table.budgetCap);
+    table.budgetSlack = jsNum(budget, "slack", table.budgetSlack);
+    auto& ramp = section(config, "ramp");
+    table.rampDuration = jsInt(ramp, "overUs", table.rampDuration);
+    table.rampFirstSlots = int(jsInt(ramp, "first", table.rampFirstSlots));
+    auto& cold = section(config, "cold");
+    table.coldOverrun = jsNum(cold, "overrun", table.coldOverrun);
+    table.coldSlack = jsNum(cold, "slack", table.coldSlack);
+}
 
-auto compileRoutes(const rapidjson::Value& c, std::int64_t configVersion) -> RouteTable {
-    auto r = RouteTable();
-    r.configVersion = configVersion;
-    auto sub = [](const rapidjson::Value& v, const char* k) -> const rapidjson::Value& {
-        static const auto none = rapidjson::Value(rapidjson::kObjectType);
-        return v.IsObject() && v.HasMember(k) ? v[k] : none;
-    };
-    r.budgetShare = jsNum(sub(c, "budget"), "share", r.budgetShare);
-    r.budgetCap = jsInt(sub(c, "budget"), "cap", r.budgetCap);
-    r.budgetSlack = jsNum(sub(c, "budget"), "slack", r.budgetSlack);
-    r.rampDuration = jsInt(sub(c, "ramp"), "overUs", r.rampDuration);
-    r.rampFirstSlots = int(jsInt(sub(c, "ramp"), "first", r.rampFirstSlots));
-    r.coldOverrun = jsNum(sub(c, "cold"), "overrun", r.coldOverrun);
-    r.coldSlack = jsNum(sub(c, "cold"), "slack", r.coldSlack);
-    for (auto& m : sub(c, "pools").GetObject()) {
-        auto& p = r.services[m.name.GetString()];
-        p.maxConnections = int(jsInt(m.value, "maxConns"));
-        p.slots = int(jsInt(m.value, "slots"));
-        p.eventTokens = int(jsInt(m.value, "stride"));
-        p.coldDuration = jsInt(m.value, "coldUs");
-        p.coldRate = jsNum(m.value, "coldRate");
-        p.memoryTokens = jsInt(m.value, "kvTokens");
-        p.isEngine = jsBool(m.value, "engine");
+auto readServices(const rapidjson::Value& config, RouteTable& table) -> void {
+    for (auto& member : section(config, "pools").GetObject()) {
+        auto& rule = table.services[member.name.GetString()];
+        rule.maxConnections = int(jsInt(member.value, "maxConns"));
+        rule.slots = int(jsInt(member.value, "slots"));
+        rule.eventTokens = int(jsInt(member.value, "stride"));
+        rule.coldDuration = jsInt(member.value, "coldUs");
+        rule.coldRate = jsNum(member.value, "coldRate");
+        rule.memoryTokens = jsInt(member.value, "kvTokens");
+        rule.isEngine = jsBool(member.value, "engine");
     }
-    for (auto& m : sub(c, "models").GetObject()) {
-        auto& d = r.models[m.name.GetString()];
-        d.migrationLimit = int(jsInt(m.value, "migrationLimit", 0));
-        d.maxSequenceTokens = jsInt(m.value, "maxSequence", d.maxSequenceTokens);
+}
+
+auto readModels(const rapidjson::Value& config, RouteTable& table) -> void {
+    for (auto& member : section(config, "models").GetObject()) {
+        auto& rule = table.models[member.name.GetString()];
+        rule.migrationLimit = int(jsInt(member.value, "migrationLimit", 0));
+        rule.maxSequenceTokens = jsInt(member.value, "maxSequence", rule.maxSequenceTokens);
     }
-    if (!c.HasMember("mappings")) return r;
-    r.routes.reserve(c["mappings"].Size());
-    for (auto& v : c["mappings"].GetArray()) {
-        auto m = Route();
-        m.name = jsStr(v, "name");
-        m.host = toLower(jsStr(v, "host"));
-        m.method = jsStr(v, "method", "POST");
-        m.path = jsStr(v, "path");
-        if (m.path.ends_with("*")) m.pathIsPrefix = true, m.path.pop_back();
-        m.service = jsStr(v, "pool");
-        if (v.HasMember("pools"))
-            for (auto& p : v["pools"].GetArray())
-                m.serviceShares.emplace_back(jsStr(p, "pool"), jsInt(p, "share"));
-        if (!m.serviceShares.empty()) m.service = m.serviceShares[0].first;
-        m.model = jsStr(v, "model");
-        m.homes = jsList(v, "homes");
-        if (auto h = jsStr(v, "home"); !h.empty()) m.homes.push_back(h);
-        m.spillRegions = jsList(v, "spill");
-        m.spillOccupancy = jsNum(v, "spillAt", m.spillOccupancy);
-        m.stream = jsBool(v, "stream");
-        m.resumable = jsBool(v, "Resumable");
-        m.repeatable = jsBool(v, "repeatable");
-        m.maxAttempts = int(jsInt(v, "MaxTries", m.maxAttempts));
-        m.urgency = int(jsInt(v, "urgency", m.urgency));
-        m.timeout = jsInt(v, "deadlineUs", m.timeout);
-        m.firstByteTarget = jsInt(v, "aimUs");
-        m.eventGapTarget = jsInt(v, "gapUs");
-        m.idleTimeoutConfigured = v.HasMember("idleUs");
-        m.idleTimeout = jsInt(v, "idleUs", m.idleTimeout);
-        // Whoever waits longer than a quarter of the aim would better have been told at once.
-        m.queueTimeout = jsInt(v, "queueUs",
-            m.firstByteTarget ? std::min(m.queueTimeout, m.firstByteTarget / 5) : m.queueTimeout);
-        m.queueCapacity = std::size_t(jsInt(v, "queue", std::int64_t(m.queueCapacity)));
-        m.affinityBytes = std::size_t(jsInt(v, "affinity"));
-        if (auto i = r.models.find(m.model); i != r.models.end())
-            m.migrationLimit = i->second.migrationLimit, m.maxSequenceTokens = i->second.maxSequenceTokens;
-        m.steps = {{SelectionStage::Service}, {SelectionStage::Listed}, {SelectionStage::Evacuated}};
-        if (!m.homes.empty()) m.steps.push_back({SelectionStage::Home});
-        m.steps.push_back({SelectionStage::Weights});
-        m.steps.push_back({SelectionStage::Untried});
-        m.steps.push_back({SelectionStage::Fit, 0.3});
-        m.steps.push_back({SelectionStage::Ramp});
-        // Less urgent work leaves a little room for what is more urgent.
-        m.steps.push_back({SelectionStage::Room, m.urgency >= 5 ? 1.0 : 0.85});
-        // Several homes are weighed as regions are; a single one leaves nothing to weigh.
-        if (m.homes.size() != 1) m.steps.push_back({SelectionStage::Near, m.spillOccupancy});
-        m.steps.push_back({SelectionStage::Pick, double(m.affinityBytes > 0)});
-        auto& h = r.hosts[m.host];
-        (m.pathIsPrefix ? h.prefix : h.exact)[m.path].push_back(int(r.routes.size()));
-        if (m.pathIsPrefix) h.lengths.insert(m.path.size());
-        r.routes.push_back(std::move(m));
+}
+
+// Which requests a route takes, and where they may go.
+auto readPlaces(const rapidjson::Value& value, Route& route) -> void {
+    route.name = jsStr(value, "name");
+    route.host = toLower(jsStr(value, "host"));
+    route.method = jsStr(value, "method", "POST");
+    route.path = jsStr(value, "path");
+    route.pathIsPrefix = route.path.ends_with("*");
+    if (route.pathIsPrefix) route.path.pop_back();
+    route.service = jsStr(value, "pool");
+    if (value.HasMember("pools"))
+        for (auto& service : value["pools"].GetArray())
+            route.serviceShares.emplace_back(jsStr(service, "pool"), jsInt(service, "share"));
+    if (!route.serviceShares.empty()) route.service = route.serviceShares[0].first;
+    route.model = jsStr(value, "model");
+    route.homes = jsList(value, "homes");
+    if (auto home = jsStr(value, "home"); !home.empty()) route.homes.push_back(home);
+    route.spillRegions = jsList(value, "spill");
+    route.spillOccupancy = jsNum(value, "spillAt", route.spillOccupancy);
+}
+
+// What may be done with a route's requests, and for how long.
+auto readLimits(const rapidjson::Value& value, const RouteTable& table, Route& route) -> void {
+    route.stream = jsBool(value, "stream");
+    route.resumable = jsBool(value, "Resumable");
+    route.repeatable = jsBool(value, "repeatable");
+    route.maxAttempts = int(jsInt(value, "MaxTries", route.maxAttempts));
+    route.urgency = int(jsInt(value, "urgency", route.urgency));
+    route.timeout = jsInt(value, "deadlineUs", route.timeout);
+    route.firstByteTarget = jsInt(value, "aimUs");
+    route.eventGapTarget = jsInt(value, "gapUs");
+    route.idleTimeoutConfigured = value.HasMember("idleUs");
+    route.idleTimeout = jsInt(value, "idleUs", route.idleTimeout);
+    auto target = route.firstByteTarget;
+    auto queueTimeout = target ? std::min(route.queueTimeout, target / QUEUE_SHARE) : route.queueTimeout;
+    route.queueTimeout = jsInt(value, "queueUs", queueTimeout);
+    route.queueCapacity = std::size_t(jsInt(value, "queue", std::int64_t(route.queueCapacity)));
+    route.affinityBytes = std::size_t(jsInt(value, "affinity"));
+    if (auto model = table.models.find(route.model); model != table.models.end()) {
+        route.migrationLimit = model->second.migrationLimit;
+        route.maxSequenceTokens = model->second.maxSequenceTokens;
     }
-    return r;
 }
 
-auto RouteTable::match(std::string_view me, std::string_view host, std::string_view p) const -> int {
-    p = p.substr(0, p.find('?'));
-    if (!host.empty() && host.back() != ']')  // the colons of an address in brackets are no port
-        if (auto i = host.rfind(':'); i != std::string_view::npos) host = host.substr(0, i);
-    // Of one host and path the mapping of this very method counts first, then the first named.
-    auto best = [&](const Table<std::vector<int>>& t, std::string_view k) {
-        auto b = -1;
-        if (auto i = t.find(k); i != t.end())
-            for (auto j : i->second) {
-                auto& m = routes[std::size_t(j)].method;
-                if (m == me) return j;
-                if (m == "*" && b < 0) b = j;
-            }
-        return b;
-    };
-    auto in = [&](const std::string& h) {
-        auto i = hosts.find(h);
-        if (i == hosts.end()) return -1;
-        auto b = best(i->second.exact, p);
-        for (auto n : i->second.lengths) {
-            if (n > p.size()) continue;
-            if (b >= 0 && n < p.size()) break;
-            // As long as a prefix can be, it is as long as the path itself: the first named counts.
-            if (auto j = best(i->second.prefix, p.substr(0, n)); j >= 0) {
-                auto same = b >= 0
-                    && (routes[std::size_t(b)].method == "*") == (routes[std::size_t(j)].method == "*");
-                if (b < 0 || (same ? j < b : routes[std::size_t(b)].method == "*")) b = j;
-                break;
-            }
-        }
-        return b;
-    };
-    auto b = host.empty() ? -1 : in(toLower(host));
-    return b >= 0 ? b : in("");
+// The stages that narrow a route's servers.
+auto selectionSteps(const Route& route) -> std::vector<SelectionStep> {
+    auto steps = std::vector<SelectionStep>{
+        {SelectionStage::Service}, {SelectionStage::Listed}, {SelectionStage::Evacuated}};
+    if (!route.homes.empty()) steps.push_back({SelectionStage::Home});
+    steps.push_back({SelectionStage::Weights});
+    steps.push_back({SelectionStage::Untried});
+    steps.push_back({SelectionStage::Fit, LEAST_FITNESS});
+    steps.push_back({SelectionStage::Ramp});
+    steps.push_back({SelectionStage::Room, route.urgency >= URGENT ? 1.0 : LESS_URGENT_THRESHOLD});
+    // Several homes are weighed as regions are; a single one leaves nothing to weigh.
+    if (route.homes.size() != 1) steps.push_back({SelectionStage::Near, route.spillOccupancy});
+    steps.push_back({SelectionStage::Pick, double(route.affinityBytes > 0)});
+    return steps;
 }
 
-// What is an exchange's own in its mapping: the pool that its name draws, and its model.
-auto Edge::adapt(Request& x, const Route& m) const -> Route {
-    auto o = m;
-    if (!o.serviceShares.empty()) {
-        auto sum = std::int64_t(0);
-        for (auto& [p, k] : o.serviceShares) sum += k;
-        auto at = std::int64_t(hash64(x.received.name, 11) % std::uint64_t(std::max<std::int64_t>(1, sum)));
-        for (auto& [p, k] : o.serviceShares) {
-            if (at < k) {
-                o.service = p;
-                break;
-            }
-            at -= k;
-        }
+auto addRoute(RouteTable& table, Route route) -> void {
+    auto& host = table.hosts[route.host];
+    auto& paths = route.pathIsPrefix ? host.prefix : host.exact;
+    paths[route.path].push_back(int(table.routes.size()));
+    if (route.pathIsPrefix) host.lengths.insert(route.path.size());
+    table.routes.push_back(std::move(route));
+}
+
+// A host without its port.
+auto withoutPort(std::string_view host) -> std::string_view {
+    if (host.empty() || host.back() == ']') return host;  // the colons of an address in brackets are no port
+    return host.substr(0, host.rfind(':'));
+}
+
+}  // namespace
+
+auto compileRoutes(const rapidjson::Value& config, std::int64_t configVersion) -> RouteTable {
+    auto table = RouteTable();
+    table.configVersion = configVersion;
+    readFigures(config, table);
+    readServices(config, table);
+    readModels(config, table);
+    if (!config.HasMember("mappings")) return table;
+    table.routes.reserve(config["mappings"].Size());
+    for (auto& value : config["mappings"].GetArray()) {
+        auto route = Route();
+        readPlaces(value, route);
+        readLimits(value, table, route);
+        route.steps = selectionSteps(route);
+        addRoute(table, std::move(route));
+    }
+    return table;
+}
+
+// Of one host and path the route of this very method counts first, then the first named.
+auto RouteTable::matchMethod(
+    const Table<std::vector<int>>& paths, std::string_view method, std::string_view path) const -> int {
+    auto found = paths.find(path);
+    if (found == paths.end()) return -1;
+    auto ofAnyMethod = -1;
+    for (auto index : found->second) {
+        auto& own = routes[std::size_t(index)].method;
+        if (own == method) return index;
+        if (own == "*" && ofAnyMethod < 0) ofAnyMethod = index;
     }
-    if (!x.received.model.empty() && o.stream) {
-        o.model = x.received.model;
-        auto i = routes_.models.find(o.model);
-        o.migrationLimit = i == routes_.models.end() ? 0 : i->second.migrationLimit;
-        if (i != routes_.models.end()) o.maxSequenceTokens = i->second.maxSequenceTokens;
+    return ofAnyMethod;
+}
+
+auto RouteTable::matchHost(const std::string& host, std::string_view method, std::string_view path) const
+    -> int {
+    auto found = hosts.find(host);
+    if (found == hosts.end()) return -1;
+    auto takesAnyMethod = [&](int index) { return routes[std::size_t(index)].method == "*"; };
+    auto best = matchMethod(found->second.exact, method, path);
+    for (auto length : found->second.lengths) {
+        if (length > path.size()) continue;
+        if (best >= 0 && length < path.size()) break;
+        auto index = matchMethod(found->second.prefix, method, path.substr(0, length));
+        if (index < 0) continue;
+        // A prefix as long as the path itself rivals the exact path: this very method counts first, then
+        // the first named.
+        auto areAlike = best >= 0 && takesAnyMethod(best) == takesAnyMethod(index);
+        if (best < 0 || (areAlike ? index < best : takesAnyMethod(best))) best = index;
+        break;
     }
-    return o;
+    return best;
+}
+
+auto RouteTable::match(std::string_view method, std::string_view host, std::string_view path) const -> int {
+    path = path.substr(0, path.find('?'));
+    host = withoutPort(host);
+    auto best = host.empty() ? -1 : matchHost(toLower(host), method, path);
+    return best >= 0 ? best : matchHost("", method, path);
 }
 
-// The newest configuration binds an exchange under way in all but its deadline: what it says
-// of this method and path is what counts. False if that is another mapping now.
-auto Edge::bind(Request& x) -> bool {
-    if (x.limits.routesRevision == routesRevision_ || broken.oldRules) return true;
-    auto i = routes_.match(x.received.method, x.received.host, x.received.path);
-    if (i < 0) return false;
-    auto m = adapt(x, routes_.routes[std::size_t(i)]);
-    auto begun = x.attempts.tracker.mayHaveRun() || x.attempts.sent > 0 || !dialect_.clientNamesRequests;
-    if (begun && (m.name != x.route.name || m.model != x.route.model || m.stream != x.route.stream))
-        return false;
-    x.route = m;
-    x.limits.routesRevision = routesRevision_;
-    x.limits.immovable = x.limits.immovable || x.limits.sequenceTokens > x.route.maxSequenceTokens;
-    return true;
+auto serviceRuleOf(const RouteTable& routes, const Dialect& dialect, const std::string& service)
+    -> const ServiceRule* {
+    static const auto EMPTY = ServiceRule();
+    if (auto found = routes.services.find(service); found != routes.services.end()) return &found->second;
+    return dialect.clientNamesRequests ? &EMPTY : nullptr;
 }
 
 }  // namespace duneturn
--- a/src/routing/route_table.hpp
+++ b/src/routing/route_table.hpp
@@ -14,6 +14,7 @@
 #include "base/hash.hpp"
 #include "base/json.hpp"
 #include "base/time.hpp"
+#include "routing/dialect.hpp"
 
 namespace duneturn {
 
@@ -61,7 +62,7 @@
     std::string name, host, method, path, service, model;
     /// Services by their shares of the requests, instead of the one service.
     std::vector<std::pair<std::string, std::int64_t>> serviceShares;
-    std::vector<std::string> homes;         ///< Regions whose servers alone may be used; "@near": the client's.
+    std::vector<std::string> homes;  ///< Regions whose servers alone may be used; "@near": the client's.
     std::vector<std::string> spillRegions;  ///< Regions that take what the client's region has no room for.
     double spillOccupancy = 0.9;            ///< From which on the client's region counts as full.
     bool pathIsPrefix = false;
@@ -88,15 +89,16 @@
 /// The routes of one configuration, with the figures that hold for all of them.
 struct RouteTable {
     std::int64_t configVersion = 0, epoch = 0;
+    std::int64_t revision = 0;  ///< Of this table at this node; rises with each that is compiled.
     std::vector<Route> routes;
     std::map<std::string, ServiceRule> services;
     std::map<std::string, ModelRule> models;
     /// Spare attempts of each service over all nodes; below 0: one budget of budgetCap for all services.
     double budgetSlack = -1;
-    double budgetShare = 0.2;      ///< Further attempts that each first one earns.
-    std::int64_t budgetCap = 50;   ///< Attempts that a node may save up.
-    double coldOverrun = 1.5;      ///< A cold server bears its rate times this,
-    double coldSlack = 5;          ///< and so many requests more.
+    double budgetShare = 0.2;     ///< Further attempts that each first one earns.
+    std::int64_t budgetCap = 50;  ///< Attempts that a node may save up.
+    double coldOverrun = 1.5;     ///< A cold server bears its rate times this,
+    double coldSlack = 5;         ///< and so many requests more.
     Microseconds rampDuration = 20 * SECOND;
     int rampFirstSlots = 2;  ///< Slots of a server at its ramp's beginning, of all nodes.
 
@@ -116,9 +118,20 @@
         std::set<std::size_t, std::greater<>> lengths;  // of the prefixes
     };
     Table<Host> hosts;  ///< By name in lower case; "" for routes of any host.
+
+  private:
+    [[nodiscard]] auto matchMethod(
+        const Table<std::vector<int>>& paths, std::string_view method, std::string_view path) const -> int;
+    [[nodiscard]] auto matchHost(
+        const std::string& host, std::string_view method, std::string_view path) const -> int;
 };
 
 /// The routes of a configuration that configCheck found sound.
 [[nodiscard]] auto compileRoutes(const rapidjson::Value& config, std::int64_t configVersion) -> RouteTable;
 
+/// What a configuration says of a service. Where clients name requests a service without a rule has an
+/// empty one; elsewhere null.
+[[nodiscard]] auto serviceRuleOf(const RouteTable& routes, const Dialect& dialect, const std::string& service)
+    -> const ServiceRule*;
+
 }  // namespace duneturn
--- a/src/routing/server_statistics.cpp
+++ b/src/routing/server_statistics.cpp
@@ -1,128 +1,150 @@
-// What is known of the servers: their load, fitness and pace, as answers and failures tell it.
+#include "routing/server_statistics.hpp"
+
 #include <algorithm>
 #include <cmath>
+#include <cstddef>
 #include <cstdint>
 #include <string>
 #include <vector>
 
 #include "base/time.hpp"
-#include "routing/edge.hpp"
 #include "routing/headers.hpp"
-#include "routing/request_phases.hpp"
 #include "routing/tuning.hpp"
 
 namespace duneturn {
+namespace {
 
-auto Edge::occupancy(const std::string& name, const Server& s) -> double {
-    auto& f = statistics_[name];
-    if (s.seen > f.reportAt) {
-        f.reportAt = s.seen;
-        f.inflightAtReport = f.inflight;
-    }
-    auto own = double(f.inflight);
-    if (!s.seen) return own;
-    return std::max(own, double(s.load.prefill + s.load.decode + f.inflight - f.inflightAtReport));
-}
-
-// The median of what is known of a pool's servers; 0 of fewer than three.
-auto Edge::median(const std::string& service, double ServerStatistics::*what) const -> double {
-    auto v = std::vector<double>();
-    for (auto& [n, s] : node_.servers())
-        if (auto i = statistics_.find(n);
-            i != statistics_.end() && s.listing.serviceName == service && i->second.*what > 0)
-            v.push_back(i->second.*what);
-    if (v.size() < 3) return 0;
-    std::nth_element(v.begin(), v.begin() + std::ptrdiff_t(v.size() / 2), v.end());
-    return v[v.size() / 2];
-}
-
-auto Edge::fitnessOf(const std::string& s, Microseconds now) -> double {
-    auto& f = statistics_[s];
-    return std::min(1.0, f.fitness + double(now - f.fitnessAt) / double(20 * SECOND));
-}
-
-auto Edge::lowerFitness(const std::string& s, double k, Microseconds now) -> void {
-    auto& f = statistics_[s];
-    f.fitness = fitnessOf(s, now) * k;
-    f.fitnessAt = now;
-}
-
-auto Edge::serviceRule(const std::string& service) const -> const ServiceRule* {
-    static const auto plain = ServiceRule();
-    if (auto i = routes_.services.find(service); i != routes_.services.end()) return &i->second;
-    return dialect_.clientNamesRequests ? &plain : nullptr;
-}
-
-// How many nodes share what the fleet may do: all that were heard of lately, so that a part of
-// the fleet that is cut off takes no more than its part.
-auto Edge::nodeCount() const -> std::size_t {
-    return std::max({node_.rows().size() + 1, rosterSize_, mostNodes_});
-}
-
-// What a server says of itself in the headers of a reply.
-auto Edge::readLoad(const std::string& name, const Headers& h, Microseconds now) -> void {
-    auto& f = statistics_[name];
-    f.lastHeardAt = now;
-    f.ejections = 0;
-    if (auto t = header(h, dialect_.load); !t.empty()) {
-        auto v = std::vector<std::int64_t>();
-        if (parseNumbers(t, v) && v.size() == 3) {
-            auto n = [&](int i) { return int(std::min<std::int64_t>(v[std::size_t(i)], 1 << 20)); };
-            f.running = n(0), f.waiting = n(1), f.slots = n(2);
-            f.loadAt = now;
-            f.inflightAtLoad = f.inflight;
-            auto s = node_.servers().find(name);
-            auto k = double(std::max(0, f.running + f.waiting - f.inflightAtLoad));
-            if (s != node_.servers().end()) {
-                auto& p = serviceStatistics_[s->second.listing.serviceName];
-                p.others += (p.loads++ ? 0.05 : 1) * (k - p.others);
-            }
-        }
+constexpr auto FIRST_BYTE_SMOOTHING = Smoothing{0.8, 0.2};
+constexpr auto EVENT_GAP_SMOOTHING = Smoothing{0.9, 0.1};
+constexpr auto HOLD_TIME_SMOOTHING = Smoothing{0.95, 0.05};
+constexpr auto OWN_TOKENS_SMOOTHING = Smoothing{0.98, 0.02};
+// What is left of the weight of earlier requests with each new one: some hundreds of them count.
+constexpr auto RECENT_REQUESTS_DECAY = 0.995;
+constexpr auto MOST_REPORTED = std::int64_t(1 << 20);  // a server's number beyond it is believed no further
+constexpr auto MOST_COLD_MS = std::int64_t(3600000);   // an hour
+
+}  // namespace
+
+auto ServerStatistics::isSilent(Microseconds now) const -> bool {
+    return inflight > 0 && unansweredSince > lastHeardAt
+        && double(now - unansweredSince) > std::max(double(400 * MILLISECOND), 5 * firstByteTime);
+}
+
+auto ServerStatistics::recordFirstByte(Microseconds taken) -> void {
+    firstByteTime = FIRST_BYTE_SMOOTHING.next(firstByteTime, double(taken));
+}
+
+auto ServerStatistics::recordEventGap(Microseconds gap) -> void {
+    eventGap = EVENT_GAP_SMOOTHING.next(eventGap, double(gap));
+}
+
+auto ServiceStatistics::recordHoldTime(Microseconds taken) -> void {
+    holdTime = HOLD_TIME_SMOOTHING.next(holdTime, double(taken));
+}
+
+auto ServiceStatistics::recordOwnTokens(std::int64_t tokens) -> void {
+    ownTokens = OWN_TOKENS_SMOOTHING.next(ownTokens, double(tokens));
+}
+
+auto ServiceStatistics::recordRequest(const std::string& region) -> void {
+    recentRequests = recentRequests * RECENT_REQUESTS_DECAY + 1;
+    for (auto& [name, requests] : boundByRegion) requests *= RECENT_REQUESTS_DECAY;
+    if (!region.empty()) boundByRegion[region] += 1;
+}
+
+auto ServiceStatistics::recordRequestsOfOthers(double requests) -> void {
+    requestsOfOthers += (loadReports++ ? 0.05 : 1) * (requests - requestsOfOthers);
+}
+
+auto ServerStatisticsTable::find(const std::string& server) const -> const ServerStatistics* {
+    auto known = servers_.find(server);
+    return known == servers_.end() ? nullptr : &known->second;
+}
+
+auto ServerStatisticsTable::reportedLoad(const std::string& name, const Server& server) -> double {
+    auto& statistics = of(name);
+    if (server.seen > statistics.reportAt) {
+        statistics.reportAt = server.seen;
+        statistics.inflightAtReport = statistics.inflight;
     }
-    if (auto t = header(h, dialect_.coldMs); !t.empty())
-        if (auto n = parseNumber(t); n >= 0)
-            f.coldUntil = n ? now + std::min<std::int64_t>(n, 3600000) * MILLISECOND : 0;
-}
-
-auto Edge::slots(const std::string& name, const Server& s, const ServiceRule& pr) -> int {
-    auto& f = statistics_[name];
-    return std::max(1, f.slots ? f.slots : s.listing.slots ? int(s.listing.slots) : pr.slots);
-}
-
-// How many exchanges a server holds: ours, and what it last said of others'. As those come to
-// their ends, what was said tells less and less, and the pool's average more.
-auto Edge::load(const std::string& name, const Server& s, Microseconds now) -> double {
-    auto& f = statistics_[name];
-    auto own = double(f.inflight);
-    if (s.seen > f.loadAt) return occupancy(name, s);
-    auto& p = serviceStatistics_[s.listing.serviceName];
-    if (!f.loadAt) return own + p.others;
-    auto others = double(std::max(0, f.running + f.waiting - f.inflightAtLoad));
-    auto age = double(now - f.loadAt);
-    auto w = std::exp(-age / std::max(p.held, double(20 * MILLISECOND)));
-    auto e = own + others * w + p.others * (1 - w);
+    auto own = double(statistics.inflight);
+    if (!server.seen) return own;
+    return std::max(own,
+        double(server.load.prefill + server.load.decode + statistics.inflight - statistics.inflightAtReport));
+}
+
+auto ServerStatisticsTable::load(const std::string& name, const Server& server, Microseconds now) -> double {
+    auto& statistics = of(name);
+    auto own = double(statistics.inflight);
+    if (server.seen > statistics.loadAt) return reportedLoad(name, server);
+    auto& service = ofService(server.listing.serviceName);
+    if (!statistics.loadAt) return own + service.requestsOfOthers;
+    auto others = double(std::max(0, statistics.running + statistics.waiting - statistics.inflightAtLoad));
+    auto age = double(now - statistics.loadAt);
+    auto still = std::exp(-age / std::max(service.holdTime, double(20 * MILLISECOND)));
+    auto expected = own + others * still + service.requestsOfOthers * (1 - still);
     auto trust =
         age <= double(BELIEVED) ? 1 : std::max(0.0, 1 - (age - double(BELIEVED)) / double(2 * BELIEVED));
-    return own + (e - own) * trust;
+    return own + (expected - own) * trust;
+}
+
+auto ServerStatisticsTable::slots(const std::string& name, const Server& server, const ServiceRule& rule)
+    -> int {
+    if (auto said = of(name).slots) return std::max(1, said);
+    return std::max(1, server.listing.slots ? int(server.listing.slots) : rule.slots);
+}
+
+auto ServerStatisticsTable::median(const std::string& service, double ServerStatistics::*figure) const
+    -> double {
+    auto values = std::vector<double>();
+    for (auto& [name, server] : node_.servers()) {
+        if (server.listing.serviceName != service) continue;
+        if (auto known = find(name); known && known->*figure > 0) values.push_back(known->*figure);
+    }
+    if (values.size() < 3) return 0;
+    auto middle = values.begin() + std::ptrdiff_t(values.size() / 2);
+    std::nth_element(values.begin(), middle, values.end());
+    return *middle;
+}
+
+auto ServerStatisticsTable::readAnswer(
+    const std::string& name, const Headers& headers, const Dialect& dialect, Microseconds now) -> void {
+    auto& statistics = of(name);
+    statistics.lastHeardAt = now;
+    statistics.ejection.clearEjections();
+    if (auto text = header(headers, dialect.load); !text.empty()) readLoad(name, text, now);
+    if (auto text = header(headers, dialect.coldMs); !text.empty())
+        if (auto number = parseNumber(text); number >= 0)
+            statistics.coldUntil = number ? now + std::min(number, MOST_COLD_MS) * MILLISECOND : 0;
 }
 
-// A server that did not connect, or broke, is left alone for a while; see SelectionStage::Fit.
-auto Edge::eject(const std::string& name, Microseconds now) -> void {
-    auto& f = statistics_[name];
-    f.ejectedUntil = now + std::min(4 * SECOND, 500 * MILLISECOND << std::min(f.ejections, 3));
-    f.ejections++;
+// "RUNNING,WAITING,SLOTS".
+auto ServerStatisticsTable::readLoad(const std::string& name, const std::string& text, Microseconds now)
+    -> void {
+    auto numbers = std::vector<std::int64_t>();
+    if (!parseNumbers(text, numbers) || numbers.size() != 3) return;
+    auto bounded = [&](std::size_t at) { return int(std::min(numbers[at], MOST_REPORTED)); };
+    auto& statistics = of(name);
+    statistics.running = bounded(0);
+    statistics.waiting = bounded(1);
+    statistics.slots = bounded(2);
+    statistics.loadAt = now;
+    statistics.inflightAtLoad = statistics.inflight;
+    auto server = node_.servers().find(name);
+    if (server == node_.servers().end()) return;
+    auto others = std::max(0, statistics.running + statistics.waiting - statistics.inflightAtLoad);
+    ofService(server->second.listing.serviceName).recordRequestsOfOthers(double(others));
 }
 
-auto Edge::isSilent(const ServerStatistics& f, Microseconds now) const -> bool {
-    return f.inflight > 0 && f.unansweredSince > f.lastHeardAt
-        && double(now - f.unansweredSince) > std::max(double(400 * MILLISECOND), 5 * f.firstByteTime);
+auto ServerStatisticsTable::inflight() const -> int {
+    auto sum = 0;
+    for (auto& [name, statistics] : servers_) sum += statistics.inflight;
+    return sum;
 }
 
-auto Edge::promptRead(Request& x) -> void {
-    if (!x.attempts.unreadTokens) return;
-    auto& f = statistics_[x.attempts.server];
-    f.unreadTokens = std::max(0.0, f.unreadTokens - double(x.attempts.unreadTokens));
-    x.attempts.unreadTokens = 0;
+auto ServerStatisticsTable::forgetUnlisted() -> void {
+    std::erase_if(servers_,
+        [&](auto& entry) { return entry.second.inflight == 0 && !node_.servers().count(entry.first); });
 }
 
 }  // namespace duneturn
--- a/src/routing/slow_start.cpp
+++ b/src/routing/slow_start.cpp
@@ -1,73 +1,96 @@
-// How much a server that has just started, or come back, may be sent.
+#include "routing/slow_start.hpp"
+
 #include <algorithm>
-#include <cmath>
-#include <string>
+#include <iterator>
+#include <utility>
 
 #include "base/hash.hpp"
-#include "base/time.hpp"
-#include "routing/edge.hpp"
-#include "routing/headers.hpp"
-#include "routing/request_phases.hpp"
-#include "routing/tuning.hpp"
 
 namespace duneturn {
+namespace {
 
-// A cold server's room grows over the ramp's time, and is dealt out over all edges: each
-// takes its part, the remainder goes to those that rendezvous hashing puts first.
-auto Edge::rampShare(const std::string& name, const Server& s, Microseconds now) -> int {
-    constexpr auto ALL = 1 << 20;
-    if (broken.noRamp || routes_.rampDuration <= 0) return ALL;
-    auto up = now - s.first;
-    // After a loss it may be another life that replies: cold, until its load says otherwise.
-    if (auto& f = statistics_[name]; f.lastFailureAt > s.seen && f.lastFailureAt > s.first) up = 0;
-    // So it does where it was last seen not to reply, or nobody has read its load of late.
-    else if (s.seen && (s.load.dark || now - s.seen > STALE)) up = 0;
-    else if (s.seen) {
-        if (!s.load.cold && s.load.up >= routes_.rampDuration) return ALL;
-        up = s.load.up + (now - s.seen);
-    }
-    if (up >= routes_.rampDuration) return ALL;
-    auto slots = double(std::max(1, s.listing.slots));
-    auto cap = int(routes_.rampFirstSlots
-        + (slots - routes_.rampFirstSlots) * double(up) / double(routes_.rampDuration));
-    auto ns = node_.aliveNodes(now);
-    auto k = 0;
-    for (auto& n : ns) k += rank(name, n) > rank(name, node_.me().node);
-    return cap / int(ns.size()) + (k < cap % int(ns.size()));
+constexpr auto NO_LIMIT = 1 << 20;               // attempts; beyond what any server bears
+constexpr auto COLD_MARGIN = 250 * MILLISECOND;  // what is told of cold times is a little old
+constexpr auto RESTORED_MARGIN = 5 * SECOND;     // how long a restored zone's servers may be cold unseen
+constexpr auto RATE_SHARE = 0.9;                 // of a cold server's rate that is dealt out
+constexpr auto BURST_SHARE = 0.8;                // of what it bears beyond its rate
+
+}  // namespace
+
+// How long a server has run, as far as that is certain.
+auto SlowStart::upTime(const std::string& name, const Server& server, Microseconds now) -> Microseconds {
+    // After a loss it may be another life that answers: cold, until its load says otherwise.
+    auto failedAt = statistics_.of(name).lastFailureAt;
+    if (failedAt > server.seen && failedAt > server.first) return 0;
+    if (!server.seen) return now - server.first;
+    // So it does where it was last seen not to answer, or nobody has read its load of late.
+    if (server.load.dark || now - server.seen > STALE) return 0;
+    if (!server.load.cold && server.load.up >= routes_.rampDuration) return routes_.rampDuration;
+    return server.load.up + (now - server.seen);
+}
+
+auto SlowStart::rampShare(const std::string& name, const Server& server, Microseconds now) -> int {
+    if (faults_.noRamp || routes_.rampDuration <= 0) return NO_LIMIT;
+    auto up = upTime(name, server, now);
+    if (up >= routes_.rampDuration) return NO_LIMIT;
+    auto slots = double(std::max(1, server.listing.slots));
+    auto grown = (slots - routes_.rampFirstSlots) * double(up) / double(routes_.rampDuration);
+    auto all = int(routes_.rampFirstSlots + grown);
+    // Each node takes its part; the remainder goes to those that rendezvous hashing puts first.
+    auto nodes = node_.aliveNodes(now);
+    auto before = 0;
+    for (auto& other : nodes) before += rank(name, other) > rank(name, node_.me().node);
+    return all / int(nodes.size()) + (before < all % int(nodes.size()));
 }
 
-auto Edge::cold(const std::string& name, const Server& s, const ServiceRule& pr, Microseconds now) -> bool {
-    constexpr auto MORE = 250 * MILLISECOND;  // what is told is a little old
-    auto& f = statistics_[name];
-    if (s.coldTill > s.told && now < s.coldTill + MORE) return true;
-    if (now < f.coldUntil + MORE && f.coldUntil > 0) return true;
+auto SlowStart::isCold(
+    const std::string& name, const Server& server, const ServiceRule& rule, Microseconds now) -> bool {
+    auto& statistics = statistics_.of(name);
+    if (server.coldTill > server.told && now < server.coldTill + COLD_MARGIN) return true;
+    if (now < statistics.coldUntil + COLD_MARGIN && statistics.coldUntil > 0) return true;
     // New in our time, and nobody says how it is.
-    if (!s.coldTill && listedAt_ && s.first > listedAt_ + SECOND && now < s.first + pr.coldDuration)
-        return true;
-    // Servers of a district that is given back may have turned cold just before.
-    auto g = restoredZones_.find(s.listing.zone);
-    return g != restoredZones_.end() && (g->second < 0 || s.told < g->second + SECOND);
+    auto isNew = listedAt_ && server.first > listedAt_ + SECOND;
+    if (!server.coldTill && isNew && now < server.first + rule.coldDuration) return true;
+    // Servers of a zone that is restored may have turned cold just before.
+    auto restored = restoredZones_.find(server.listing.zone);
+    return restored != restoredZones_.end()
+        && (restored->second < 0 || server.told < restored->second + SECOND);
 }
 
-// A cold server bears a rate of exchanges, over all nodes. It is dealt out as buckets of one
-// exchange to the nodes that rendezvous hashing puts first, to no more of them than may find
-// their buckets full in the same second.
-auto Edge::coldServerAdmits(
-    const std::string& name, const Server& s, const ServiceRule& pr, Microseconds now, bool take) -> bool {
-    if (pr.coldRate <= 0 || broken.noRamp || !cold(name, s, pr, now)) return true;
-    if (!nodeCountSettled(now)) return false;
-    auto most = 0.8 * ((routes_.coldOverrun - 0.9) * pr.coldRate + routes_.coldSlack);
-    auto k = std::min(nodeCount(), std::size_t(std::max(1.0, most)));
+// The rate is dealt out as buckets of one request, to no more nodes than may find their buckets full in
+// the same second.
+auto SlowStart::admits(const std::string& name, const Server& server, const ServiceRule& rule,
+    Microseconds now, BucketUse use) -> bool {
+    if (rule.coldRate <= 0 || faults_.noRamp || !isCold(name, server, rule, now)) return true;
+    if (!fleet_.settled(now)) return false;
+    auto burst = BURST_SHARE * ((routes_.coldOverrun - RATE_SHARE) * rule.coldRate + routes_.coldSlack);
+    auto sharers = std::min(fleet_.nodes(), std::size_t(std::max(1.0, burst)));
     auto before = std::size_t(0);
-    for (auto& [n, r] : node_.rows()) before += rank(name, n) > rank(name, node_.me().node);
-    if (before >= k) return false;
-    auto& f = statistics_[name];
-    f.coldBucket = std::min(
-        1.0, f.coldBucket + double(now - f.coldBucketAt) / double(SECOND) * 0.9 * pr.coldRate / double(k));
-    f.coldBucketAt = now;
-    if (f.coldBucket < 1) return false;
-    if (take) f.coldBucket -= 1;
+    for (auto& [other, known] : node_.rows()) before += rank(name, other) > rank(name, node_.me().node);
+    if (before >= sharers) return false;
+    auto& statistics = statistics_.of(name);
+    auto elapsed = double(now - statistics.coldBucketAt) / double(SECOND);
+    statistics.coldBucket =
+        std::min(1.0, statistics.coldBucket + elapsed * RATE_SHARE * rule.coldRate / double(sharers));
+    statistics.coldBucketAt = now;
+    if (statistics.coldBucket < 1) return false;
+    if (use == BucketUse::Take) statistics.coldBucket -= 1;
     return true;
 }
 
+auto SlowStart::setEvacuatedZones(std::set<std::string> zones) -> void {
+    auto before = std::exchange(evacuatedZones_, std::move(zones));
+    for (auto& zone : before)
+        if (!evacuatedZones_.count(zone)) restoredZones_[zone] = -1;
+}
+
+auto SlowStart::tick(Microseconds now) -> void {
+    if (!listedAt_ && !node_.servers().empty()) listedAt_ = now;
+    for (auto zone = restoredZones_.begin(); zone != restoredZones_.end();) {
+        if (zone->second < 0) zone->second = now;
+        auto over = now - zone->second > RESTORED_MARGIN || evacuatedZones_.count(zone->first);
+        zone = over ? restoredZones_.erase(zone) : std::next(zone);
+    }
+}
+
 }  // namespace duneturn
