--- a/src/routing/backlog.hpp
+++ b/src/routing/backlog.hpp
@@ -25,8 +25,13 @@
     Backlog(std::map<std::int64_t, Request>& requests, const Node& node, const RouteTable& routes,
         const Dialect& dialect, ServerStatisticsTable& statistics, const FleetSize& fleet,
         const EdgeFaults& faults)
-        : requests_(requests), node_(node), routes_(routes), dialect_(dialect), statistics_(statistics),
-          fleet_(fleet), faults_(faults) {}
+        : requests_(requests),
+          node_(node),
+          routes_(routes),
+          dialect_(dialect),
+          statistics_(statistics),
+          fleet_(fleet),
+          faults_(faults) {}
 
     [[nodiscard]] auto isEmpty(const std::string& service) const -> bool;
     [[nodiscard]] auto isFull(const Route& route) const -> bool;
--- a/src/routing/candidate_filters.cpp
+++ b/src/routing/candidate_filters.cpp
@@ -32,8 +32,8 @@
     });
 }
 
-auto hasStreamWeights(const Server& server, const Request& request, const Dialect& dialect,
-    const EdgeFaults& faults) -> bool {
+auto hasStreamWeights(
+    const Server& server, const Request& request, const Dialect& dialect, const EdgeFaults& faults) -> bool {
     if (dialect.clientNamesRequests && server.listing.weights.empty()) return true;
     auto& relayed = request.relayed;
     return faults.anyWeights || relayed.weights.empty() || relayed.lastEventId < 0
@@ -55,8 +55,7 @@
     if (rule && statistics.isSilent(now)) return false;
     // After a break, one request at a time; one that may run again comes first.
     auto caution = route.mayRunAgain() ? 0 : UNREPEATABLE_CAUTION;
-    if (rule && ejection.wasEjected()
-        && (statistics.inflight > 0 || now < ejection.ejectedUntil() + caution))
+    if (rule && ejection.wasEjected() && (statistics.inflight > 0 || now < ejection.ejectedUntil() + caution))
         return false;
     auto& server = *candidate.server;
     auto isDark = server.seen && now - server.seen < SEEN && server.load.dark;
--- a/src/routing/candidate_filters.hpp
+++ b/src/routing/candidate_filters.hpp
@@ -26,8 +26,8 @@
 /// Of the route's service.
 [[nodiscard]] auto isOfService(const Server& server, const Route& route) -> bool;
 /// Listed with an address, not draining, and not known to be another one's address by now.
-[[nodiscard]] auto isListed(const Server& server, const ServerStatistics* statistics, const EdgeFaults& faults)
-    -> bool;
+[[nodiscard]] auto isListed(
+    const Server& server, const ServerStatistics* statistics, const EdgeFaults& faults) -> bool;
 /// Not in a zone that an operator evacuated.
 [[nodiscard]] auto isOutsideEvacuatedZones(const Server& server, const ReplicatedState& state) -> bool;
 /// In one of the route's home regions. They are never left.
@@ -35,8 +35,8 @@
     -> bool;
 /// Of the weights version of which a stream's events were relayed. On a wire where clients name requests
 /// a server whose version the list does not name passes, and is judged by its answer's head.
-[[nodiscard]] auto hasStreamWeights(const Server& server, const Request& request, const Dialect& dialect,
-    const EdgeFaults& faults) -> bool;
+[[nodiscard]] auto hasStreamWeights(
+    const Server& server, const Request& request, const Dialect& dialect, const EdgeFaults& faults) -> bool;
 /// In the client's region, or in one that takes its overflow.
 [[nodiscard]] auto isInAllowedRegion(const Server& server, const Request& request, const Dialect& dialect)
     -> bool;
--- a/src/routing/completion.cpp
+++ b/src/routing/completion.cpp
@@ -46,8 +46,8 @@
     if (!dialect_.passHeaders)
         port_.sendPart(request.id,
             fmt::format("event: failed\ndata: {}\n\n",
-                bodyOf({{"error", jsQuote(why)}, {"lastEventId", fmt::to_string(request.relayed.lastEventId)},
-                    {"retryAfter", "1"}})));
+                bodyOf({{"error", jsonQuote(why)},
+                    {"lastEventId", fmt::to_string(request.relayed.lastEventId)}, {"retryAfter", "1"}})));
     port_.endStream(request.id, broken.cutLooksWhole);
 }
 
@@ -65,8 +65,8 @@
     }
     if (!mayHaveRun) headers.emplace_back(dialect_.notExecuted, "true");
     port_.sendReply(request.id, status, headers,
-        bodyOf({{"error", jsQuote(why)}, {"executed", mayHaveRun ? "\"unknown\"" : "false"},
-            {"exchange", jsQuote(request.received.name)}}));
+        bodyOf({{"error", jsonQuote(why)}, {"executed", mayHaveRun ? "\"unknown\"" : "false"},
+            {"exchange", jsonQuote(request.received.name)}}));
 }
 
 // What every end has in common, whatever the client was sent.
--- a/src/routing/decision_log.cpp
+++ b/src/routing/decision_log.cpp
@@ -29,16 +29,16 @@
 
 auto stepsJson(const Request& request) -> std::string {
     auto steps = std::string();
-    for (auto& line : request.trace) appendTo(steps, jsQuote(line));
+    for (auto& line : request.trace) appendTo(steps, jsonQuote(line));
     return "[" + steps + "]";
 }
 
 }  // namespace
 
 auto requestJson(const Request& request, TraceDetail detail, Microseconds now) -> std::string {
-    return bodyOf({{"id", fmt::to_string(request.id)}, {"exchange", jsQuote(request.received.name)},
-        {"mapping", jsQuote(request.route.name)}, {"phase", jsQuote(phaseName(request.phase()))},
-        {"server", jsQuote(request.attempts.server)},
+    return bodyOf({{"id", fmt::to_string(request.id)}, {"exchange", jsonQuote(request.received.name)},
+        {"mapping", jsonQuote(request.route.name)}, {"phase", jsonQuote(phaseName(request.phase()))},
+        {"server", jsonQuote(request.attempts.server)},
         {"ageUs", fmt::to_string(now - request.received.acceptedAt)},
         {"sends", fmt::to_string(request.attempts.sent)},
         {"migrationsLeft", fmt::to_string(request.migrationsLeft())},
@@ -58,8 +58,8 @@
 
 auto DecisionLog::record(const Request& request, const std::string& how) -> void {
     auto number = ++lastNumber_;
-    auto json = bodyOf({{"seq", fmt::to_string(number)}, {"exchange", jsQuote(request.received.name)},
-        {"mapping", jsQuote(request.route.name)}, {"end", jsQuote(how)}, {"steps", stepsJson(request)}});
+    auto json = bodyOf({{"seq", fmt::to_string(number)}, {"exchange", jsonQuote(request.received.name)},
+        {"mapping", jsonQuote(request.route.name)}, {"end", jsonQuote(how)}, {"steps", stepsJson(request)}});
     decisions_.push_back({number, request.id, request.received.name, json});
     if (decisions_.size() > MAX_DECISIONS)
         decisions_.erase(decisions_.begin(), decisions_.begin() + MAX_DECISIONS / 2);
--- a/src/routing/edge.hpp
+++ b/src/routing/edge.hpp
@@ -207,7 +207,7 @@
     Node& node_;
     EdgePort& port_;
     Counters& counters_;
-    Rng random_;
+    RandomSource random_;
     Dialect dialect_;
     RouteTable routes_;
     std::map<std::int64_t, Request> requests_;
--- a/src/routing/migration.cpp
+++ b/src/routing/migration.cpp
@@ -12,9 +12,9 @@
 namespace {
 
 constexpr auto PACE_SMOOTHING = Smoothing{0.8, 0.2};
-constexpr auto PACE_SAMPLES = 8;                            // events before an attempt's pace is judged
+constexpr auto PACE_SAMPLES = 8;                               // events before an attempt's pace is judged
 constexpr auto SLOWEST_SOUND_GAP = double(100 * MILLISECOND);  // a pace that nobody is moved for
-constexpr auto CRAWL_FACTOR = 5;                            // times the median of its like
+constexpr auto CRAWL_FACTOR = 5;                               // times the median of its like
 
 }  // namespace
 
@@ -86,8 +86,7 @@
     if (request.phase() == Phase::Delivering) {
         if (!route.eventGapTarget) return route.idleTimeout;
         return Microseconds(std::max({0.6 * double(route.eventGapTarget),
-            8 * statistics_.median(route.service, &ServerStatistics::eventGap),
-            double(150 * MILLISECOND)}));
+            8 * statistics_.median(route.service, &ServerStatistics::eventGap), double(150 * MILLISECOND)}));
     }
     if (!route.firstByteTarget) return route.idleTimeout;
     auto usual = std::max({0.7 * double(route.firstByteTarget),
@@ -98,16 +97,14 @@
 auto Migration::crawls(Request& request, Microseconds gap) const -> std::optional<std::string> {
     auto& attempts = request.attempts;
     auto isFirst = attempts.eventGapSamples++ == 0;
-    attempts.eventGap = isFirst ? double(gap)
-                                : attempts.eventGap * PACE_SMOOTHING.keep + double(gap) * PACE_SMOOTHING.take;
-    if (attempts.eventGapSamples < PACE_SAMPLES || attempts.eventGap < SLOWEST_SOUND_GAP)
-        return std::nullopt;
+    attempts.eventGap =
+        isFirst ? double(gap) : attempts.eventGap * PACE_SMOOTHING.keep + double(gap) * PACE_SMOOTHING.take;
+    if (attempts.eventGapSamples < PACE_SAMPLES || attempts.eventGap < SLOWEST_SOUND_GAP) return std::nullopt;
     if (attempts.migrations > 0 || !request.route.resumable || request.migrationsLeft() <= 0)
         return std::nullopt;
     auto median = statistics_.median(request.route.service, &ServerStatistics::eventGap);
     if (median <= 0 || attempts.eventGap < CRAWL_FACTOR * median) return std::nullopt;
-    return fmt::format(
-        "an event every {:.0f} us, where others need {:.0f}", attempts.eventGap, median);
+    return fmt::format("an event every {:.0f} us, where others need {:.0f}", attempts.eventGap, median);
 }
 
 }  // namespace duneturn
--- a/src/routing/retry.cpp
+++ b/src/routing/retry.cpp
@@ -13,9 +13,9 @@
 namespace duneturn {
 namespace {
 
-constexpr auto MAX_REFUSALS = 3;                        // connections refused of one request, at no cost
-constexpr auto SILENCE_LOOKED_AT = 150 * MILLISECOND;   // shorter silences are not looked at
-constexpr auto SILENCE_INTERVAL = 50 * MILLISECOND;     // from one look at a silent server to the next
+constexpr auto MAX_REFUSALS = 3;                       // connections refused of one request, at no cost
+constexpr auto SILENCE_LOOKED_AT = 150 * MILLISECOND;  // shorter silences are not looked at
+constexpr auto SILENCE_INTERVAL = 50 * MILLISECOND;    // from one look at a silent server to the next
 // Factors of a server's fitness.
 constexpr auto LOST = 0.4;
 constexpr auto CRAWLING = 0.5;
@@ -125,8 +125,8 @@
     retryElsewhere(*request, AttemptEvent::ConnectionRefused, "connection refused", now);
 }
 
-auto Edge::onAttemptFailed(std::int64_t id, int attempt, AttemptEvent event, const std::string& why,
-    Microseconds now) -> void {
+auto Edge::onAttemptFailed(
+    std::int64_t id, int attempt, AttemptEvent event, const std::string& why, Microseconds now) -> void {
     auto request = currentAttempt(id, attempt);
     if (!request) return;
     auto& statistics = statistics_.of(request->attempts.server);
--- a/src/routing/retry_budget.cpp
+++ b/src/routing/retry_budget.cpp
@@ -91,7 +91,7 @@
     auto isFirst = [&](const std::string& poor) {
         for (auto& [name, known] : node.rows())
             if (name != poor && now - known.at < ALIVE && known.record.credit > GRANT_RESERVE
-                && rank(poor, name) > rank(poor, node.me().node))
+                && rendezvousRank(poor, name) > rendezvousRank(poor, node.me().node))
                 return false;
         return true;
     };
--- a/src/routing/route_binding.cpp
+++ b/src/routing/route_binding.cpp
@@ -45,10 +45,9 @@
     if (index < 0) return false;
     auto route = routeFor(received, routes.routes[std::size_t(index)], routes);
     auto& bound = request.route;
-    auto hasBegun = request.attempts.tracker.mayHaveRun() || request.attempts.sent > 0
-        || !dialect.clientNamesRequests;
-    auto isAnother =
-        route.name != bound.name || route.model != bound.model || route.stream != bound.stream;
+    auto hasBegun =
+        request.attempts.tracker.mayHaveRun() || request.attempts.sent > 0 || !dialect.clientNamesRequests;
+    auto isAnother = route.name != bound.name || route.model != bound.model || route.stream != bound.stream;
     if (hasBegun && isAnother) return false;
     bound = route;
     request.limits.routesRevision = routes.revision;
--- a/src/routing/route_binding.hpp
+++ b/src/routing/route_binding.hpp
@@ -14,7 +14,7 @@
 
 /// Binds a request under way to the newest configuration: what that says of its method and path is what
 /// counts, in all but the deadline. False if that is another route now.
-[[nodiscard]] auto rebind(Request& request, const RouteTable& routes, const Dialect& dialect,
-    const EdgeFaults& faults) -> bool;
+[[nodiscard]] auto rebind(
+    Request& request, const RouteTable& routes, const Dialect& dialect, const EdgeFaults& faults) -> bool;
 
 }  // namespace duneturn
--- a/src/routing/route_table.cpp
+++ b/src/routing/route_table.cpp
@@ -26,75 +26,75 @@
 
 auto readFigures(const rapidjson::Value& config, RouteTable& table) -> void {
     auto& budget = section(config, "budget");
-    table.budgetShare = jsNum(budget, "share", table.budgetShare);
-    table.budgetCap = jsInt(budget, "cap", table.budgetCap);
-    table.budgetSlack = jsNum(budget, "slack", table.budgetSlack);
+    table.budgetShare = jsonNumber(budget, "share", table.budgetShare);
+    table.budgetCap = jsonInteger(budget, "cap", table.budgetCap);
+    table.budgetSlack = jsonNumber(budget, "slack", table.budgetSlack);
     auto& ramp = section(config, "ramp");
-    table.rampDuration = jsInt(ramp, "overUs", table.rampDuration);
-    table.rampFirstSlots = int(jsInt(ramp, "first", table.rampFirstSlots));
+    table.rampDuration = jsonInteger(ramp, "overUs", table.rampDuration);
+    table.rampFirstSlots = int(jsonInteger(ramp, "first", table.rampFirstSlots));
     auto& cold = section(config, "cold");
-    table.coldOverrun = jsNum(cold, "overrun", table.coldOverrun);
-    table.coldSlack = jsNum(cold, "slack", table.coldSlack);
+    table.coldOverrun = jsonNumber(cold, "overrun", table.coldOverrun);
+    table.coldSlack = jsonNumber(cold, "slack", table.coldSlack);
 }
 
 auto readServices(const rapidjson::Value& config, RouteTable& table) -> void {
     for (auto& member : section(config, "pools").GetObject()) {
         auto& rule = table.services[member.name.GetString()];
-        rule.maxConnections = int(jsInt(member.value, "maxConns"));
-        rule.slots = int(jsInt(member.value, "slots"));
-        rule.eventTokens = int(jsInt(member.value, "stride"));
-        rule.coldDuration = jsInt(member.value, "coldUs");
-        rule.coldRate = jsNum(member.value, "coldRate");
-        rule.memoryTokens = jsInt(member.value, "kvTokens");
-        rule.isEngine = jsBool(member.value, "engine");
+        rule.maxConnections = int(jsonInteger(member.value, "maxConns"));
+        rule.slots = int(jsonInteger(member.value, "slots"));
+        rule.eventTokens = int(jsonInteger(member.value, "stride"));
+        rule.coldDuration = jsonInteger(member.value, "coldUs");
+        rule.coldRate = jsonNumber(member.value, "coldRate");
+        rule.memoryTokens = jsonInteger(member.value, "kvTokens");
+        rule.isEngine = jsonBool(member.value, "engine");
     }
 }
 
 auto readModels(const rapidjson::Value& config, RouteTable& table) -> void {
     for (auto& member : section(config, "models").GetObject()) {
         auto& rule = table.models[member.name.GetString()];
-        rule.migrationLimit = int(jsInt(member.value, "migrationLimit", 0));
-        rule.maxSequenceTokens = jsInt(member.value, "maxSequence", rule.maxSequenceTokens);
+        rule.migrationLimit = int(jsonInteger(member.value, "migrationLimit", 0));
+        rule.maxSequenceTokens = jsonInteger(member.value, "maxSequence", rule.maxSequenceTokens);
     }
 }
 
 // Which requests a route takes, and where they may go.
 auto readPlaces(const rapidjson::Value& value, Route& route) -> void {
-    route.name = jsStr(value, "name");
-    route.host = toLower(jsStr(value, "host"));
-    route.method = jsStr(value, "method", "POST");
-    route.path = jsStr(value, "path");
+    route.name = jsonString(value, "name");
+    route.host = toLower(jsonString(value, "host"));
+    route.method = jsonString(value, "method", "POST");
+    route.path = jsonString(value, "path");
     route.pathIsPrefix = route.path.ends_with("*");
     if (route.pathIsPrefix) route.path.pop_back();
-    route.service = jsStr(value, "pool");
+    route.service = jsonString(value, "pool");
     if (value.HasMember("pools"))
         for (auto& service : value["pools"].GetArray())
-            route.serviceShares.emplace_back(jsStr(service, "pool"), jsInt(service, "share"));
+            route.serviceShares.emplace_back(jsonString(service, "pool"), jsonInteger(service, "share"));
     if (!route.serviceShares.empty()) route.service = route.serviceShares[0].first;
-    route.model = jsStr(value, "model");
-    route.homes = jsList(value, "homes");
-    if (auto home = jsStr(value, "home"); !home.empty()) route.homes.push_back(home);
-    route.spillRegions = jsList(value, "spill");
-    route.spillOccupancy = jsNum(value, "spillAt", route.spillOccupancy);
+    route.model = jsonString(value, "model");
+    route.homes = jsonStrings(value, "homes");
+    if (auto home = jsonString(value, "home"); !home.empty()) route.homes.push_back(home);
+    route.spillRegions = jsonStrings(value, "spill");
+    route.spillOccupancy = jsonNumber(value, "spillAt", route.spillOccupancy);
 }
 
 // What may be done with a route's requests, and for how long.
 auto readLimits(const rapidjson::Value& value, const RouteTable& table, Route& route) -> void {
-    route.stream = jsBool(value, "stream");
-    route.resumable = jsBool(value, "Resumable");
-    route.repeatable = jsBool(value, "repeatable");
-    route.maxAttempts = int(jsInt(value, "MaxTries", route.maxAttempts));
-    route.urgency = int(jsInt(value, "urgency", route.urgency));
-    route.timeout = jsInt(value, "deadlineUs", route.timeout);
-    route.firstByteTarget = jsInt(value, "aimUs");
-    route.eventGapTarget = jsInt(value, "gapUs");
+    route.stream = jsonBool(value, "stream");
+    route.resumable = jsonBool(value, "Resumable");
+    route.repeatable = jsonBool(value, "repeatable");
+    route.maxAttempts = int(jsonInteger(value, "MaxTries", route.maxAttempts));
+    route.urgency = int(jsonInteger(value, "urgency", route.urgency));
+    route.timeout = jsonInteger(value, "deadlineUs", route.timeout);
+    route.firstByteTarget = jsonInteger(value, "aimUs");
+    route.eventGapTarget = jsonInteger(value, "gapUs");
     route.idleTimeoutConfigured = value.HasMember("idleUs");
-    route.idleTimeout = jsInt(value, "idleUs", route.idleTimeout);
+    route.idleTimeout = jsonInteger(value, "idleUs", route.idleTimeout);
     auto target = route.firstByteTarget;
     auto queueTimeout = target ? std::min(route.queueTimeout, target / QUEUE_SHARE) : route.queueTimeout;
-    route.queueTimeout = jsInt(value, "queueUs", queueTimeout);
-    route.queueCapacity = std::size_t(jsInt(value, "queue", std::int64_t(route.queueCapacity)));
-    route.affinityBytes = std::size_t(jsInt(value, "affinity"));
+    route.queueTimeout = jsonInteger(value, "queueUs", queueTimeout);
+    route.queueCapacity = std::size_t(jsonInteger(value, "queue", std::int64_t(route.queueCapacity)));
+    route.affinityBytes = std::size_t(jsonInteger(value, "affinity"));
     if (auto model = table.models.find(route.model); model != table.models.end()) {
         route.migrationLimit = model->second.migrationLimit;
         route.maxSequenceTokens = model->second.maxSequenceTokens;
--- a/src/routing/route_table.hpp
+++ b/src/routing/route_table.hpp
@@ -126,7 +126,7 @@
         const std::string& host, std::string_view method, std::string_view path) const -> int;
 };
 
-/// The routes of a configuration that configCheck found sound.
+/// The routes of a configuration that validateConfiguration found sound.
 [[nodiscard]] auto compileRoutes(const rapidjson::Value& config, std::int64_t configVersion) -> RouteTable;
 
 /// What a configuration says of a service. Where clients name requests a service without a rule has an
--- a/src/routing/scoring.cpp
+++ b/src/routing/scoring.cpp
@@ -8,12 +8,12 @@
 namespace duneturn {
 namespace {
 
-constexpr auto MEMORY_SHARE = 0.9;                           // of a server's memory that is filled
+constexpr auto MEMORY_SHARE = 0.9;                             // of a server's memory that is filled
 constexpr auto DEFAULT_HOLD_TIME = double(100 * MILLISECOND);  // where no request has ended yet
-constexpr auto OCCUPANCY_COST = double(20 * MILLISECOND);    // that a full server adds to an answer
-constexpr auto LOAD_FRESHNESS = 300 * MILLISECOND;           // for which a server's own queue is believed
-constexpr auto WAITING_TOKENS = 1000.0;                      // of a prompt in a server's queue, roughly
-constexpr auto LEAST_FITNESS = 0.05;                         // bounds the division
+constexpr auto OCCUPANCY_COST = double(20 * MILLISECOND);      // that a full server adds to an answer
+constexpr auto LOAD_FRESHNESS = 300 * MILLISECOND;             // for which a server's own queue is believed
+constexpr auto WAITING_TOKENS = 1000.0;                        // of a prompt in a server's queue, roughly
+constexpr auto LEAST_FITNESS = 0.05;                           // bounds the division
 
 }  // namespace
 
@@ -51,8 +51,8 @@
     return time / std::max(LEAST_FITNESS, statistics.ejection.fitness(now));
 }
 
-auto Scoring::fitsInMemory(const Candidate& candidate, const Request& request, const ServiceRule& rule,
-    Microseconds now) -> bool {
+auto Scoring::fitsInMemory(
+    const Candidate& candidate, const Request& request, const ServiceRule& rule, Microseconds now) -> bool {
     auto& statistics = statistics_.of(*candidate.name);
     auto others =
         std::max(0.0, statistics_.load(*candidate.name, *candidate.server, now) - statistics.inflight);
--- a/src/routing/server_selection.hpp
+++ b/src/routing/server_selection.hpp
@@ -24,13 +24,13 @@
     const EdgeFaults& faults;
     ServerStatisticsTable& statistics;
     SlowStart& slowStart;
-    Rng& random;
+    RandomSource& random;
 };
 
 /// The outcome of a selection.
 struct Selection {
-    std::string server;       ///< Empty: none may take it now.
-    std::string explanation;  ///< What each filter left, and why this one; for operators.
+    std::string server;            ///< Empty: none may take it now.
+    std::string explanation;       ///< What each filter left, and why this one; for operators.
     bool isOutsideRegion = false;  ///< Not in the client's region.
 };
 
--- a/src/routing/slow_start.cpp
+++ b/src/routing/slow_start.cpp
@@ -39,7 +39,7 @@
     // Each node takes its part; the remainder goes to those that rendezvous hashing puts first.
     auto nodes = node_.aliveNodes(now);
     auto before = 0;
-    for (auto& other : nodes) before += rank(name, other) > rank(name, node_.me().node);
+    for (auto& other : nodes) before += rendezvousRank(name, other) > rendezvousRank(name, node_.me().node);
     return all / int(nodes.size()) + (before < all % int(nodes.size()));
 }
 
@@ -66,7 +66,8 @@
     auto burst = BURST_SHARE * ((routes_.coldOverrun - RATE_SHARE) * rule.coldRate + routes_.coldSlack);
     auto sharers = std::min(fleet_.nodes(), std::size_t(std::max(1.0, burst)));
     auto before = std::size_t(0);
-    for (auto& [other, known] : node_.rows()) before += rank(name, other) > rank(name, node_.me().node);
+    for (auto& [other, known] : node_.rows())
+        before += rendezvousRank(name, other) > rendezvousRank(name, node_.me().node);
     if (before >= sharers) return false;
     auto& statistics = statistics_.of(name);
     auto elapsed = double(now - statistics.coldBucketAt) / double(SECOND);
--- a/src/routing/slow_start.hpp
+++ b/src/routing/slow_start.hpp
@@ -37,9 +37,10 @@
     auto tick(Microseconds now) -> void;
 
   private:
-    [[nodiscard]] auto isCold(const std::string& name, const Server& server, const ServiceRule& rule,
-        Microseconds now) -> bool;
-    [[nodiscard]] auto upTime(const std::string& name, const Server& server, Microseconds now) -> Microseconds;
+    [[nodiscard]] auto isCold(
+        const std::string& name, const Server& server, const ServiceRule& rule, Microseconds now) -> bool;
+    [[nodiscard]] auto upTime(const std::string& name, const Server& server, Microseconds now)
+        -> Microseconds;
 
     const Node& node_;
     const RouteTable& routes_;
--- a/tests/net/event_split_test.cpp
+++ b/tests/net/event_stream_test.cpp
@@ -11,8 +11,8 @@
 namespace duneturn {
 
 // Any text cut into any pieces gives the events that it gives in one piece.
-TEST(EventSplit, fuzzPieces) {
-    auto r = Rng{11};
+TEST(EventStreamSplitter, fuzzPieces) {
+    auto r = RandomSource{11};
     auto whole = 0;
     for (auto i = 0; i < 2000; i++) {
         auto t = std::string();
@@ -25,11 +25,11 @@
             t += r.chance(.1) ? std::string(r.below(4), char(r.below(256))) : std::string();
             t += nl;
         }
-        auto take = [](EventSplit& s, std::vector<std::string>& o) {
+        auto take = [](EventStreamSplitter& s, std::vector<std::string>& o) {
             for (auto e = StreamEvent(); s.next(e);)
                 o.push_back(e.id + "|" + e.type + "|" + e.data + "|" + e.raw);
         };
-        auto a = EventSplit(), b = EventSplit();
+        auto a = EventStreamSplitter(), b = EventStreamSplitter();
         auto x = std::vector<std::string>(), y = std::vector<std::string>();
         a.feed(t);
         take(a, x);
@@ -46,7 +46,7 @@
         whole += int(x.size());
     }
     CHECK(whole > 1000);
-    auto s = EventSplit();
+    auto s = EventStreamSplitter();
     s.feed("id: 7\r\nevent: done\r\ndata: a\r\ndata: b\r\n\r\nid: 8\n");
     auto e = StreamEvent();
     CHECK(s.next(e));
--- a/tests/routing/server_model.hpp
+++ b/tests/routing/server_model.hpp
@@ -11,9 +11,9 @@
 #include <vector>
 
 #include "base/time.hpp"
-#include "net/answer_reader.hpp"
+#include "daemon/answer_reader.hpp"
+#include "net/connection_pool.hpp"
 #include "routing/edge_fixture.hpp"
-#include "net/kept_connections.hpp"
 
 namespace duneturn {
 
@@ -115,7 +115,7 @@
         if (complaint_.empty()) complaint_ = what;
     }
 
-    KeptConnections<std::shared_ptr<Link>> kept_{
+    ConnectionPool<std::shared_ptr<Link>> kept_{
         [this](auto& link) { return faults.keepAnyConnection || (link->open && link->unasked.empty()); }};
     std::vector<ServerBehaviour> script_;
     std::map<std::pair<std::int64_t, int>, std::shared_ptr<Attempt>> attempts_;
