--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -110,9 +110,9 @@
         if (auto left = parseNumber(text.substr(0, text.find('.'))); left >= 0)
             limits.deadline = std::min(limits.deadline, begunAt + left * MILLISECOND);
     limits.sequenceTokens = std::int64_t(body.size() / BYTES_PER_TOKEN);
-    if (auto counts = std::vector<std::int64_t>(); parseNumbers(header(headers, dialect_.tokens), counts)) {
-        limits.sequenceTokens = received.promptTokens = counts[0];
-        received.outputTokens = counts.size() > 1 ? counts[1] : 0;
+    if (auto counts = parseNumbers(header(headers, dialect_.tokens))) {
+        limits.sequenceTokens = received.promptTokens = counts->at(0);
+        received.outputTokens = counts->size() > 1 ? counts->at(1) : 0;
     }
     if (auto text = header(headers, dialect_.parts); !text.empty()) {
         if (auto prompt = parsePromptParts(text)) {
--- a/src/routing/attempt_state.cpp
+++ b/src/routing/attempt_state.cpp
@@ -7,8 +7,8 @@
 
 using State = AttemptState;
 using Event = AttemptEvent;
-using Row = std::array<AttemptRule, ATTEMPT_EVENTS>;
-using Table = std::array<Row, ATTEMPT_STATES>;
+using EventRules = std::array<AttemptRule, ATTEMPT_EVENTS>;
+using Table = std::array<EventRules, ATTEMPT_STATES>;
 
 // The states in which a failure of the connection or of the answer ends the attempt.
 constexpr auto FAILURES = std::array{Event::ConnectionReset, Event::ConnectionClosed, Event::MalformedAnswer,
@@ -37,76 +37,78 @@
     Table table_ = {};
 };
 
-auto beforeTheFirstByte(TableBuilder& b) -> void {
+auto beforeTheFirstByte(TableBuilder& table) -> void {
     constexpr auto NONE = Execution::NotArrived;
-    b.on(State::Queued, Event::ServerChosen, State::Connecting, NONE, NextStep::Continue);
-    b.ending(State::Queued, NONE, NextStep::RefuseNotRun);
-    b.on(State::Connecting, Event::WriteStarted, State::Writing, Execution::MayHaveRun, NextStep::Continue);
+    table.on(State::Queued, Event::ServerChosen, State::Connecting, NONE, NextStep::Continue);
+    table.ending(State::Queued, NONE, NextStep::RefuseNotRun);
+    table.on(
+        State::Connecting, Event::WriteStarted, State::Writing, Execution::MayHaveRun, NextStep::Continue);
     // Nothing was written, so whatever the connection does proves that nothing arrived.
-    b.failing(State::Connecting, NONE, NextStep::RetryFreely);
-    b.on(State::Connecting, Event::HeldBack, State::Failed, NONE, NextStep::RetryFreely);
-    b.on(State::Connecting, Event::ConnectionRefused, State::Failed, NONE, NextStep::RetryFreely);
-    b.ending(State::Connecting, NONE, NextStep::RefuseNotRun);
+    table.failing(State::Connecting, NONE, NextStep::RetryFreely);
+    table.on(State::Connecting, Event::HeldBack, State::Failed, NONE, NextStep::RetryFreely);
+    table.on(State::Connecting, Event::ConnectionRefused, State::Failed, NONE, NextStep::RetryFreely);
+    table.ending(State::Connecting, NONE, NextStep::RefuseNotRun);
 }
 
-auto beforeTheAnswer(TableBuilder& b, State state) -> void {
+auto beforeTheAnswer(TableBuilder& table, State state) -> void {
     constexpr auto UNKNOWN = Execution::MayHaveRun;
-    b.failing(state, UNKNOWN, NextStep::RetryRepeatable);
+    table.failing(state, UNKNOWN, NextStep::RetryRepeatable);
     // A refusal cannot follow the first byte; if it is reported, it proves nothing.
-    b.on(state, Event::ConnectionRefused, State::Failed, UNKNOWN, NextStep::RetryRepeatable);
+    table.on(state, Event::ConnectionRefused, State::Failed, UNKNOWN, NextStep::RetryRepeatable);
     // A server may answer before it has read the whole request.
-    b.on(state, Event::NotExecutedHead, State::Declined, Execution::NotRun, NextStep::Continue);
-    b.on(state, Event::FinalHead, State::AnsweredHead, Execution::Ran, NextStep::Continue);
-    b.ending(state, UNKNOWN, NextStep::FailMayHaveRun);
+    table.on(state, Event::NotExecutedHead, State::Declined, Execution::NotRun, NextStep::Continue);
+    table.on(state, Event::FinalHead, State::AnsweredHead, Execution::Ran, NextStep::Continue);
+    table.ending(state, UNKNOWN, NextStep::FailMayHaveRun);
 }
 
-auto duringTheAnswer(TableBuilder& b) -> void {
+auto duringTheAnswer(TableBuilder& table) -> void {
     // The head alone says that it was not executed, whatever becomes of the rest.
-    b.failing(State::Declined, Execution::NotRun, NextStep::RetryFreely);
-    b.on(State::Declined, Event::WriteFinished, State::Declined, Execution::NotRun, NextStep::Continue);
-    b.on(State::Declined, Event::AnswerWhole, State::Done, Execution::NotRun, NextStep::PassOn);
-    b.ending(State::Declined, Execution::NotRun, NextStep::RefuseNotRun);
-
-    b.failing(State::AnsweredHead, Execution::Ran, NextStep::RetryRepeatable);
-    b.on(State::AnsweredHead, Event::WriteFinished, State::AnsweredHead, Execution::Ran, NextStep::Continue);
-    b.on(State::AnsweredHead, Event::EventReceived, State::Streaming, Execution::Ran, NextStep::PassOn);
-    b.on(State::AnsweredHead, Event::AnswerWhole, State::Done, Execution::Ran, NextStep::PassOn);
-    b.ending(State::AnsweredHead, Execution::Ran, NextStep::FailMayHaveRun);
-
-    b.failing(State::Streaming, Execution::Ran, NextStep::ResumeStream);
-    b.on(State::Streaming, Event::WriteFinished, State::Streaming, Execution::Ran, NextStep::Continue);
-    b.on(State::Streaming, Event::EventReceived, State::Streaming, Execution::Ran, NextStep::PassOn);
-    b.on(State::Streaming, Event::AnswerWhole, State::Done, Execution::Ran, NextStep::PassOn);
-    b.ending(State::Streaming, Execution::Ran, NextStep::CutStream);
+    table.failing(State::Declined, Execution::NotRun, NextStep::RetryFreely);
+    table.on(State::Declined, Event::WriteFinished, State::Declined, Execution::NotRun, NextStep::Continue);
+    table.on(State::Declined, Event::AnswerWhole, State::Done, Execution::NotRun, NextStep::PassOn);
+    table.ending(State::Declined, Execution::NotRun, NextStep::RefuseNotRun);
+
+    table.failing(State::AnsweredHead, Execution::Ran, NextStep::RetryRepeatable);
+    table.on(
+        State::AnsweredHead, Event::WriteFinished, State::AnsweredHead, Execution::Ran, NextStep::Continue);
+    table.on(State::AnsweredHead, Event::EventReceived, State::Streaming, Execution::Ran, NextStep::PassOn);
+    table.on(State::AnsweredHead, Event::AnswerWhole, State::Done, Execution::Ran, NextStep::PassOn);
+    table.ending(State::AnsweredHead, Execution::Ran, NextStep::FailMayHaveRun);
+
+    table.failing(State::Streaming, Execution::Ran, NextStep::ResumeStream);
+    table.on(State::Streaming, Event::WriteFinished, State::Streaming, Execution::Ran, NextStep::Continue);
+    table.on(State::Streaming, Event::EventReceived, State::Streaming, Execution::Ran, NextStep::PassOn);
+    table.on(State::Streaming, Event::AnswerWhole, State::Done, Execution::Ran, NextStep::PassOn);
+    table.ending(State::Streaming, Execution::Ran, NextStep::CutStream);
 }
 
 // What still comes of an attempt that is over changes nothing; a surplus condemns its connection.
-auto afterTheEnd(TableBuilder& b, State state, Execution execution) -> void {
+auto afterTheEnd(TableBuilder& table, State state, Execution execution) -> void {
     for (auto event :
         {Event::ConnectionRefused, Event::WriteFinished, Event::NotExecutedHead, Event::FinalHead,
             Event::EventReceived, Event::AnswerWhole, Event::ClientGone, Event::DeadlinePassed})
-        b.on(state, event, state, execution, NextStep::Ignore);
-    for (auto event : FAILURES) b.on(state, event, state, execution, NextStep::Ignore);
-    b.on(state, Event::SurplusBytes, state, execution, NextStep::CloseConnection);
+        table.on(state, event, state, execution, NextStep::Ignore);
+    for (auto event : FAILURES) table.on(state, event, state, execution, NextStep::Ignore);
+    table.on(state, Event::SurplusBytes, state, execution, NextStep::CloseConnection);
 }
 
 auto buildTable() -> Table {
-    auto b = TableBuilder();
-    beforeTheFirstByte(b);
-    beforeTheAnswer(b, State::Writing);
-    b.on(State::Writing, Event::WriteFinished, State::Written, Execution::MayHaveRun, NextStep::Continue);
-    beforeTheAnswer(b, State::Written);
-    duringTheAnswer(b);
-    afterTheEnd(b, State::Done, Execution::Ran);
-    afterTheEnd(b, State::Failed, Execution::MayHaveRun);
-    return b.table();
+    auto table = TableBuilder();
+    beforeTheFirstByte(table);
+    beforeTheAnswer(table, State::Writing);
+    table.on(State::Writing, Event::WriteFinished, State::Written, Execution::MayHaveRun, NextStep::Continue);
+    beforeTheAnswer(table, State::Written);
+    duringTheAnswer(table);
+    afterTheEnd(table, State::Done, Execution::Ran);
+    afterTheEnd(table, State::Failed, Execution::MayHaveRun);
+    return table.table();
 }
 
 }  // namespace
 
 auto attemptRule(AttemptState state, AttemptEvent event) -> const AttemptRule& {
-    static const auto TABLE = buildTable();
-    return TABLE[std::size_t(state)][std::size_t(event)];
+    static const auto table = buildTable();
+    return table[std::size_t(state)][std::size_t(event)];
 }
 
 auto stepAfterFailure(Execution execution, bool answerBegun) -> NextStep {
--- a/src/routing/attempt_state.hpp
+++ b/src/routing/attempt_state.hpp
@@ -32,7 +32,7 @@
     ConnectionClosed,  ///< Closed in order before the answer was whole.
     MalformedAnswer,   ///< Bytes that are no answer of the protocol.
     WrongIdentity,     ///< The answer names another request, or does not prove whose it is.
-    Silence,           ///< Nothing was heard for longer than this request can wait.
+    Silence,           ///< Nothing was received for longer than this request can wait.
     NotExecutedHead,   ///< The head of an answer by which the server says that it did not execute it.
     FinalHead,         ///< The head of any other final answer.
     EventReceived,     ///< A sound event of a stream, to be passed on.
@@ -49,7 +49,7 @@
 enum class Execution : std::uint8_t {
     NotArrived,  ///< No byte of the request can have reached a server.
     NotRun,      ///< The server received it and said that it did not execute it.
-    MayHaveRun,  ///< Nothing tells.
+    MayHaveRun,  ///< It is not known.
     Ran,         ///< The server answered it.
 };
 
--- a/src/routing/backlog.cpp
+++ b/src/routing/backlog.cpp
@@ -79,7 +79,7 @@
 
 auto Backlog::count() const -> std::size_t {
     auto sum = std::size_t(0);
-    // A place that was given back twice is one too few: the number is beyond all requests then.
+    // A place that was freed twice is one too few: the number is beyond all requests then.
     for (auto& [service, places] : places_) sum += places > requests_.size() ? 1 : places;
     return sum;
 }
--- a/src/routing/decision_log.cpp
+++ b/src/routing/decision_log.cpp
@@ -1,5 +1,6 @@
 #include "routing/decision_log.hpp"
 
+#include <algorithm>
 #include <cstddef>
 
 #include <fmt/format.h>
@@ -66,9 +67,10 @@
 }
 
 auto DecisionLog::find(const std::string& name) const -> std::string {
-    for (auto decision = decisions_.rbegin(); decision != decisions_.rend(); ++decision)
-        if (isNamed(name, decision->requestName, decision->requestId)) return decision->json;
-    return "";
+    // The newest, since clients may use a name again.
+    auto found = std::find_if(decisions_.rbegin(), decisions_.rend(),
+        [&](auto& decision) { return isNamed(name, decision.requestName, decision.requestId); });
+    return found == decisions_.rend() ? "" : found->json;
 }
 
 auto DecisionLog::since(std::int64_t after) const -> std::string {
--- a/src/routing/dispatch.cpp
+++ b/src/routing/dispatch.cpp
@@ -133,7 +133,7 @@
     attempts.onReusedConnection = reused;
     attempts.lastActivityAt = now;
     auto& statistics = statistics_.of(attempts.server);
-    if (statistics.unansweredSince <= statistics.lastHeardAt) statistics.unansweredSince = now;
+    if (statistics.unansweredSince <= statistics.lastReceivedAt) statistics.unansweredSince = now;
     attempts.weights = node_.servers().at(attempts.server).listing.weights;
     note(*request,
         fmt::format(
--- a/src/routing/edge_faults.hpp
+++ b/src/routing/edge_faults.hpp
@@ -16,7 +16,7 @@
     bool pickLeast = false;           ///< or always the least occupied.
     bool oldRules = false;            ///< A request keeps the routes that it began with.
     bool resumeAny = false;           ///< Clients may resume any stream.
-    bool queueLeak = false;           ///< Places in queues are given back wrongly.
+    bool queueLeak = false;           ///< Places in queues are freed wrongly.
     bool anyWeights = false;          ///< Streams are joined across versions of the weights.
     bool noServe = false;             ///< Every request is refused.
     bool badStep = false;             ///< A finished request changes its phase.
--- a/src/routing/fleet_size.hpp
+++ b/src/routing/fleet_size.hpp
@@ -8,7 +8,7 @@
 
 namespace duneturn {
 
-/// All nodes that were heard of lately count, so that a part of the fleet that is cut off takes no more
+/// All nodes that were known lately count, so that a part of the fleet that is cut off takes no more
 /// than its part of budgets and of cold servers.
 class FleetSize {
   public:
@@ -18,7 +18,7 @@
     [[nodiscard]] auto nodes() const -> std::size_t {
         return std::max({node_.rows().size() + 1, rosterSize_, most_});
     }
-    /// Whether this node has run for long enough to have heard of the others.
+    /// Whether this node has run for long enough to know the others.
     [[nodiscard]] auto settled(Microseconds now) const -> bool {
         return startedAt_ && now - startedAt_ >= SETTLING;
     }
--- a/src/routing/headers.cpp
+++ b/src/routing/headers.cpp
@@ -1,6 +1,8 @@
 #include "routing/headers.hpp"
 
 #include <algorithm>
+#include <cctype>
+#include <cstddef>
 #include <cstdint>
 #include <string>
 #include <string_view>
@@ -9,73 +11,80 @@
 namespace duneturn {
 namespace {
 
-auto same(std::string_view a, std::string_view b) -> bool {
-    return a.size() == b.size() && std::equal(a.begin(), a.end(), b.begin(), [](char x, char y) {
-        return std::tolower(x) == std::tolower(y);
-    });
-}
+constexpr auto MAX_DIGITS = std::size_t(18);  // of a number that fits into 64 bits in any case
 
 // What concerns one connection only.
-auto concernsConnection(std::string_view k) -> bool {
-    for (auto n : {"connection", "keep-alive", "transfer-encoding", "content-length", "te", "trailer",
+auto concernsConnection(std::string_view name) -> bool {
+    constexpr auto PROXY = std::string_view("proxy-");
+    for (auto own : {"connection", "keep-alive", "transfer-encoding", "content-length", "te", "trailer",
              "upgrade", "expect"})
-        if (same(k, n)) return true;
-    return k.size() > 6 && same(k.substr(0, 6), "proxy-");
+        if (sameName(name, own)) return true;
+    return name.size() > PROXY.size() && sameName(name.substr(0, PROXY.size()), PROXY);
+}
+
+// The names in a value of Connection.
+auto addListedNames(const std::string& value, std::vector<std::string>& names) -> void {
+    for (auto from = std::size_t(0); from <= value.size();) {
+        auto end = std::min(value.find(',', from), value.size());
+        auto begin = value.find_first_not_of(" \t", from);
+        auto stop = std::min(value.find_first_of(" \t,", begin), end);
+        if (begin < end) names.push_back(value.substr(begin, stop - begin));
+        from = end + 1;
+    }
 }
 
 }  // namespace
 
-auto toLower(std::string_view v) -> std::string {
-    auto s = std::string(v);
-    for (auto& c : s) c = char(std::tolower(c));
-    return s;
+auto toLower(std::string_view text) -> std::string {
+    auto lower = std::string(text);
+    for (auto& letter : lower) letter = char(std::tolower(letter));
+    return lower;
 }
 
-auto header(const Headers& h, std::string_view k) -> std::string {
-    if (k.empty()) return "";
-    for (auto& [n, v] : h)
-        if (n.size() == k.size() && std::equal(n.begin(), n.end(), k.begin(), [](char a, char b) {
-                return std::tolower(a) == std::tolower(b);
-            }))
-            return v;
+auto sameName(std::string_view left, std::string_view right) -> bool {
+    return left.size() == right.size()
+        && std::equal(left.begin(), left.end(), right.begin(),
+            [](char one, char other) { return std::tolower(one) == std::tolower(other); });
+}
+
+auto header(const Headers& headers, std::string_view name) -> std::string {
+    if (name.empty()) return "";
+    for (auto& [key, value] : headers)
+        if (sameName(key, name)) return value;
     return "";
 }
 
-auto endToEnd(const Headers& h) -> Headers {
-    auto named = std::vector<std::string>();  // by Connection itself
-    for (auto& [k, v] : h)
-        if (same(k, "connection"))
-            for (auto i = std::size_t(0); i <= v.size();) {
-                auto j = std::min(v.find(',', i), v.size());
-                auto a = v.find_first_not_of(" \t", i), b = std::min(v.find_first_of(" \t,", a), j);
-                if (a < j) named.push_back(v.substr(a, b - a));
-                i = j + 1;
-            }
-    auto o = Headers();
-    for (auto& [k, v] : h)
-        if (!concernsConnection(k)
-            && std::none_of(named.begin(), named.end(), [&](auto& n) { return same(n, k); }))
-            o.emplace_back(k, v);
-    return o;
+auto endToEnd(const Headers& headers) -> Headers {
+    auto listed = std::vector<std::string>();  // by Connection itself
+    for (auto& [name, value] : headers)
+        if (sameName(name, "connection")) addListedNames(value, listed);
+    auto passed = Headers();
+    for (auto& entry : headers) {
+        auto isListed = std::any_of(
+            listed.begin(), listed.end(), [&](auto& name) { return sameName(name, entry.first); });
+        if (!concernsConnection(entry.first) && !isListed) passed.push_back(entry);
+    }
+    return passed;
 }
 
-auto parseNumber(const std::string& s) -> std::int64_t {
-    if (s.empty() || s.size() > 18 || s.find_first_not_of("0123456789") != std::string::npos) return -1;
-    return std::stoll(s);
+auto parseNumber(const std::string& text) -> std::int64_t {
+    if (text.empty() || text.size() > MAX_DIGITS) return -1;
+    if (text.find_first_not_of("0123456789") != std::string::npos) return -1;
+    return std::stoll(text);
 }
 
-auto parseNumbers(const std::string& s, std::vector<std::int64_t>& o) -> bool {
-    for (auto i = std::size_t(0); i <= s.size();) {
-        auto j = std::min(s.find(',', i), s.size());
-        auto a = s.find_first_not_of(' ', i);
-        auto n = a < j ? parseNumber(s.substr(a, s.find_last_not_of(' ', j - 1) + 1 - a)) : -1;
-        if (n < 0) return false;
-        o.push_back(n);
-        i = j + 1;
+auto parseNumbers(const std::string& text) -> std::optional<std::vector<std::int64_t>> {
+    auto numbers = std::vector<std::int64_t>();
+    for (auto from = std::size_t(0); from <= text.size();) {
+        auto end = std::min(text.find(',', from), text.size());
+        auto begin = text.find_first_not_of(' ', from);
+        if (begin >= end) return std::nullopt;
+        auto number = parseNumber(text.substr(begin, text.find_last_not_of(' ', end - 1) + 1 - begin));
+        if (number < 0) return std::nullopt;
+        numbers.push_back(number);
+        from = end + 1;
     }
-    return true;
+    return numbers;
 }
 
-auto sameName(std::string_view a, std::string_view b) -> bool { return same(a, b); }
-
 }  // namespace duneturn
--- a/src/routing/headers.hpp
+++ b/src/routing/headers.hpp
@@ -1,6 +1,7 @@
 #pragma once
 // Headers of HTTP messages and the numbers in them.
 #include <cstdint>
+#include <optional>
 #include <string>
 #include <string_view>
 #include <utility>
@@ -11,16 +12,16 @@
 /// Names and values, in the order of the message.
 using Headers = std::vector<std::pair<std::string, std::string>>;
 
-auto toLower(std::string_view text) -> std::string;
+[[nodiscard]] auto toLower(std::string_view text) -> std::string;
 /// The value of the first header of this name, whatever its case; empty if there is none.
-auto header(const Headers& headers, std::string_view name) -> std::string;
+[[nodiscard]] auto header(const Headers& headers, std::string_view name) -> std::string;
 /// Whether two names of headers are the same.
-auto sameName(std::string_view a, std::string_view b) -> bool;
+[[nodiscard]] auto sameName(std::string_view left, std::string_view right) -> bool;
 /// The headers less those that concern one connection only, and those that Connection names.
-auto endToEnd(const Headers& headers) -> Headers;
+[[nodiscard]] auto endToEnd(const Headers& headers) -> Headers;
 /// A whole number of at most 18 digits; -1 if the text is none.
-auto parseNumber(const std::string& text) -> std::int64_t;
-/// Whole numbers separated by commas, added to `out`; false if one is none.
-auto parseNumbers(const std::string& text, std::vector<std::int64_t>& out) -> bool;
+[[nodiscard]] auto parseNumber(const std::string& text) -> std::int64_t;
+/// Whole numbers separated by commas; nothing if one is none.
+[[nodiscard]] auto parseNumbers(const std::string& text) -> std::optional<std::vector<std::int64_t>>;
 
 }  // namespace duneturn
--- a/src/routing/migration.hpp
+++ b/src/routing/migration.hpp
@@ -4,8 +4,8 @@
 // Source: "LLM Request Migration on Engine Failure" (nnshah1 and kthui, approved, reviewed July 21 2025;
 // ai-dynamo/enhancements pull request 25). A stage in the frontend keeps the original request, what was
 // received of its answer, and a count of migrations left. If a stream cannot be created, the stage takes
-// one off the count and sends the original request to another worker; if a stream ends before generation
-// is complete, it takes one off the count and goes on with what was received. The count is set per model
+// one off the count and sends the original request to another worker; if a stream ends before the answer is
+// complete, it takes one off the count and goes on with what was received. The count is set per model
 // and is 0 unless configured; past a maximum sequence length it becomes 0. At 0 the failure goes to the
 // client. docs/source-design.md says what was kept of it, and what was changed and why.
 //
--- a/src/routing/request.hpp
+++ b/src/routing/request.hpp
@@ -42,7 +42,7 @@
     int current = 0;  ///< The present attempt's number; what names another is ignored.
     std::string server, weights;
     Microseconds chosenAt = 0;          ///< When its server was chosen.
-    Microseconds lastActivityAt = 0;    ///< When its server was last heard, or begun to be written to.
+    Microseconds lastActivityAt = 0;    ///< When its server last sent something, or begun to be written to.
     Microseconds nextStallCheckAt = 0;  ///< Until then its silence is not looked at again.
     bool countedInflight = false;       ///< It counts among its server's attempts under way.
     std::int64_t unreadTokens = 0;      ///< Of the prompt, that its server has not read yet.
--- a/src/routing/request_phases.cpp
+++ b/src/routing/request_phases.cpp
@@ -6,48 +6,63 @@
 #include <boost/msm/front/functor_row.hpp>
 #include <boost/msm/front/state_machine_def.hpp>
 
-#include "base/counters.hpp"
-
 namespace duneturn {
+namespace {
 
 namespace msm = boost::msm;
 namespace mpl = boost::mpl;
 
-struct EvSend {};
-struct EvBytes {};
-struct EvLoss {};
-struct EvWait {};
-struct EvEnd {};
+struct SendEvent {};
+struct BytesEvent {};
+struct LossEvent {};
+struct WaitEvent {};
+struct EndEvent {};
 
-struct RequestDef : msm::front::state_machine_def<RequestDef> {
+// The table of phases. Its states are numbered in the order of Phase.
+struct PhaseTable : msm::front::state_machine_def<PhaseTable> {
     struct Queued : msm::front::state<> {};
     struct Sending : msm::front::state<> {};
     struct Delivering : msm::front::state<> {};
     struct Migrating : msm::front::state<> {};
     struct Finished : msm::front::state<> {};
-    using initial_state = Queued;
-    template <class S, class E, class T>
-    using R = msm::front::Row<S, E, T, msm::front::none, msm::front::none>;
-    struct transition_table
-        : mpl::vector<R<Queued, EvSend, Sending>, R<Queued, EvEnd, Finished>, R<Sending, EvBytes, Delivering>,
-              R<Sending, EvLoss, Migrating>, R<Sending, EvEnd, Finished>, R<Delivering, EvBytes, Delivering>,
-              R<Delivering, EvLoss, Migrating>, R<Delivering, EvEnd, Finished>, R<Migrating, EvSend, Sending>,
-              R<Migrating, EvWait, Queued>, R<Migrating, EvEnd, Finished>> {};
-    template <class F, class E>
-    void no_transition(E const&, F&, int) {
-        wrong = true;
+    using initial_state = Queued;  // NOLINT: the library's name
+
+    template <class From, class Event, class To>
+    using Transition = msm::front::Row<From, Event, To, msm::front::none, msm::front::none>;
+    // clang-format off
+    struct transition_table : mpl::vector<  // NOLINT: the library's name
+        Transition<Queued, SendEvent, Sending>,
+        Transition<Queued, EndEvent, Finished>,
+        Transition<Sending, BytesEvent, Delivering>,
+        Transition<Sending, LossEvent, Migrating>,
+        Transition<Sending, EndEvent, Finished>,
+        Transition<Delivering, BytesEvent, Delivering>,
+        Transition<Delivering, LossEvent, Migrating>,
+        Transition<Delivering, EndEvent, Finished>,
+        Transition<Migrating, SendEvent, Sending>,
+        Transition<Migrating, WaitEvent, Queued>,
+        Transition<Migrating, EndEvent, Finished>> {};
+    // clang-format on
+
+    template <class Machine, class Event>
+    void no_transition(Event const&, Machine&, int) {  // NOLINT: the library's name
+        isIllegal = true;
     }
-    bool wrong = false;
+    bool isIllegal = false;
 };
 
+}  // namespace
+
 struct RequestMachine {
-    msm::back::state_machine<RequestDef> m;
-    RequestMachine() { m.start(); }
-    template <class E>
-    auto go(E e) -> bool {
-        m.wrong = false;
-        m.process_event(e);
-        return !m.wrong;
+    msm::back::state_machine<PhaseTable> phases;
+
+    RequestMachine() { phases.start(); }
+    // Whether the table allows the event.
+    template <class Event>
+    auto process(Event event) -> bool {
+        phases.isIllegal = false;
+        phases.process_event(event);
+        return !phases.isIllegal;
     }
 };
 
@@ -55,19 +70,19 @@
 Request::Request(Request&&) noexcept = default;
 auto Request::operator=(Request&&) noexcept -> Request& = default;
 Request::~Request() = default;
-auto Request::phase() const -> Phase { return Phase(machine->m.current_state()[0]); }
+auto Request::phase() const -> Phase { return Phase(machine->phases.current_state()[0]); }
 
 auto turn(Request& request, Counters& counters, PhaseEvent event) -> void {
     auto& machine = *request.machine;
-    auto legal = false;
+    auto isLegal = false;
     switch (event) {
-    case PhaseEvent::Send: legal = machine.go(EvSend{}); break;
-    case PhaseEvent::Bytes: legal = machine.go(EvBytes{}); break;
-    case PhaseEvent::Loss: legal = machine.go(EvLoss{}); break;
-    case PhaseEvent::Wait: legal = machine.go(EvWait{}); break;
-    case PhaseEvent::End: legal = machine.go(EvEnd{}); break;
+    case PhaseEvent::Send: isLegal = machine.process(SendEvent{}); break;
+    case PhaseEvent::Bytes: isLegal = machine.process(BytesEvent{}); break;
+    case PhaseEvent::Loss: isLegal = machine.process(LossEvent{}); break;
+    case PhaseEvent::Wait: isLegal = machine.process(WaitEvent{}); break;
+    case PhaseEvent::End: isLegal = machine.process(EndEvent{}); break;
     }
-    if (!legal) counters.add("illegal_transitions_total");
+    if (!isLegal) counters.add("illegal_transitions_total");
 }
 
 }  // namespace duneturn
--- a/src/routing/response_relay.cpp
+++ b/src/routing/response_relay.cpp
@@ -200,7 +200,7 @@
     if (!request) return;
     auto gap = now - request->attempts.lastActivityAt;
     request->attempts.lastActivityAt = now;
-    statistics_.of(request->attempts.server).lastHeardAt = now;
+    statistics_.of(request->attempts.server).lastReceivedAt = now;
     headRead(*request, 200, {});
     auto verdict = judgeEvent(request->relayed, event);
     if (verdict != EventVerdict::Sound) return rejectEvent(*request, event, verdict, now);
@@ -233,7 +233,7 @@
     headRead(*request, 200, {});
     sendHeadOnce(*request);
     turn(*request, counters_, PhaseEvent::Bytes);
-    statistics_.of(request->attempts.server).lastHeardAt = now;
+    statistics_.of(request->attempts.server).lastReceivedAt = now;
     completeStream(*request, now);
     serveQueue(now);
 }
--- a/src/routing/retry.cpp
+++ b/src/routing/retry.cpp
@@ -131,8 +131,8 @@
     if (!request) return;
     auto& statistics = statistics_.of(request->attempts.server);
     statistics.ejection.lowerFitness(LOST, now);
-    auto isUnanswered = statistics.unansweredSince > statistics.lastHeardAt;
-    if (isUnanswered || now - statistics.lastHeardAt > SECOND) statistics.ejection.eject(now);
+    auto isUnanswered = statistics.unansweredSince > statistics.lastReceivedAt;
+    if (isUnanswered || now - statistics.lastReceivedAt > SECOND) statistics.ejection.eject(now);
     statistics.lastFailureAt = now;
     counters_.add("sends_lost_total");
     retryElsewhere(*request, event, why, now);
@@ -154,7 +154,7 @@
     if (silence < SILENCE_LOOKED_AT || now < attempts.nextStallCheckAt) return;
     // Nothing of it has left yet: any may go elsewhere, as if it had been refused.
     if (!attempts.tracker.written()) {
-        if (now - attempts.chosenAt < CONNECT) return;
+        if (now - attempts.chosenAt < CONNECT_TIMEOUT) return;
         attempts.nextStallCheckAt = now + SILENCE_INTERVAL;
         if (attempts.refusals < MAX_REFUSALS && couldMove(request, AttemptEvent::ConnectionRefused, now))
             onConnectionRefused(request.id, attempts.current, now);
--- a/src/routing/retry_budget.cpp
+++ b/src/routing/retry_budget.cpp
@@ -9,17 +9,17 @@
 namespace {
 
 constexpr auto TOKENS_PER_CREDIT = 4096;  // of a prompt that is read again, beside the attempt itself
-constexpr auto GRANT = 2 * ONE;
-constexpr auto GRANT_RESERVE = 8 * ONE;  // what a node keeps for itself
+constexpr auto GRANT = 2 * CREDIT_PER_ATTEMPT;
+constexpr auto GRANT_RESERVE = 8 * CREDIT_PER_ATTEMPT;  // what a node keeps for itself
 constexpr auto GRANT_INTERVAL = 200 * MILLISECOND;
-constexpr auto SHORTAGE_HOLDS = 2 * SECOND;  // how long a shortage is told of
+constexpr auto SHORTAGE_HOLDS = 2 * SECOND;  // how long others are asked for credit
 
 }  // namespace
 
 auto RetryBudget::account(const std::string& service, Microseconds now) -> std::int64_t& {
     if (routes_.budgetSlack < 0) return credit_;
     auto& account = accounts_[service];
-    auto cap = std::int64_t(routes_.budgetSlack * double(ONE) / double(fleet_.nodes()));
+    auto cap = std::int64_t(routes_.budgetSlack * double(CREDIT_PER_ATTEMPT) / double(fleet_.nodes()));
     if (!account.opened && fleet_.settled(now)) {  // how many nodes there are is known by now
         account.opened = true;
         account.credit += cap / 2;
@@ -32,8 +32,8 @@
 // each is one.
 auto RetryBudget::cost(const Request& request) const -> std::int64_t {
     if (faults_.noBudget) return 0;
-    if (dialect_.clientNamesRequests) return ONE;
-    return ONE + ONE * request.limits.sequenceTokens / TOKENS_PER_CREDIT;
+    if (dialect_.clientNamesRequests) return CREDIT_PER_ATTEMPT;
+    return CREDIT_PER_ATTEMPT + CREDIT_PER_ATTEMPT * request.limits.sequenceTokens / TOKENS_PER_CREDIT;
 }
 
 auto RetryBudget::allows(const Request& request, Microseconds now) -> bool {
@@ -62,8 +62,8 @@
         return;
     }
     counters_.add("first_sends_total");
-    credit += std::int64_t(routes_.budgetShare * ONE);
-    if (routes_.budgetSlack < 0) credit = std::min(credit, routes_.budgetCap * ONE);
+    credit += std::int64_t(routes_.budgetShare * CREDIT_PER_ATTEMPT);
+    if (routes_.budgetSlack < 0) credit = std::min(credit, routes_.budgetCap * CREDIT_PER_ATTEMPT);
     account(request.route.service, now);  // bounds it
 }
 
@@ -72,7 +72,7 @@
 }
 
 auto RetryBudget::receiveGrant(std::int64_t credit) -> void {
-    credit_ = std::min(credit_ + credit, routes_.budgetCap * ONE);
+    credit_ = std::min(credit_ + credit, routes_.budgetCap * CREDIT_PER_ATTEMPT);
     counters_.add("grants_taken_total");
 }
 
--- a/src/routing/retry_budget.hpp
+++ b/src/routing/retry_budget.hpp
@@ -40,7 +40,7 @@
 
     /// Another node granted credit to this one.
     auto receiveGrant(std::int64_t credit) -> void;
-    /// Tells the fleet how this node stands, and grants what it can spare.
+    /// Publishes how this node stands, and grants what it can spare.
     auto tick(Node& node, Microseconds now) -> void;
     /// Of the account for all services.
     [[nodiscard]] auto credit() const -> std::int64_t { return credit_; }
--- a/src/routing/route_table.cpp
+++ b/src/routing/route_table.cpp
@@ -16,12 +16,13 @@
 constexpr auto LEAST_FITNESS = 0.3;           // below it a server is used only where no fitter one is left
 constexpr auto URGENT = 5;                    // from this urgency on a request may fill a server
 constexpr auto LESS_URGENT_THRESHOLD = 0.85;  // less urgent work leaves a little room for what is more urgent
-constexpr auto QUEUE_SHARE = 5;  // whoever waits longer than this part of the target is better told at once
+constexpr auto QUEUE_SHARE =
+    5;  // whoever waits longer than this part of the target is better refused at once
 
 // A member that is an object; an empty one if there is none.
 auto section(const rapidjson::Value& value, const char* name) -> const rapidjson::Value& {
-    static const auto NONE = rapidjson::Value(rapidjson::kObjectType);
-    return value.IsObject() && value.HasMember(name) ? value[name] : NONE;
+    static const auto none = rapidjson::Value(rapidjson::kObjectType);
+    return value.IsObject() && value.HasMember(name) ? value[name] : none;
 }
 
 auto readFigures(const rapidjson::Value& config, RouteTable& table) -> void {
@@ -194,9 +195,9 @@
 
 auto serviceRuleOf(const RouteTable& routes, const Dialect& dialect, const std::string& service)
     -> const ServiceRule* {
-    static const auto EMPTY = ServiceRule();
+    static const auto emptyRule = ServiceRule();
     if (auto found = routes.services.find(service); found != routes.services.end()) return &found->second;
-    return dialect.clientNamesRequests ? &EMPTY : nullptr;
+    return dialect.clientNamesRequests ? &emptyRule : nullptr;
 }
 
 }  // namespace duneturn
--- a/src/routing/server_selection.cpp
+++ b/src/routing/server_selection.cpp
@@ -216,7 +216,7 @@
     // node sees much the same kinds, so that all choose the same region. Empty: the client's will do.
     auto unclaimedRegion() -> std::string {
         auto& near = request_.received.region;
-        if (request_.received.sharedTokens < LONG || route_.homes.size() == 1) return "";
+        if (request_.received.sharedTokens < LONG_PREFIX_TOKENS || route_.homes.size() == 1) return "";
         auto servers = std::map<std::string, int>();
         for (auto& candidate : candidates_) servers[candidate.server->listing.region]++;
         if (!servers.count(near) || servers.size() < 2) return "";
@@ -275,7 +275,7 @@
         if (inputs_.faults.pickRandom)
             return {std::size_t(inputs_.random.below(candidates_.size())), "least of some"};
         auto& received = request_.received;
-        if (!rule_->isEngine || !received.prefixKey || received.sharedTokens < LONG)
+        if (!rule_->isEngine || !received.prefixKey || received.sharedTokens < LONG_PREFIX_TOKENS)
             return {bestOfDrawn(), "least of some"};
         auto asRecorded = [&](auto& candidate) { return predict(candidate, PrefixAssumption::AsRecorded); };
         auto least = leastBy(asRecorded);
@@ -300,7 +300,7 @@
         auto drawn =
             std::clamp(size * DRAWN_BY_ALL / inputs_.fleet.nodes(), std::min<std::size_t>(2, size), size);
         auto from = std::size_t(inputs_.random.below(size)), best = from;
-        auto cost = [&](std::size_t i) { return predict(candidates_[i], PrefixAssumption::AsRecorded); };
+        auto cost = [&](std::size_t index) { return predict(candidates_[index], PrefixAssumption::AsRecorded); };
         for (auto k = std::size_t(1); k < drawn; k++)
             if (auto next = (from + k) % size; cost(next) < cost(best)) best = next;
         return best;
--- a/src/routing/server_statistics.cpp
+++ b/src/routing/server_statistics.cpp
@@ -26,7 +26,7 @@
 }  // namespace
 
 auto ServerStatistics::isSilent(Microseconds now) const -> bool {
-    return inflight > 0 && unansweredSince > lastHeardAt
+    return inflight > 0 && unansweredSince > lastReceivedAt
         && double(now - unansweredSince) > std::max(double(400 * MILLISECOND), 5 * firstByteTime);
 }
 
@@ -83,8 +83,9 @@
     auto age = double(now - statistics.loadAt);
     auto still = std::exp(-age / std::max(service.holdTime, double(20 * MILLISECOND)));
     auto expected = own + others * still + service.requestsOfOthers * (1 - still);
-    auto trust =
-        age <= double(BELIEVED) ? 1 : std::max(0.0, 1 - (age - double(BELIEVED)) / double(2 * BELIEVED));
+    auto trust = age <= double(LOAD_BELIEVED_FOR)
+        ? 1
+        : std::max(0.0, 1 - (age - double(LOAD_BELIEVED_FOR)) / double(2 * LOAD_BELIEVED_FOR));
     return own + (expected - own) * trust;
 }
 
@@ -110,7 +111,7 @@
 auto ServerStatisticsTable::readAnswer(
     const std::string& name, const Headers& headers, const Dialect& dialect, Microseconds now) -> void {
     auto& statistics = of(name);
-    statistics.lastHeardAt = now;
+    statistics.lastReceivedAt = now;
     statistics.ejection.clearEjections();
     if (auto text = header(headers, dialect.load); !text.empty()) readLoad(name, text, now);
     if (auto text = header(headers, dialect.coldMs); !text.empty())
@@ -121,9 +122,9 @@
 // "RUNNING,WAITING,SLOTS".
 auto ServerStatisticsTable::readLoad(const std::string& name, const std::string& text, Microseconds now)
     -> void {
-    auto numbers = std::vector<std::int64_t>();
-    if (!parseNumbers(text, numbers) || numbers.size() != 3) return;
-    auto bounded = [&](std::size_t at) { return int(std::min(numbers[at], MOST_REPORTED)); };
+    auto numbers = parseNumbers(text);
+    if (!numbers || numbers->size() != 3) return;
+    auto bounded = [&](std::size_t at) { return int(std::min(numbers->at(at), MOST_REPORTED)); };
     auto& statistics = of(name);
     statistics.running = bounded(0);
     statistics.waiting = bounded(1);
--- a/src/routing/server_statistics.hpp
+++ b/src/routing/server_statistics.hpp
@@ -38,7 +38,7 @@
     Microseconds loadAt = 0;
     Microseconds fullUntil = 0;        ///< It said that it was full.
     Microseconds unansweredSince = 0;  ///< The first attempt since it last answered.
-    Microseconds lastHeardAt = 0;      ///< When it last answered.
+    Microseconds lastReceivedAt = 0;   ///< When it last answered.
     /// The revision of the listing under which another server answered at its address.
     std::int64_t wrongAddressRevision = -1;
     Microseconds coldUntil = 0;     ///< As it said itself.
@@ -82,10 +82,10 @@
     [[nodiscard]] auto find(const std::string& server) const -> const ServerStatistics*;
     auto ofService(const std::string& service) -> ServiceStatistics& { return services_[service]; }
 
-    /// Requests that a server holds by the load reports that nodes exchange, ours since then included.
+    /// Requests that a server holds by the load reports that nodes send each other, ours since then included.
     [[nodiscard]] auto reportedLoad(const std::string& name, const Server& server) -> double;
     /// Requests that a server holds: ours, and what it last said of others'. As those come to their ends,
-    /// what was said tells less and less, and the service's average more.
+    /// what was said counts for less and less, and the service's average more.
     [[nodiscard]] auto load(const std::string& name, const Server& server, Microseconds now) -> double;
     /// Requests that a server runs at once: as it says, as it is listed, as the configuration says.
     [[nodiscard]] auto slots(const std::string& name, const Server& server, const ServiceRule& rule) -> int;
--- a/src/routing/slow_start.cpp
+++ b/src/routing/slow_start.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr auto NO_LIMIT = 1 << 20;               // attempts; beyond what any server bears
-constexpr auto COLD_MARGIN = 250 * MILLISECOND;  // what is told of cold times is a little old
+constexpr auto COLD_MARGIN = 250 * MILLISECOND;  // what is known of cold times is a little old
 constexpr auto RESTORED_MARGIN = 5 * SECOND;     // how long a restored zone's servers may be cold unseen
 constexpr auto RATE_SHARE = 0.9;                 // of a cold server's rate that is dealt out
 constexpr auto BURST_SHARE = 0.8;                // of what it bears beyond its rate
@@ -31,10 +31,10 @@
 
 auto SlowStart::rampShare(const std::string& name, const Server& server, Microseconds now) -> int {
     if (faults_.noRamp || routes_.rampDuration <= 0) return NO_LIMIT;
-    auto up = upTime(name, server, now);
-    if (up >= routes_.rampDuration) return NO_LIMIT;
+    auto elapsed = upTime(name, server, now);
+    if (elapsed >= routes_.rampDuration) return NO_LIMIT;
     auto slots = double(std::max(1, server.listing.slots));
-    auto grown = (slots - routes_.rampFirstSlots) * double(up) / double(routes_.rampDuration);
+    auto grown = (slots - routes_.rampFirstSlots) * double(elapsed) / double(routes_.rampDuration);
     auto all = int(routes_.rampFirstSlots + grown);
     // Each node takes its part; the remainder goes to those that rendezvous hashing puts first.
     auto nodes = node_.aliveNodes(now);
