--- a/tests/routing/server_model.cpp
+++ b/tests/routing/server_model.cpp
@@ -68,11 +68,11 @@
         return fmt::format(R"({{"name":"{0}","path":"/{0}",{1}{2}}})", name, COMMON, more);
     };
     CHECK_EQ(200,
-        config(R"({"budget":{"slack":4000,"share":0.2},"models":{"m":{"migrationLimit":3}},"mappings":[)"
+        orderConfig(R"({"budget":{"slack":4000,"share":0.2},"models":{"m":{"migrationLimit":3}},"mappings":[)"
             + route("once", "") + "," + route("safe", R"(,"repeatable":true)") + ","
             + route("stream", R"(,"stream":true)") + ","
             + route("resumable", R"(,"stream":true,"Resumable":true)") + "]}"));
-    list({{"x", "near", "p", "z", 9}, {"y", "near", "p", "z", 9}, {"w", "near", "p", "z", 9}});
+    listServers({{"x", "near", "p", "z", 9}, {"y", "near", "p", "z", 9}, {"w", "near", "p", "z", 9}});
 }
 
 // ---- the daemon's part: connections and the reading of answers
@@ -94,8 +94,8 @@
 }
 
 auto ServerModel::connect(Attempt& attempt) -> bool {
-    auto request = e->find(attempt.request);
-    if (request && e->mayReuseConnection(*request))
+    auto request = edge->find(attempt.request);
+    if (request && edge->mayReuseConnection(*request))
         if (auto link = kept_.take(attempt.server, now)) {
             attempt.link = *link;
             reused++;
@@ -103,7 +103,7 @@
         }
     if (!script_.empty() && script_.front().kind == Kind::Refuse) {
         script_.erase(script_.begin());
-        e->onConnectionRefused(attempt.request, attempt.number, now);
+        edge->onConnectionRefused(attempt.request, attempt.number, now);
         return false;
     }
     attempt.link = std::make_shared<Link>();
@@ -113,20 +113,20 @@
 // Sends the request, if it may be sent; false if nothing comes of the attempt.
 auto ServerModel::begin(Attempt& attempt) -> bool {
     if (!connect(attempt)) return false;
-    auto request = e->find(attempt.request);
-    if (!request || !e->beforeFirstByte(attempt.request, attempt.number, now, attempt.link->used))
+    auto request = edge->find(attempt.request);
+    if (!request || !edge->beforeFirstByte(attempt.request, attempt.number, now, attempt.link->used))
         return false;
     if (left_) sendsAfterLeaving_++;
     auto head = requestHead(request->received.method, request->received.path,
-        e->requestHeaders(*request, now), request->received.body.size(), "", true);
+        edge->requestHeaders(*request, now), request->received.body.size(), "", true);
     auto options = AnswerOptions();
     options.mayEndByClose = true;
-    options.notExecuted = e->dialect().notExecuted;
+    options.notExecuted = edge->dialect().notExecuted;
     attempt.reader = std::make_unique<AnswerReader>(options);
     for (auto bytes : {&attempt.link->unasked, &attempt.link->atNextSend})
         if (!bytes->empty()) attempt.pieces.push_back(std::exchange(*bytes, ""));
     serve(attempt, head + request->received.body);
-    e->onRequestWritten(attempt.request, attempt.number);
+    edge->onRequestWritten(attempt.request, attempt.number);
     return true;
 }
 
@@ -142,7 +142,7 @@
         reader.end(reset ? ConnectionEnd::Reset : ConnectionEnd::Closed);
         attempt.link->open = false;
     }
-    auto delivery = deliver(reader, *e, attempt.request, attempt.number, now);
+    auto delivery = deliver(reader, *edge, attempt.request, attempt.number, now);
     if (delivery == Delivery::Reading) return true;
     if (delivery == Delivery::Whole && !attempt.over) {
         attempt.link->used = true;
@@ -252,7 +252,7 @@
 }
 
 auto ServerModel::answerLength(const std::string& path, const ServerBehaviour& how) -> std::size_t {
-    auto id = fmt::format("t{}", names + 1);
+    auto id = fmt::format("t{}", requestCount + 1);
     auto declined = how.kind == Kind::Decline;
     auto stream = isStream(path);
     auto body = declined              ? std::string("declined")
@@ -266,7 +266,7 @@
 
 auto ServerModel::leave() -> void {
     left_ = true;
-    e->clientClosed(request_, now);
+    edge->clientClosed(request_, now);
     for (auto& [key, attempt] : attempts_)
         if (key.first == request_) complain("a send lives on though its client has left");
 }
@@ -281,9 +281,9 @@
     left_ = false;
     sendsAfterLeaving_ = 0;
     askedAt_ = now;
-    id_ = fmt::format("t{}", names + 1);
-    request_ = ask(path, isStream(path) ? Headers{{"X-Model", "m"}} : Headers{});
-    for (auto step = 0; step < MOST_STEPS && !fate(request_) && !left_; step++) {
+    id_ = fmt::format("t{}", requestCount + 1);
+    request_ = sendRequest(path, isStream(path) ? Headers{{"X-Model", "m"}} : Headers{});
+    for (auto step = 0; step < MOST_STEPS && !outcome(request_) && !left_; step++) {
         if (step == leaveAfter) leave();
         else if (!advance()) EdgeFixture::step();
     }
@@ -298,10 +298,10 @@
 }
 
 auto ServerModel::judge() -> std::string {
-    lastFate_ = fate(request_);
+    lastFate_ = outcome(request_);
     if (!isRepeatable(path_) && executions() > 1) complain("what may not be repeated ran twice");
     if (sendsAfterLeaving_) complain("it was sent after its client had left");
-    if (ct.get("illegal_transitions_total")) complain("an illegal transition");
+    if (counters.get("illegal_transitions_total")) complain("an illegal transition");
     if (left_) return complaint_;
     if (!lastFate_) complain("it never ended");
     if (now > askedAt_ + DEADLINE + 250 * MILLISECOND) complain("it ended too late");
@@ -313,7 +313,7 @@
 auto ServerModel::judgeReply(const Reply& reply) -> void {
     if (isPromise(reply.status) && !isRepeatable(path_) && executions() > 0)
         complain("a promise was given of what has run");
-    auto seal = get(reply.h, "X-Seal");
+    auto seal = headerOf(reply.headers, "X-Seal");
     if (seal == "-") {
         if (reply.status < 400) complain("a success that is no server's");
         return;
@@ -324,7 +324,7 @@
 }
 
 auto ServerModel::judgeStream(bool isWhole) -> void {
-    auto seal = get(heads[request_].second, "X-Seal");
+    auto seal = headerOf(heads[request_].second, "X-Seal");
     auto own = std::any_of(runs_.begin(), runs_.end(), [&](auto& run) { return run.seal == seal; });
     if (!own) complain("the head is not one that a server gave to this request");
     auto& got = parts[request_];
