--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -43,10 +43,12 @@
 #include "control/request_age.hpp"
 #include "control/request_watch.hpp"
 #include "daemon/answer_reader.hpp"
+#include "net/connection_limits.hpp"
 #include "net/connection_pool.hpp"
 #include "net/envelope_compression.hpp"
 #include "net/peer_channel.hpp"
 #include "net/socket.hpp"
+#include "net/stop_schedule.hpp"
 #include "storage/store.hpp"
 
 namespace duneturn {
@@ -139,7 +141,7 @@
         calls_.erase(i);
         f(o);
     }
-    auto book(const std::vector<std::string>& v) -> void override {
+    auto savePeerHints(const std::vector<std::string>& v) -> void override {
         auto s = std::string();
         for (auto& a : v) s += a + "\n";
         auto l = std::lock_guard(dmu_);
@@ -243,7 +245,7 @@
     }
     auto duty() -> bool override {
         auto l = std::lock_guard(mu_);
-        return node->duty(bootNow());
+        return node->hasSingletonDuty(bootNow());
     }
     auto replicatedState() -> std::string override {
         auto l = std::lock_guard(mu_);
@@ -261,8 +263,8 @@
         auto l = std::lock_guard(mu_);
         if (e.__isset.compressed && !z) return ct_.add("peer_decompress_failed_total");
         node->handle(z ? *z : e, bootNow());
-        auto k = node->rows().find(e.node);
-        if (k == node->rows().end()) return;
+        auto k = node->nodes().find(e.node);
+        if (k == node->nodes().end()) return;
         auto l2 = std::lock_guard(qmu_);
         if (e.wire >= COMPRESSION_WIRE_VERSION) compressing_.insert(k->second.record.peer);
         else compressing_.erase(k->second.record.peer);
@@ -319,7 +321,7 @@
     ConnectionPool<std::shared_ptr<beast::tcp_stream>> kept_{
         [](auto& s) { return isSocketQuiet(s->socket().native_handle()); }};
     std::set<std::shared_ptr<beast::tcp_stream>> idle_;  // senders' connections between requests
-    Limits lim_;
+    ConnectionLimits lim_;
     std::map<std::string, std::int64_t> conns_;  // the most that a pool's servers accept
     std::size_t nodes_ = 1;
     std::int64_t limitEpoch_ = -1, limitVersion_ = -1;
@@ -373,8 +375,8 @@
     auto rd = std::random_device();
     auto seed = (std::uint64_t(rd()) << 32) ^ rd();
     auto l = std::lock_guard(mu_);
-    if (store.setAside) ct_.add("store_set_aside_total");
-    node->hints(ps);
+    if (store.setAside()) ct_.add("store_set_aside_total");
+    node->addPeerHints(ps);
     node->startCore(s, fmt::format("{:016x}", hash64(op.st.node, seed)), bootNow());
     started_ = true;
 }
@@ -407,7 +409,7 @@
         auto r = tl::expected<void, StoreError>();
         if (gate.takes(w)) r = store.write(w);
         else {
-            store.owe(w);
+            store.carryOver(w);
             r = tl::make_unexpected(StoreError{"behind a failed write"});
         }
         if (!r) {
@@ -573,7 +575,7 @@
         refused = e.code() == asio::error::connection_refused;
     }
     auto l = std::lock_guard(mu_);
-    node->loadSeen(server, ok, refused, d, bootNow());
+    node->probeFinished(server, ok, refused, d, bootNow());
 }
 
 // ---- towards the senders
@@ -746,7 +748,7 @@
     configureSocket(s.socket().native_handle(), UNHEARD_CLIENT);
     sessions_++;
     while (true) {
-        auto lim = Limits();
+        auto lim = ConnectionLimits();
         auto refusing = false;
         auto arrived = bootNow();  // the request's first byte
         {
@@ -930,7 +932,7 @@
         co_return order_answer::notLogged("it took too long to begin; send it again");
     if (watch) {
         auto l = std::lock_guard(mu_);
-        if (node->frozenSince(watch->arrived, bootNow())) {
+        if (node->wasFrozenSince(watch->arrived, bootNow())) {
             ct_.add("orders_after_freeze_total");
             co_return order_answer::notLogged("this process was stopped meanwhile; send it again");
         }
@@ -998,7 +1000,8 @@
     };
     auto key = std::string(q["Idempotency-Key"]);
     auto ordered = [&](const std::string& o) -> awaitable<Outcome> {
-        auto k = key.empty() ? fmt::format("{}-{:x}-{}", op.st.node, node->me().boot, ++keys_) : clip(key);
+        auto k =
+            key.empty() ? fmt::format("{}-{:x}-{}", op.st.node, node->ownRecord().boot, ++keys_) : clip(key);
         r.set("Idempotency-Key", k);
         auto body = q.body();
         co_return co_await sh.order(o, k, body);
@@ -1103,7 +1106,7 @@
     node->tick(now, wallNow());
     edge->tick(now);
     if (auto& w = node->replicatedState(); w.version != limitVersion_ || w.epoch != limitEpoch_) {
-        lim_ = limitsOf(w.config());
+        lim_ = readConnectionLimits(w.config());
         conns_.clear();
         if (w.config().IsObject() && w.config().HasMember("pools") && w.config()["pools"].IsObject())
             for (auto& p : w.config()["pools"].GetObject())
@@ -1168,7 +1171,7 @@
 auto Daemon::stopStep(Microseconds now) -> bool {
     // A reply that its session has not written yet is as unfinished as its exchange was.
     // Nor is a voter's seat without its successor.
-    auto busy = edge->activeRequests() > 0 || !downs_.empty() || !node->seatHandedOver(now);
+    auto busy = edge->activeRequests() > 0 || !downs_.empty() || !node->voteHandedOver(now);
     auto cut = [&] {
         if (cut_) return;
         cut_ = true;
@@ -1184,14 +1187,14 @@
         return !busy || now - stop_.at >= stop_.grace + 200 * MILLISECOND;
     }
     auto st = stop_.step(now, busy);
-    if (st == StopSchedule::Serve) return false;
+    if (st == StopStep::Serve) return false;
     if (!refusing_) {
         refusing_ = true;
         edge->stopAccepting();
         idleClose();
     }
-    if (st == StopSchedule::Cut) cut();
-    return st == StopSchedule::End || now - stop_.at >= stop_.grace * 95 / 100;
+    if (st == StopStep::Cut) cut();
+    return st == StopStep::End || now - stop_.at >= stop_.grace * 95 / 100;
 }
 // Senders' connections that carry no request end now, and no others are taken. With mu_ held.
 auto Daemon::idleClose() -> void {
--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -73,11 +73,11 @@
     received.method = method;
     received.path = path;
     received.host = header(headers, "Host");
-    received.name = fmt::format("{}-{:x}-{}", node_.me().node, node_.me().boot, id);
+    received.name = fmt::format("{}-{:x}-{}", node_.ownRecord().node, node_.ownRecord().boot, id);
     if (!dialect_.clientNamesRequests) received.region = header(headers, "X-Region");
     else if (auto name = header(headers, dialect_.request); !name.empty() && name.size() <= MAX_NAME)
         received.name = name;
-    if (received.region.empty()) received.region = node_.me().region;
+    if (received.region.empty()) received.region = node_.ownRecord().region;
     request.route.name = "none";
     request.route.timeout = UNROUTED_TIMEOUT;
     request.limits.deadline = now + UNROUTED_TIMEOUT;
--- a/src/routing/candidate_filters.cpp
+++ b/src/routing/candidate_filters.cpp
@@ -12,35 +12,36 @@
 
 }  // namespace
 
-auto isOfService(const Server& server, const Route& route) -> bool {
+auto isOfService(const KnownServer& server, const Route& route) -> bool {
     return server.listing.serviceName == route.service;
 }
 
-auto isListed(const Server& server, const ServerStatistics* statistics, const EdgeFaults& faults) -> bool {
+auto isListed(const KnownServer& server, const ServerStatistics* statistics, const EdgeFaults& faults)
+    -> bool {
     if (statistics && statistics->wrongAddressRevision >= server.listing.revision) return false;
     return !server.listing.address.empty() && (server.listing.state == UP || faults.ignoreLeaving);
 }
 
-auto isOutsideEvacuatedZones(const Server& server, const ReplicatedState& state) -> bool {
+auto isOutsideEvacuatedZones(const KnownServer& server, const ReplicatedState& state) -> bool {
     return !state.evacuated(server.listing.zone);
 }
 
-auto isInHomeRegion(const Server& server, const Request& request, const EdgeFaults& faults) -> bool {
+auto isInHomeRegion(const KnownServer& server, const Request& request, const EdgeFaults& faults) -> bool {
     auto& homes = request.route.homes;
     return faults.ignoreHome || std::any_of(homes.begin(), homes.end(), [&](auto& home) {
         return server.listing.region == (home == CLIENTS_REGION ? request.received.region : home);
     });
 }
 
-auto hasStreamWeights(
-    const Server& server, const Request& request, const Dialect& dialect, const EdgeFaults& faults) -> bool {
+auto hasStreamWeights(const KnownServer& server, const Request& request, const Dialect& dialect,
+    const EdgeFaults& faults) -> bool {
     if (dialect.clientNamesRequests && server.listing.weights.empty()) return true;
     auto& relayed = request.relayed;
     return faults.anyWeights || relayed.weights.empty() || relayed.lastEventId < 0
         || server.listing.weights == relayed.weights;
 }
 
-auto isInAllowedRegion(const Server& server, const Request& request, const Dialect& dialect) -> bool {
+auto isInAllowedRegion(const KnownServer& server, const Request& request, const Dialect& dialect) -> bool {
     auto& route = request.route;
     if (!route.homes.empty() || (dialect.clientNamesRequests && route.spillRegions.empty())) return true;
     auto& region = server.listing.region;
@@ -58,7 +59,7 @@
     if (rule && ejection.wasEjected() && (statistics.inflight > 0 || now < ejection.ejectedUntil() + caution))
         return false;
     auto& server = *candidate.server;
-    auto isDark = server.seen && now - server.seen < SEEN && server.load.dark;
+    auto isDark = server.loadReadAt && now - server.loadReadAt < LOAD_MAX_AGE && server.load.dark;
     return !isDark && ejection.fitness(now) >= leastFitness;
 }
 
--- a/src/routing/candidate_filters.hpp
+++ b/src/routing/candidate_filters.hpp
@@ -16,30 +16,30 @@
 
 /// A server that a request may go to.
 struct Candidate {
-    const std::string* name;
-    const Server* server;
+    const std::string* name = nullptr;
+    const KnownServer* server = nullptr;
     double occupancy = 0;  ///< Requests it is known to hold, as a part of its slots.
 };
 
 // Rules. They are asked when a server is chosen, and again just before the first byte.
 
 /// Of the route's service.
-[[nodiscard]] auto isOfService(const Server& server, const Route& route) -> bool;
+[[nodiscard]] auto isOfService(const KnownServer& server, const Route& route) -> bool;
 /// Listed with an address, not draining, and not known to be another one's address by now.
 [[nodiscard]] auto isListed(
-    const Server& server, const ServerStatistics* statistics, const EdgeFaults& faults) -> bool;
+    const KnownServer& server, const ServerStatistics* statistics, const EdgeFaults& faults) -> bool;
 /// Not in a zone that an operator evacuated.
-[[nodiscard]] auto isOutsideEvacuatedZones(const Server& server, const ReplicatedState& state) -> bool;
+[[nodiscard]] auto isOutsideEvacuatedZones(const KnownServer& server, const ReplicatedState& state) -> bool;
 /// In one of the route's home regions. They are never left.
-[[nodiscard]] auto isInHomeRegion(const Server& server, const Request& request, const EdgeFaults& faults)
+[[nodiscard]] auto isInHomeRegion(const KnownServer& server, const Request& request, const EdgeFaults& faults)
     -> bool;
 /// Of the weights version of which a stream's events were relayed. On a wire where clients name requests
 /// a server whose version the list does not name passes, and is judged by its answer's head.
-[[nodiscard]] auto hasStreamWeights(
-    const Server& server, const Request& request, const Dialect& dialect, const EdgeFaults& faults) -> bool;
+[[nodiscard]] auto hasStreamWeights(const KnownServer& server, const Request& request, const Dialect& dialect,
+    const EdgeFaults& faults) -> bool;
 /// In the client's region, or in one that takes its overflow.
-[[nodiscard]] auto isInAllowedRegion(const Server& server, const Request& request, const Dialect& dialect)
-    -> bool;
+[[nodiscard]] auto isInAllowedRegion(
+    const KnownServer& server, const Request& request, const Dialect& dialect) -> bool;
 
 // Judgements of the moment.
 
--- a/src/routing/edge.hpp
+++ b/src/routing/edge.hpp
@@ -40,7 +40,7 @@
 #include "routing/server_selection.hpp"
 #include "routing/server_statistics.hpp"
 #include "routing/slow_start.hpp"
-#include "routing/stream_event.hpp"
+#include "net/event_stream.hpp"
 
 namespace duneturn {
 
@@ -85,7 +85,7 @@
     /// The answer's head; false if this answer is not for the request, and nothing more of it is wanted.
     auto onResponseHead(std::int64_t id, int attempt, int status, const Headers& headers, Microseconds now)
         -> bool;
-    auto onStreamEvent(std::int64_t id, int attempt, const StreamEvent& event, Microseconds now) -> void;
+    auto onStreamEvent(std::int64_t id, int attempt, const ServerSentEvent& event, Microseconds now) -> void;
     /// The HTTP message of a stream is whole.
     auto onStreamEnd(std::int64_t id, int attempt, Microseconds now) -> void;
     /// A whole answer that is no stream.
@@ -178,10 +178,10 @@
     auto judgeFirstByteTime(const Request& request, int status, const Headers& headers, Microseconds now)
         -> void;
     auto sendHeadOnce(Request& request) -> void;
-    [[nodiscard]] auto judgeEvent(RelayedStream& relayed, const StreamEvent& event) const -> EventVerdict;
-    [[nodiscard]] auto judgeRisingEvent(RelayedStream& relayed, const StreamEvent& event) const
+    [[nodiscard]] auto judgeEvent(RelayedStream& relayed, const ServerSentEvent& event) const -> EventVerdict;
+    [[nodiscard]] auto judgeRisingEvent(RelayedStream& relayed, const ServerSentEvent& event) const
         -> EventVerdict;
-    auto rejectEvent(Request& request, const StreamEvent& event, EventVerdict verdict, Microseconds now)
+    auto rejectEvent(Request& request, const ServerSentEvent& event, EventVerdict verdict, Microseconds now)
         -> void;
     auto completeStream(Request& request, Microseconds now) -> void;
     auto onWrongIdentity(Request& request, Microseconds now) -> void;
--- a/src/routing/fleet_size.hpp
+++ b/src/routing/fleet_size.hpp
@@ -16,7 +16,7 @@
 
     /// The number of nodes, this one included.
     [[nodiscard]] auto nodes() const -> std::size_t {
-        return std::max({node_.rows().size() + 1, rosterSize_, most_});
+        return std::max({node_.nodes().size() + 1, rosterSize_, most_});
     }
     /// Whether this node has run for long enough to know the others.
     [[nodiscard]] auto settled(Microseconds now) const -> bool {
@@ -27,7 +27,7 @@
         if (!startedAt_) startedAt_ = now;
     }
     auto tick(Microseconds now) -> void {
-        auto known = node_.rows().size() + 1;
+        auto known = node_.nodes().size() + 1;
         if (known < most_ && now - mostAt_ <= MOST_HOLDS) return;
         most_ = known;
         mostAt_ = now;
--- a/src/routing/headers.hpp
+++ b/src/routing/headers.hpp
@@ -4,13 +4,11 @@
 #include <optional>
 #include <string>
 #include <string_view>
-#include <utility>
 #include <vector>
 
-namespace duneturn {
+#include "net/headers.hpp"
 
-/// Names and values, in the order of the message.
-using Headers = std::vector<std::pair<std::string, std::string>>;
+namespace duneturn {
 
 [[nodiscard]] auto toLower(std::string_view text) -> std::string;
 /// The value of the first header of this name, whatever its case; empty if there is none.
--- a/src/routing/migration.cpp
+++ b/src/routing/migration.cpp
@@ -61,13 +61,13 @@
     return "";
 }
 
-auto Migration::eventTokens(const Request& request, const StreamEvent& event) const -> int {
+auto Migration::eventTokens(const Request& request, const ServerSentEvent& event) const -> int {
     if (dialect_.clientNamesRequests && event.id.empty()) return 0;
     auto rule = serviceRuleOf(routes_, dialect_, request.route.service);
     return rule && rule->eventTokens > 0 ? rule->eventTokens : 1;
 }
 
-auto Migration::recordRelayed(Request& request, const StreamEvent& event) const -> bool {
+auto Migration::recordRelayed(Request& request, const ServerSentEvent& event) const -> bool {
     auto& limits = request.limits;
     limits.sequenceTokens += eventTokens(request, event);
     if (limits.sequenceTokens > request.route.maxSequenceTokens) {
--- a/src/routing/migration.hpp
+++ b/src/routing/migration.hpp
@@ -21,7 +21,7 @@
 #include "routing/request.hpp"
 #include "routing/route_table.hpp"
 #include "routing/server_statistics.hpp"
-#include "routing/stream_event.hpp"
+#include "net/event_stream.hpp"
 
 namespace duneturn {
 
@@ -47,7 +47,7 @@
 
     /// An event was relayed: it adds to the sequence, and is kept while the request may still migrate. True
     /// if it took the request past its maximum sequence length, from where on it no longer may.
-    auto recordRelayed(Request& request, const StreamEvent& event) const -> bool;
+    auto recordRelayed(Request& request, const ServerSentEvent& event) const -> bool;
 
     /// How long the silence of a server is borne by a request that may migrate. Where the configuration
     /// does not say, it migrates while it may still come in time, unless the whole service is that slow.
@@ -57,7 +57,7 @@
     [[nodiscard]] auto crawls(Request& request, Microseconds gap) const -> std::optional<std::string>;
 
   private:
-    [[nodiscard]] auto eventTokens(const Request& request, const StreamEvent& event) const -> int;
+    [[nodiscard]] auto eventTokens(const Request& request, const ServerSentEvent& event) const -> int;
 
     const RouteTable& routes_;
     const Dialect& dialect_;
--- a/src/routing/response_relay.cpp
+++ b/src/routing/response_relay.cpp
@@ -141,7 +141,7 @@
 }
 
 // Where clients name requests, ids rise, by how much nobody says.
-auto Edge::judgeRisingEvent(RelayedStream& relayed, const StreamEvent& event) const -> EventVerdict {
+auto Edge::judgeRisingEvent(RelayedStream& relayed, const ServerSentEvent& event) const -> EventVerdict {
     if (event.id.empty()) {
         if (isComment(event.raw)) return EventVerdict::Sound;
         if (relayed.lastEventId >= 0 || (event.data.empty() && event.type.empty()))
@@ -162,10 +162,10 @@
 }
 
 // Whether the next event of a stream follows what was relayed of it; notes its id if so.
-auto Edge::judgeEvent(RelayedStream& relayed, const StreamEvent& event) const -> EventVerdict {
+auto Edge::judgeEvent(RelayedStream& relayed, const ServerSentEvent& event) const -> EventVerdict {
     if (dialect_.clientNamesRequests) return judgeRisingEvent(relayed, event);
     if (event.id.empty()) {
-        if (!event.isCompletionMark()) relayed.countable = false;
+        if (!event.done()) relayed.countable = false;
         return EventVerdict::Sound;
     }
     if (!relayed.countable) return EventVerdict::Sound;
@@ -182,7 +182,7 @@
     return EventVerdict::Sound;
 }
 
-auto Edge::rejectEvent(Request& request, const StreamEvent& event, EventVerdict verdict, Microseconds now)
+auto Edge::rejectEvent(Request& request, const ServerSentEvent& event, EventVerdict verdict, Microseconds now)
     -> void {
     auto last = request.relayed.lastEventId;
     if (verdict == EventVerdict::Uncountable)
@@ -195,7 +195,8 @@
     fail(request, 502, fmt::format("the event after {} came as {}", last, came), now);
 }
 
-auto Edge::onStreamEvent(std::int64_t id, int attempt, const StreamEvent& event, Microseconds now) -> void {
+auto Edge::onStreamEvent(std::int64_t id, int attempt, const ServerSentEvent& event, Microseconds now)
+    -> void {
     auto request = currentAttempt(id, attempt);
     if (!request) return;
     auto gap = now - request->attempts.lastActivityAt;
@@ -213,7 +214,7 @@
             fmt::format(
                 "+{} us past the maximum sequence length: migrations 0", now - request->received.acceptedAt));
     port_.sendPart(id, event.raw);
-    if (dialect_.doneEvent && event.isCompletionMark()) completeStream(*request, now);
+    if (dialect_.doneEvent && event.done()) completeStream(*request, now);
     else if (request->relayed.lastEventId > 0) moveIfCrawling(*request, gap, now);
 }
 
--- a/src/routing/retry_budget.cpp
+++ b/src/routing/retry_budget.cpp
@@ -89,17 +89,20 @@
 // could grant, the one that rendezvous hashing puts first does.
 auto RetryBudget::grantToOthers(Node& node, Microseconds now) -> void {
     auto isFirst = [&](const std::string& poor) {
-        for (auto& [name, known] : node.rows())
-            if (name != poor && now - known.at < ALIVE && known.record.credit > GRANT_RESERVE
-                && rendezvousRank(poor, name) > rendezvousRank(poor, node.me().node))
+        for (auto& [name, known] : node.nodes())
+            if (name != poor && now - known.lastHeartbeatAt < ALIVE_TIMEOUT
+                && known.record.credit > GRANT_RESERVE
+                && rendezvousRank(poor, name) > rendezvousRank(poor, node.ownRecord().node))
                 return false;
         return true;
     };
-    for (auto& [name, known] : node.rows()) {
+    for (auto& [name, known] : node.nodes()) {
         auto isPoor = known.record.want && known.record.credit < GRANT;
-        if (now - known.at >= ALIVE || !isPoor || credit_ <= GRANT_RESERVE || !isFirst(name)) continue;
+        if (now - known.lastHeartbeatAt >= ALIVE_TIMEOUT || !isPoor || credit_ <= GRANT_RESERVE
+            || !isFirst(name))
+            continue;
         credit_ -= GRANT;
-        node.creditGrant(name, GRANT, now);
+        node.grantCredit(name, GRANT, now);
         counters_.add("grants_given_total");
     }
 }
--- a/src/routing/route_table.hpp
+++ b/src/routing/route_table.hpp
@@ -36,7 +36,7 @@
 /// A stage with its threshold: a fitness (Fit), an occupancy (Room, Near), or whether prompts' beginnings
 /// are hashed to servers (Pick).
 struct SelectionStep {
-    SelectionStage stage;
+    SelectionStage stage = SelectionStage::Service;
     double threshold = 0;
 };
 
--- a/src/routing/server_selection.cpp
+++ b/src/routing/server_selection.cpp
@@ -25,7 +25,7 @@
 constexpr auto NONE = 1e18;                     // the best of no candidates
 
 // Whether the rule of a stage lets a server in. What is judged at the moment is not asked here.
-auto ruleAllows(SelectionStage stage, const Request& request, const Server& server,
+auto ruleAllows(SelectionStage stage, const Request& request, const KnownServer& server,
     const SelectionInputs& inputs) -> bool {
     switch (stage) {
     case SelectionStage::Service: return isOfService(server, request.route);
@@ -300,7 +300,9 @@
         auto drawn =
             std::clamp(size * DRAWN_BY_ALL / inputs_.fleet.nodes(), std::min<std::size_t>(2, size), size);
         auto from = std::size_t(inputs_.random.below(size)), best = from;
-        auto cost = [&](std::size_t index) { return predict(candidates_[index], PrefixAssumption::AsRecorded); };
+        auto cost = [&](std::size_t index) {
+            return predict(candidates_[index], PrefixAssumption::AsRecorded);
+        };
         for (auto k = std::size_t(1); k < drawn; k++)
             if (auto next = (from + k) % size; cost(next) < cost(best)) best = next;
         return best;
@@ -342,7 +344,7 @@
     return SelectionRun(inputs_, request, now).run();
 }
 
-auto ServerSelection::allows(const Request& request, const Server& server) const -> bool {
+auto ServerSelection::allows(const Request& request, const KnownServer& server) const -> bool {
     auto& steps = request.route.steps;
     return std::all_of(steps.begin(), steps.end(),
         [&](auto& step) { return ruleAllows(step.stage, request, server, inputs_); });
--- a/src/routing/server_selection.hpp
+++ b/src/routing/server_selection.hpp
@@ -41,7 +41,7 @@
 
     [[nodiscard]] auto select(const Request& request, Microseconds now) -> Selection;
     /// Whether every rule lets a request go to this server, whatever its load is now.
-    [[nodiscard]] auto allows(const Request& request, const Server& server) const -> bool;
+    [[nodiscard]] auto allows(const Request& request, const KnownServer& server) const -> bool;
     /// Whether there is a server that may take the request once it has room.
     [[nodiscard]] auto mayFindServerLater(const Request& request) const -> bool;
     /// A request that may only go to one region claims that region's servers; see unclaimedRegion.
--- a/src/routing/server_statistics.cpp
+++ b/src/routing/server_statistics.cpp
@@ -61,22 +61,23 @@
     return known == servers_.end() ? nullptr : &known->second;
 }
 
-auto ServerStatisticsTable::reportedLoad(const std::string& name, const Server& server) -> double {
+auto ServerStatisticsTable::reportedLoad(const std::string& name, const KnownServer& server) -> double {
     auto& statistics = of(name);
-    if (server.seen > statistics.reportAt) {
-        statistics.reportAt = server.seen;
+    if (server.loadReadAt > statistics.reportAt) {
+        statistics.reportAt = server.loadReadAt;
         statistics.inflightAtReport = statistics.inflight;
     }
     auto own = double(statistics.inflight);
-    if (!server.seen) return own;
+    if (!server.loadReadAt) return own;
     return std::max(own,
         double(server.load.prefill + server.load.decode + statistics.inflight - statistics.inflightAtReport));
 }
 
-auto ServerStatisticsTable::load(const std::string& name, const Server& server, Microseconds now) -> double {
+auto ServerStatisticsTable::load(const std::string& name, const KnownServer& server, Microseconds now)
+    -> double {
     auto& statistics = of(name);
     auto own = double(statistics.inflight);
-    if (server.seen > statistics.loadAt) return reportedLoad(name, server);
+    if (server.loadReadAt > statistics.loadAt) return reportedLoad(name, server);
     auto& service = ofService(server.listing.serviceName);
     if (!statistics.loadAt) return own + service.requestsOfOthers;
     auto others = double(std::max(0, statistics.running + statistics.waiting - statistics.inflightAtLoad));
@@ -89,7 +90,7 @@
     return own + (expected - own) * trust;
 }
 
-auto ServerStatisticsTable::slots(const std::string& name, const Server& server, const ServiceRule& rule)
+auto ServerStatisticsTable::slots(const std::string& name, const KnownServer& server, const ServiceRule& rule)
     -> int {
     if (auto said = of(name).slots) return std::max(1, said);
     return std::max(1, server.listing.slots ? int(server.listing.slots) : rule.slots);
--- a/src/routing/server_statistics.hpp
+++ b/src/routing/server_statistics.hpp
@@ -83,12 +83,13 @@
     auto ofService(const std::string& service) -> ServiceStatistics& { return services_[service]; }
 
     /// Requests that a server holds by the load reports that nodes send each other, ours since then included.
-    [[nodiscard]] auto reportedLoad(const std::string& name, const Server& server) -> double;
+    [[nodiscard]] auto reportedLoad(const std::string& name, const KnownServer& server) -> double;
     /// Requests that a server holds: ours, and what it last said of others'. As those come to their ends,
     /// what was said counts for less and less, and the service's average more.
-    [[nodiscard]] auto load(const std::string& name, const Server& server, Microseconds now) -> double;
+    [[nodiscard]] auto load(const std::string& name, const KnownServer& server, Microseconds now) -> double;
     /// Requests that a server runs at once: as it says, as it is listed, as the configuration says.
-    [[nodiscard]] auto slots(const std::string& name, const Server& server, const ServiceRule& rule) -> int;
+    [[nodiscard]] auto slots(const std::string& name, const KnownServer& server, const ServiceRule& rule)
+        -> int;
     /// The median of a figure over a service's servers; 0 if fewer than three have one.
     [[nodiscard]] auto median(const std::string& service, double ServerStatistics::*figure) const -> double;
 
--- a/src/routing/slow_start.cpp
+++ b/src/routing/slow_start.cpp
@@ -18,18 +18,18 @@
 }  // namespace
 
 // How long a server has run, as far as that is certain.
-auto SlowStart::upTime(const std::string& name, const Server& server, Microseconds now) -> Microseconds {
+auto SlowStart::upTime(const std::string& name, const KnownServer& server, Microseconds now) -> Microseconds {
     // After a loss it may be another life that answers: cold, until its load says otherwise.
     auto failedAt = statistics_.of(name).lastFailureAt;
-    if (failedAt > server.seen && failedAt > server.first) return 0;
-    if (!server.seen) return now - server.first;
+    if (failedAt > server.loadReadAt && failedAt > server.firstSeenAt) return 0;
+    if (!server.loadReadAt) return now - server.firstSeenAt;
     // So it does where it was last seen not to answer, or nobody has read its load of late.
-    if (server.load.dark || now - server.seen > STALE) return 0;
+    if (server.load.dark || now - server.loadReadAt > LOAD_STALE_AFTER) return 0;
     if (!server.load.cold && server.load.up >= routes_.rampDuration) return routes_.rampDuration;
-    return server.load.up + (now - server.seen);
+    return server.load.up + (now - server.loadReadAt);
 }
 
-auto SlowStart::rampShare(const std::string& name, const Server& server, Microseconds now) -> int {
+auto SlowStart::rampShare(const std::string& name, const KnownServer& server, Microseconds now) -> int {
     if (faults_.noRamp || routes_.rampDuration <= 0) return NO_LIMIT;
     auto elapsed = upTime(name, server, now);
     if (elapsed >= routes_.rampDuration) return NO_LIMIT;
@@ -39,35 +39,36 @@
     // Each node takes its part; the remainder goes to those that rendezvous hashing puts first.
     auto nodes = node_.aliveNodes(now);
     auto before = 0;
-    for (auto& other : nodes) before += rendezvousRank(name, other) > rendezvousRank(name, node_.me().node);
+    for (auto& other : nodes)
+        before += rendezvousRank(name, other) > rendezvousRank(name, node_.ownRecord().node);
     return all / int(nodes.size()) + (before < all % int(nodes.size()));
 }
 
 auto SlowStart::isCold(
-    const std::string& name, const Server& server, const ServiceRule& rule, Microseconds now) -> bool {
+    const std::string& name, const KnownServer& server, const ServiceRule& rule, Microseconds now) -> bool {
     auto& statistics = statistics_.of(name);
-    if (server.coldTill > server.told && now < server.coldTill + COLD_MARGIN) return true;
+    if (server.coldUntil > server.listedAt && now < server.coldUntil + COLD_MARGIN) return true;
     if (now < statistics.coldUntil + COLD_MARGIN && statistics.coldUntil > 0) return true;
     // New in our time, and nobody says how it is.
-    auto isNew = listedAt_ && server.first > listedAt_ + SECOND;
-    if (!server.coldTill && isNew && now < server.first + rule.coldDuration) return true;
+    auto isNew = listedAt_ && server.firstSeenAt > listedAt_ + SECOND;
+    if (!server.coldUntil && isNew && now < server.firstSeenAt + rule.coldDuration) return true;
     // Servers of a zone that is restored may have turned cold just before.
     auto restored = restoredZones_.find(server.listing.zone);
     return restored != restoredZones_.end()
-        && (restored->second < 0 || server.told < restored->second + SECOND);
+        && (restored->second < 0 || server.listedAt < restored->second + SECOND);
 }
 
 // The rate is dealt out as buckets of one request, to no more nodes than may find their buckets full in
 // the same second.
-auto SlowStart::admits(const std::string& name, const Server& server, const ServiceRule& rule,
+auto SlowStart::admits(const std::string& name, const KnownServer& server, const ServiceRule& rule,
     Microseconds now, BucketUse use) -> bool {
     if (rule.coldRate <= 0 || faults_.noRamp || !isCold(name, server, rule, now)) return true;
     if (!fleet_.settled(now)) return false;
     auto burst = BURST_SHARE * ((routes_.coldOverrun - RATE_SHARE) * rule.coldRate + routes_.coldSlack);
     auto sharers = std::min(fleet_.nodes(), std::size_t(std::max(1.0, burst)));
     auto before = std::size_t(0);
-    for (auto& [other, known] : node_.rows())
-        before += rendezvousRank(name, other) > rendezvousRank(name, node_.me().node);
+    for (auto& [other, known] : node_.nodes())
+        before += rendezvousRank(name, other) > rendezvousRank(name, node_.ownRecord().node);
     if (before >= sharers) return false;
     auto& statistics = statistics_.of(name);
     auto elapsed = double(now - statistics.coldBucketAt) / double(SECOND);
--- a/src/routing/slow_start.hpp
+++ b/src/routing/slow_start.hpp
@@ -28,18 +28,18 @@
         : node_(node), routes_(routes), statistics_(statistics), fleet_(fleet), faults_(faults) {}
 
     /// How many attempts of this node may be under way at a server.
-    [[nodiscard]] auto rampShare(const std::string& name, const Server& server, Microseconds now) -> int;
+    [[nodiscard]] auto rampShare(const std::string& name, const KnownServer& server, Microseconds now) -> int;
     /// Whether a server may be sent one more request now; always if it is not cold.
-    auto admits(const std::string& name, const Server& server, const ServiceRule& rule, Microseconds now,
+    auto admits(const std::string& name, const KnownServer& server, const ServiceRule& rule, Microseconds now,
         BucketUse use) -> bool;
     /// The zones that are evacuated now. Servers of one that no longer is may have turned cold.
     auto setEvacuatedZones(std::set<std::string> zones) -> void;
     auto tick(Microseconds now) -> void;
 
   private:
-    [[nodiscard]] auto isCold(
-        const std::string& name, const Server& server, const ServiceRule& rule, Microseconds now) -> bool;
-    [[nodiscard]] auto upTime(const std::string& name, const Server& server, Microseconds now)
+    [[nodiscard]] auto isCold(const std::string& name, const KnownServer& server, const ServiceRule& rule,
+        Microseconds now) -> bool;
+    [[nodiscard]] auto upTime(const std::string& name, const KnownServer& server, Microseconds now)
         -> Microseconds;
 
     const Node& node_;
--- a/src/sim/simulate.cpp
+++ b/src/sim/simulate.cpp
@@ -81,7 +81,7 @@
         dk.under.clear();
         dk.gate = {};
         dk.busy = false;
-        node->hints(kept);
+        node->addPeerHints(kept);
         node->startCore(
             dk.held, fmt::format("{:016x}", hash64(st.node, w.op.seed * 77 + std::uint64_t(life))), now());
         node->voter()->broken.ackBeforeSync = b == "ack-before-sync";
@@ -96,7 +96,7 @@
     if (!up) return;
     up = frozen = false;
     w.say(fmt::format("{} {}", st.node, power ? "loses power" : "is killed"));
-    for (auto& [k, v] : ct->c)
+    for (auto& [k, v] : ct->values())
         if (k.ends_with("_total")) w.sumCt[k] += v;
     // Under a kill alone the machine may still sync what the process had begun to write.
     if (!power)
@@ -192,7 +192,7 @@
             ok         ? w.lat()
                 : v.up ? 900 * MILLISECOND
                        : w.lat(),
-            [this, server, ok, no = !v.up, d] { node->loadSeen(server, ok, no, d, now()); });
+            [this, server, ok, no = !v.up, d] { node->probeFinished(server, ok, no, d, now()); });
     });
 }
 
@@ -406,7 +406,7 @@
                 if (i > tokens) {
                     later([c, body, hd, w, stream](Machine& m) {
                         if (stream) {
-                            auto e = StreamEvent{"", "done", "{}", "event: done\ndata: {}\n\n"};
+                            auto e = ServerSentEvent{"", "done", "{}", "event: done\ndata: {}\n\n"};
                             m.edge->onStreamEvent(c->x, c->a, e, m.now());
                         } else if (m.edge->onResponseHead(c->x, c->a, 200, hd, m.now()))
                             m.edge->onResponse(c->x, c->a, 200, hd,
@@ -417,7 +417,8 @@
                 if (stream) {
                     auto n = md == "skip" && late ? i + 1 : i;
                     auto d = bodyOf({{"text", jsonQuote(fakePiece(body, w, n))}});
-                    auto e = StreamEvent{fmt::to_string(n), "", d, fmt::format("id: {}\ndata: {}\n\n", n, d)};
+                    auto e =
+                        ServerSentEvent{fmt::to_string(n), "", d, fmt::format("id: {}\ndata: {}\n\n", n, d)};
                     later([c, e](Machine& m) { m.edge->onStreamEvent(c->x, c->a, e, m.now()); });
                 }
                 in(20 * MILLISECOND * slow, [step, i] { (*step)(i + 1); });
--- a/tests/routing/edge_answers_test.cpp
+++ b/tests/routing/edge_answers_test.cpp
@@ -1,4 +1,5 @@
-// Answers of servers behind a wire on which clients name requests: whose they are, and what of them is passed on.
+// Answers of servers behind a wire on which clients name requests: whose they are, and what of them is passed
+// on.
 #include <cstdint>
 #include <string>
 
--- a/tests/routing/edge_retry_test.cpp
+++ b/tests/routing/edge_retry_test.cpp
@@ -33,8 +33,8 @@
                 v);
         };
         CHECK_EQ(200, rig.orderConfig(conf(3)));
-        auto ls = std::vector<EdgeFixture::ListedServer>{{"a", "near", "p", "z", 9}, {"b", "near", "p", "z", 9},
-            {"c", "near", "p", "z", 9}, {"d", "far", "p", "z", 9}};
+        auto ls = std::vector<EdgeFixture::ListedServer>{{"a", "near", "p", "z", 9},
+            {"b", "near", "p", "z", 9}, {"c", "near", "p", "z", 9}, {"d", "far", "p", "z", 9}};
         rig.listServers(ls);
         struct X {
             std::string path;
@@ -58,7 +58,8 @@
                         v.runs++, v.sends++;
                         if (v.sends > v.most && k != 39) CHECK(false);
                         if (v.path == "/r") {
-                            auto l = headerOf(rig.edge->requestHeaders(*rig.edge->find(x), rig.now), "Last-Event-Id");
+                            auto l = headerOf(
+                                rig.edge->requestHeaders(*rig.edge->find(x), rig.now), "Last-Event-Id");
                             CHECK_EQ(v.given < 0 ? std::string("-") : fmt::to_string(v.given), l);
                         }
                     }
@@ -67,7 +68,8 @@
                 auto deny = [&](int s) {
                     v.runs--;
                     rig.edge->onResponse(x, a, s,
-                        s == 421 && g.chance(.5) ? Headers{} : rig.answerHeaders(x, {{"X-Not-Run", "1"}}), "", rig.now);
+                        s == 421 && g.chance(.5) ? Headers{} : rig.answerHeaders(x, {{"X-Not-Run", "1"}}), "",
+                        rig.now);
                 };
                 auto h = rig.answerHeaders(x, {{"X-Load", fmt::format("{},{},9", g.below(9), g.below(3))}});
                 switch (g.below(v.path == "/e" || v.path == "/s" ? 8 : 13)) {
@@ -77,7 +79,9 @@
                 case 3: rig.edge->onResponseHead(x, a, 200, {{"X-Try", "not this"}}, rig.now); break;
                 case 4: rig.edge->onResponseHead(x, a, 200, {}, rig.now); break;
                 case 5: rig.edge->onResponse(x, a, int(500 + 4 * g.below(2)), h, "", rig.now); break;
-                case 6: rig.edge->onResponse(x, a, std::array{503, 429, 408}[g.below(3)], h, "", rig.now); break;
+                case 6:
+                    rig.edge->onResponse(x, a, std::array{503, 429, 408}[g.below(3)], h, "", rig.now);
+                    break;
                 case 7:
                     if (v.path == "/e" || v.path == "/s") rig.answer(x);
                     else rig.edge->onResponseHead(x, a, 200, h, rig.now);
@@ -101,7 +105,8 @@
                 if (v.path == "/e" || v.path == "/n") {
                     CHECK(v.runs <= 1);
                     if (f == 503 || f == 429 || f == 408 || f == 421) CHECK_EQ(0, v.runs);
-                    if (f == 503 && rig.replies[x].headers.size() > 1) CHECK(headerOf(rig.replies[x].headers, "X-Not-Run") != "-");
+                    if (f == 503 && rig.replies[x].headers.size() > 1)
+                        CHECK(headerOf(rig.replies[x].headers, "X-Not-Run") != "-");
                 } else again += v.runs > 1 && !v.over;
                 if (!f || v.over) continue;
                 v.over = true;
@@ -110,7 +115,8 @@
                 cuts += f == 2;
                 CHECK(!rig.edge->find(x) || rig.edge->find(x)->phase() == Phase::Finished);
                 auto e = rig.edge->find(x);
-                CHECK(!rig.edge->beforeFirstByte(x, e ? e->attempts.current : 1, rig.now));  // nothing runs later
+                CHECK(!rig.edge->beforeFirstByte(
+                    x, e ? e->attempts.current : 1, rig.now));  // nothing runs later
             }
             if (g.chance(.05)) rig.orderConfig(conf(3));
             if (g.chance(.1)) rig.listServers(ls, 0);
--- a/tests/routing/edge_streams_test.cpp
+++ b/tests/routing/edge_streams_test.cpp
@@ -30,14 +30,16 @@
     rig.edge->onConnectionLost(x, 1, "reset", rig.now);
     CHECK(rig.lastSend().server != first);
     CHECK(rig.sendFirstByte(x));
-    CHECK_EQ(std::string("6"), headerOf(rig.edge->requestHeaders(*rig.edge->find(x), rig.now), "Last-Event-Id"));
-    CHECK(rig.edge->onResponseHead(x, rig.lastSend().attempt, 200, rig.answerHeaders(x, {{"X-Seal", "2"}}), rig.now));
+    CHECK_EQ(
+        std::string("6"), headerOf(rig.edge->requestHeaders(*rig.edge->find(x), rig.now), "Last-Event-Id"));
+    CHECK(rig.edge->onResponseHead(
+        x, rig.lastSend().attempt, 200, rig.answerHeaders(x, {{"X-Seal", "2"}}), rig.now));
     rig.sendEvent(x, "9");
     rig.edge->onStreamEnd(x, rig.lastSend().attempt, rig.now);
     CHECK_EQ(1, rig.outcome(x));
     CHECK_EQ(std::string("1"), headerOf(rig.heads[x].second, "X-Seal"));
-    CHECK_EQ(
-        std::string("id: 3\ndata: d\n\nid: 5\ndata: d\n\nid: 6\ndata: d\n\nid: 9\ndata: d\n\n"), rig.parts[x]);
+    CHECK_EQ(std::string("id: 3\ndata: d\n\nid: 5\ndata: d\n\nid: 6\ndata: d\n\nid: 9\ndata: d\n\n"),
+        rig.parts[x]);
     // An id that does not rise, and garbage, cut it.
     for (auto bad : {"5", "4", "x", ""}) {
         auto y = rig.sendRequest("/a/1", m);
@@ -77,7 +79,8 @@
     auto ct = rig.counters.get("extra_sends_total");
     auto z = rig.sendRequest("/a/1", {{"X-Model", "m"}, {"Last-Event-Id", "7"}});
     CHECK(rig.sendFirstByte(z));
-    CHECK_EQ(std::string("7"), headerOf(rig.edge->requestHeaders(*rig.edge->find(z), rig.now), "Last-Event-Id"));
+    CHECK_EQ(
+        std::string("7"), headerOf(rig.edge->requestHeaders(*rig.edge->find(z), rig.now), "Last-Event-Id"));
     CHECK_EQ(ct, rig.counters.get("extra_sends_total"));
     CHECK(rig.edge->onResponseHead(z, 1, 200, rig.answerHeaders(z), rig.now));
     auto k = rig.sends.size();
@@ -85,7 +88,8 @@
     CHECK_EQ(k + 1, rig.sends.size());
     auto v = rig.sendRequest("/n/1", {{"Last-Event-Id", "q 7"}});
     CHECK(rig.sendFirstByte(v));
-    CHECK_EQ(std::string("q 7"), headerOf(rig.edge->requestHeaders(*rig.edge->find(v), rig.now), "Last-Event-Id"));
+    CHECK_EQ(
+        std::string("q 7"), headerOf(rig.edge->requestHeaders(*rig.edge->find(v), rig.now), "Last-Event-Id"));
 }
 
 // A stream that was moved is what one run would have been, to the byte.
@@ -97,7 +101,8 @@
         CHECK_EQ(200,
             rig.orderConfig(configOf(R"(,"stream":true,"Resumable":true,"MaxTries":64)",
                 R"(,"models":{"m":{"migrationLimit":16}})")));
-        rig.listServers({{"x", "near", "p", "z", 50}, {"y", "near", "p", "z", 50}, {"w", "near", "p", "z", 50}});
+        rig.listServers(
+            {{"x", "near", "p", "z", 50}, {"y", "near", "p", "z", 50}, {"w", "near", "p", "z", 50}});
         rig.runFor(3 * SECOND);
         for (auto i = 0; i < 30; i++) {
             auto ids = std::vector<std::int64_t>();
@@ -139,9 +144,10 @@
 TEST(EdgePlatform, silenceEndsNothing) {
     auto rig = EdgeFixture();
     CHECK_EQ(200,
-        rig.orderConfig(configOf(R"(,"stream":true,"Resumable":true,"MaxTries":3,"idleUs":500000,"deadlineUs":6000000},
+        rig.orderConfig(
+            configOf(R"(,"stream":true,"Resumable":true,"MaxTries":3,"idleUs":500000,"deadlineUs":6000000},
       {"name":"e","path":"/e","pool":"p","MaxTries":3,"idleUs":500000,"deadlineUs":6000000)",
-            R"(,"models":{"m":{"migrationLimit":2}})")));
+                R"(,"models":{"m":{"migrationLimit":2}})")));
     rig.listServers({{"x"}});
     rig.runFor(2 * SECOND);
     auto e = rig.sendRequest("/e");
@@ -169,9 +175,10 @@
 TEST(EdgePlatform, darkServers) {
     auto rig = EdgeFixture();
     CHECK_EQ(200,
-        rig.orderConfig(configOf(R"(,"stream":true,"Resumable":true,"MaxTries":2,"aimUs":1000000,"gapUs":400000},
+        rig.orderConfig(
+            configOf(R"(,"stream":true,"Resumable":true,"MaxTries":2,"aimUs":1000000,"gapUs":400000},
       {"name":"e","path":"/e","pool":"p","MaxTries":1,"aimUs":1000000)",
-            R"(,"models":{"m":{"migrationLimit":1}})")));
+                R"(,"models":{"m":{"migrationLimit":1}})")));
     rig.listServers({{"x"}, {"y"}});
     rig.runFor(2 * SECOND);
     auto e = rig.sendRequest("/e");
--- a/tests/routing/server_selection_test.cpp
+++ b/tests/routing/server_selection_test.cpp
@@ -28,7 +28,8 @@
             at = g.below(homes.size());
             auto t = std::string();
             for (auto& h : homes[at]) t += (t.empty() ? "" : ",") + jsonQuote(h);
-            CHECK_EQ(200, rig.orderConfig(configOf(R"(,"MaxTries":4,"repeatable":true,"homes":[)" + t + "]")));
+            CHECK_EQ(
+                200, rig.orderConfig(configOf(R"(,"MaxTries":4,"repeatable":true,"homes":[)" + t + "]")));
         };
         auto ls = std::vector<EdgeFixture::ListedServer>();
         auto list = [&] {
@@ -106,7 +107,8 @@
                     rig.sendRequest("/b/x",
                         {{"X-Tokens", "383,48"},
                             {"X-Parts",
-                                fmt::format("{:x}:92,{:x}:291", 500 + g.below(20), 99000000 + rig.requestCount)}});
+                                fmt::format(
+                                    "{:x}:92,{:x}:291", 500 + g.below(20), 99000000 + rig.requestCount)}});
                 for (auto& s : f.newSends(i)) {
                     CHECK(rig.edge->beforeFirstByte(s.request, s.attempt, rig.now));
                     auto e = rig.edge->find(s.request);
@@ -128,7 +130,8 @@
                         }
                         c[id] = rig.now;
                     }
-                    rig.edge->onResponseHead(s.request, s.attempt, 200, rig.answerHeaders(s.request, {{"X-Load", load}}), rig.now);
+                    rig.edge->onResponseHead(
+                        s.request, s.attempt, 200, rig.answerHeaders(s.request, {{"X-Load", load}}), rig.now);
                     rig.sendEvent(s.request, "1");
                     runs.push_back({rig.now + lat, i, s.request, s.server});
                 }
@@ -200,8 +203,8 @@
                     auto n = ++running[s.server];
                     if (t > 100 && t < 400) all++, over += n > 32;
                     if (s.server == "new") c.fresh = std::max(c.fresh, n);
-                    rig.edge->onResponseHead(
-                        s.request, s.attempt, 200, rig.answerHeaders(s.request, {{"X-Load", fmt::format("{},0,32", n)}}), rig.now);
+                    rig.edge->onResponseHead(s.request, s.attempt, 200,
+                        rig.answerHeaders(s.request, {{"X-Load", fmt::format("{},0,32", n)}}), rig.now);
                     runs.push_back({rig.now + 400 * MILLISECOND, i, s.request, s.server});
                 }
             }
@@ -209,7 +212,8 @@
                 auto v = runs.front();
                 runs.pop_front();
                 running[v.server]--;
-                f.edges[v.e]->edge->onStreamEnd(v.x, f.edges[v.e]->edge->find(v.x)->attempts.current, f.now());
+                f.edges[v.e]->edge->onStreamEnd(
+                    v.x, f.edges[v.e]->edge->find(v.x)->attempts.current, f.now());
             }
             f.step();
         }
@@ -226,7 +230,9 @@
 // is much fuller than another.
 TEST(EdgePlatform, shortPromptsAndRegions) {
     auto rig = EdgeFixture();
-    CHECK_EQ(200, rig.orderConfig(configOf(R"(,"aimUs":800000)", R"(,"pools":{"p":{"engine":true,"kvTokens":300000}})")));
+    CHECK_EQ(200,
+        rig.orderConfig(
+            configOf(R"(,"aimUs":800000)", R"(,"pools":{"p":{"engine":true,"kvTokens":300000}})")));
     rig.listServers({{"x", "near", "p", "z", 10}, {"y", "near", "p", "z", 10}, {"f", "far", "p", "z", 10}});
     auto big = rig.sendRequest("/a/x", {{"X-Tokens", "17000,10"}, {"X-Parts", "a1:13000,b2:4000"}});
     CHECK(rig.sendFirstByte(big));
@@ -244,7 +250,8 @@
     }
     // The same beginning again goes where it was read.
     for (auto i = 0; i < 3; i++) {
-        auto x = rig.sendRequest("/a/x", {{"X-Tokens", "14000,10"}, {"X-Parts", fmt::format("A1:13000,c{}:1000", i)}});
+        auto x = rig.sendRequest(
+            "/a/x", {{"X-Tokens", "14000,10"}, {"X-Parts", fmt::format("A1:13000,c{}:1000", i)}});
         CHECK(rig.sendFirstByte(x));
         CHECK_EQ(reading, rig.lastSend().server);
         rig.answer(x);
@@ -269,7 +276,8 @@
     for (auto bound : {false, true}) {
         auto rig = EdgeFixture();
         CHECK_EQ(200, rig.orderConfig(conf));
-        rig.listServers({{"x", "near", "p", "z", 10}, {"y", "near", "p", "z", 10}, {"f", "far", "p", "z", 10}});
+        rig.listServers(
+            {{"x", "near", "p", "z", 10}, {"y", "near", "p", "z", 10}, {"f", "far", "p", "z", 10}});
         for (auto i = 0; i < 60; i++) {
             auto x = rig.sendRequest(bound ? "/a/x" : "/l/x", {{"X-Tokens", "300,10"}});
             CHECK(rig.sendFirstByte(x));
