--- a/src/daemon/answer_reader.cpp
+++ b/src/daemon/answer_reader.cpp
@@ -130,20 +130,20 @@
     Microseconds now;
 
     auto operator()(const AnswerHead& head) const -> Delivery {
-        auto wanted = edge.upHead(request, attempt, head.status, head.headers, now);
+        auto wanted = edge.onResponseHead(request, attempt, head.status, head.headers, now);
         return wanted ? Delivery::Reading : Delivery::Over;
     }
     auto operator()(const ServerSentEvent& event) const -> Delivery {
-        edge.upEvent(request, attempt, event, now);
+        edge.onStreamEvent(request, attempt, event, now);
         return Delivery::Reading;
     }
     auto operator()(const AnswerEnd& end) const -> Delivery {
-        if (end.streamed) edge.upEnd(request, attempt, now);
-        else edge.upWhole(request, attempt, end.status, end.headers, end.body, now);
+        if (end.streamed) edge.onStreamEnd(request, attempt, now);
+        else edge.onResponse(request, attempt, end.status, end.headers, end.body, now);
         return Delivery::Whole;
     }
     auto operator()(const AnswerFailure& failure) const -> Delivery {
-        edge.upFailed(request, attempt, failure.event, failure.why, now);
+        edge.onAttemptFailed(request, attempt, failure.event, failure.why, now);
         return Delivery::Over;
     }
 };
