--- a/tests/net/wire_test.cpp
+++ b/tests/net/wire_test.cpp
@@ -22,7 +22,7 @@
         record.credit = -std::int64_t(random.below(1000));
         record.acks.resize(random.below(5));
         record.marks.resize(random.below(3));
-        heartbeat.rows.push_back(record);
+        heartbeat.records.push_back(record);
     }
     heartbeat.listings.resize(random.below(4));
     heartbeat.loads.resize(random.below(4));
