--- a/src/cli/fakes_command.cpp
+++ b/src/cli/fakes_command.cpp
@@ -25,7 +25,8 @@
 namespace duneturn {
 namespace {
 
-constexpr auto SERVER_HELP = "--listen --name --weights --slots --token_us --prefill_us --plain_us --cold --log\n";
+constexpr auto SERVER_HELP =
+    "--listen --name --weights --slots --token_us --prefill_us --plain_us --cold --log\n";
 constexpr auto CLIENT_HELP = "--day FILE --nodes CLIENT-ADDRESS,… --duration_us --scale --seed --report\n";
 constexpr auto PLATFORM_HELP = "--servers FILE --nodes OPERATOR,… --listen\n";
 
--- a/src/cli/node_command.cpp
+++ b/src/cli/node_command.cpp
@@ -54,7 +54,8 @@
     if (settings.data.empty()) faults.push_back({"/data", "missing: a core wants a data folder"});
     if (settings.initialVoters.empty())
         faults.push_back({"/seats", "missing: a core wants the names of the core nodes"});
-    if (settings.roster.empty()) faults.push_back({"/roster", "missing: a core wants the names of the nodes"});
+    if (settings.roster.empty())
+        faults.push_back({"/roster", "missing: a core wants the names of the nodes"});
     return faults;
 }
 
@@ -83,9 +84,7 @@
 
 }  // namespace
 
-auto edgeSubcommand() -> Subcommand {
-    return {"edge", "", "serves clients on this machine", HELP, runEdge};
-}
+auto edgeSubcommand() -> Subcommand { return {"edge", "", "serves clients on this machine", HELP, runEdge}; }
 auto coreSubcommand() -> Subcommand {
     return {"core", "", "the same, and keeps the replicated state on this machine's disk", HELP, runCore};
 }
--- a/src/cli/scale_command.cpp
+++ b/src/cli/scale_command.cpp
@@ -36,7 +36,8 @@
 }  // namespace
 
 auto scaleSubcommand() -> Subcommand {
-    return {"scale", "", "the control plane's cost by the number of nodes, over virtual time", HELP, runScale};
+    return {
+        "scale", "", "the control plane's cost by the number of nodes, over virtual time", HELP, runScale};
 }
 
 }  // namespace duneturn
--- a/src/cli/subcommand.hpp
+++ b/src/cli/subcommand.hpp
@@ -14,7 +14,8 @@
     std::string arguments;  ///< The words that follow the name, as the help shows them; may be empty.
     std::string summary;    ///< What it does, in one line.
     std::string help;       ///< Its flags, in whole lines.
-    /// Runs it with the words behind its name that are no flags, once the flags are set. Returns the exit code.
+    /// Runs it with the words behind its name that are no flags, once the flags are set. Returns the exit
+    /// code.
     int (*run)(const std::vector<std::string>& words);
 };
 
--- /dev/null
+++ b/src/daemon/client_session.hpp
@@ -0,0 +1,80 @@
+#pragma once
+// One connection of a client, an operator or the platform: its requests, one after the other.
+#include <atomic>
+#include <cstdint>
+#include <memory>
+#include <optional>
+#include <set>
+#include <string>
+
+#include "base/settings.hpp"
+#include "base/time.hpp"
+#include "daemon/adapter_host.hpp"
+#include "daemon/client_request.hpp"
+#include "daemon/logic.hpp"
+#include "daemon/node_calls.hpp"
+#include "daemon/operator_api.hpp"
+#include "daemon/transport_counters.hpp"
+
+namespace duneturn {
+
+/// Who speaks at a listening address.
+enum class ListenerKind { Client, Operator, Adapter };
+
+/// What all sessions share.
+struct SessionContext {
+    Logic& logic;
+    TransportCounters& counters;
+    WorkerPool& workers;
+    ClientResponses& responses;
+    NodeCalls& calls;
+    OperatorApi& operatorApi;
+    AdapterHost& adapter;
+    const Settings& settings;
+
+    std::atomic<int> sessions = 0;  ///< Open now.
+    // Guarded by Logic::mutex.
+    std::set<std::shared_ptr<beast::tcp_stream>> idle = {};  ///< Connections that wait for a request.
+    Limits clientLimits = {};                                ///< Of the configuration in force.
+};
+
+class ClientSession {
+  public:
+    /// `address`: the listening address that the connection came to.
+    ClientSession(SessionContext& context, ListenerKind kind, std::string address, tcp::socket socket);
+
+    /// Serves the connection to its end.
+    auto run() -> asio::awaitable<void>;
+
+  private:
+    /// A request as it was read.
+    struct ArrivedRequest {
+        Req request;
+        Microseconds arrived = 0;  // when its first byte was read
+    };
+    using Parser = http::request_parser<http::string_body>;
+
+    auto serveNext() -> asio::awaitable<bool>;
+    auto waitForFirstByte(const Limits& limits) -> asio::awaitable<bool>;
+    auto readRequest(const Limits& limits) -> asio::awaitable<std::optional<Req>>;
+    auto readBody(Parser& parser) -> asio::awaitable<beast::error_code>;
+    auto rejectFaulty(beast::error_code fault) -> asio::awaitable<void>;
+    auto reject(http::status status, std::string why) -> asio::awaitable<void>;
+    auto drainInput() -> asio::awaitable<void>;
+    auto isForServers(const Req& request) const -> bool;
+    auto serveHere(const Req& request) -> asio::awaitable<bool>;
+    auto close() -> void;
+
+    // Each takes Logic::mutex.
+    auto limits() -> Limits;
+    auto becomeIdle() -> bool;
+    auto endIdle() -> void;
+
+    SessionContext& context_;
+    const ListenerKind kind_;
+    const std::string address_;
+    std::shared_ptr<beast::tcp_stream> stream_;
+    beast::flat_buffer buffer_;  // read and not yet used
+};
+
+}  // namespace duneturn
--- /dev/null
+++ b/src/daemon/planned_stop.cpp
@@ -0,0 +1,71 @@
+#include "daemon/planned_stop.hpp"
+
+#include <mutex>
+
+#include "base/log.hpp"
+#include "base/time.hpp"
+#include "daemon/limits.hpp"
+
+namespace duneturn {
+
+namespace {
+
+/// The last part of a grace is left for the process's own end.
+constexpr Microseconds endOfGrace(Microseconds grace) { return grace * 95 / 100; }
+
+}  // namespace
+
+auto PlannedStop::begin() -> void {
+    auto lock = std::lock_guard(logic_.mutex);
+    if (logic_.stop.at) return;
+    logEvent("stop_begun", "limit_us={}", limit_);
+    logic_.stop = {bootNow(), limit_};
+    logic_.node->leave(logic_.stop.at);
+    upstreams_.closeKept();
+    if (schedule_ == Schedule::Grace) logic_.closing = true;
+    else logic_.edge->drain();
+}
+
+auto PlannedStop::step(Microseconds now) -> bool {
+    if (!logic_.stop.at) return false;
+    return schedule_ == Schedule::Grace ? stepGrace(now, busy(now)) : stepDrain(now, busy(now));
+}
+
+// A response that its session has not written yet is as unfinished as its request was. Nor does a voter end
+// without its successor.
+auto PlannedStop::busy(Microseconds now) const -> bool {
+    return logic_.edge->busy() > 0 || !responses_.empty() || !logic_.node->seatHandedOver(now);
+}
+
+auto PlannedStop::stepDrain(Microseconds now, bool busy) -> bool {
+    auto elapsed = now - logic_.stop.at;
+    if (elapsed < SHORTEST_STOP) return false;
+    if (elapsed >= limit_) cutRequests(now);
+    return !busy || elapsed >= limit_ + AFTER_CUT;
+}
+
+auto PlannedStop::stepGrace(Microseconds now, bool busy) -> bool {
+    auto step = logic_.stop.step(now, busy);
+    if (step == StopSchedule::Serve) return false;
+    refuseRequests();
+    if (step == StopSchedule::Cut) cutRequests(now);
+    return step == StopSchedule::End || now - logic_.stop.at >= endOfGrace(limit_);
+}
+
+auto PlannedStop::refuseRequests() -> void {
+    if (logic_.refusing) return;
+    logic_.refusing = true;
+    logic_.edge->refuseNew();
+    listeners_.closeIdle();
+}
+
+auto PlannedStop::cutRequests(Microseconds now) -> void {
+    if (requestsCut_) return;
+    requestsCut_ = true;
+    if (!logic_.edge->busy()) return;
+    logEvent("stop_requests_cut", "requests={}", logic_.edge->busy());
+    logic_.edge->cutAll(now);
+    logic_.edge->tick(now);
+}
+
+}  // namespace duneturn
--- /dev/null
+++ b/src/daemon/upstream_connections.cpp
@@ -0,0 +1,216 @@
+#include "daemon/upstream_connections.hpp"
+
+#include <array>
+#include <chrono>
+#include <memory>
+#include <mutex>
+#include <optional>
+#include <string>
+#include <utility>
+
+#include "base/json.hpp"
+#include "base/time.hpp"
+#include "daemon/limits.hpp"
+#include "daemon/server_probe.hpp"
+#include "net/socket.hpp"
+
+namespace duneturn {
+
+namespace {
+
+constexpr auto quiet = asio::as_tuple(asio::use_awaitable);
+
+}  // namespace
+
+UpstreamConnections::UpstreamConnections(
+    Logic& logic, WorkerPool& workers, ClientResponses& responses, Options options)
+    : logic_(logic), workers_(workers), responses_(responses), options_(options), kept_([](auto& stream) {
+          return quietSocket(stream->socket().native_handle());
+      }) {}
+
+auto UpstreamConnections::poolKey(const std::string& server, const std::string& address) -> std::string {
+    return server + " " + address;
+}
+
+auto UpstreamConnections::begin(const AttemptKey& key, const std::string& server, const std::string& address)
+    -> void {
+    auto attempt = std::make_shared<Attempt>();
+    attempt->key = key;
+    attempt->server = server;
+    attempt->address = address;
+    auto request = logic_.edge->find(key.request);
+    if (options_.reuse && request && logic_.edge->reusable(*request)) {
+        if (auto stream = kept_.take(poolKey(server, address), bootNow())) {
+            attempt->stream = *stream;
+            attempt->executor = attempt->stream->get_executor();
+            attempt->kept = true;
+            logic_.counters.add("connections_reused_total");
+        }
+    }
+    if (!attempt->kept) {
+        attempt->executor = workers_.connectionExecutor();
+        attempt->stream = std::make_shared<Stream>(attempt->executor);
+    }
+    attempts_[key] = attempt;
+    // Not begun here: Logic::mutex is held, and a strand may run at once what it is given.
+    asio::post(attempt->executor,
+        [this, attempt] { asio::co_spawn(attempt->executor, run(attempt), asio::detached); });
+}
+
+auto UpstreamConnections::drop(const AttemptKey& key) -> void {
+    auto found = attempts_.find(key);
+    if (found == attempts_.end()) return;
+    auto attempt = found->second;
+    attempts_.erase(found);
+    attempt->dropped = true;
+    asio::post(attempt->executor, [attempt] {
+        auto ignored = beast::error_code();
+        attempt->stream->socket().close(ignored);
+    });
+}
+
+auto UpstreamConnections::probe(const std::string& server, const std::string& address) -> void {
+    asio::co_spawn(workers_.context(), probeServer(logic_, server, address), asio::detached);
+}
+
+auto UpstreamConnections::configure(const rapidjson::Value& config) -> void {
+    maxConnections_.clear();
+    auto services = jsMember(config, "pools");
+    if (!services || !services->IsObject()) return;
+    for (auto& service : services->GetObject())
+        if (service.value.IsObject())
+            maxConnections_[service.name.GetString()] = jsInt(service.value, "maxConns");
+}
+
+auto UpstreamConnections::sweep(std::size_t aliveNodes, Microseconds now) -> void {
+    aliveNodes_ = aliveNodes;
+    kept_.expire(now);
+}
+
+auto UpstreamConnections::mostKept(const std::string& server) const -> std::size_t {
+    auto known = logic_.node->servers().find(server);
+    if (known == logic_.node->servers().end()) return KEPT_PER_SERVER;
+    auto most = maxConnections_.find(known->second.listing.serviceName);
+    return most == maxConnections_.end() ? KEPT_PER_SERVER : idleShare(most->second, aliveNodes_);
+}
+
+auto UpstreamConnections::keep(const Attempt& attempt, Microseconds life) -> void {
+    if (!options_.reuse || attempt.dropped || logic_.stop.at) return;
+    kept_.put(
+        poolKey(attempt.server, attempt.address), attempt.stream, life, bootNow(), mostKept(attempt.server));
+}
+
+auto UpstreamConnections::run(std::shared_ptr<Attempt> attempt) -> asio::awaitable<void> {
+    auto connected = co_await connect(*attempt);
+    auto request = connected ? requestOf(*attempt) : std::nullopt;
+    if (request) {
+        co_await write(*attempt, *request);
+        co_await readAnswer(*attempt, request->answer);
+    }
+    auto lock = std::lock_guard(logic_.mutex);
+    attempts_.erase(attempt->key);
+}
+
+// A connection on which nothing has come before the first byte is written; false if there is none.
+auto UpstreamConnections::connect(Attempt& attempt) -> asio::awaitable<bool> {
+    if (attempt.kept && quietSocket(attempt.stream->socket().native_handle())) co_return true;
+    if (attempt.kept && !renewKept(attempt)) co_return false;
+    auto stream = attempt.stream;
+    stream->expires_after(std::chrono::microseconds(SERVER_CONNECT_TIMEOUT));
+    auto [failed] = co_await stream->async_connect(endpoint(attempt.address), quiet);
+    stream->expires_never();  // the edge watches the time from here on
+    if (!failed && quietSocket(stream->socket().native_handle())) {
+        socketSet(stream->socket().native_handle(), SERVER_UNACKNOWLEDGED_LIMIT);
+        co_return true;
+    }
+    auto lock = std::lock_guard(logic_.mutex);
+    logic_.edge->refused(attempt.key.request, attempt.key.attempt, bootNow());
+    co_return false;
+}
+
+// A kept connection that ended, or brought bytes that nobody asked for, since it was taken: a new one takes
+// its place, unless the attempt was dropped.
+auto UpstreamConnections::renewKept(Attempt& attempt) -> bool {
+    auto lock = std::lock_guard(logic_.mutex);
+    if (attempt.dropped) return false;
+    attempt.kept = false;
+    attempt.stream = std::make_shared<Stream>(attempt.executor);
+    return true;
+}
+
+// The request, if it may still be sent. From here on it counts as sent.
+auto UpstreamConnections::requestOf(const Attempt& attempt) -> std::optional<ServerRequest> {
+    auto lock = std::lock_guard(logic_.mutex);
+    auto& edge = *logic_.edge;
+    auto& [number, ordinal] = attempt.key;
+    auto request = edge.find(number);
+    if (attempt.dropped || !request) return std::nullopt;
+    if (!edge.maySend(number, ordinal, bootNow(), attempt.kept)) return std::nullopt;
+    auto written = ServerRequest();
+    written.body = request->body;
+    auto headers = edge.outgoing(*request, bootNow());
+    written.head = requestHead(
+        request->method, request->path, headers, written.body.size(), attempt.address, options_.reuse);
+    written.answer.answersHead = request->method == "HEAD";
+    written.answer.mayEndByClose = options_.answersMayEndByClose;
+    written.answer.notExecuted = edge.dialect().notExecuted;
+    return written;
+}
+
+// A server may answer and close before it has read the whole request, so that a failed write is no reason not
+// to read.
+auto UpstreamConnections::write(Attempt& attempt, ServerRequest& request) -> asio::awaitable<void> {
+    auto bytes = std::array{asio::buffer(request.head), asio::buffer(request.body)};
+    auto [failed, count] = co_await asio::async_write(*attempt.stream, bytes, quiet);
+    attempt.writeFailed = bool(failed);
+    request.head = request.body = std::string();  // streams last long
+    if (failed) co_return;
+    auto lock = std::lock_guard(logic_.mutex);
+    logic_.edge->written(attempt.key.request, attempt.key.attempt);
+}
+
+auto UpstreamConnections::readAnswer(Attempt& attempt, const AnswerOptions& options)
+    -> asio::awaitable<void> {
+    auto reader = AnswerReader(options);
+    while (true) {
+        auto [failed, count] = co_await attempt.stream->async_read_some(reader.prepare(READ_BYTES), quiet);
+        if (!failed) reader.received(count);
+        else reader.end(failed == asio::error::eof ? ConnectionEnd::Closed : ConnectionEnd::Reset);
+        if (deliverRead(attempt, reader) != Delivery::Reading) co_return;
+        if (!reader.streamed()) continue;
+        auto wanted = co_await waitForClient(attempt);
+        if (!wanted) co_return;
+    }
+}
+
+auto UpstreamConnections::deliverRead(Attempt& attempt, AnswerReader& reader) -> Delivery {
+    auto lock = std::lock_guard(logic_.mutex);
+    auto delivery = deliver(reader, *logic_.edge, attempt.key.request, attempt.key.attempt, bootNow());
+    if (delivery == Delivery::Whole && !attempt.writeFailed) keep(attempt, reader.keepFor());
+    return delivery;
+}
+
+// A client that reads slowly holds its server back, not this process's memory full. False once it has gone.
+auto UpstreamConnections::waitForClient(Attempt& attempt) -> asio::awaitable<bool> {
+    auto& [number, ordinal] = attempt.key;
+    while (true) {
+        auto response = std::shared_ptr<ClientResponse>();
+        {
+            auto lock = std::lock_guard(logic_.mutex);
+            if (!logic_.edge->find(number) || attempt.dropped) co_return false;
+            response = responses_.of(number);
+        }
+        {
+            auto lock = std::lock_guard(response->mutex);
+            if (response->heldBytes < HELD_RESPONSE_BYTES) co_return true;
+        }
+        {
+            auto lock = std::lock_guard(logic_.mutex);
+            logic_.edge->waiting(number, ordinal, bootNow());
+        }
+        auto timer = asio::steady_timer(attempt.executor, std::chrono::microseconds(HELD_RESPONSE_RETRY));
+        co_await timer.async_wait(quiet);
+    }
+}
+
+}  // namespace duneturn
