--- a/src/cli/fakes_command.cpp
+++ b/src/cli/fakes_command.cpp
@@ -32,7 +32,7 @@
 
 /// Whether --listen is an address; says so if not.
 auto checkListen(const char* subcommand) -> bool {
-    auto address = addrParse(FLAGS_listen);
+    auto address = parseAddress(FLAGS_listen);
     if (!address) fmt::print(stderr, "duneturn {}: --listen: {}\n", subcommand, address.error());
     return bool(address);
 }
--- a/src/cli/node_command.cpp
+++ b/src/cli/node_command.cpp
@@ -60,7 +60,7 @@
 }
 
 auto runNode(Role role) -> int {
-    auto settings = settingsRead(FLAGS_settings, givenSettings());
+    auto settings = readSettings(FLAGS_settings, givenSettings());
     auto faults = settings ? std::vector<Fault>() : settings.error().faults;
     if (settings && role == Role::Core) faults = coreFaults(*settings);
     if (FLAGS_drain_us < 0) faults.push_back({"--drain_us", "wants 0 or more"});
--- a/src/consensus/membership.cpp
+++ b/src/consensus/membership.cpp
@@ -21,15 +21,16 @@
 static auto votersParse(const std::string& body) -> std::vector<VoterIdentity> {
     auto voters = std::vector<VoterIdentity>();
     auto d = rapidjson::Document();
-    if (!jsParse(body, d) || !d.IsArray()) return voters;
-    for (auto& v : d.GetArray()) voters.push_back({jsStr(v, "seat"), jsStr(v, "disk")});
+    if (!parseJson(body, d) || !d.IsArray()) return voters;
+    for (auto& v : d.GetArray()) voters.push_back({jsonString(v, "seat"), jsonString(v, "disk")});
     return voters;
 }
 
 static auto votersText(const std::vector<VoterIdentity>& voters) -> std::string {
     auto list = std::string();
     for (auto& v : voters)
-        list += (list.empty() ? "" : ",") + bodyOf({{"seat", jsQuote(v.node)}, {"disk", jsQuote(v.disk)}});
+        list +=
+            (list.empty() ? "" : ",") + bodyOf({{"seat", jsonQuote(v.node)}, {"disk", jsonQuote(v.disk)}});
     return "[" + list + "]";
 }
 
@@ -44,8 +45,8 @@
 
 static auto jointParse(const std::string& body) -> JointVoters {
     auto d = rapidjson::Document();
-    if (!jsParse(body, d) || !d.IsObject() || !d.HasMember("before") || !d.HasMember("after")) return {};
-    return {votersParse(js(d["before"])), votersParse(js(d["after"]))};
+    if (!parseJson(body, d) || !d.IsObject() || !d.HasMember("before") || !d.HasMember("after")) return {};
+    return {votersParse(jsonText(d["before"])), votersParse(jsonText(d["after"]))};
 }
 
 auto entryKnown(const wire::Entry& e) -> bool {
@@ -58,13 +59,13 @@
 
 // The configuration in force is the newest in the log, committed or not.
 auto Voter::refreshVoters() -> void {
-    voters_ = snapVoters_;
+    voters_ = snapshotVoters_;
     outgoing_.clear();
-    configIdx_ = snapIdx_;
+    configurationIndex_ = snapshotIndex_;
     auto newest = std::find_if(
         log_.rbegin(), log_.rend(), [](auto& e) { return e.kind == ENTRY_VOTERS || e.kind == ENTRY_JOINT; });
     if (newest == log_.rend()) return;
-    configIdx_ = newest->idx;
+    configurationIndex_ = newest->index;
     if (newest->kind == ENTRY_VOTERS) {
         voters_ = votersParse(newest->body);
         return;
@@ -102,7 +103,7 @@
     if (e.kind == ENTRY_ORDER) {
         auto d = rapidjson::Document();
         auto outcome = replicatedState_.apply(e.body);
-        auto key = jsParse(e.body, d) ? jsStr(d, "key") : std::string();
+        auto key = parseJson(e.body, d) ? jsonString(d, "key") : std::string();
         counters_.add("orders_applied_total");
         port_.voterApplied(replicatedState_, key, outcome);
     } else if (e.kind == ENTRY_JOINT) {
@@ -124,18 +125,18 @@
     epoch_ = state.epoch;
     term_ = term;
     vote_.clear();
-    snapIdx_ = commit_ = applied_ = 1;
-    snapTerm_ = term;
-    setLogBase(snapIdx_, snapTerm_);
-    snapDoc_ = std::make_shared<const std::string>(state.text());
+    snapshotIndex_ = commit_ = applied_ = 1;
+    snapshotTerm_ = term;
+    setLogBase(snapshotIndex_, snapshotTerm_);
+    snapshotDocument_ = std::make_shared<const std::string>(state.text());
     transfers_.clear();
     replicatedState_ = latestState_ = state;
-    snapVoters_ = state.voters();
+    snapshotVoters_ = state.voters();
     appliedJoint_ = false;
     synced_ = 1;
     auto w = DiskWrite();
-    w.reset = w.snap = true;
-    w.doc = *snapDoc_;
+    w.reset = w.hasSnapshot = true;
+    w.document = *snapshotDocument_;
     installSeq_ = write(w, now);
     refreshVoters();
     electionDue_ = now + ELECTION_TIMEOUT;
@@ -147,16 +148,16 @@
     if (leads() && force) follow(now);
     if (blank() || leads() || (!force && !vote_.empty())) return false;
     if (!role_->process(Erased{}, counters_)) return false;
-    epoch_ = term_ = commit_ = applied_ = snapIdx_ = snapTerm_ = synced_ = 0;
+    epoch_ = term_ = commit_ = applied_ = snapshotIndex_ = snapshotTerm_ = synced_ = 0;
     setLogBase(0, 0);
-    snapDoc_ = std::make_shared<const std::string>();
+    snapshotDocument_ = std::make_shared<const std::string>();
     transfers_.clear();
     assembly_ = {};
     leader_.clear();
     voters_.clear();
     outgoing_.clear();
-    snapVoters_.clear();
-    configIdx_ = 0;
+    snapshotVoters_.clear();
+    configurationIndex_ = 0;
     appliedJoint_ = false;
     deferred_.clear();
     replicatedState_ = latestState_ = ReplicatedState();
@@ -189,7 +190,7 @@
 // is ended first.
 auto Voter::changeVoters(Microseconds now) -> void {
     auto mayChange = broken.changeBeforeNoop ? leads() : ready();
-    if (!mayChange || diskBad_ || configIdx_ > commit_) return;
+    if (!mayChange || diskBad_ || configurationIndex_ > commit_) return;
     if (joint()) {
         logf("core: the change of voters ends: {}", votersText(voters_));
         append(ENTRY_VOTERS, votersText(voters_), now);
--- a/src/daemon/adapter_host.cpp
+++ b/src/daemon/adapter_host.cpp
@@ -9,14 +9,15 @@
 
 namespace duneturn {
 
-auto AdapterHost::serve(const std::string& at, const Req& request, Shell& shell) -> asio::awaitable<Res> {
+auto AdapterHost::serve(const std::string& at, const HttpRequest& request, Shell& shell)
+    -> asio::awaitable<HttpResponse> {
     try {
         co_return co_await adapter_->serve(at, request, shell);
     } catch (const std::exception& failure) {
         auto target = std::string(request.target()).substr(0, CLIPPED_TEXT);
         logEvent("adapter_request_failed", "target={} cause={}", target, failure.what());
     }
-    co_return Res(http::status::internal_server_error, 11);
+    co_return HttpResponse(http::status::internal_server_error, 11);
 }
 
 auto AdapterHost::runDuties(Shell& shell) -> asio::awaitable<void> {
--- a/src/daemon/adapter_host.hpp
+++ b/src/daemon/adapter_host.hpp
@@ -13,7 +13,8 @@
 
     auto present() const -> bool { return adapter_ != nullptr; }
     /// The adapter's answer to a request at one of its addresses; 500 if it throws.
-    auto serve(const std::string& at, const Req& request, Shell& shell) -> asio::awaitable<Res>;
+    auto serve(const std::string& at, const HttpRequest& request, Shell& shell)
+        -> asio::awaitable<HttpResponse>;
     /// The adapter's duties, begun again whenever they throw.
     auto runDuties(Shell& shell) -> asio::awaitable<void>;
     /// The settings file may have changed (SIGHUP).
--- a/src/daemon/client_request.cpp
+++ b/src/daemon/client_request.cpp
@@ -23,7 +23,7 @@
 constexpr Microseconds IDLE_MARGIN = SECOND;
 
 /// All Connection headers of a request as one list.
-auto connectionHeader(const Req& request) -> std::string {
+auto connectionHeader(const HttpRequest& request) -> std::string {
     auto list = std::string();
     for (auto [field, end] = request.equal_range(http::field::connection); field != end; ++field)
         list += (list.empty() ? "" : ",") + std::string(field->value());
@@ -43,7 +43,7 @@
 }  // namespace
 
 ClientRequest::ClientRequest(RequestServices services, beast::tcp_stream& stream, beast::flat_buffer& buffer,
-    const Req& request, Microseconds idleLimit)
+    const HttpRequest& request, Microseconds idleLimit)
     : services_(services),
       stream_(stream),
       request_(request),
@@ -91,7 +91,8 @@
     auto connection = connectionHeader(request_);
     for (auto& field : request_) {
         auto name = std::string_view(field.name_string().data(), field.name_string().size());
-        if (!hopByHop(name, connection)) headers.emplace_back(std::string(name), std::string(field.value()));
+        if (!isHopByHopHeader(name, connection))
+            headers.emplace_back(std::string(name), std::string(field.value()));
     }
     return headers;
 }
@@ -185,7 +186,8 @@
     auto head = fmt::format("HTTP/1.1 {} {}\r\n", progress.status, reason);
     auto connection = connectionHeader(progress.headers);
     for (auto& [name, value] : progress.headers) {
-        auto kept = !hopByHop(name, connection) || (isHead_ && beast::iequals(name, "Content-Length"));
+        auto kept =
+            !isHopByHopHeader(name, connection) || (isHead_ && beast::iequals(name, "Content-Length"));
         if (kept) head += name + ": " + value + "\r\n";
     }
     if (!keepAlive_) return head + "Connection: close\r\n";
--- a/src/daemon/client_request.hpp
+++ b/src/daemon/client_request.hpp
@@ -25,7 +25,7 @@
     /// `stream`, `buffer` and `request` must outlive run(). `idleLimit`: how long the connection may then be
     /// idle, which the response says; 0: it says nothing.
     ClientRequest(RequestServices services, beast::tcp_stream& stream, beast::flat_buffer& buffer,
-        const Req& request, Microseconds idleLimit);
+        const HttpRequest& request, Microseconds idleLimit);
     ~ClientRequest() { watch_->stop(); }
     ClientRequest(const ClientRequest&) = delete;
     auto operator=(const ClientRequest&) -> ClientRequest& = delete;
@@ -66,7 +66,7 @@
 
     RequestServices services_;
     beast::tcp_stream& stream_;
-    const Req& request_;
+    const HttpRequest& request_;
     const Microseconds idleLimit_;
     const bool isHead_;    // the response has no body
     const bool isHttp10_;  // no chunks: a stream ends with its connection
--- a/src/daemon/client_session.cpp
+++ b/src/daemon/client_session.cpp
@@ -42,7 +42,7 @@
       buffer_(CONNECTION_BUFFER_BYTES) {}
 
 auto ClientSession::run() -> asio::awaitable<void> {
-    socketSet(stream_->socket().native_handle(), CLIENT_UNACKNOWLEDGED_LIMIT);
+    configureSocket(stream_->socket().native_handle(), CLIENT_UNACKNOWLEDGED_LIMIT);
     context_.sessions++;
     auto more = true;
     while (more) more = co_await serveNext();
@@ -102,7 +102,7 @@
 }
 
 // A whole request; empty if none came, or a faulty one, which is answered here.
-auto ClientSession::readRequest(const Limits& limits) -> asio::awaitable<std::optional<Req>> {
+auto ClientSession::readRequest(const Limits& limits) -> asio::awaitable<std::optional<HttpRequest>> {
     auto parser = Parser();
     parser.header_limit(std::uint32_t(limits.headerBytes));
     parser.body_limit(limits.bodyBytes);
@@ -151,7 +151,7 @@
 
 // Answers a request that was not executed; the connection ends with it.
 auto ClientSession::reject(http::status status, std::string why) -> asio::awaitable<void> {
-    auto response = Res(status, HTTP_1_1);
+    auto response = HttpResponse(status, HTTP_1_1);
     response.set(http::field::content_type, "application/json");
     auto& notExecuted = context_.logic.edge->dialect().notExecuted;
     if (!notExecuted.empty()) response.set(notExecuted, "true");
@@ -176,19 +176,19 @@
 }
 
 // Clients of deployments without an adapter may also ask where to go, and for health.
-auto ClientSession::isForServers(const Req& request) const -> bool {
+auto ClientSession::isForServers(const HttpRequest& request) const -> bool {
     if (kind_ != ListenerKind::Client) return false;
     if (context_.adapter.present()) return true;
     return !isPublicTarget(std::string(request.target()));
 }
 
 // A request that this process answers itself.
-auto ClientSession::serveHere(const Req& request) -> asio::awaitable<bool> {
+auto ClientSession::serveHere(const HttpRequest& request) -> asio::awaitable<bool> {
     auto watch = std::make_shared<RequestWatch>(
         stream_->socket(), bootNow(), [&calls = context_.calls](RequestWatch& gone) { calls.cancel(gone); });
     watch->start();
     auto shell = NodeShell(context_.logic, context_.calls, context_.settings, watch.get());
-    auto response = Res();
+    auto response = HttpResponse();
     if (kind_ == ListenerKind::Adapter) response = co_await context_.adapter.serve(address_, request, shell);
     else response = co_await context_.operatorApi.serve(request, shell);
     watch->stop();
--- a/src/daemon/client_session.hpp
+++ b/src/daemon/client_session.hpp
@@ -49,20 +49,20 @@
   private:
     /// A request as it was read.
     struct ArrivedRequest {
-        Req request;
+        HttpRequest request;
         Microseconds arrived = 0;  // when its first byte was read
     };
     using Parser = http::request_parser<http::string_body>;
 
     auto serveNext() -> asio::awaitable<bool>;
     auto waitForFirstByte(const Limits& limits) -> asio::awaitable<bool>;
-    auto readRequest(const Limits& limits) -> asio::awaitable<std::optional<Req>>;
+    auto readRequest(const Limits& limits) -> asio::awaitable<std::optional<HttpRequest>>;
     auto readBody(Parser& parser) -> asio::awaitable<beast::error_code>;
     auto rejectFaulty(beast::error_code fault) -> asio::awaitable<void>;
     auto reject(http::status status, std::string why) -> asio::awaitable<void>;
     auto drainInput() -> asio::awaitable<void>;
-    auto isForServers(const Req& request) const -> bool;
-    auto serveHere(const Req& request) -> asio::awaitable<bool>;
+    auto isForServers(const HttpRequest& request) const -> bool;
+    auto serveHere(const HttpRequest& request) -> asio::awaitable<bool>;
     auto close() -> void;
 
     // Each takes Logic::mutex.
--- a/src/daemon/disk_thread.cpp
+++ b/src/daemon/disk_thread.cpp
@@ -120,11 +120,11 @@
 
 auto DiskThread::readPeers() const -> std::vector<std::string> {
     auto addresses = std::vector<std::string>();
-    auto text = fileRead(peersFile());
+    auto text = readFile(peersFile());
     if (!text) return addresses;
     auto lines = std::stringstream(*text);
     for (auto line = std::string(); std::getline(lines, line);)
-        if (addrParse(line)) addresses.push_back(line);
+        if (parseAddress(line)) addresses.push_back(line);
     return addresses;
 }
 
--- a/src/daemon/limits.hpp
+++ b/src/daemon/limits.hpp
@@ -55,7 +55,7 @@
 // ---- peers
 
 constexpr std::size_t MOST_PEERS = 512;
-/// Longer than a peer's own channel stays idle (peer_sender.cpp).
+/// Longer than a peer's own channel stays idle (peer_channel.cpp).
 constexpr Microseconds PEER_RECEIVE_TIMEOUT = 45 * SECOND;
 constexpr Microseconds PEER_SEND_TIMEOUT = 2 * SECOND;
 constexpr Microseconds PEER_UNACKNOWLEDGED_LIMIT = 2 * SECOND;
--- a/src/daemon/logic.hpp
+++ b/src/daemon/logic.hpp
@@ -2,7 +2,7 @@
 // The roles' logic of this process and the lock that guards it.
 //
 // Threads: the workers (worker_pool.hpp) run connections and ticks; one writes the disk (disk_thread.hpp);
-// one a peer sends (net/peer_sender.hpp); Thrift's one a connection receive from peers (peer_server.hpp).
+// one a peer sends (net/peer_channel.hpp); Thrift's one a connection receive from peers (peer_server.hpp).
 //
 // Lock order: Logic::mutex comes first. Under it, at most one of PeerChannels::mutex_, DiskThread::mutex_,
 // ClientResponse::mutex and TransportCounters::mutex is taken, and under PeerChannels::mutex_ the mutex of
--- a/src/daemon/node_shell.cpp
+++ b/src/daemon/node_shell.cpp
@@ -64,7 +64,7 @@
 }
 
 auto NodeShell::fetch(const std::string& address, const std::string& target, Microseconds limit)
-    -> asio::awaitable<tl::expected<Res, CallError>> {
+    -> asio::awaitable<tl::expected<HttpResponse, CallError>> {
     return duneturn::fetch(address, "GET", target, "", {}, limit);
 }
 
--- a/src/daemon/node_shell.hpp
+++ b/src/daemon/node_shell.hpp
@@ -29,7 +29,7 @@
     auto duty() -> bool override;
     auto replicatedState() -> std::string override;
     auto fetch(const std::string& address, const std::string& target, Microseconds limit)
-        -> asio::awaitable<tl::expected<Res, CallError>> override;
+        -> asio::awaitable<tl::expected<HttpResponse, CallError>> override;
     auto settings() -> const Settings& override { return settings_; }
 
   private:
--- a/src/daemon/operator_api.cpp
+++ b/src/daemon/operator_api.cpp
@@ -22,21 +22,21 @@
 
 constexpr int HTTP_1_1 = 11;
 
-auto jsonAnswer(std::string body) -> Res {
-    auto answer = Res(http::status::ok, HTTP_1_1);
+auto jsonAnswer(std::string body) -> HttpResponse {
+    auto answer = HttpResponse(http::status::ok, HTTP_1_1);
     answer.set(http::field::content_type, "application/json");
     answer.body() = std::move(body);
     return answer;
 }
 
-auto jsonAnswer(const Outcome& outcome) -> Res {
+auto jsonAnswer(const Outcome& outcome) -> HttpResponse {
     auto answer = jsonAnswer(outcome.body);
     answer.result(unsigned(outcome.status));
     if (outcome.status == 503 || outcome.status == 504) answer.set(http::field::retry_after, "1");
     return answer;
 }
 
-auto errorAnswer(int status, const std::string& why) -> Res {
+auto errorAnswer(int status, const std::string& why) -> HttpResponse {
     return jsonAnswer(Outcome{status, errorBody({{"/", why}})});
 }
 
@@ -98,7 +98,7 @@
     return table;
 }
 
-auto OperatorApi::serve(const Req& request, Shell& shell) -> asio::awaitable<Res> {
+auto OperatorApi::serve(const HttpRequest& request, Shell& shell) -> asio::awaitable<HttpResponse> {
     auto target = std::string(request.target());
     auto path = target.substr(0, target.find('?'));
     for (auto& route : routes()) {
@@ -113,20 +113,22 @@
 
 // ---- what this node knows
 
-auto OperatorApi::where(const Call& call) -> asio::awaitable<Res> {
+auto OperatorApi::where(const Call& call) -> asio::awaitable<HttpResponse> {
     auto region = queryParameter(call.target, "region");
     auto zone = queryParameter(call.target, "district");
     co_return jsonAnswer(call.shell.where(region, zone));
 }
 
-auto OperatorApi::live(const Call&) -> asio::awaitable<Res> { co_return jsonAnswer("{\"live\":true}"); }
+auto OperatorApi::live(const Call&) -> asio::awaitable<HttpResponse> {
+    co_return jsonAnswer("{\"live\":true}");
+}
 
-auto OperatorApi::ready(const Call& call) -> asio::awaitable<Res> {
+auto OperatorApi::ready(const Call& call) -> asio::awaitable<HttpResponse> {
     auto ready = call.shell.ready();
     co_return jsonAnswer(Outcome{ready ? 200 : 503, bodyOf({{"ready", ready ? "true" : "false"}})});
 }
 
-auto OperatorApi::metrics(const Call&) -> asio::awaitable<Res> {
+auto OperatorApi::metrics(const Call&) -> asio::awaitable<HttpResponse> {
     auto text = std::string();
     {
         auto lock = std::lock_guard(logic_.mutex);
@@ -137,29 +139,29 @@
     co_return answer;
 }
 
-auto OperatorApi::status(const Call&) -> asio::awaitable<Res> {
+auto OperatorApi::status(const Call&) -> asio::awaitable<HttpResponse> {
     auto lock = std::lock_guard(logic_.mutex);
     co_return jsonAnswer(logic_.node->status(bootNow()));
 }
 
-auto OperatorApi::beliefs(const Call&) -> asio::awaitable<Res> {
+auto OperatorApi::beliefs(const Call&) -> asio::awaitable<HttpResponse> {
     auto lock = std::lock_guard(logic_.mutex);
     co_return jsonAnswer(logic_.node->beliefs(bootNow()));
 }
 
-auto OperatorApi::requests(const Call&) -> asio::awaitable<Res> {
+auto OperatorApi::requests(const Call&) -> asio::awaitable<HttpResponse> {
     auto lock = std::lock_guard(logic_.mutex);
     co_return jsonAnswer(logic_.edge->liveText(bootNow()));
 }
 
-auto OperatorApi::explain(const Call& call) -> asio::awaitable<Res> {
+auto OperatorApi::explain(const Call& call) -> asio::awaitable<HttpResponse> {
     auto lock = std::lock_guard(logic_.mutex);
     auto text = logic_.edge->explainText(call.parameter, bootNow());
     if (text.empty()) co_return errorAnswer(404, "no such exchange is live or remembered here");
     co_return jsonAnswer(text);
 }
 
-auto OperatorApi::decisions(const Call& call) -> asio::awaitable<Res> {
+auto OperatorApi::decisions(const Call& call) -> asio::awaitable<HttpResponse> {
     auto after = std::atoll(queryParameter(call.target, "after").c_str());
     auto lock = std::lock_guard(logic_.mutex);
     co_return jsonAnswer(logic_.edge->decisions(after));
@@ -167,23 +169,23 @@
 
 // ---- the replicated state, as a majority confirmed it after the request arrived
 
-auto OperatorApi::readDocument(const Call& call) -> asio::awaitable<Res> {
+auto OperatorApi::readDocument(const Call& call) -> asio::awaitable<HttpResponse> {
     auto query = StateQuery::document();
     auto read = co_await call.shell.readState(query);
     co_return jsonAnswer(read);
 }
 
-auto OperatorApi::readConfig(const Call& call) -> asio::awaitable<Res> {
+auto OperatorApi::readConfig(const Call& call) -> asio::awaitable<HttpResponse> {
     auto query = StateQuery::document();
     auto read = co_await call.shell.readState(query);
     if (read.status != 200) co_return jsonAnswer(read);
     auto state = ReplicatedState();
     state.load(read.body);
-    co_return jsonAnswer(
-        bodyOf({{"generation", fmt::to_string(state.configVersion())}, {"config", js(state.config())}}));
+    co_return jsonAnswer(bodyOf(
+        {{"generation", fmt::to_string(state.configVersion())}, {"config", jsonText(state.config())}}));
 }
 
-auto OperatorApi::readPlan(const Call& call) -> asio::awaitable<Res> {
+auto OperatorApi::readPlan(const Call& call) -> asio::awaitable<HttpResponse> {
     auto query = StateQuery::document();
     auto read = co_await call.shell.readState(query);
     if (read.status != 200) co_return jsonAnswer(read);
@@ -193,7 +195,7 @@
         {"empties", state.evacuationsText()}}));
 }
 
-auto OperatorApi::findOrder(const Call& call) -> asio::awaitable<Res> {
+auto OperatorApi::findOrder(const Call& call) -> asio::awaitable<HttpResponse> {
     auto query = StateQuery::document();
     auto read = co_await call.shell.readState(query);
     if (read.status != 200) co_return jsonAnswer(read);
@@ -201,7 +203,7 @@
     state.load(read.body);
     auto outcome = state.outcome(call.parameter);
     if (!outcome.status) {
-        auto why = jsQuote("no order of this key is in the log");
+        auto why = jsonQuote("no order of this key is in the log");
         co_return jsonAnswer(Outcome{404, bodyOf({{"known", "false"}, {"error", why}})});
     }
     co_return jsonAnswer(
@@ -211,13 +213,13 @@
 // ---- orders
 
 // The caller's key, or else one that no other order has.
-auto OperatorApi::orderKey(const Req& request) -> std::string {
+auto OperatorApi::orderKey(const HttpRequest& request) -> std::string {
     auto key = std::string(request["Idempotency-Key"]);
     if (!key.empty()) return key.substr(0, CLIPPED_TEXT);
     return fmt::format("{}-{:x}-{}", settings_.node, logic_.node->me().boot, ++lastKey_);
 }
 
-auto OperatorApi::order(const Call& call, std::string operation) -> asio::awaitable<Res> {
+auto OperatorApi::order(const Call& call, std::string operation) -> asio::awaitable<HttpResponse> {
     auto key = orderKey(call.request);
     auto body = call.request.body();
     auto outcome = co_await call.shell.order(operation, key, body);
@@ -226,14 +228,20 @@
     co_return answer;
 }
 
-auto OperatorApi::putConfig(const Call& call) -> asio::awaitable<Res> { return order(call, "config"); }
-auto OperatorApi::mergeConfig(const Call& call) -> asio::awaitable<Res> { return order(call, "merge"); }
-auto OperatorApi::postOrder(const Call& call) -> asio::awaitable<Res> { return order(call, call.parameter); }
+auto OperatorApi::putConfig(const Call& call) -> asio::awaitable<HttpResponse> {
+    return order(call, "config");
+}
+auto OperatorApi::mergeConfig(const Call& call) -> asio::awaitable<HttpResponse> {
+    return order(call, "merge");
+}
+auto OperatorApi::postOrder(const Call& call) -> asio::awaitable<HttpResponse> {
+    return order(call, call.parameter);
+}
 
-auto OperatorApi::rescue(const Call& call) -> asio::awaitable<Res> {
+auto OperatorApi::rescue(const Call& call) -> asio::awaitable<HttpResponse> {
     auto document = rapidjson::Document();
-    if (!jsParse(call.request.body(), document)) co_return errorAnswer(400, "malformed JSON");
-    auto epoch = jsInt(document, "reign"), version = jsInt(document, "generation");
+    if (!parseJson(call.request.body(), document)) co_return errorAnswer(400, "malformed JSON");
+    auto epoch = jsonInteger(document, "reign"), version = jsonInteger(document, "generation");
     if (!document.IsObject() || !epoch || !version)
         co_return errorAnswer(422, "wants the reign and generation that this node holds");
     auto lock = std::lock_guard(logic_.mutex);
@@ -242,18 +250,18 @@
 
 // ---- what the platform says of the servers
 
-auto OperatorApi::listServers(const Call& call) -> asio::awaitable<Res> {
+auto OperatorApi::listServers(const Call& call) -> asio::awaitable<HttpResponse> {
     auto listed = co_await call.shell.list(call.request.body());
     co_return jsonAnswer(listed);
 }
 
-auto OperatorApi::markLeaving(const Call& call) -> asio::awaitable<Res> {
+auto OperatorApi::markLeaving(const Call& call) -> asio::awaitable<HttpResponse> {
     auto document = rapidjson::Document();
     auto revision = std::int64_t(0);
     if (!call.request.body().empty()) {
-        if (!jsParse(call.request.body(), document) || !document.IsObject())
+        if (!parseJson(call.request.body(), document) || !document.IsObject())
             co_return errorAnswer(400, "malformed JSON");
-        revision = jsInt(document, "revision");
+        revision = jsonInteger(document, "revision");
     }
     auto begin = NodeCalls::Begin(
         [&](std::int64_t number) { logic_.node->mark(number, call.parameter, revision, bootNow()); });
--- a/src/daemon/operator_api.hpp
+++ b/src/daemon/operator_api.hpp
@@ -24,18 +24,18 @@
         : logic_(logic), calls_(calls), counters_(counters), settings_(settings) {}
 
     /// The answer to one request. `shell`: as that request sees it. Both must outlive the answer.
-    auto serve(const Req& request, Shell& shell) -> asio::awaitable<Res>;
+    auto serve(const HttpRequest& request, Shell& shell) -> asio::awaitable<HttpResponse>;
 
   private:
     /// A request with its target taken apart.
     struct Call {
-        const Req& request;
+        const HttpRequest& request;
         Shell& shell;
         std::string target;     ///< With its query.
         std::string path;       ///< Without it.
         std::string parameter;  ///< What stands at the route's "*".
     };
-    using Handler = asio::awaitable<Res> (OperatorApi::*)(const Call&);
+    using Handler = asio::awaitable<HttpResponse> (OperatorApi::*)(const Call&);
     struct Route {
         http::verb method;
         std::string_view pattern;  ///< A path; "*" stands for any characters.
@@ -43,28 +43,28 @@
     };
     static auto routes() -> const std::vector<Route>&;
 
-    auto where(const Call& call) -> asio::awaitable<Res>;
-    auto live(const Call& call) -> asio::awaitable<Res>;
-    auto ready(const Call& call) -> asio::awaitable<Res>;
-    auto metrics(const Call& call) -> asio::awaitable<Res>;
-    auto status(const Call& call) -> asio::awaitable<Res>;
-    auto beliefs(const Call& call) -> asio::awaitable<Res>;
-    auto requests(const Call& call) -> asio::awaitable<Res>;
-    auto explain(const Call& call) -> asio::awaitable<Res>;
-    auto decisions(const Call& call) -> asio::awaitable<Res>;
-    auto readDocument(const Call& call) -> asio::awaitable<Res>;
-    auto readConfig(const Call& call) -> asio::awaitable<Res>;
-    auto readPlan(const Call& call) -> asio::awaitable<Res>;
-    auto findOrder(const Call& call) -> asio::awaitable<Res>;
-    auto putConfig(const Call& call) -> asio::awaitable<Res>;
-    auto mergeConfig(const Call& call) -> asio::awaitable<Res>;
-    auto postOrder(const Call& call) -> asio::awaitable<Res>;
-    auto rescue(const Call& call) -> asio::awaitable<Res>;
-    auto listServers(const Call& call) -> asio::awaitable<Res>;
-    auto markLeaving(const Call& call) -> asio::awaitable<Res>;
+    auto where(const Call& call) -> asio::awaitable<HttpResponse>;
+    auto live(const Call& call) -> asio::awaitable<HttpResponse>;
+    auto ready(const Call& call) -> asio::awaitable<HttpResponse>;
+    auto metrics(const Call& call) -> asio::awaitable<HttpResponse>;
+    auto status(const Call& call) -> asio::awaitable<HttpResponse>;
+    auto beliefs(const Call& call) -> asio::awaitable<HttpResponse>;
+    auto requests(const Call& call) -> asio::awaitable<HttpResponse>;
+    auto explain(const Call& call) -> asio::awaitable<HttpResponse>;
+    auto decisions(const Call& call) -> asio::awaitable<HttpResponse>;
+    auto readDocument(const Call& call) -> asio::awaitable<HttpResponse>;
+    auto readConfig(const Call& call) -> asio::awaitable<HttpResponse>;
+    auto readPlan(const Call& call) -> asio::awaitable<HttpResponse>;
+    auto findOrder(const Call& call) -> asio::awaitable<HttpResponse>;
+    auto putConfig(const Call& call) -> asio::awaitable<HttpResponse>;
+    auto mergeConfig(const Call& call) -> asio::awaitable<HttpResponse>;
+    auto postOrder(const Call& call) -> asio::awaitable<HttpResponse>;
+    auto rescue(const Call& call) -> asio::awaitable<HttpResponse>;
+    auto listServers(const Call& call) -> asio::awaitable<HttpResponse>;
+    auto markLeaving(const Call& call) -> asio::awaitable<HttpResponse>;
 
-    auto order(const Call& call, std::string operation) -> asio::awaitable<Res>;
-    auto orderKey(const Req& request) -> std::string;
+    auto order(const Call& call, std::string operation) -> asio::awaitable<HttpResponse>;
+    auto orderKey(const HttpRequest& request) -> std::string;
 
     Logic& logic_;
     NodeCalls& calls_;
--- a/src/daemon/peer_channels.cpp
+++ b/src/daemon/peer_channels.cpp
@@ -8,13 +8,15 @@
 
 #include "base/time.hpp"
 #include "daemon/limits.hpp"
-#include "net/compress.hpp"
-#include "net/peer_sender.hpp"
+#include "net/envelope_compression.hpp"
+#include "net/peer_channel.hpp"
 
 namespace duneturn {
 
 PeerChannels::PeerChannels(std::string ownAddress, TransportCounters& counters)
-    : ownAddress_(std::move(ownAddress)), counters_(counters), compressor_(std::make_unique<Compressor>()) {}
+    : ownAddress_(std::move(ownAddress)),
+      counters_(counters),
+      compressor_(std::make_unique<EnvelopeCompressor>()) {}
 
 PeerChannels::~PeerChannels() = default;
 
--- a/src/daemon/peer_channels.hpp
+++ b/src/daemon/peer_channels.hpp
@@ -12,7 +12,7 @@
 
 namespace duneturn {
 
-class Compressor;
+class EnvelopeCompressor;
 class PeerChannel;
 
 /// Safe for use from several threads, with Logic::mutex held or not, where nothing else is said.
@@ -36,7 +36,7 @@
   private:
     const std::string ownAddress_;
     TransportCounters& counters_;
-    std::unique_ptr<Compressor> compressor_;
+    std::unique_ptr<EnvelopeCompressor> compressor_;
     // Guarded by mutex_.
     std::mutex mutex_;
     std::map<std::string, std::unique_ptr<PeerChannel>> channels_;  // by the peer's address
--- a/src/daemon/peer_server.cpp
+++ b/src/daemon/peer_server.cpp
@@ -18,7 +18,7 @@
 #include "base/address.hpp"
 #include "base/time.hpp"
 #include "daemon/limits.hpp"
-#include "net/compress.hpp"
+#include "net/envelope_compression.hpp"
 #include "net/http.hpp"
 
 namespace duneturn {
@@ -34,13 +34,13 @@
 
     auto tell(const wire::Envelope& envelope) -> void override {
         auto isCompressed = envelope.__isset.compressed;
-        auto content = isCompressed ? decompressed(envelope) : std::nullopt;
+        auto content = isCompressed ? decompressEnvelope(envelope) : std::nullopt;
         auto lock = std::lock_guard(logic_.mutex);
         if (isCompressed && !content) return logic_.counters.add("peer_decompress_failed_total");
         logic_.node->handle(content ? *content : envelope, bootNow());
         auto peer = logic_.node->rows().find(envelope.node);
         if (peer == logic_.node->rows().end()) return;
-        channels_.setReadsCompressed(peer->second.record.peer, envelope.wire >= COMPRESSING);
+        channels_.setReadsCompressed(peer->second.record.peer, envelope.wire >= COMPRESSION_WIRE_VERSION);
     }
 
   private:
@@ -61,18 +61,18 @@
         std::make_shared<thrift::TConfiguration>(PEER_MESSAGE_BYTES, PEER_MESSAGE_BYTES, PEER_MESSAGE_DEPTH);
 };
 
-auto listeningSocket(const Addr& address) -> std::shared_ptr<thrift::transport::TServerSocket> {
+auto listeningSocket(const Address& address) -> std::shared_ptr<thrift::transport::TServerSocket> {
     auto socket = std::make_shared<thrift::transport::TServerSocket>(address.ip, address.port);
     socket->setRecvTimeout(int(PEER_RECEIVE_TIMEOUT / MILLISECOND));
     socket->setSendTimeout(int(PEER_SEND_TIMEOUT / MILLISECOND));
-    socket->setAcceptCallback([](int accepted) { socketSet(accepted, PEER_UNACKNOWLEDGED_LIMIT); });
+    socket->setAcceptCallback([](int accepted) { configureSocket(accepted, PEER_UNACKNOWLEDGED_LIMIT); });
     return socket;
 }
 
 }  // namespace
 
 struct PeerServer::Server {
-    Server(const Addr& address, Logic& logic, PeerChannels& channels)
+    Server(const Address& address, Logic& logic, PeerChannels& channels)
         : threaded(std::make_shared<wire::PeerProcessor>(std::make_shared<EnvelopeReceiver>(logic, channels)),
             listeningSocket(address), std::make_shared<FramedTransports>(),
             std::make_shared<thrift::protocol::TCompactProtocolFactoryT<thrift::transport::TTransport>>(
@@ -87,7 +87,7 @@
     const std::string& address, Logic& logic, PeerChannels& channels, std::function<void()> onFailure)
     : address_(address),
       onFailure_(std::move(onFailure)),
-      server_(std::make_unique<Server>(*addrParse(address), logic, channels)) {
+      server_(std::make_unique<Server>(*parseAddress(address), logic, channels)) {
     // Connections that break are no news.
     thrift::GlobalOutput.setOutputFunction([](const char*) {});
 }
--- a/src/daemon/server_probe.cpp
+++ b/src/daemon/server_probe.cpp
@@ -15,31 +15,31 @@
 namespace {
 
 /// The load that a server's answer names; empty if it names none.
-auto readLoad(const Res& answer) -> std::optional<wire::ServerLoad> {
+auto readLoad(const HttpResponse& answer) -> std::optional<wire::ServerLoad> {
     auto document = rapidjson::Document();
-    if (answer.result() != http::status::ok || !jsParse(answer.body(), document) || !document.IsObject())
+    if (answer.result() != http::status::ok || !parseJson(answer.body(), document) || !document.IsObject())
         return std::nullopt;
     auto load = wire::ServerLoad();
-    load.prefill = std::int32_t(jsInt(document, "prefill"));
-    load.decode = std::int32_t(jsInt(document, "decode"));
-    load.slots = std::int32_t(jsInt(document, "slots"));
-    load.boot = jsInt(document, "boot");
-    load.up = jsInt(document, "upUs");
-    load.cold = jsBool(document, "cold");
+    load.prefill = std::int32_t(jsonInteger(document, "prefill"));
+    load.decode = std::int32_t(jsonInteger(document, "decode"));
+    load.slots = std::int32_t(jsonInteger(document, "slots"));
+    load.boot = jsonInteger(document, "boot");
+    load.up = jsonInteger(document, "upUs");
+    load.cold = jsonBool(document, "cold");
     return load;
 }
 
 /// The answer to GET /load; throws what the connection's steps throw.
-auto fetchLoad(const std::string& address) -> asio::awaitable<Res> {
+auto fetchLoad(const std::string& address) -> asio::awaitable<HttpResponse> {
     auto stream = beast::tcp_stream(co_await asio::this_coro::executor);
     stream.expires_after(std::chrono::microseconds(PROBE_TIMEOUT));
     co_await stream.async_connect(endpoint(address), asio::use_awaitable);
-    auto request = Req(http::verb::get, "/load", 11);
+    auto request = HttpRequest(http::verb::get, "/load", 11);
     request.set(http::field::host, address);
     request.keep_alive(false);
     co_await http::async_write(stream, request, asio::use_awaitable);
     auto buffer = beast::flat_buffer(PROBE_BUFFER_BYTES);
-    auto answer = Res();
+    auto answer = HttpResponse();
     co_await http::async_read(stream, buffer, answer, asio::use_awaitable);
     co_return answer;
 }
--- a/src/daemon/upstream_connections.cpp
+++ b/src/daemon/upstream_connections.cpp
@@ -25,7 +25,7 @@
 UpstreamConnections::UpstreamConnections(
     Logic& logic, WorkerPool& workers, ClientResponses& responses, Options options)
     : logic_(logic), workers_(workers), responses_(responses), options_(options), kept_([](auto& stream) {
-          return quietSocket(stream->socket().native_handle());
+          return isSocketQuiet(stream->socket().native_handle());
       }) {}
 
 auto UpstreamConnections::poolKey(const std::string& server, const std::string& address) -> std::string {
@@ -75,11 +75,11 @@
 
 auto UpstreamConnections::configure(const rapidjson::Value& config) -> void {
     maxConnections_.clear();
-    auto services = jsMember(config, "pools");
+    auto services = jsonMember(config, "pools");
     if (!services || !services->IsObject()) return;
     for (auto& service : services->GetObject())
         if (service.value.IsObject())
-            maxConnections_[service.name.GetString()] = jsInt(service.value, "maxConns");
+            maxConnections_[service.name.GetString()] = jsonInteger(service.value, "maxConns");
 }
 
 auto UpstreamConnections::sweep(std::size_t aliveNodes, Microseconds now) -> void {
@@ -113,14 +113,14 @@
 
 // A connection on which nothing has come before the first byte is written; false if there is none.
 auto UpstreamConnections::connect(Attempt& attempt) -> asio::awaitable<bool> {
-    if (attempt.kept && quietSocket(attempt.stream->socket().native_handle())) co_return true;
+    if (attempt.kept && isSocketQuiet(attempt.stream->socket().native_handle())) co_return true;
     if (attempt.kept && !renewKept(attempt)) co_return false;
     auto stream = attempt.stream;
     stream->expires_after(std::chrono::microseconds(SERVER_CONNECT_TIMEOUT));
     auto [failed] = co_await stream->async_connect(endpoint(attempt.address), quiet);
     stream->expires_never();  // the edge watches the time from here on
-    if (!failed && quietSocket(stream->socket().native_handle())) {
-        socketSet(stream->socket().native_handle(), SERVER_UNACKNOWLEDGED_LIMIT);
+    if (!failed && isSocketQuiet(stream->socket().native_handle())) {
+        configureSocket(stream->socket().native_handle(), SERVER_UNACKNOWLEDGED_LIMIT);
         co_return true;
     }
     auto lock = std::lock_guard(logic_.mutex);
--- a/src/daemon/upstream_connections.hpp
+++ b/src/daemon/upstream_connections.hpp
@@ -14,8 +14,8 @@
 #include "daemon/client_response.hpp"
 #include "daemon/logic.hpp"
 #include "daemon/worker_pool.hpp"
-#include "net/answer_reader.hpp"
-#include "net/kept_connections.hpp"
+#include "daemon/answer_reader.hpp"
+#include "net/connection_pool.hpp"
 
 namespace duneturn {
 
@@ -90,7 +90,7 @@
     const Options options_;
     // Guarded by Logic::mutex.
     std::map<AttemptKey, std::shared_ptr<Attempt>> attempts_;
-    KeptConnections<std::shared_ptr<Stream>> kept_;
+    ConnectionPool<std::shared_ptr<Stream>> kept_;
     std::map<std::string, std::int64_t> maxConnections_;  // that a service's servers accept, by its name
     std::size_t aliveNodes_ = 1;
 };
