--- a/src/cli/compare.cpp
+++ b/src/cli/compare.cpp
@@ -103,11 +103,11 @@
 
 auto compareRun(const std::string& first, const std::string& second, bool json) -> int {
     auto firstBeliefs = rapidjson::Document(), secondBeliefs = rapidjson::Document();
-    if (!askBeliefs(first, firstBeliefs) || !askBeliefs(second, secondBeliefs)) return UNREACHED;
+    if (!askBeliefs(first, firstBeliefs) || !askBeliefs(second, secondBeliefs)) return int(Exit::Unreached);
     auto differences = compareBeliefs(firstBeliefs, secondBeliefs);
     if (json) printJson(differences);
     else printText(firstBeliefs, secondBeliefs, differences);
-    return differences.empty() ? DONE : REJECTED;
+    return int(differences.empty() ? Exit::Done : Exit::Rejected);
 }
 
 }  // namespace duneturn
--- a/src/cli/ctl.hpp
+++ b/src/cli/ctl.hpp
@@ -7,16 +7,26 @@
 namespace duneturn {
 
 /// Exit codes of the operators' commands.
-enum Exit { DONE = 0, REJECTED = 1, USAGE = 2, UNREACHED = 3, UNKNOWN = 4 };
+enum class Exit {
+    Done = 0,
+    Rejected = 1,
+    WrongUse = 2,
+    Unreached = 3,  ///< No reply, or the node isn't ready.
+    Unknown = 4     ///< Whether it was done is not known.
+};
 
+/// The flags of all commands.
 struct CtlOptions {
-    std::string node;  // any node's operator address
-    std::string key;
-    std::int64_t base = -1;
-    bool json = false, once = false, here = false;
+    std::string node;        ///< Any node's operator address.
+    std::string key;         ///< Idempotency key of an order; one is drawn if this is empty.
+    std::int64_t base = -1;  ///< The generation of the configuration that a change rests on; -1: the newest.
+    bool json = false;       ///< Output as JSON.
+    bool once = false;       ///< watch: what is remembered, then the end.
+    bool here = false;       ///< live, watch: of this node only.
 };
-/// Runs one command, given as its words; an Exit code.
-auto ctlRun(const CtlOptions& options, const std::vector<std::string>& words) -> int;
-auto ctlHelp() -> std::string;
+/// Runs one command, given as its words; the process's exit code, an Exit.
+[[nodiscard]] auto ctlRun(const CtlOptions& options, const std::vector<std::string>& words) -> int;
+/// The commands and flags as text.
+[[nodiscard]] auto ctlHelp() -> std::string;
 
 }  // namespace duneturn
