--- a/src/cli/node_command.cpp
+++ b/src/cli/node_command.cpp
@@ -72,7 +72,7 @@
         return 0;
     }
     auto options = DaemonOptions();
-    options.st = *settings;
+    options.settings = *settings;
     options.core = role == Role::Core;
     options.drain = FLAGS_drain_us;
     options.workers = FLAGS_workers;
--- a/src/daemon/client_session.cpp
+++ b/src/daemon/client_session.cpp
@@ -31,6 +31,19 @@
         && fault != http::error::partial_message;
 }
 
+/// Why a request that could not be read is rejected; empty if nobody waits for an answer.
+auto rejectionOf(beast::error_code fault) -> std::optional<Rejection> {
+    using http::status;
+    if (fault == http::error::header_limit)
+        return Rejection{status::request_header_fields_too_large, "the header is too large"};
+    if (fault == http::error::body_limit)
+        return Rejection{status::payload_too_large, "the body is too large"};
+    if (fault == beast::error::timeout)
+        return Rejection{status::request_timeout, "the request came too slowly"};
+    if (isMalformed(fault)) return Rejection{status::bad_request, "malformed request: " + fault.message()};
+    return std::nullopt;
+}
+
 }  // namespace
 
 ClientSession::ClientSession(
@@ -109,7 +122,9 @@
     stream_->expires_after(std::chrono::microseconds(limits.headerRead));
     auto [fault, count] = co_await http::async_read_header(*stream_, buffer_, parser, quiet);
     if (!fault && parser.get().count(http::field::transfer_encoding) && !parser.chunked()) {
-        co_await reject(http::status::bad_request, "malformed request: the body's end is not told");
+        auto rejection =
+            Rejection{http::status::bad_request, "malformed request: the body's end is not told"};
+        co_await reject(rejection);
         co_return std::nullopt;
     }
     // Fields behind a chunked body are no part of the header: they would name another request.
@@ -118,7 +133,9 @@
     if (chunked) header = parser.get();
     if (!fault && !parser.is_done()) fault = co_await readBody(parser);
     if (fault) {
-        co_await rejectFaulty(fault);
+        countBadInput(fault);
+        auto rejection = rejectionOf(fault);
+        if (rejection) co_await reject(*rejection);
         co_return std::nullopt;
     }
     auto request = parser.release();
@@ -126,6 +143,11 @@
     co_return request;
 }
 
+auto ClientSession::countBadInput(beast::error_code fault) -> void {
+    if (fault != http::error::end_of_stream && fault != asio::error::operation_aborted)
+        context_.counters.add("bad_input_total");
+}
+
 auto ClientSession::readBody(Parser& parser) -> asio::awaitable<beast::error_code> {
     stream_->expires_after(std::chrono::microseconds(BODY_READ_TIMEOUT));
     if (beast::iequals(parser.get()[http::field::expect], "100-continue")) {
@@ -136,27 +158,14 @@
     co_return fault;
 }
 
-auto ClientSession::rejectFaulty(beast::error_code fault) -> asio::awaitable<void> {
-    if (fault != http::error::end_of_stream && fault != asio::error::operation_aborted)
-        context_.counters.add("bad_input_total");
-    if (fault == http::error::header_limit)
-        co_await reject(http::status::request_header_fields_too_large, "the header is too large");
-    else if (fault == http::error::body_limit)
-        co_await reject(http::status::payload_too_large, "the body is too large");
-    else if (fault == beast::error::timeout)
-        co_await reject(http::status::request_timeout, "the request came too slowly");
-    else if (isMalformed(fault))
-        co_await reject(http::status::bad_request, "malformed request: " + fault.message());
-}
-
 // Answers a request that was not executed; the connection ends with it.
-auto ClientSession::reject(http::status status, std::string why) -> asio::awaitable<void> {
-    auto response = HttpResponse(status, HTTP_1_1);
+auto ClientSession::reject(Rejection rejection) -> asio::awaitable<void> {
+    auto response = HttpResponse(rejection.status, HTTP_1_1);
     response.set(http::field::content_type, "application/json");
     auto& notExecuted = context_.logic.edge->dialect().notExecuted;
     if (!notExecuted.empty()) response.set(notExecuted, "true");
     response.keep_alive(false);
-    response.body() = errorBody({{"/", why}});
+    response.body() = errorBody({{"/", rejection.why}});
     response.prepare_payload();
     stream_->expires_after(std::chrono::microseconds(REJECT_WRITE_TIMEOUT));
     co_await http::async_write(*stream_, response, quiet);
--- a/src/daemon/client_session.hpp
+++ b/src/daemon/client_session.hpp
@@ -38,6 +38,13 @@
     Limits clientLimits = {};                                ///< Of the configuration in force.
 };
 
+/// The answer to a request that was not executed.
+struct Rejection {
+    http::status status = http::status::bad_request;
+    std::string why;
+};
+
+/// Reads requests and has each answered: by the edge (ClientRequest), the operator API or an adapter.
 class ClientSession {
   public:
     /// `address`: the listening address that the connection came to.
@@ -47,19 +54,14 @@
     auto run() -> asio::awaitable<void>;
 
   private:
-    /// A request as it was read.
-    struct ArrivedRequest {
-        HttpRequest request;
-        Microseconds arrived = 0;  // when its first byte was read
-    };
     using Parser = http::request_parser<http::string_body>;
 
     auto serveNext() -> asio::awaitable<bool>;
     auto waitForFirstByte(const Limits& limits) -> asio::awaitable<bool>;
     auto readRequest(const Limits& limits) -> asio::awaitable<std::optional<HttpRequest>>;
     auto readBody(Parser& parser) -> asio::awaitable<beast::error_code>;
-    auto rejectFaulty(beast::error_code fault) -> asio::awaitable<void>;
-    auto reject(http::status status, std::string why) -> asio::awaitable<void>;
+    auto countBadInput(beast::error_code fault) -> void;
+    auto reject(Rejection rejection) -> asio::awaitable<void>;
     auto drainInput() -> asio::awaitable<void>;
     auto isForServers(const HttpRequest& request) const -> bool;
     auto serveHere(const HttpRequest& request) -> asio::awaitable<bool>;
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -48,7 +48,7 @@
         return options;
     }
     options.workers = 1;
-    options.core = !options.st.data.empty();
+    options.core = !options.settings.data.empty();
     return options;
 }
 
@@ -147,14 +147,14 @@
 Daemon::Daemon(const DaemonOptions& options)
     : options_(withAdapterRules(options)),
       workers_(options_.workers),
-      peers_(options_.st.peer, transportCounters_),
-      disk_(logic_, options_.st),
+      peers_(options_.settings.peer, transportCounters_),
+      disk_(logic_, options_.settings),
       upstreams_(logic_, workers_, responses_, {options_.reuse, options_.adapter != nullptr}),
       calls_(logic_),
-      operatorApi_(logic_, calls_, transportCounters_, options_.st),
+      operatorApi_(logic_, calls_, transportCounters_, options_.settings),
       adapter_(options_.adapter),
-      sessions_{
-          logic_, transportCounters_, workers_, responses_, calls_, operatorApi_, adapter_, options_.st},
+      sessions_{logic_, transportCounters_, workers_, responses_, calls_, operatorApi_, adapter_,
+          options_.settings},
       listeners_(sessions_),
       stop_(logic_, listeners_, responses_, upstreams_,
           options_.adapter ? PlannedStop::Schedule::Grace : PlannedStop::Schedule::Drain,
@@ -171,7 +171,7 @@
         fmt::print(stderr, "duneturn: cannot listen: {}\n", opened.error());
         return EXIT_FAILED;
     }
-    auto peerServer = PeerServer(options_.st.peer, logic_, peers_, [this] { workers_.stop(); });
+    auto peerServer = PeerServer(options_.settings.peer, logic_, peers_, [this] { workers_.stop(); });
     peerServer.start();
     if (options_.core) disk_.start();
     logStart();
@@ -184,7 +184,7 @@
     disk_.stop();
     peers_.closeAll();
     peerServer.join();
-    logEvent("node_stopped", "node={}", options_.st.node);
+    logEvent("node_stopped", "node={}", options_.settings.node);
     return peerServer.failed() ? EXIT_FAILED : 0;
 }
 
@@ -196,7 +196,7 @@
     auto dialect = options_.adapter ? options_.adapter->dialect : Dialect();
     // Two lives of one node never share a boot number, and a later one's is higher.
     auto boot = wallNow();
-    logic_.node = std::make_unique<Node>(options_.st, *this, logic_.counters, boot, seed);
+    logic_.node = std::make_unique<Node>(options_.settings, *this, logic_.counters, boot, seed);
     logic_.edge = std::make_unique<Edge>(*logic_.node, *this, logic_.counters, seed ^ EDGE_SEED, dialect);
 }
 
@@ -211,19 +211,19 @@
         logEvent("disk_open_failed", "retry_us={} cause={}", DISK_RETRY, error.why);
         return 0;
     }
-    fmt::print(stderr, "duneturn: data {}: {}\n", options_.st.data, error.why);
+    fmt::print(stderr, "duneturn: data {}: {}\n", options_.settings.data, error.why);
     return newer ? EXIT_NEWER_FORMAT : EXIT_FAILED;
 }
 
 auto Daemon::addListeners() -> void {
-    listeners_.add(ListenerKind::Client, options_.st.clientAddress);
+    listeners_.add(ListenerKind::Client, options_.settings.clientAddress);
     if (options_.adapter)
         for (auto& address : options_.adapter->listens) listeners_.add(ListenerKind::Adapter, address);
-    if (options_.operatorListens) listeners_.add(ListenerKind::Operator, options_.st.operatorAddress);
+    if (options_.operatorListens) listeners_.add(ListenerKind::Operator, options_.settings.operatorAddress);
 }
 
 auto Daemon::logStart() -> void {
-    auto& settings = options_.st;
+    auto& settings = options_.settings;
     logEvent("node_started", "role={} node={} zone={} region={} peer={} clients={} operators={}",
         options_.core ? "core" : "edge", settings.node, settings.zone, settings.region, settings.peer,
         settings.clientAddress, settings.operatorAddress);
@@ -244,7 +244,7 @@
 }
 
 auto Daemon::runDuties() -> asio::awaitable<void> {
-    auto shell = NodeShell(logic_, calls_, options_.st);
+    auto shell = NodeShell(logic_, calls_, options_.settings);
     co_await adapter_.runDuties(shell);
 }
 
