--- a/src/daemon/adapter_host.hpp
+++ b/src/daemon/adapter_host.hpp
@@ -3,6 +3,7 @@
 #include <string>
 
 #include "daemon/shell.hpp"
+#include "net/http.hpp"
 
 namespace duneturn {
 
--- a/src/daemon/client_listener.cpp
+++ b/src/daemon/client_listener.cpp
@@ -11,6 +11,7 @@
 #include <tl/expected.hpp>
 
 #include "daemon/limits.hpp"
+#include "net/socket.hpp"
 
 namespace duneturn {
 
--- a/src/daemon/client_request.cpp
+++ b/src/daemon/client_request.cpp
@@ -188,7 +188,7 @@
     for (auto& [name, value] : progress.headers) {
         auto kept =
             !isHopByHopHeader(name, connection) || (isHead_ && beast::iequals(name, "Content-Length"));
-        if (kept) head += name + ": " + value + "\r\n";
+        if (kept) head += fmt::format("{}: {}\r\n", name, value);
     }
     if (!keepAlive_) return head + "Connection: close\r\n";
     if (isHttp10_) head += "Connection: keep-alive\r\n";
--- a/src/daemon/client_request.hpp
+++ b/src/daemon/client_request.hpp
@@ -10,6 +10,7 @@
 #include "daemon/disconnect_watch.hpp"
 #include "daemon/logic.hpp"
 #include "daemon/worker_pool.hpp"
+#include "net/http.hpp"
 
 namespace duneturn {
 
--- a/src/daemon/client_session.cpp
+++ b/src/daemon/client_session.cpp
@@ -15,6 +15,7 @@
 #include "control/request_watch.hpp"
 #include "daemon/limits.hpp"
 #include "daemon/node_shell.hpp"
+#include "net/socket.hpp"
 #include "state/replicated_state.hpp"
 
 namespace duneturn {
@@ -83,7 +84,7 @@
     co_return co_await forwarded.run(arrived);
 }
 
-auto ClientSession::limits() -> Limits {
+auto ClientSession::limits() -> ConnectionLimits {
     if (!context_.adapter.present() || kind_ != ListenerKind::Client) return {};
     auto lock = std::lock_guard(context_.logic.mutex);
     return context_.clientLimits;
@@ -103,7 +104,7 @@
 }
 
 // The connection is idle until then. False if no request will come.
-auto ClientSession::waitForFirstByte(const Limits& limits) -> asio::awaitable<bool> {
+auto ClientSession::waitForFirstByte(const ConnectionLimits& limits) -> asio::awaitable<bool> {
     if (buffer_.capacity() > 2 * READ_BYTES) buffer_.shrink_to_fit();
     if (!becomeIdle()) co_return false;
     stream_->expires_after(std::chrono::microseconds(limits.idle));
@@ -115,7 +116,8 @@
 }
 
 // A whole request; empty if none came, or a faulty one, which is answered here.
-auto ClientSession::readRequest(const Limits& limits) -> asio::awaitable<std::optional<HttpRequest>> {
+auto ClientSession::readRequest(const ConnectionLimits& limits)
+    -> asio::awaitable<std::optional<HttpRequest>> {
     auto parser = Parser();
     parser.header_limit(std::uint32_t(limits.headerBytes));
     parser.body_limit(limits.bodyBytes);
--- a/src/daemon/client_session.hpp
+++ b/src/daemon/client_session.hpp
@@ -15,6 +15,8 @@
 #include "daemon/node_calls.hpp"
 #include "daemon/operator_api.hpp"
 #include "daemon/transport_counters.hpp"
+#include "net/connection_limits.hpp"
+#include "net/http.hpp"
 
 namespace duneturn {
 
@@ -35,7 +37,7 @@
     std::atomic<int> sessions = 0;  ///< Open now.
     // Guarded by Logic::mutex.
     std::set<std::shared_ptr<beast::tcp_stream>> idle = {};  ///< Connections that wait for a request.
-    Limits clientLimits = {};                                ///< Of the configuration in force.
+    ConnectionLimits clientLimits = {};                      ///< Of the configuration in force.
 };
 
 /// The answer to a request that was not executed.
@@ -57,8 +59,8 @@
     using Parser = http::request_parser<http::string_body>;
 
     auto serveNext() -> asio::awaitable<bool>;
-    auto waitForFirstByte(const Limits& limits) -> asio::awaitable<bool>;
-    auto readRequest(const Limits& limits) -> asio::awaitable<std::optional<HttpRequest>>;
+    auto waitForFirstByte(const ConnectionLimits& limits) -> asio::awaitable<bool>;
+    auto readRequest(const ConnectionLimits& limits) -> asio::awaitable<std::optional<HttpRequest>>;
     auto readBody(Parser& parser) -> asio::awaitable<beast::error_code>;
     auto countBadInput(beast::error_code fault) -> void;
     auto reject(Rejection rejection) -> asio::awaitable<void>;
@@ -68,7 +70,7 @@
     auto close() -> void;
 
     // Each takes Logic::mutex.
-    auto limits() -> Limits;
+    auto limits() -> ConnectionLimits;
     auto becomeIdle() -> bool;
     auto endIdle() -> void;
 
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -33,6 +33,8 @@
 #include "daemon/transport_counters.hpp"
 #include "daemon/upstream_connections.hpp"
 #include "daemon/worker_pool.hpp"
+#include "net/connection_limits.hpp"
+#include "net/http.hpp"
 
 namespace duneturn {
 
@@ -82,7 +84,9 @@
     }
     auto disk(const DiskWrite& write) -> void override { disk_.write(write); }
     auto done(std::int64_t call, const Outcome& outcome) -> void override { calls_.finish(call, outcome); }
-    auto book(const std::vector<std::string>& addresses) -> void override { disk_.keepPeers(addresses); }
+    auto savePeerHints(const std::vector<std::string>& addresses) -> void override {
+        disk_.keepPeers(addresses);
+    }
     auto probe(const std::string& server, const std::string& address) -> void override {
         upstreams_.probe(server, address);
     }
@@ -269,7 +273,7 @@
 auto Daemon::readConfiguration() -> void {
     auto& state = logic_.node->replicatedState();
     if (state.version == readVersion_ && state.epoch == readEpoch_) return;
-    sessions_.clientLimits = limitsOf(state.config());
+    sessions_.clientLimits = readConnectionLimits(state.config());
     upstreams_.configure(state.config());
     readVersion_ = state.version;
     readEpoch_ = state.epoch;
--- a/src/daemon/disk_thread.cpp
+++ b/src/daemon/disk_thread.cpp
@@ -31,8 +31,8 @@
     auto seed = (std::uint64_t(random()) << 32) ^ random();
     auto newIdentity = fmt::format("{:016x}", hash64(settings_.node, seed));
     auto lock = std::lock_guard(logic_.mutex);
-    if (store_.setAside) logic_.counters.add("store_set_aside_total");
-    logic_.node->hints(peers);
+    if (store_.setAside()) logic_.counters.add("store_set_aside_total");
+    logic_.node->addPeerHints(peers);
     logic_.node->startCore(*state, newIdentity, bootNow());
     opened_ = true;
     return {};
@@ -107,7 +107,7 @@
     auto result = tl::expected<void, StoreError>();
     if (gate_.takes(write)) result = store_.write(write);
     else {
-        store_.owe(write);
+        store_.carryOver(write);
         result = tl::make_unexpected(StoreError{"behind a failed write"});
     }
     if (!result) {
--- a/src/daemon/limits.hpp
+++ b/src/daemon/limits.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// The daemon's fixed limits, each with its unit and its reason. What operators may set is in Limits
-// (net/http.hpp) and DaemonOptions.
+// The daemon's fixed limits, each with its unit and its reason. What operators may set is in ConnectionLimits
+// (net/connection_limits.hpp) and DaemonOptions.
 #include <cstddef>
 
 #include "base/time.hpp"
--- a/src/daemon/logic.hpp
+++ b/src/daemon/logic.hpp
@@ -13,7 +13,7 @@
 
 #include "base/counters.hpp"
 #include "membership/node.hpp"
-#include "net/http.hpp"
+#include "net/stop_schedule.hpp"
 #include "routing/edge.hpp"
 
 namespace duneturn {
--- a/src/daemon/node_calls.hpp
+++ b/src/daemon/node_calls.hpp
@@ -6,6 +6,7 @@
 
 #include "control/request_watch.hpp"
 #include "daemon/logic.hpp"
+#include "net/http.hpp"
 
 namespace duneturn {
 
--- a/src/daemon/node_shell.cpp
+++ b/src/daemon/node_shell.cpp
@@ -19,7 +19,7 @@
     if (tooLateToBegin(operation, watch_->arrived, bootNow()))
         return "it took too long to begin; send it again";
     auto lock = std::lock_guard(logic_.mutex);
-    if (!logic_.node->frozenSince(watch_->arrived, bootNow())) return "";
+    if (!logic_.node->wasFrozenSince(watch_->arrived, bootNow())) return "";
     logic_.counters.add("orders_after_freeze_total");
     return "this process was stopped meanwhile; send it again";
 }
@@ -55,7 +55,7 @@
 
 auto NodeShell::duty() -> bool {
     auto lock = std::lock_guard(logic_.mutex);
-    return logic_.node->duty(bootNow());
+    return logic_.node->hasSingletonDuty(bootNow());
 }
 
 auto NodeShell::replicatedState() -> std::string {
--- a/src/daemon/node_shell.hpp
+++ b/src/daemon/node_shell.hpp
@@ -9,6 +9,7 @@
 #include "daemon/logic.hpp"
 #include "daemon/node_calls.hpp"
 #include "daemon/shell.hpp"
+#include "net/http_client.hpp"
 
 namespace duneturn {
 
--- a/src/daemon/operator_api.cpp
+++ b/src/daemon/operator_api.cpp
@@ -216,7 +216,7 @@
 auto OperatorApi::orderKey(const HttpRequest& request) -> std::string {
     auto key = std::string(request["Idempotency-Key"]);
     if (!key.empty()) return key.substr(0, CLIPPED_TEXT);
-    return fmt::format("{}-{:x}-{}", settings_.node, logic_.node->me().boot, ++lastKey_);
+    return fmt::format("{}-{:x}-{}", settings_.node, logic_.node->ownRecord().boot, ++lastKey_);
 }
 
 auto OperatorApi::order(const Call& call, std::string operation) -> asio::awaitable<HttpResponse> {
--- a/src/daemon/operator_api.hpp
+++ b/src/daemon/operator_api.hpp
@@ -12,6 +12,7 @@
 #include "daemon/node_calls.hpp"
 #include "daemon/shell.hpp"
 #include "daemon/transport_counters.hpp"
+#include "net/http.hpp"
 
 namespace duneturn {
 
--- a/src/daemon/peer_server.cpp
+++ b/src/daemon/peer_server.cpp
@@ -19,7 +19,7 @@
 #include "base/time.hpp"
 #include "daemon/limits.hpp"
 #include "net/envelope_compression.hpp"
-#include "net/http.hpp"
+#include "net/socket.hpp"
 
 namespace duneturn {
 
@@ -38,8 +38,8 @@
         auto lock = std::lock_guard(logic_.mutex);
         if (isCompressed && !content) return logic_.counters.add("peer_decompress_failed_total");
         logic_.node->handle(content ? *content : envelope, bootNow());
-        auto peer = logic_.node->rows().find(envelope.node);
-        if (peer == logic_.node->rows().end()) return;
+        auto peer = logic_.node->nodes().find(envelope.node);
+        if (peer == logic_.node->nodes().end()) return;
         channels_.setReadsCompressed(peer->second.record.peer, envelope.wire >= COMPRESSION_WIRE_VERSION);
     }
 
--- a/src/daemon/planned_stop.cpp
+++ b/src/daemon/planned_stop.cpp
@@ -34,7 +34,7 @@
 // A response that its session has not written yet is as unfinished as its request was. Nor does a voter end
 // without its successor.
 auto PlannedStop::busy(Microseconds now) const -> bool {
-    return logic_.edge->busy() > 0 || !responses_.empty() || !logic_.node->seatHandedOver(now);
+    return logic_.edge->busy() > 0 || !responses_.empty() || !logic_.node->voteHandedOver(now);
 }
 
 auto PlannedStop::stepDrain(Microseconds now, bool busy) -> bool {
@@ -46,10 +46,10 @@
 
 auto PlannedStop::stepGrace(Microseconds now, bool busy) -> bool {
     auto step = logic_.stop.step(now, busy);
-    if (step == StopSchedule::Serve) return false;
+    if (step == StopStep::Serve) return false;
     refuseRequests();
-    if (step == StopSchedule::Cut) cutRequests(now);
-    return step == StopSchedule::End || now - logic_.stop.at >= endOfGrace(limit_);
+    if (step == StopStep::Cut) cutRequests(now);
+    return step == StopStep::End || now - logic_.stop.at >= endOfGrace(limit_);
 }
 
 auto PlannedStop::refuseRequests() -> void {
--- a/src/daemon/server_probe.cpp
+++ b/src/daemon/server_probe.cpp
@@ -9,6 +9,7 @@
 #include "base/json.hpp"
 #include "base/time.hpp"
 #include "daemon/limits.hpp"
+#include "net/socket.hpp"
 
 namespace duneturn {
 
@@ -56,7 +57,8 @@
         refused = failure.code() == asio::error::connection_refused;
     }
     auto lock = std::lock_guard(logic.mutex);
-    logic.node->loadSeen(server, load.has_value(), refused, load.value_or(wire::ServerLoad()), bootNow());
+    logic.node->probeFinished(
+        server, load.has_value(), refused, load.value_or(wire::ServerLoad()), bootNow());
 }
 
 }  // namespace duneturn
--- a/src/daemon/upstream_connections.hpp
+++ b/src/daemon/upstream_connections.hpp
@@ -2,12 +2,12 @@
 // The connections to servers: each attempt of a request runs on one, and one that an attempt left clean is
 // kept for another request that may be repeated.
 #include <atomic>
-#include <compare>
 #include <cstdint>
 #include <map>
 #include <memory>
 #include <optional>
 #include <string>
+#include <tuple>
 
 #include "base/json.hpp"
 #include "base/time.hpp"
@@ -16,6 +16,7 @@
 #include "daemon/worker_pool.hpp"
 #include "daemon/answer_reader.hpp"
 #include "net/connection_pool.hpp"
+#include "net/http.hpp"
 
 namespace duneturn {
 
@@ -23,7 +24,9 @@
 struct AttemptKey {
     std::int64_t request = 0;
     int attempt = 0;
-    auto operator<=>(const AttemptKey&) const = default;
+    auto operator<(const AttemptKey& other) const -> bool {
+        return std::tie(request, attempt) < std::tie(other.request, other.attempt);
+    }
 };
 
 /// Public members are called with Logic::mutex held.
@@ -40,7 +43,7 @@
     auto begin(const AttemptKey& key, const std::string& server, const std::string& address) -> void;
     /// Closes an attempt's connection for good.
     auto drop(const AttemptKey& key) -> void;
-    /// Asks a server for its load; Node::loadSeen gets the answer.
+    /// Asks a server for its load; Node::probeFinished gets the answer.
     auto probe(const std::string& server, const std::string& address) -> void;
 
     /// Reads what a new configuration says of the servers' connections.
--- a/src/routing/edge.hpp
+++ b/src/routing/edge.hpp
@@ -20,12 +20,12 @@
 #include "base/random.hpp"
 #include "base/time.hpp"
 #include "membership/node.hpp"
+#include "net/event_stream.hpp"
+#include "net/headers.hpp"
 #include "routing/attempt_state.hpp"
 
 namespace duneturn {
 
-using Headers = std::vector<std::pair<std::string, std::string>>;
-
 /// One step of a mapping's program. Steps narrow the servers that an exchange may go
 /// to, in order; the last picks. Each leaves a line that says what it did.
 enum class Op { Service, Listed, Evacuated, Home, Weights, Untried, Fit, Ramp, Room, Near, Pick };
@@ -107,11 +107,6 @@
 /// The rules of a configuration that validateConfiguration found valid.
 auto compile(const rapidjson::Value& config, std::int64_t configVersion) -> Rules;
 
-struct Event {
-    std::string id, type, data, raw;
-    auto done() const -> bool { return type == "done" || data == "[DONE]"; }
-};
-
 struct EdgePort {
     virtual ~EdgePort() = default;
     /// Connects to `addr` and sends; EdgeLogic::maySend is asked just before the first byte.
@@ -244,7 +239,7 @@
     auto refused(std::int64_t x, int a, Microseconds now) -> void;
     /// The reply's beginning; false if this reply is not for the exchange.
     auto upHead(std::int64_t x, int a, int status, const Headers& h, Microseconds now) -> bool;
-    auto upEvent(std::int64_t x, int a, const Event& e, Microseconds now) -> void;
+    auto upEvent(std::int64_t x, int a, const ServerSentEvent& e, Microseconds now) -> void;
     /// The HTTP message of a stream is whole.
     auto upEnd(std::int64_t x, int a, Microseconds now) -> void;
     auto upWhole(std::int64_t x, int a, int status, const Headers& h, const std::string& body,
@@ -296,7 +291,7 @@
     };
     struct Cand {
         const std::string* n;
-        const Server* s;
+        const KnownServer* s;
         double occ;  // of its slots, all that is known to be there
     };
     auto rebuild() -> void;
@@ -305,11 +300,11 @@
     auto nodes() const -> std::size_t;
     auto settled(Microseconds now) const -> bool { return born_ && now - born_ >= 3 * SECOND; }
     auto readLoad(const std::string& server, const Headers& h, Microseconds now) -> void;
-    auto load(const std::string& name, const Server& s, Microseconds now) -> double;
-    auto slots(const std::string& name, const Server& s, const ServiceRule& pr) -> int;
-    auto cold(const std::string& name, const Server& s, const ServiceRule& pr, Microseconds now) -> bool;
-    auto coldLets(
-        const std::string& name, const Server& s, const ServiceRule& pr, Microseconds now, bool take) -> bool;
+    auto load(const std::string& name, const KnownServer& s, Microseconds now) -> double;
+    auto slots(const std::string& name, const KnownServer& s, const ServiceRule& pr) -> int;
+    auto cold(const std::string& name, const KnownServer& s, const ServiceRule& pr, Microseconds now) -> bool;
+    auto coldLets(const std::string& name, const KnownServer& s, const ServiceRule& pr, Microseconds now,
+        bool take) -> bool;
     auto unread(const Fitness& f, const Request& x, bool home) const -> std::int64_t;
     auto fits(const Cand& c, const Request& x, const ServiceRule& pr, Microseconds now) -> bool;
     auto claim(const Request& x) -> void;
@@ -330,13 +325,13 @@
     auto forClient(const Headers& h) const -> Headers;
     auto headOut(Request& x) -> void;
     auto beginning(std::string_view body) -> std::uint64_t;
-    auto occupancy(const std::string& server, const Server& s) -> double;
-    auto rampShare(const std::string& name, const Server& s, Microseconds now) -> int;
+    auto occupancy(const std::string& server, const KnownServer& s) -> double;
+    auto rampShare(const std::string& name, const KnownServer& s, Microseconds now) -> int;
     auto fitOf(const std::string& s, Microseconds now) -> double;
     auto hurt(const std::string& s, double k, Microseconds now) -> void;
     auto bind(Request& x) -> bool;
     auto bar(const Request& x, bool ran, bool more) const -> std::string;
-    auto keeps(const Step& st, const Request& x, const Server& s) const -> bool;
+    auto keeps(const Step& st, const Request& x, const KnownServer& s) const -> bool;
     auto resume(Request& x, const std::string& last, const std::string& weights) -> std::string;
     auto count(Request& x, Microseconds now) -> void;
     auto queue(Request& x, Microseconds now) -> bool;
--- a/tests/checks.sh
+++ b/tests/checks.sh
@@ -184,6 +184,9 @@
   sed -i 's/leader_elected/leader_found/' src/base/sound.cpp
   fails "an event that is not listed" "log event leader_found is missing" scripts/check-docs.sh
   fails "a listed event that nothing logs" "leader_elected is no log event" scripts/check-docs.sh
+  sed -i 's/"leader_found"/ready ? "leader_elected" : "leader_lost"/' src/base/sound.cpp
+  fails "an event of a choice that is not listed" "log event leader_lost is missing" scripts/check-docs.sh
+  sed -i 's/ready ? "leader_elected" : "leader_lost"/"leader_found"/' src/base/sound.cpp
   sed -i 's/leader_found/leader_elected/; s/"ready"/"steady"/' src/base/sound.cpp
   fails "a gauge that is not listed" "counter steady is missing" scripts/check-docs.sh
   sed -i 's/"steady"/"ready"/; s/queued_total/rejected_total/' src/base/sound.cpp
@@ -197,6 +200,51 @@
   fails "a test that is not there" "README.md names the test Suite.other" scripts/check-docs.sh
 }
 
+test_layers() {
+  good_tree
+  mkdir src/net src/state src/sim platform/sim
+  printf '#include "base/sound.hpp"\n#include "wire_types.h"\n#include <string>\n' >src/net/sound.hpp
+  printf '#include "sim/world.hpp"\n#include "net/sound.hpp"\n' >src/sim/world.cpp
+  printf '#include "names.hpp"\n#include "days.hpp"\n' >platform/sim/days.cpp
+  touch platform/sim/days.hpp platform/names.hpp
+  track
+  passes "headers of lower layers" scripts/check-layers.sh
+  printf '#include "net/sound.hpp"\n' >src/base/sound.cpp
+  fails "a header of a higher layer" "src/base/sound.cpp includes net/sound.hpp" scripts/check-layers.sh
+  printf '// Nothing.\n' >src/base/sound.cpp
+  printf '#include "net/sound.hpp"\n' >src/state/sound.hpp
+  track
+  fails "a header of the same layer's other folder" "src/state/sound.hpp includes net/sound.hpp" scripts/check-layers.sh
+  printf '#include "names.hpp"\n' >src/state/sound.hpp
+  fails "a header of the platform" "src/state/sound.hpp includes names.hpp" scripts/check-layers.sh
+  printf '// Nothing.\n' >src/state/sound.hpp
+  mkdir src/other
+  printf '#include "base/sound.hpp"\n' >src/other/sound.cpp
+  track
+  fails "a folder that is in no layer" "src/other/sound.cpp includes base/sound.hpp" scripts/check-layers.sh
+  rm -r src/other
+  printf '#include "days.hpp"\n' >platform/names.cpp
+  track
+  fails "the simulator's header in the platform" "platform/names.cpp includes days.hpp" scripts/check-layers.sh
+}
+
+test_module_arrows() {
+  good_tree
+  mkdir src/routing src/net docs
+  printf '#include "net/http.hpp"\n#include "base/time.hpp"\n' >src/routing/edge.cpp
+  printf '#include "base/time.hpp"\n' >src/net/http.hpp
+  : >src/base/time.hpp
+  printf 'Printed by `scripts/module-arrows.sh`:\n\n```\nrouting      -> net\nnet\nbase\n```\n' >docs/page.md
+  track
+  passes "a picture that is that of the includes" scripts/module-arrows.sh --check docs/page.md
+  sed -i 's/-> net/-> nothing/' docs/page.md
+  fails "a picture that is not" "+routing      -> net" scripts/module-arrows.sh --check docs/page.md
+  printf '#include "routing/edge.hpp"\n' >src/net/http.cpp
+  : >src/routing/edge.hpp
+  track
+  fails "folders that include each other" "include each other" scripts/module-arrows.sh
+}
+
 test_lint() {
   good_tree
   compile_commands
@@ -300,6 +348,8 @@
 test_platform_names
 test_withdrawn_words
 test_docs
+test_layers
+test_module_arrows
 test_lint
 test_function_sizes
 test_known_red
