--- a/src/daemon/client_request.cpp
+++ b/src/daemon/client_request.cpp
@@ -99,13 +99,13 @@
 
 auto ClientRequest::clientGone() -> void {
     auto lock = std::lock_guard(services_.logic.mutex);
-    services_.logic.edge->gone(number_, bootNow());
+    services_.logic.edge->clientClosed(number_, bootNow());
     services_.responses.end(number_, ClientResponse::End::Cut);
 }
 
 auto ClientRequest::finish() -> void {
     auto lock = std::lock_guard(services_.logic.mutex);
-    services_.logic.edge->gone(number_, bootNow());
+    services_.logic.edge->clientClosed(number_, bootNow());
     services_.responses.erase(number_);
 }
 
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -92,21 +92,23 @@
     }
 
     // ---- EdgePort
-    auto send(std::int64_t request, int attempt, const std::string& server, const std::string& address)
-        -> void override {
+    auto startAttempt(std::int64_t request, int attempt, const std::string& server,
+        const std::string& address) -> void override {
         upstreams_.begin({request, attempt}, server, address);
     }
-    auto drop(std::int64_t request, int attempt) -> void override { upstreams_.drop({request, attempt}); }
-    auto head(std::int64_t request, int status, const Headers& headers) -> void override {
+    auto cancelAttempt(std::int64_t request, int attempt) -> void override {
+        upstreams_.drop({request, attempt});
+    }
+    auto sendHead(std::int64_t request, int status, const Headers& headers) -> void override {
         responses_.beginStream(request, status, headers);
     }
-    auto part(std::int64_t request, const std::string& bytes) -> void override {
+    auto sendPart(std::int64_t request, const std::string& bytes) -> void override {
         responses_.addPart(request, bytes);
     }
-    auto end(std::int64_t request, bool whole) -> void override {
+    auto endStream(std::int64_t request, bool whole) -> void override {
         responses_.end(request, whole ? ClientResponse::End::Whole : ClientResponse::End::Cut);
     }
-    auto reply(std::int64_t request, int status, const Headers& headers, const std::string& body)
+    auto sendReply(std::int64_t request, int status, const Headers& headers, const std::string& body)
         -> void override {
         responses_.reply(request, status, headers, body);
     }
--- a/src/daemon/disk_thread.cpp
+++ b/src/daemon/disk_thread.cpp
@@ -111,7 +111,7 @@
         result = tl::make_unexpected(StoreError{"behind a failed write"});
     }
     if (!result) {
-        logEvent("disk_write_failed", "sequence={} cause={}", write.seq, result.error().why);
+        logEvent("store_write_failed", "sequence={} cause={}", write.seq, result.error().why);
         gate_.fail(write);
     }
     auto lock = std::lock_guard(logic_.mutex);
--- a/src/daemon/operator_api.cpp
+++ b/src/daemon/operator_api.cpp
@@ -151,12 +151,12 @@
 
 auto OperatorApi::requests(const Call&) -> asio::awaitable<HttpResponse> {
     auto lock = std::lock_guard(logic_.mutex);
-    co_return jsonAnswer(logic_.edge->liveText(bootNow()));
+    co_return jsonAnswer(logic_.edge->liveRequestsJson(bootNow()));
 }
 
 auto OperatorApi::explain(const Call& call) -> asio::awaitable<HttpResponse> {
     auto lock = std::lock_guard(logic_.mutex);
-    auto text = logic_.edge->explainText(call.parameter, bootNow());
+    auto text = logic_.edge->explainedRequestJson(call.parameter, bootNow());
     if (text.empty()) co_return errorAnswer(404, "no such exchange is live or remembered here");
     co_return jsonAnswer(text);
 }
@@ -164,7 +164,7 @@
 auto OperatorApi::decisions(const Call& call) -> asio::awaitable<HttpResponse> {
     auto after = std::atoll(queryParameter(call.target, "after").c_str());
     auto lock = std::lock_guard(logic_.mutex);
-    co_return jsonAnswer(logic_.edge->decisions(after));
+    co_return jsonAnswer(logic_.edge->decisionsJson(after));
 }
 
 // ---- the replicated state, as a majority confirmed it after the request arrived
--- a/src/daemon/planned_stop.cpp
+++ b/src/daemon/planned_stop.cpp
@@ -34,7 +34,7 @@
 // A response that its session has not written yet is as unfinished as its request was. Nor does a voter end
 // without its successor.
 auto PlannedStop::busy(Microseconds now) const -> bool {
-    return logic_.edge->busy() > 0 || !responses_.empty() || !logic_.node->voteHandedOver(now);
+    return logic_.edge->activeRequests() > 0 || !responses_.empty() || !logic_.node->voteHandedOver(now);
 }
 
 auto PlannedStop::stepDrain(Microseconds now, bool busy) -> bool {
@@ -55,16 +55,16 @@
 auto PlannedStop::refuseRequests() -> void {
     if (logic_.refusing) return;
     logic_.refusing = true;
-    logic_.edge->refuseNew();
+    logic_.edge->stopAccepting();
     listeners_.closeIdle();
 }
 
 auto PlannedStop::cutRequests(Microseconds now) -> void {
     if (requestsCut_) return;
     requestsCut_ = true;
-    if (!logic_.edge->busy()) return;
-    logEvent("stop_requests_cut", "requests={}", logic_.edge->busy());
-    logic_.edge->cutAll(now);
+    if (!logic_.edge->activeRequests()) return;
+    logEvent("stop_requests_cut", "requests={}", logic_.edge->activeRequests());
+    logic_.edge->abortAll(now);
     logic_.edge->tick(now);
 }
 
--- a/src/daemon/upstream_connections.cpp
+++ b/src/daemon/upstream_connections.cpp
@@ -39,7 +39,7 @@
     attempt->server = server;
     attempt->address = address;
     auto request = logic_.edge->find(key.request);
-    if (options_.reuse && request && logic_.edge->reusable(*request)) {
+    if (options_.reuse && request && logic_.edge->mayReuseConnection(*request)) {
         if (auto stream = kept_.take(poolKey(server, address), bootNow())) {
             attempt->stream = *stream;
             attempt->executor = attempt->stream->get_executor();
@@ -124,7 +124,7 @@
         co_return true;
     }
     auto lock = std::lock_guard(logic_.mutex);
-    logic_.edge->refused(attempt.key.request, attempt.key.attempt, bootNow());
+    logic_.edge->onConnectionRefused(attempt.key.request, attempt.key.attempt, bootNow());
     co_return false;
 }
 
@@ -145,13 +145,13 @@
     auto& [number, ordinal] = attempt.key;
     auto request = edge.find(number);
     if (attempt.dropped || !request) return std::nullopt;
-    if (!edge.maySend(number, ordinal, bootNow(), attempt.kept)) return std::nullopt;
+    if (!edge.beforeFirstByte(number, ordinal, bootNow(), attempt.kept)) return std::nullopt;
     auto written = ServerRequest();
-    written.body = request->body;
-    auto headers = edge.outgoing(*request, bootNow());
-    written.head = requestHead(
-        request->method, request->path, headers, written.body.size(), attempt.address, options_.reuse);
-    written.answer.answersHead = request->method == "HEAD";
+    written.body = request->received.body;
+    auto headers = edge.requestHeaders(*request, bootNow());
+    written.head = requestHead(request->received.method, request->received.path, headers, written.body.size(),
+        attempt.address, options_.reuse);
+    written.answer.answersHead = request->received.method == "HEAD";
     written.answer.mayEndByClose = options_.answersMayEndByClose;
     written.answer.notExecuted = edge.dialect().notExecuted;
     return written;
@@ -166,7 +166,7 @@
     request.head = request.body = std::string();  // streams last long
     if (failed) co_return;
     auto lock = std::lock_guard(logic_.mutex);
-    logic_.edge->written(attempt.key.request, attempt.key.attempt);
+    logic_.edge->onRequestWritten(attempt.key.request, attempt.key.attempt);
 }
 
 auto UpstreamConnections::readAnswer(Attempt& attempt, const AnswerOptions& options)
@@ -206,7 +206,7 @@
         }
         {
             auto lock = std::lock_guard(logic_.mutex);
-            logic_.edge->waiting(number, ordinal, bootNow());
+            logic_.edge->onClientSlow(number, ordinal, bootNow());
         }
         auto timer = asio::steady_timer(attempt.executor, std::chrono::microseconds(HELD_RESPONSE_RETRY));
         co_await timer.async_wait(quiet);
--- a/src/daemon/upstream_connections.hpp
+++ b/src/daemon/upstream_connections.hpp
@@ -20,7 +20,7 @@
 
 namespace duneturn {
 
-/// The edge's name of one attempt: EdgePort::send.
+/// The edge's name of one attempt: EdgePort::startAttempt.
 struct AttemptKey {
     std::int64_t request = 0;
     int attempt = 0;
--- a/src/modelcheck/invariants.cpp
+++ b/src/modelcheck/invariants.cpp
@@ -124,7 +124,7 @@
         fail(fmt::format(
             "commit index: {} went from {} back to {}", seen().disk, before().commit, seen().commit));
     if (seen().version < before().version)
-        fail(fmt::format("commit index: {} went from applied generation {} back to {}", seen().disk,
+        fail(fmt::format("commit index: {} went from applied version {} back to {}", seen().disk,
             before().version, seen().version));
 }
 
@@ -142,8 +142,8 @@
     for (auto& state : node().applied) {
         if (state.version == 0) continue;
         if (remember(&History::applied, state.version, state.digest) != state.digest)
-            fail(fmt::format("state machine safety: {} applied another state as generation {}", seen().disk,
-                state.version));
+            fail(fmt::format(
+                "state machine safety: {} applied another state as version {}", seen().disk, state.version));
     }
 }
 
@@ -166,10 +166,10 @@
     fail(fmt::format("acknowledged is synced: {} acknowledges an order that no majority holds", seen().disk));
 }
 auto Check::acknowledgements() -> void {
-    auto fresh = seen().ordersApplied & ~history().acknowledged;
-    for (auto order = std::uint32_t(1); order <= fresh && order != 0; order <<= 1)
-        if (fresh & order) acknowledgedOnMajority(order);
-    if (fresh != 0) edit().acknowledged |= fresh;
+    auto newlyApplied = seen().ordersApplied & ~history().acknowledged;
+    for (auto order = std::uint32_t(1); order <= newlyApplied && order != 0; order <<= 1)
+        if (newlyApplied & order) acknowledgedOnMajority(order);
+    if (newlyApplied != 0) edit().acknowledged |= newlyApplied;
 }
 
 // What was acknowledged is on some disk for as long as no more is lost than the budget allows.
@@ -214,14 +214,14 @@
 
 // Two logs that hold an entry of the same index and term are the same up to there.
 auto Check::logMatching(const Observation& other) -> void {
-    auto& a = seen().durable;
-    auto& b = other.durable;
+    auto& ours = seen().durable;
+    auto& theirs = other.durable;
     auto same = false;
-    for (auto index = std::min(a.last(), b.last()); index > std::max(a.snapshotIndex, b.snapshotIndex);
-         index--) {
-        auto x = a.at(index), y = b.at(index);
-        same = same || x->term == y->term;
-        if (same && *x != *y)
+    auto newest = std::min(ours.last(), theirs.last());
+    for (auto index = newest; index > std::max(ours.snapshotIndex, theirs.snapshotIndex); index--) {
+        auto ourEntry = ours.at(index), theirEntry = theirs.at(index);
+        same = same || ourEntry->term == theirEntry->term;
+        if (same && *ourEntry != *theirEntry)
             fail(fmt::format("log matching: {} and {} differ at {}", seen().disk, other.disk, index));
     }
 }
