--- a/src/standins/standins.hpp
+++ b/src/standins/standins.hpp
@@ -15,7 +15,7 @@
 
 /// What a server of these weights says as event `i` (from 1) to this body: the same on
 /// every server, so that a sender can tell a right reply from any other.
-auto fakePiece(std::string_view body, std::string_view weights, std::int64_t i) -> std::string;
+auto fakePiece(std::string_view body, std::string_view weights, std::int64_t index) -> std::string;
 auto fakeWhole(std::string_view body, std::string_view weights) -> std::string;
 
 /// One kind of request of a day, as an example's day.json tells it.
@@ -26,9 +26,9 @@
     bool stream = false, plain = false;
     Microseconds patience = 0;
 };
-auto dayKind(const rapidjson::Value& v) -> DayKind;
+auto dayKind(const rapidjson::Value& document) -> DayKind;
 /// The value below which the part `q` of `v` lies; 0 of nothing.
-auto quantile(std::vector<Microseconds> v, double q) -> Microseconds;
+auto quantile(std::vector<Microseconds> values, double share) -> Microseconds;
 
 /// The KV cache of a stand-in: the prompt beginnings read last, in blocks of 256 tokens.
 struct FakeCache {
@@ -48,7 +48,7 @@
     Microseconds tokenUs = 20 * MILLISECOND, prefillUs = 100, plainUs = 2 * MILLISECOND, warmUs = 20 * SECOND;
     bool cold = false;
 };
-auto fakeServerRun(const FakeServerOptions& o) -> int;
+auto fakeServerRun(const FakeServerOptions& options) -> int;
 
 struct FakeClientOptions {
     std::string day, report;
@@ -57,13 +57,13 @@
     double scale = 1;
     std::uint64_t seed = 1;
 };
-auto fakeClientRun(const FakeClientOptions& o) -> int;
+auto fakeClientRun(const FakeClientOptions& options) -> int;
 
 struct FakePlatformOptions {
     std::string servers, listen;
     std::vector<std::string> nodes;
     Microseconds every = SECOND;
 };
-auto fakePlatformRun(const FakePlatformOptions& o) -> int;
+auto fakePlatformRun(const FakePlatformOptions& options) -> int;
 
 }  // namespace duneturn
