--- a/src/sim/machine.cpp
+++ b/src/sim/machine.cpp
@@ -1,4 +1,5 @@
-// One simulated machine and the process on it: its start and end, disk, messages, and the edge's side of requests.
+// One simulated machine and the process on it: its start and end, disk, messages, and the edge's side of
+// requests.
 #include <algorithm>
 #include <cmath>
 #include <cstdint>
