--- a/src/consensus/configuration.cpp
+++ b/src/consensus/configuration.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-auto votersParse(const std::string& body) -> std::vector<VoterIdentity> {
+auto decodeVoters(const std::string& body) -> std::vector<VoterIdentity> {
     auto voters = std::vector<VoterIdentity>();
     auto document = rapidjson::Document();
     if (!parseJson(body, document) || !document.IsArray()) return voters;
@@ -23,43 +23,44 @@
     return voters;
 }
 
-auto jointParse(const std::string& body) -> VoterConfiguration {
+auto decodeJoint(const std::string& body) -> VoterConfiguration {
     auto document = rapidjson::Document();
     if (!parseJson(body, document) || !document.IsObject()) return {};
     if (!document.HasMember("before") || !document.HasMember("after")) return {};
     return VoterConfiguration::joint(
-        votersParse(jsonText(document["before"])), votersParse(jsonText(document["after"])));
+        decodeVoters(jsonText(document["before"])), decodeVoters(jsonText(document["after"])));
 }
 
 auto isMajority(const std::vector<VoterIdentity>& voters, std::size_t count) -> bool {
     return count * 2 > voters.size();
 }
 
-auto countOf(const std::vector<VoterIdentity>& voters,
-    const std::function<bool(const std::string& disk)>& holds) -> std::size_t {
-    auto fulfils = [&](auto& voter) { return holds(voter.disk); };
-    return std::size_t(std::count_if(voters.begin(), voters.end(), fulfils));
+auto countVoters(const std::vector<VoterIdentity>& voters,
+    const std::function<bool(const std::string& disk)>& predicate) -> std::size_t {
+    auto matches = [&](auto& voter) { return predicate(voter.disk); };
+    return std::size_t(std::count_if(voters.begin(), voters.end(), matches));
 }
 
-// The highest index that a majority of one set has.
+// The highest log index that a majority of one set of voters has on disk.
 auto majorityIndexOf(const std::vector<VoterIdentity>& voters,
-    const std::function<std::int64_t(const std::string& disk)>& indexOf, bool anyVoter) -> std::int64_t {
+    const std::function<std::int64_t(const std::string& disk)>& indexOf, bool singleVoterSuffices)
+    -> std::int64_t {
     if (voters.empty()) return 0;
     auto indices = std::vector<std::int64_t>();
     for (auto& voter : voters) indices.push_back(indexOf(voter.disk));
     std::sort(indices.begin(), indices.end(), std::greater<>());
-    return indices[anyVoter ? std::size_t(0) : indices.size() / 2];
+    return indices[singleVoterSuffices ? std::size_t(0) : indices.size() / 2];
 }
 
 }  // namespace
 
-auto votersText(const std::vector<VoterIdentity>& voters) -> std::string {
-    auto list = std::string();
+auto encodeVoters(const std::vector<VoterIdentity>& voters) -> std::string {
+    auto encoded = std::string();
     for (auto& voter : voters) {
-        if (!list.empty()) list += ",";
-        list += bodyOf({{"seat", jsonQuote(voter.node)}, {"disk", jsonQuote(voter.disk)}});
+        if (!encoded.empty()) encoded += ",";
+        encoded += bodyOf({{"seat", jsonQuote(voter.node)}, {"disk", jsonQuote(voter.disk)}});
     }
-    return "[" + list + "]";
+    return "[" + encoded + "]";
 }
 
 auto isReadableEntry(const wire::Entry& entry) -> bool {
@@ -67,9 +68,9 @@
     case ENTRY_NOOP:
     case ENTRY_ORDER:
     case ENTRY_COMPACT: return true;
-    case ENTRY_VOTERS: return !votersParse(entry.body).empty();
+    case ENTRY_VOTERS: return !decodeVoters(entry.body).empty();
     case ENTRY_JOINT: {
-        auto configuration = jointParse(entry.body);
+        auto configuration = decodeJoint(entry.body);
         return configuration.isJoint() && !configuration.voters().empty();
     }
     default: return false;
@@ -96,42 +97,43 @@
 }
 
 auto VoterConfiguration::fromEntry(const wire::Entry& entry) -> VoterConfiguration {
-    return entry.kind == ENTRY_JOINT ? jointParse(entry.body) : VoterConfiguration(votersParse(entry.body));
+    return entry.kind == ENTRY_JOINT ? decodeJoint(entry.body) : VoterConfiguration(decodeVoters(entry.body));
 }
 
 auto VoterConfiguration::entryBody() const -> std::string {
-    if (!isJoint()) return votersText(voters_);
-    return bodyOf({{"before", votersText(outgoing_)}, {"after", votersText(voters_)}});
+    if (!isJoint()) return encodeVoters(voters_);
+    return bodyOf({{"before", encodeVoters(outgoing_)}, {"after", encodeVoters(voters_)}});
 }
 
 auto VoterConfiguration::isVoter(const std::string& disk) const -> bool {
-    auto has = [&](const std::vector<VoterIdentity>& voters) {
+    auto contains = [&](const std::vector<VoterIdentity>& voters) {
         return std::any_of(voters.begin(), voters.end(), [&](auto& voter) { return voter.disk == disk; });
     };
-    return has(voters_) || has(outgoing_);
+    return contains(voters_) || contains(outgoing_);
 }
 
 auto VoterConfiguration::disks() const -> std::vector<std::string> {
-    auto all = std::vector<std::string>();
+    auto disks = std::vector<std::string>();
     for (auto set : {&voters_, &outgoing_})
         for (auto& voter : *set)
-            if (std::find(all.begin(), all.end(), voter.disk) == all.end()) all.push_back(voter.disk);
-    return all;
+            if (std::find(disks.begin(), disks.end(), voter.disk) == disks.end()) disks.push_back(voter.disk);
+    return disks;
 }
 
 auto VoterConfiguration::hasMajority(
-    const std::function<bool(const std::string& disk)>& holds, const QuorumFaults& faults) const -> bool {
-    auto count = countOf(voters_, holds);
-    if (faults.anyVoter) return count > 0;
+    const std::function<bool(const std::string& disk)>& predicate, const QuorumFaults& faults) const -> bool {
+    auto count = countVoters(voters_, predicate);
+    if (faults.singleVoterSuffices) return count > 0;
     if (!isMajority(voters_, count)) return false;
-    return !isJoint() || faults.incomingOnly || isMajority(outgoing_, countOf(outgoing_, holds));
+    return !isJoint() || faults.ignoreOutgoingMajority
+        || isMajority(outgoing_, countVoters(outgoing_, predicate));
 }
 
 auto VoterConfiguration::majorityIndex(const std::function<std::int64_t(const std::string& disk)>& indexOf,
     const QuorumFaults& faults) const -> std::int64_t {
-    auto index = majorityIndexOf(voters_, indexOf, faults.anyVoter);
-    if (!isJoint() || faults.incomingOnly) return index;
-    return std::min(index, majorityIndexOf(outgoing_, indexOf, faults.anyVoter));
+    auto index = majorityIndexOf(voters_, indexOf, faults.singleVoterSuffices);
+    if (!isJoint() || faults.ignoreOutgoingMajority) return index;
+    return std::min(index, majorityIndexOf(outgoing_, indexOf, faults.singleVoterSuffices));
 }
 
 }  // namespace duneturn
--- a/src/consensus/configuration.hpp
+++ b/src/consensus/configuration.hpp
@@ -1,7 +1,8 @@
 #pragma once
-// Which disks vote (Ongaro 2014, chapter 4): a set of voters, or, while it changes, the two sets before
-// and after the change, of which both majorities count (joint consensus, 4.3). A pure value: it knows
-// neither the log nor the network.
+// The cluster configuration of the replicated log: which disks vote (Ongaro 2014, chapter 4). A
+// configuration is one set of voters or, while the voters change, the sets before and after the change;
+// a decision then needs a majority of each (joint consensus, section 4.3). The types here are plain values
+// that know neither the log nor the network.
 #include <cstdint>
 #include <functional>
 #include <string>
@@ -13,64 +14,66 @@
 
 namespace duneturn {
 
-// The kinds of log entries, as stored and sent (wire::Entry::kind); never renumbered.
-/// A new leader's first entry.
+// Kinds of log entries (wire::Entry::kind). The numbers are stored and sent; never renumber them.
+/// The first entry of a new leader's term.
 constexpr std::int32_t ENTRY_NOOP = 0;
-/// A command of the replicated state.
+/// A command for the replicated state.
 constexpr std::int32_t ENTRY_ORDER = 1;
-/// The voters from here on.
+/// The set of voters from this entry on.
 constexpr std::int32_t ENTRY_VOTERS = 2;
-/// The voters before and after a change, of which both majorities count.
+/// A joint configuration: the voters before and after a change.
 constexpr std::int32_t ENTRY_JOINT = 3;
-/// A command of the replicated state in the compact form (EntryForm::Compact). A program that does not know
-/// this kind refuses the entry, so that it never applies one that it would read as another command.
+/// A command for the replicated state in the compact form (EntryForm::Compact). A program that does not
+/// support this kind rejects the entry, so it can never misread it as another command.
 constexpr std::int32_t ENTRY_COMPACT = 4;
 
-/// Whether this program can read an entry; one that it can't is not taken into the log.
+/// Whether this program can decode the entry. Entries that it can't decode are not added to the log.
 [[nodiscard]] auto isReadableEntry(const wire::Entry& entry) -> bool;
-/// Whether an entry holds a command of the replicated state.
+/// Whether the entry holds a command for the replicated state.
 [[nodiscard]] auto isCommandEntry(const wire::Entry& entry) -> bool;
-/// The kind of the entry that holds a command in this form.
+/// The kind of a log entry that holds a command in this form.
 [[nodiscard]] auto entryKindOf(EntryForm form) -> std::int32_t;
-/// Whether an entry changes the configuration.
+/// Whether the entry changes the configuration.
 [[nodiscard]] auto isConfigurationEntry(const wire::Entry& entry) -> bool;
 
-/// Deliberate faults of counting; none is set outside tests (see Voter::Broken).
+/// Faults that tests inject into the counting of majorities (see Voter::Broken). All are off in production.
 struct QuorumFaults {
-    bool anyVoter = false;      // one voter counts as a majority
-    bool incomingOnly = false;  // a joint configuration without the majority of its outgoing voters
+    bool singleVoterSuffices = false;     // one voter counts as a majority
+    bool ignoreOutgoingMajority = false;  // a joint configuration needs the incoming majority only
 };
 
 /// A set of voters, or the two sets of a joint configuration.
 class VoterConfiguration {
   public:
     VoterConfiguration() = default;
-    /// A configuration of one set.
+    /// A configuration with a single set of voters.
     explicit VoterConfiguration(std::vector<VoterIdentity> voters) : voters_(std::move(voters)) {}
     /// The joint configuration of a change from `outgoing` to `incoming`.
     static auto joint(std::vector<VoterIdentity> outgoing, std::vector<VoterIdentity> incoming)
         -> VoterConfiguration;
-    /// What an entry of kind ENTRY_VOTERS or ENTRY_JOINT says.
+    /// Decodes the body of an ENTRY_VOTERS or ENTRY_JOINT entry; empty if it is malformed.
     static auto fromEntry(const wire::Entry& entry) -> VoterConfiguration;
 
-    /// The voters; of a joint configuration those after the change.
+    /// The set of voters; in a joint configuration, the set after the change.
     [[nodiscard]] auto voters() const -> const std::vector<VoterIdentity>& { return voters_; }
-    /// Of a joint configuration the voters before the change; empty otherwise.
+    /// In a joint configuration, the voters before the change; otherwise empty.
     [[nodiscard]] auto outgoing() const -> const std::vector<VoterIdentity>& { return outgoing_; }
     [[nodiscard]] auto isJoint() const -> bool { return !outgoing_.empty(); }
-    /// Whether the disk votes in one of the sets.
+    /// Whether the disk is a voter in either set.
     [[nodiscard]] auto isVoter(const std::string& disk) const -> bool;
-    /// The disks of all sets, each once; the voters after a change come first.
+    /// The disks of both sets without duplicates, the incoming voters first.
     [[nodiscard]] auto disks() const -> std::vector<std::string>;
 
-    /// Whether a majority of each set fulfils `holds`. Votes, ReadIndex rounds and check-quorum count so.
-    [[nodiscard]] auto hasMajority(
-        const std::function<bool(const std::string& disk)>& holds, const QuorumFaults& faults) const -> bool;
-    /// The highest log index that a majority of each set has on disk, where `indexOf` says what one has.
+    /// Whether `predicate` holds for a majority of each set. Votes, ReadIndex rounds and check-quorum are
+    /// counted this way.
+    [[nodiscard]] auto hasMajority(const std::function<bool(const std::string& disk)>& predicate,
+        const QuorumFaults& faults) const -> bool;
+    /// The highest log index that a majority of each set has on disk. `indexOf` returns the last index that
+    /// one disk is known to hold.
     [[nodiscard]] auto majorityIndex(const std::function<std::int64_t(const std::string& disk)>& indexOf,
         const QuorumFaults& faults) const -> std::int64_t;
 
-    /// The kind and the body of the entry that brings this configuration into force.
+    /// The kind and the body of the log entry that puts this configuration into force.
     [[nodiscard]] auto entryKind() const -> std::int32_t { return isJoint() ? ENTRY_JOINT : ENTRY_VOTERS; }
     [[nodiscard]] auto entryBody() const -> std::string;
 
@@ -79,7 +82,7 @@
     std::vector<VoterIdentity> outgoing_;
 };
 
-/// The voters as they stand in entries and log lines.
-[[nodiscard]] auto votersText(const std::vector<VoterIdentity>& voters) -> std::string;
+/// Encodes voters as JSON, as in log entries and log lines.
+[[nodiscard]] auto encodeVoters(const std::vector<VoterIdentity>& voters) -> std::string;
 
 }  // namespace duneturn
--- a/src/consensus/election.cpp
+++ b/src/consensus/election.cpp
@@ -1,4 +1,4 @@
-// Terms, pre-vote, votes (3.4, 9.6) and leadership transfer (3.10).
+// Elections: terms, pre-vote and votes (3.4, 9.6), and leadership transfer (3.10).
 #include <cstdint>
 #include <string>
 
@@ -38,7 +38,8 @@
     return request;
 }
 
-// Asks whether a majority would vote for this one, before it disturbs the cluster by a higher term (9.6).
+// Asks the voters whether they would grant their vote, so that a voter that can't win does not disrupt the
+// cluster with a higher term (9.6).
 auto Voter::beginPreVote(Microseconds now) -> void {
     restartElectionTimer(now);
     ownVoteWrite_ = 0;
@@ -78,7 +79,7 @@
     leaderDisk_ = disk_;
     lastQuorumContact_ = leaderSince_ = now;
     progress_.clear();
-    snapshotSenders_.clear();
+    outgoingSnapshots_.clear();
     lastHeartbeat_ = 0;
     heartbeatRound_++;
     logEvent("leader_elected", "epoch={} term={}", epoch_, term_);
@@ -90,22 +91,23 @@
 
 auto Voter::transferLeadership(Microseconds now) -> bool {
     if (!leads()) return false;
-    auto best = std::string();
-    for (auto& voter : configuration_.voters()) {  // while a change is under way, only one who stays
+    auto target = std::string();
+    for (auto& voter :
+        configuration_.voters()) {  // in a joint configuration, only the voters after the change
         if (voter.disk == disk_) continue;
         auto& progress = progress_[voter.disk];
         if (now - progress.lastContact() >= ELECTION_TIMEOUT) continue;
-        if (best.empty() || progress.match() > progress_[best].match()) best = voter.disk;
+        if (target.empty() || progress.match() > progress_[target].match()) target = voter.disk;
     }
-    if (best.empty() || progress_[best].match() < lastSynced_) return false;
+    if (target.empty() || progress_[target].match() < lastSynced_) return false;
     auto message = envelope();
     auto timeoutNow = wire::TimeoutNow();
     timeoutNow.term = term_;
     message.__set_timeoutNow(timeoutNow);
-    port_.sendToReplica(best, message);
+    port_.sendToReplica(target, message);
     transferDeadline_ = now + ELECTION_TIMEOUT;
     counters_.add("handed_over_total");
-    logEvent("leadership_transferred", "to_disk={}", best);
+    logEvent("leadership_transferred", "to_disk={}", target);
     return true;
 }
 
@@ -115,27 +117,30 @@
         || (request.lastLogTerm == lastTerm && request.lastLogIndex >= last());
 }
 
-// Whether a leader stands as far as this voter knows; then nobody else is voted for.
-auto Voter::hasLiveLeader(Microseconds now) const -> bool {
+// Whether there is a leader as far as this voter knows. Other candidates then get no vote, except for a
+// leadership transfer.
+auto Voter::hasActiveLeader(Microseconds now) const -> bool {
     if (leads()) return now - lastQuorumContact_ < QUORUM_TIMEOUT;
     return !leaderDisk_.empty() && now - lastLeaderContact_ < ELECTION_TIMEOUT;
 }
 
-// A program that doesn't know joint configurations would count one majority only.
+// While the configuration is joint, a candidate must support joint configurations; a program without support
+// would count a single majority.
 auto Voter::candidateReadsConfiguration(const wire::RequestVote& request) const -> bool {
     return !joint() || request.joint;
 }
 
 auto Voter::onPreVoteRequest(const std::string& from, const wire::RequestVote& request, Microseconds now)
     -> void {
-    // Two candidates at the same time would split the vote: the lower identity gives way.
-    auto precedes = role() == Role::PreCandidate && now - preVoteStart_ < ELECTION_TIMEOUT / 2 && disk_ > from
-        && request.lastLogTerm == log_.lastTerm() && request.lastLogIndex == last();
-    auto leaderStands = !request.leadershipTransfer && hasLiveLeader(now);
+    // Two simultaneous candidates would split the vote. Of two with equally recent logs, the one with the
+    // lower disk identity gets no pre-vote from the other.
+    auto takesPrecedence = role() == Role::PreCandidate && now - preVoteStart_ < ELECTION_TIMEOUT / 2
+        && disk_ > from && request.lastLogTerm == log_.lastTerm() && request.lastLogIndex == last();
+    auto leaderActive = !request.leadershipTransfer && hasActiveLeader(now);
     auto reply = wire::RequestVoteReply();
     reply.preVote = true;
     reply.granted = request.term > term_ && isUpToDate(request) && candidateReadsConfiguration(request)
-        && !leaderStands && !precedes && !isDiskFaulty();
+        && !leaderActive && !takesPrecedence && !isDiskFaulty();
     reply.term = reply.granted ? request.term : term_;
     auto message = envelope();
     message.__set_requestVoteReply(reply);
@@ -144,13 +149,13 @@
 
 auto Voter::onRequestVote(const std::string& from, const wire::RequestVote& request, Microseconds now)
     -> void {
-    if (!request.leadershipTransfer && hasLiveLeader(now) && request.term > term_) return;
+    if (!request.leadershipTransfer && hasActiveLeader(now) && request.term > term_) return;
     auto message = envelope();
     auto reply = wire::RequestVoteReply();
     adoptTerm(request.term, now);
     auto mayVote = votedFor_.empty() || votedFor_ == from || broken.voteTwice;
-    auto isFit = isUpToDate(request) && candidateReadsConfiguration(request);
-    if (request.term == term_ && isFit && mayVote && !leads() && !isDiskFaulty()) {
+    auto isEligible = isUpToDate(request) && candidateReadsConfiguration(request);
+    if (request.term == term_ && isEligible && mayVote && !leads() && !isDiskFaulty()) {
         votedFor_ = from;
         reply.granted = true;
         restartElectionTimer(now);
@@ -163,7 +168,7 @@
 auto Voter::onRequestVoteReply(const std::string& from, const wire::RequestVoteReply& reply, Microseconds now)
     -> void {
     if (!reply.granted) {
-        if (isVoter(from)) adoptTerm(reply.term, now);  // one that is no voter deposes nobody
+        if (isVoter(from)) adoptTerm(reply.term, now);  // a non-voter must not depose a leader
         return;
     }
     if (reply.preVote && role() == Role::PreCandidate && reply.term == term_ + 1) {
--- a/src/consensus/log.cpp
+++ b/src/consensus/log.cpp
@@ -1,4 +1,4 @@
-// The writes that bring the log to disk, and what waits for them.
+// Writing the persistent state, and what depends on the completion of these writes.
 #include <cstdint>
 #include <string>
 #include <utility>
@@ -24,35 +24,36 @@
     return writes_.newest();
 }
 
-// The write that a promise of this term rests on.
+// Returns the write that must be durable before a message of the current term may be sent; issues it if the
+// newest write lacks the term or the vote.
 auto Voter::writeIfUnsaved(Microseconds now) -> std::int64_t {
     return writes_.isUnsaved(term_, votedFor_) ? write({}, now) : writes_.newest();
 }
 
-// Sends what must not leave before the disk holds what it rests on.
-auto Voter::sendAfterWrite(std::int64_t sequence, const std::string& to, wire::Envelope envelope) -> void {
-    if (broken.ackBeforeSync || writes_.isDone(sequence)) port_.sendToReplica(to, envelope);
-    else writes_.defer({sequence, to, envelope});
+// Sends a message once the write that it depends on is durable.
+auto Voter::sendAfterWrite(std::int64_t sequence, const std::string& disk, wire::Envelope envelope) -> void {
+    if (broken.ackBeforeSync || writes_.isDone(sequence)) port_.sendToReplica(disk, envelope);
+    else writes_.defer({sequence, disk, envelope});
 }
 
-auto Voter::onDiskWriteDone(std::int64_t sequence, bool ok, Microseconds now) -> void {
+auto Voter::onDiskWriteDone(std::int64_t sequence, bool succeeded, Microseconds now) -> void {
     if (auto write = writes_.complete(sequence)) {
-        if (!ok) {
-            writeFailed(*write, now);
+        if (!succeeded) {
+            onWriteFailed(*write, now);
             return checkInvariants();
         }
-        writeSucceeded(*write, now);
+        onWriteSucceeded(*write, now);
     }
     if (leads()) advanceCommit(now);
     checkInvariants();
 }
 
-auto Voter::writeFailed(const PendingWrite& write, Microseconds now) -> void {
-    auto wasBad = writes_.isDiskBad();
-    if (!writes_.noteFailure(write, !broken.ackUnsavedTerm, now)) return;
-    if (!wasBad) logEvent("disk_write_failed", "disk={}", disk_);
+auto Voter::onWriteFailed(const PendingWrite& write, Microseconds now) -> void {
+    auto wasFaulty = writes_.isDiskFaulty();
+    if (!writes_.recordFailure(write, !broken.ackUnsavedTerm, now)) return;
+    if (!wasFaulty) logEvent("disk_write_failed", "disk={}", disk_);
     counters_.add("disk_failed_total");
-    // What this disk does not hold is not kept in memory either.
+    // Entries that are not durable on this disk are removed from memory too.
     if (!blank() && last() > lastSynced_ && lastSynced_ >= snapshot_.index) {
         log_.truncateFrom(lastSynced_ + 1);
         writes_.truncateWithNextWrite(last() + 1);
@@ -63,12 +64,12 @@
     if (leads()) becomeFollower(now);
 }
 
-auto Voter::writeSucceeded(const PendingWrite& write, Microseconds now) -> void {
-    if (writes_.noteSuccess()) logEvent("disk_writes_again", "disk={}", disk_);
-    auto inLog = write.lastIndex <= last() && log_.termAt(write.lastIndex) == write.lastTerm;
-    if (write.lastIndex > lastSynced_ && inLog) lastSynced_ = write.lastIndex;
+auto Voter::onWriteSucceeded(const PendingWrite& write, Microseconds now) -> void {
+    if (writes_.recordSuccess()) logEvent("disk_writes_again", "disk={}", disk_);
+    auto isInLog = write.lastIndex <= last() && log_.termAt(write.lastIndex) == write.lastTerm;
+    if (write.lastIndex > lastSynced_ && isInLog) lastSynced_ = write.lastIndex;
     for (auto& message : writes_.takeReleased(write.sequence)) {
-        // A promise of an earlier epoch is stale by now; its receiver drops it, so it is spared.
+        // Messages of an earlier epoch are not sent: their receivers would drop them.
         if (message.envelope.epoch == epoch_) port_.sendToReplica(message.toDisk, message.envelope);
     }
     if (installWrite_ && write.sequence >= installWrite_) {
@@ -76,13 +77,16 @@
         if (!blank()) port_.onStateApplied(replicatedState_, {});
     }
     if (!blank()) applyCommitted(std::min(write.commit, commitIndex_), now);
-    // A candidate's own vote counts once its own disk holds it.
-    if (ownVoteWrite_ && write.sequence >= ownVoteWrite_ && write.term == term_
-        && role() == Role::Candidate) {
-        ownVoteWrite_ = 0;
-        votes_.insert(disk_);
-        if (hasElectionMajority()) becomeLeader(now);
-    }
+    countOwnVote(write, now);
+}
+
+// Counts a candidate's own vote once it is durable on its own disk.
+auto Voter::countOwnVote(const PendingWrite& write, Microseconds now) -> void {
+    auto isDurable = ownVoteWrite_ && write.sequence >= ownVoteWrite_ && write.term == term_;
+    if (!isDurable || role() != Role::Candidate) return;
+    ownVoteWrite_ = 0;
+    votes_.insert(disk_);
+    if (hasElectionMajority()) becomeLeader(now);
 }
 
 auto Voter::rebuildLatestState() -> void {
--- a/src/consensus/membership.cpp
+++ b/src/consensus/membership.cpp
@@ -1,4 +1,5 @@
-// Who votes: the configuration in force, its changes, the beginning of a cluster, and leaving one.
+// Cluster membership: the configuration in force and its changes, learners, bootstrapping and leaving a
+// cluster.
 #include <algorithm>
 #include <cstdint>
 #include <functional>
@@ -16,7 +17,7 @@
 
 namespace duneturn {
 
-// The configuration in force is the newest in the log, committed or not.
+// Takes the newest configuration in the log, committed or not, or else that of the snapshot (4.1).
 auto Voter::refreshConfiguration() -> void {
     auto entry = log_.newestConfigurationEntry();
     configuration_ = entry ? VoterConfiguration::fromEntry(*entry) : VoterConfiguration(snapshot_.voters);
@@ -39,7 +40,7 @@
 }
 
 auto Voter::bootstrap(const ReplicatedState& state, std::int64_t term, Microseconds now) -> void {
-    // A disk of an earlier cluster leaves it with the same write.
+    // A disk that belongs to an earlier cluster leaves it with the write that bootstraps the new one.
     if (leads()) becomeFollower(now);
     if (!blank()) roles_->process(Erased{}, counters_);
     if (!roles_->process(Initialized{}, counters_)) return;
@@ -51,7 +52,7 @@
     commitIndex_ = lastApplied_ = 1;
     snapshot_ = {1, term, std::make_shared<const std::string>(state.text()), state.voters()};
     log_.reset(snapshot_.index, snapshot_.term);
-    snapshotSenders_.clear();
+    outgoingSnapshots_.clear();
     replicatedState_ = latestState_ = state;
     appliedJoint_ = false;
     lastSynced_ = 1;
@@ -72,8 +73,8 @@
     epoch_ = term_ = commitIndex_ = lastApplied_ = lastSynced_ = 0;
     snapshot_ = {};
     log_.reset(0, 0);
-    snapshotSenders_.clear();
-    assembly_ = {};
+    outgoingSnapshots_.clear();
+    incomingSnapshot_ = {};
     leaderDisk_.clear();
     configuration_ = {};
     configurationIndex_ = 0;
@@ -86,10 +87,11 @@
     return true;
 }
 
-// A version rises by at most one an entry, so one above what this log could reach is
-// behind its end. A disk that this log counts as a voter and a later state does not was removed
-// since, and no leader has sent it what came after: none can be counting on it. It takes a new
-// identity, so that what it once promised is never mixed up with what it promises next.
+// An entry increases the state's version by at most one, so a version above the applied version plus the
+// number of unapplied entries lies beyond the end of this log. If this log lists the disk as a voter and that
+// later state does not, the disk was removed after the end of this log. No leader has replicated later
+// entries to it, so no majority can include it. The disk takes a new identity, so that votes and
+// acknowledgements given under the old one are never confused with new ones.
 auto Voter::retire(std::int64_t version, const std::string& newDiskId, Microseconds now) -> bool {
     if (blank() || leads() || !isVoter(disk_)
         || version <= replicatedState_.version + (last() - lastApplied_))
@@ -105,9 +107,9 @@
     return progress == progress_.end() ? 0 : progress->second.lastContact();
 }
 
-// One change at a time, and none before an entry of this term is committed (the erratum of
-// single-server changes; it holds for joint ones too). A change that an earlier leader began
-// is ended first.
+// Allows one change at a time, and none before an entry of the current term is committed. The latter is the
+// published correction of Raft's single-server changes (Ongaro, raft-dev, 2015) and applies to joint changes
+// too. A change that an earlier leader began is completed first.
 auto Voter::advanceConfigurationChange(Microseconds now) -> void {
     auto mayChange = broken.changeBeforeNoop ? leads() : ready();
     if (!mayChange || isDiskFaulty() || configurationIndex_ > commitIndex_) return;
@@ -120,7 +122,8 @@
     if (!removeReplacedDisk(now)) promoteLearner(now);
 }
 
-// Two disks of one node: the former procedure added the newer one behind the one it replaces.
+// Removes a voter if two voters are on the same node. Earlier programs replaced a disk by adding the new one
+// after the old one, then removing the old one; this completes such a change.
 auto Voter::removeReplacedDisk(Microseconds now) -> bool {
     auto voters = configuration_.voters();
     for (auto i = std::size_t(0); i < voters.size(); i++)
@@ -132,8 +135,8 @@
     return false;
 }
 
-// A disk that may take the place of a voter's is sent the log without a vote, and votes once it has caught
-// up.
+// Replicates the log to spare disks that may become voters (learners), and begins the configuration change
+// that gives one a vote once it has caught up.
 auto Voter::promoteLearner(Microseconds now) -> void {
     for (auto& [node, disk] : spareDisks_) {
         if (isVoter(disk)) continue;
@@ -152,35 +155,35 @@
     }
 }
 
-// Whether a learner keeps up, so that it may vote.
 auto Voter::hasCaughtUp(ReplicaProgress& progress, Microseconds now) -> bool {
     auto verdict = progress.catchUp().update(progress.match(), last(), now);
     if (verdict == CatchUp::Verdict::TooSlow) counters_.add("learner_too_slow_total");
     return verdict == CatchUp::Verdict::CaughtUp;
 }
 
-auto Voter::allReadCompact() const -> bool {
+auto Voter::allVotersReadCompact() const -> bool {
     auto disks = configuration_.disks();
     return std::all_of(disks.begin(), disks.end(), [&](const std::string& disk) {
         auto progress = progress_.find(disk);
         if (progress == progress_.end() || !progress->second.lastContact()) return true;
-        return progress->second.knowsCompact();
+        return progress->second.supportsCompact();
     });
 }
 
-// False if a voter or newcomer that answers runs a program without joint configurations.
+// Appends the joint configuration. Returns false if a current or new voter that has answered runs a program
+// that does not support joint configurations.
 auto Voter::beginConfigurationChange(std::vector<VoterIdentity> voters, Microseconds now) -> bool {
-    auto readsNoJoint = [&](const std::string& disk) {
-        return disk != disk_ && progress_[disk].lastContact() && !progress_[disk].knowsJoint();
+    auto lacksJointSupport = [&](const std::string& disk) {
+        return disk != disk_ && progress_[disk].lastContact() && !progress_[disk].supportsJoint();
     };
     auto disks = configuration_.disks();
     for (auto& voter : voters) disks.push_back(voter.disk);
-    if (std::any_of(disks.begin(), disks.end(), readsNoJoint)) {
+    if (std::any_of(disks.begin(), disks.end(), lacksJointSupport)) {
         counters_.add("change_waits_for_upgrade_total");
         return false;
     }
     logEvent(
-        "voters_change_begins", "from={} to={}", votersText(configuration_.voters()), votersText(voters));
+        "voters_change_begins", "from={} to={}", encodeVoters(configuration_.voters()), encodeVoters(voters));
     auto joint = VoterConfiguration::joint(configuration_.voters(), std::move(voters));
     append(joint.entryKind(), joint.entryBody(), now);
     return true;
--- a/src/consensus/progress.cpp
+++ b/src/consensus/progress.cpp
@@ -11,48 +11,48 @@
 
 namespace duneturn {
 
-auto CatchUp::beginRound(std::int64_t last, Microseconds now) -> void {
-    roundTarget_ = last;
+auto CatchUp::beginRound(std::int64_t lastIndex, Microseconds now) -> void {
+    roundTarget_ = lastIndex;
     roundStart_ = now;
 }
 
-auto CatchUp::update(std::int64_t match, std::int64_t last, Microseconds now) -> Verdict {
-    if (match == 0) return Verdict::Undecided;
+auto CatchUp::update(std::int64_t matchIndex, std::int64_t lastIndex, Microseconds now) -> Verdict {
+    if (matchIndex == 0) return Verdict::Undecided;
     if (roundTarget_ == 0) {
-        beginRound(last, now);
+        beginRound(lastIndex, now);
         return Verdict::Undecided;
     }
     auto duration = now - roundStart_;
-    auto ended = match >= roundTarget_;
+    auto ended = matchIndex >= roundTarget_;
     if (ended && duration <= ELECTION_TIMEOUT) return Verdict::CaughtUp;
     if (!ended && duration <= CATCH_UP_ROUND_LIMIT) return Verdict::Undecided;
-    beginRound(last, now);
-    if (ended && ++rounds_ < MAX_CATCH_UP_ROUNDS) return Verdict::Undecided;
+    beginRound(lastIndex, now);
+    if (ended && ++slowRounds_ < MAX_CATCH_UP_ROUNDS) return Verdict::Undecided;
     roundTarget_ = 0;
-    rounds_ = 0;
-    retryAt_ = now + LEARNER_RETRY;
+    slowRounds_ = 0;
+    retryAt_ = now + LEARNER_RETRY_DELAY;
     return Verdict::TooSlow;
 }
 
-auto ReplicaProgress::hasRoom() const -> bool { return inFlight_.size() < MAX_BATCHES_IN_FLIGHT; }
+auto ReplicaProgress::canSendBatch() const -> bool { return inFlight_.size() < MAX_BATCHES_IN_FLIGHT; }
 
-auto ReplicaProgress::reads(const wire::Entry& entry) const -> bool {
-    if (entry.kind == ENTRY_JOINT) return knowsJoint_;
-    return entry.kind != ENTRY_COMPACT || knowsCompact_;
+auto ReplicaProgress::canRead(const wire::Entry& entry) const -> bool {
+    if (entry.kind == ENTRY_JOINT) return supportsJoint_;
+    return entry.kind != ENTRY_COMPACT || supportsCompact_;
 }
 
 auto ReplicaProgress::start(std::int64_t next) -> void {
     if (next_ == 0) next_ = next;
 }
 
-auto ReplicaProgress::noteReply(const wire::AppendEntriesReply& reply, Microseconds now) -> void {
+auto ReplicaProgress::recordReply(const wire::AppendEntriesReply& reply, Microseconds now) -> void {
     lastContact_ = now;
-    knowsJoint_ = knowsJoint_ || reply.knowsJoint;
-    knowsCompact_ = knowsCompact_ || reply.knowsCompact;
+    supportsJoint_ = supportsJoint_ || reply.knowsJoint;
+    supportsCompact_ = supportsCompact_ || reply.knowsCompact;
     confirmedRound_ = std::max(confirmedRound_, reply.round);
 }
 
-auto ReplicaProgress::batchSent(std::int64_t last, std::size_t bytes, Microseconds now) -> void {
+auto ReplicaProgress::recordBatch(std::int64_t last, std::size_t bytes, Microseconds now) -> void {
     INVARIANT(match_ < next_ && next_ <= last);
     if (inFlight_.empty()) progressAt_ = now;
     inFlight_.push_back({next_, last, bytes});
@@ -69,7 +69,8 @@
 }
 
 auto ReplicaProgress::reject(const wire::AppendEntriesReply& reply) -> bool {
-    // What counts is the answer to the first unanswered batch: `next_` has run ahead of it.
+    // Only the answer to the first unanswered batch counts: next_ already points beyond all batches in
+    // flight.
     auto first = inFlight_.empty() ? next_ : inFlight_.front().first;
     if (reply.prevLogIndex > 0 && reply.prevLogIndex != first - 1) return false;
     inFlight_.clear();
--- a/src/consensus/progress.hpp
+++ b/src/consensus/progress.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// What a leader knows of another replica: which entries it has, which are on their way to it, and, while
-// it is a learner, whether it keeps up. One object for each replica and term, owned by the leader.
+// The leader's view of another replica: which entries it holds, which are in flight to it and, for a
+// learner, whether it keeps up with the log. The leader owns one ReplicaProgress per replica and term.
 #include <cstddef>
 #include <cstdint>
 #include <deque>
@@ -10,73 +10,76 @@
 
 namespace duneturn {
 
-/// Whether a learner keeps up with the changes (Ongaro 2014, 4.2.1): replication to it goes in rounds, each
-/// of what the log held at its start. A round that ends within an election timeout shows that it does.
+/// Decides whether a learner keeps up with the log (Ongaro 2014, 4.2.1). Replication to it is divided into
+/// rounds; a round covers the entries that the leader's log held at its start. A learner has caught up once
+/// a round ends within an election timeout.
 class CatchUp {
   public:
     enum class Verdict {
         Undecided,
         CaughtUp,
-        TooSlow,  // MAX_CATCH_UP_ROUNDS rounds were too long, or one took CATCH_UP_ROUND_LIMIT
+        TooSlow,  // MAX_CATCH_UP_ROUNDS rounds took too long, or one exceeded CATCH_UP_ROUND_LIMIT
     };
-    /// Takes note of the learner's match index and of the leader's last one.
-    auto update(std::int64_t match, std::int64_t last, Microseconds now) -> Verdict;
-    /// Whether the learner was found too slow, less than LEARNER_RETRY ago.
+    /// Evaluates the learner's match index against the leader's last log index.
+    auto update(std::int64_t matchIndex, std::int64_t lastIndex, Microseconds now) -> Verdict;
+    /// Whether the learner was found too slow less than LEARNER_RETRY_DELAY ago.
     [[nodiscard]] auto isPaused(Microseconds now) const -> bool { return now < retryAt_; }
 
   private:
-    auto beginRound(std::int64_t last, Microseconds now) -> void;
+    auto beginRound(std::int64_t lastIndex, Microseconds now) -> void;
 
-    std::int64_t roundTarget_ = 0;  // the current round ends when this entry is replicated; 0: none began
+    std::int64_t roundTarget_ = 0;  // the round ends when this index is replicated; 0: no round has begun
     Microseconds roundStart_ = 0;
     Microseconds retryAt_ = 0;
-    int rounds_ = 0;  // that ended too late
+    int slowRounds_ = 0;  // rounds that ended after more than an election timeout
 };
 
 /// The state of replication to one replica.
 class ReplicaProgress {
   public:
-    /// The index of the next entry to send; 0 before start().
+    /// The index of the next entry to send (Raft's nextIndex); 0 before start().
     [[nodiscard]] auto next() const -> std::int64_t { return next_; }
-    /// The highest index up to which the replica's disk is known to hold this log.
+    /// The highest index up to which the replica is known to hold this log on disk (Raft's matchIndex).
     [[nodiscard]] auto match() const -> std::int64_t { return match_; }
-    /// The newest round of heartbeats that the replica answered (ReadIndex).
+    /// The latest heartbeat round that the replica has answered; see ReadIndexQueue.
     [[nodiscard]] auto confirmedRound() const -> std::int64_t { return confirmedRound_; }
-    /// When the replica was last heard from; 0 if never.
+    /// When the last message from the replica arrived; 0 if none has.
     [[nodiscard]] auto lastContact() const -> Microseconds { return lastContact_; }
-    /// When something was sent to it last.
+    /// When the leader last sent, or tried to send, entries, a heartbeat or a snapshot to the replica.
     [[nodiscard]] auto lastSent() const -> Microseconds { return lastSent_; }
-    /// Whether it has stated that it reads joint configurations.
-    [[nodiscard]] auto knowsJoint() const -> bool { return knowsJoint_; }
-    /// Whether it has stated that it reads entries of kind ENTRY_COMPACT.
-    [[nodiscard]] auto knowsCompact() const -> bool { return knowsCompact_; }
-    /// Whether it may be sent this entry: one that reads no joint configuration would go on by the voters
-    /// before it, and a compact command would be refused with all that follows.
-    [[nodiscard]] auto reads(const wire::Entry& entry) const -> bool;
-    /// Whether another batch may be sent before one is answered.
-    [[nodiscard]] auto hasRoom() const -> bool;
+    /// Whether the replica has stated that it supports joint configurations.
+    [[nodiscard]] auto supportsJoint() const -> bool { return supportsJoint_; }
+    /// Whether the replica has stated that it supports entries of kind ENTRY_COMPACT.
+    [[nodiscard]] auto supportsCompact() const -> bool { return supportsCompact_; }
+    /// Whether the entry may be sent to the replica. A replica without support for joint configurations would
+    /// go on counting the voters before the entry; one without support for compact commands would reject the
+    /// entry and all that follow.
+    [[nodiscard]] auto canRead(const wire::Entry& entry) const -> bool;
+    /// Whether fewer than MAX_BATCHES_IN_FLIGHT batches are unanswered, so that another may be sent.
+    [[nodiscard]] auto canSendBatch() const -> bool;
 
-    /// Replication begins at this index, unless it has begun.
+    /// Starts replication at index `next`, unless it has started already.
     auto start(std::int64_t next) -> void;
-    auto noteSent(Microseconds now) -> void { lastSent_ = now; }
-    auto noteContact(Microseconds now) -> void { lastContact_ = now; }
-    /// The replica answered in this term.
-    auto noteReply(const wire::AppendEntriesReply& reply, Microseconds now) -> void;
-    /// A batch of entries from next() to `last` leaves.
-    auto batchSent(std::int64_t last, std::size_t bytes, Microseconds now) -> void;
-    /// The replica holds the log up to `match`; later batches stay in flight.
+    auto recordSend(Microseconds now) -> void { lastSent_ = now; }
+    auto recordContact(Microseconds now) -> void { lastContact_ = now; }
+    /// Records contact, supported features and the heartbeat round of a reply of the current term.
+    auto recordReply(const wire::AppendEntriesReply& reply, Microseconds now) -> void;
+    /// Records that a batch of the entries from next() to `last` was sent.
+    auto recordBatch(std::int64_t last, std::size_t bytes, Microseconds now) -> void;
+    /// Records that the replica holds the log up to `match`. Batches beyond it stay in flight.
     auto acknowledge(std::int64_t match, Microseconds now) -> void;
-    /// The replica lacks the entry before a batch; false if that batch is not the first in flight, so that
-    /// the answer is an old one.
+    /// Moves next() back because the replica lacks the entry before a batch. Returns false, and changes
+    /// nothing, if the reply is outdated: it does not concern the first batch in flight.
     auto reject(const wire::AppendEntriesReply& reply) -> bool;
-    /// Gives up batches that are unanswered for longer than a slow link needs; whether there were any.
+    /// Gives up batches that are unanswered for longer than transmission over a slow link takes (see
+    /// RETRY_BASE), so that they are sent again. Returns whether there were any.
     auto dropLostBatches(Microseconds now) -> bool;
-    /// See CatchUp; only for learners.
+    /// For learners only.
     auto catchUp() -> CatchUp& { return catchUp_; }
 
   private:
     struct Batch {
-        std::int64_t first, last;  // indices
+        std::int64_t first, last;  // log indices
         std::size_t bytes;
     };
     std::int64_t next_ = 0;
@@ -84,10 +87,10 @@
     std::int64_t confirmedRound_ = 0;
     Microseconds lastContact_ = 0;
     Microseconds lastSent_ = 0;
-    bool knowsJoint_ = false;
-    bool knowsCompact_ = false;
-    std::deque<Batch> inFlight_;  // sent and not answered
-    // When the first of them was sent, or one was answered.
+    bool supportsJoint_ = false;
+    bool supportsCompact_ = false;
+    std::deque<Batch> inFlight_;  // sent and unanswered
+    // When the first batch in flight was sent or, if later, when the match index last advanced.
     Microseconds progressAt_ = 0;
     CatchUp catchUp_;
 };
--- a/src/consensus/read_index.cpp
+++ b/src/consensus/read_index.cpp
@@ -8,10 +8,12 @@
 
 namespace duneturn {
 
-auto ReadIndexQueue::takeAnswerable(std::int64_t applied,
+auto ReadIndexQueue::takeAnswerable(std::int64_t lastApplied,
     const std::function<bool(std::int64_t round)>& isConfirmed) -> std::optional<std::int64_t> {
-    auto answerable = [&](const Read& read) { return applied >= read.readIndex && isConfirmed(read.round); };
-    auto found = std::find_if(reads_.begin(), reads_.end(), answerable);
+    auto isAnswerable = [&](const Read& read) {
+        return lastApplied >= read.readIndex && isConfirmed(read.round);
+    };
+    auto found = std::find_if(reads_.begin(), reads_.end(), isAnswerable);
     if (found == reads_.end()) return std::nullopt;
     auto id = found->id;
     reads_.erase(found);
--- a/src/consensus/read_index.hpp
+++ b/src/consensus/read_index.hpp
@@ -1,7 +1,7 @@
 #pragma once
-// Reads that wait until the leader knows that it still leads (ReadIndex; Ongaro 2014, 6.4). A read is
-// answered once a majority has confirmed a round of heartbeats that began after the question, and the
-// state has reached what was committed then.
+// Linearizable reads without log entries (ReadIndex; Ongaro 2014, 6.4). The leader answers a read after a
+// majority has confirmed its leadership in a heartbeat round that began after the read arrived, and after
+// the state machine has reached the commit index of that time.
 #include <cstdint>
 #include <functional>
 #include <optional>
@@ -9,20 +9,20 @@
 
 namespace duneturn {
 
-/// The open reads of a leader. Ids are the asker's; rounds and indices are the leader's.
+/// The pending reads of a leader. The caller chooses the ids; rounds and indices are the leader's.
 class ReadIndexQueue {
   public:
     struct Read {
         std::int64_t id;
-        std::int64_t round;      // of heartbeats, which must be confirmed
-        std::int64_t readIndex;  // the commit index when the question came
+        std::int64_t round;      // the heartbeat round that a majority must confirm
+        std::int64_t readIndex;  // the commit index when the read arrived
     };
     auto add(const Read& read) -> void { reads_.push_back(read); }
-    /// Takes the oldest read that may be answered, where `isConfirmed` says whether a majority has
-    /// confirmed a round.
-    [[nodiscard]] auto takeAnswerable(std::int64_t applied,
+    /// Removes the oldest read that can be answered and returns its id. `isConfirmed` returns whether a
+    /// majority has confirmed a heartbeat round.
+    [[nodiscard]] auto takeAnswerable(std::int64_t lastApplied,
         const std::function<bool(std::int64_t round)>& isConfirmed) -> std::optional<std::int64_t>;
-    /// Takes all reads, which can't be answered any more; their ids.
+    /// Removes all reads, for a leader that steps down, and returns their ids.
     [[nodiscard]] auto takeAll() -> std::vector<std::int64_t>;
 
   private:
--- a/src/consensus/replicated_log.hpp
+++ b/src/consensus/replicated_log.hpp
@@ -1,6 +1,7 @@
 #pragma once
-// The replicated log as a voter holds it in memory: the entries behind a base, which is the last entry
-// that is not held any more. Behind a snapshot some entries stay for replicas that are slightly behind.
+// The in-memory part of the replicated log: the entries after a base, which is the last entry that was
+// removed by compaction. Compaction keeps some entries that the snapshot includes, for replicas that lag
+// slightly.
 #include <cstddef>
 #include <cstdint>
 #include <vector>
@@ -9,36 +10,37 @@
 
 namespace duneturn {
 
-/// Entries with consecutive indices from base() + 1 on. Owned by the voter; nothing here touches the disk.
+/// Entries with consecutive indices from base() + 1 on. Owned by the voter; does not access the disk.
 class ReplicatedLog {
   public:
-    /// The term of an entry that is not held.
+    /// The term of an entry that is not in memory.
     static constexpr std::int64_t UNKNOWN_TERM = -1;
 
-    /// Drops all entries; the next one follows the entry of this index and term.
+    /// Removes all entries. The next entry follows the one with this index and term.
     auto reset(std::int64_t baseIndex, std::int64_t baseTerm) -> void;
-    /// Adds an entry, whose index must be last() + 1.
+    /// Appends an entry. Its index must be last() + 1.
     auto append(wire::Entry entry) -> void;
-    /// Drops the entries from `index` on, which must lie behind the base.
+    /// Removes the entries from `index` on. `index` must be in base() + 1 .. last() + 1.
     auto truncateFrom(std::int64_t index) -> void;
-    /// Drops entries up to `snapshotIndex` but for the newest of them, as many as TAIL_ENTRIES and
-    /// TAIL_BYTES allow.
+    /// Removes the entries up to `snapshotIndex`, except for the newest of them within the limits
+    /// TAIL_ENTRIES and TAIL_BYTES.
     auto compact(std::int64_t snapshotIndex) -> void;
 
+    /// The index of the entry before the first one in memory.
     [[nodiscard]] auto base() const -> std::int64_t { return base_; }
     [[nodiscard]] auto last() const -> std::int64_t { return base_ + std::int64_t(entries_.size()); }
-    /// How many entries are held.
+    /// The number of entries in memory.
     [[nodiscard]] auto size() const -> std::size_t { return entries_.size(); }
-    /// The entry of an index in base() + 1 .. last().
+    /// The entry with this index, which must be in base() + 1 .. last().
     [[nodiscard]] auto at(std::int64_t index) const -> const wire::Entry& {
         return entries_[std::size_t(index - base_ - 1)];
     }
-    /// The term of an entry, also of the base; UNKNOWN_TERM outside.
+    /// The term of the entry with this index, including the base; UNKNOWN_TERM for any other.
     [[nodiscard]] auto termAt(std::int64_t index) const -> std::int64_t;
     [[nodiscard]] auto lastTerm() const -> std::int64_t { return termAt(last()); }
-    /// The bytes of the bodies of the entries `first` to `last`.
+    /// The total size of the bodies of the entries `first` to `last`, both included.
     [[nodiscard]] auto bodyBytes(std::int64_t first, std::int64_t last) const -> std::size_t;
-    /// The newest entry that changes the configuration; null if none is held.
+    /// The newest entry in memory that changes the configuration; null if there is none.
     [[nodiscard]] auto newestConfigurationEntry() const -> const wire::Entry*;
 
   private:
--- a/src/consensus/replication.cpp
+++ b/src/consensus/replication.cpp
@@ -1,4 +1,5 @@
-// Appending entries here and on the other voters, commit, reads, and applying.
+// Log replication: appending entries, sending them to other replicas, commit, linearizable reads, and
+// applying committed entries.
 #include <algorithm>
 #include <cstdint>
 #include <functional>
@@ -52,17 +53,18 @@
 auto Voter::replicateTo(const std::string& disk, Microseconds now) -> void {
     auto& progress = progress_[disk];
     progress.start(last() + 1);
-    progress.noteSent(now);
+    progress.recordSend(now);
     if (progress.dropLostBatches(now)) counters_.add("append_batches_resent_total");
     if (progress.next() <= log_.base()) return sendSnapshot(disk, now);
     auto before = progress.next();
     do {
         before = progress.next();
         sendAppendEntries(disk, progress, now);
-    } while (progress.next() > before && progress.next() <= last() && progress.hasRoom());
+    } while (progress.next() > before && progress.next() <= last() && progress.canSendBatch());
 }
 
-// One message: a batch of entries, or a heartbeat if there are none or enough are on their way.
+// Sends one AppendEntries message: a batch of entries, or a heartbeat if there is nothing to send or enough
+// batches are in flight.
 auto Voter::sendAppendEntries(const std::string& disk, ReplicaProgress& progress, Microseconds now) -> void {
     auto request = wire::AppendEntries();
     request.term = term_;
@@ -71,16 +73,16 @@
     request.commit = commitIndex_;
     request.round = heartbeatRound_;
     auto bytes = std::size_t(0);
-    auto room = progress.hasRoom();
-    for (auto index = progress.next(); room && index <= last(); index++) {
+    auto canSendBatch = progress.canSendBatch();
+    for (auto index = progress.next(); canSendBatch && index <= last(); index++) {
         auto& entry = log_.at(index);
         if (request.entries.size() >= BATCH_ENTRIES) break;
         if (bytes > 0 && bytes + entry.body.size() > BATCH_BYTES) break;
-        if (!progress.reads(entry)) break;
+        if (!progress.canRead(entry)) break;
         request.entries.push_back(entry);
         bytes += entry.body.size();
     }
-    if (!request.entries.empty()) progress.batchSent(request.entries.back().index, bytes, now);
+    if (!request.entries.empty()) progress.recordBatch(request.entries.back().index, bytes, now);
     auto message = envelope();
     message.__set_appendEntries(request);
     port_.sendToReplica(disk, message);
@@ -93,11 +95,11 @@
         auto progress = progress_.find(disk);
         return progress == progress_.end() ? 0 : progress->second.match();
     };
-    auto held = configuration_.majorityIndex(matchOf, quorumFaults());
-    // Entries of earlier terms are committed by one of this term (Raft, 3.6.2).
-    auto mayCount = log_.termAt(held) == term_ || broken.commitOldTerm;
-    if (held > commitIndex_ && mayCount) {
-        commitIndex_ = held;
+    auto majorityIndex = configuration_.majorityIndex(matchOf, quorumFaults());
+    // Entries of earlier terms are committed only together with one of the current term (3.6.2).
+    auto mayCommit = log_.termAt(majorityIndex) == term_ || broken.commitOldTerm;
+    if (majorityIndex > commitIndex_ && mayCommit) {
+        commitIndex_ = majorityIndex;
         write({}, now);
         replicateToAll(now);
     }
@@ -115,12 +117,12 @@
 }
 
 auto Voter::applyCommitted(std::int64_t index, Microseconds now) -> void {
-    auto any = lastApplied_ < index && lastApplied_ < last();
+    auto hasEntries = lastApplied_ < index && lastApplied_ < last();
     while (lastApplied_ < index && lastApplied_ < last()) {
         lastApplied_++;
         applyEntry(log_.at(lastApplied_));
     }
-    if (!any) return;
+    if (!hasEntries) return;
     if (lastApplied_ == last()) latestState_ = replicatedState_;
     if (leads() && !isVoter(disk_) && lastApplied_ == last()) {
         transferLeadership(now);
@@ -129,13 +131,13 @@
     if (isCompactionDue()) compact(now);
 }
 
-// A message that no sound member sends in this state.
+// Counts and logs a message that no correct replica sends in this state. It is ignored otherwise.
 auto Voter::rejectMessage(const char* counter, const std::string& from) -> void {
     counters_.add(counter);
     logEvent("message_rejected", "from_disk={} reason={}", from, counter);
 }
 
-// Whether entries becomeFollower each other without a gap, in rising terms, and can be read here.
+// Whether the entries have consecutive indices and non-decreasing terms, and this program can decode them.
 auto Voter::isWellFormed(const wire::AppendEntries& request) const -> bool {
     if (request.prevLogIndex < 0 || request.commit < 0) return false;
     auto index = request.prevLogIndex;
@@ -157,6 +159,13 @@
         [&](auto& entry) { return contradicts(entry.index, entry.term); });
 }
 
+// Whether the log holds the entry before the request's entries. Entries that the snapshot includes are
+// committed, so their terms need no comparison.
+auto Voter::hasPreviousEntry(const wire::AppendEntries& request) const -> bool {
+    if (request.prevLogIndex > last()) return false;
+    return request.prevLogIndex < snapshot_.index || log_.termAt(request.prevLogIndex) == request.prevLogTerm;
+}
+
 auto Voter::onAppendEntries(const std::string& from, const wire::AppendEntries& request, Microseconds now)
     -> void {
     auto reply = wire::AppendEntriesReply();
@@ -168,8 +177,8 @@
         return;
     }
     if (!isWellFormed(request)) return rejectMessage("append_malformed_total", from);
-    auto otherLeader = request.term == term_ && !leaderDisk_.empty() && leaderDisk_ != from;
-    if (otherLeader && !broken.voteTwice) return rejectMessage("append_second_leader_total", from);
+    auto hasOtherLeader = request.term == term_ && !leaderDisk_.empty() && leaderDisk_ != from;
+    if (hasOtherLeader && !broken.voteTwice) return rejectMessage("append_second_leader_total", from);
     if (contradictsCommitted(request) && !broken.truncateCommitted)
         return rejectMessage("append_contradicts_committed_total", from);
     adoptTerm(request.term, now);
@@ -181,9 +190,7 @@
     reply.round = request.round;
     reply.knowsJoint = true;
     reply.__set_knowsCompact(true);
-    if (request.prevLogIndex > last()
-        || (request.prevLogIndex >= snapshot_.index
-            && log_.termAt(request.prevLogIndex) != request.prevLogTerm)) {
+    if (!hasPreviousEntry(request)) {
         reply.prevLogIndex = request.prevLogIndex;
         reply.rejectHint = std::min(last(), request.prevLogIndex - 1);
         message.__set_appendEntriesReply(reply);
@@ -193,29 +200,31 @@
     auto change = storeEntries(request);
     auto match = request.prevLogIndex + std::int64_t(request.entries.size());
     auto commit = std::min(request.commit, match);
-    auto rises = commit > commitIndex_;
-    if (rises) commitIndex_ = commit;
+    auto commitAdvances = commit > commitIndex_;
+    if (commitAdvances) commitIndex_ = commit;
     if (!change.entries.empty()) refreshConfiguration();
     reply.ok = true;
     reply.match = match;
     message.__set_appendEntriesReply(reply);
-    auto sequence = rises || !change.entries.empty() ? write(std::move(change), now) : writeIfUnsaved(now);
+    auto sequence =
+        commitAdvances || !change.entries.empty() ? write(std::move(change), now) : writeIfUnsaved(now);
     sendAfterWrite(sequence, from, message);
 }
 
-// Adds what the log isBehind; an entry of another term at the same index replaces all from there on.
+// Appends the entries that the log lacks. An entry with another term than the log has at its index replaces
+// the log from there on.
 auto Voter::storeEntries(const wire::AppendEntries& request) -> DiskWrite {
     auto change = DiskWrite();
     for (auto& entry : request.entries) {
         auto index = entry.index;
         if (index <= snapshot_.index || (index <= last() && log_.termAt(index) == entry.term)) continue;
         if (index <= last()) {
-            INVARIANT(index > commitIndex_ || !isSound());
+            INVARIANT(index > commitIndex_ || !hasNoInjectedFault());
             if (change.truncateFrom < 0) change.truncateFrom = index;
             log_.truncateFrom(index);
             lastSynced_ = std::min(lastSynced_, last());
         }
-        INVARIANT(entry.term >= log_.lastTerm() || !isSound());
+        INVARIANT(entry.term >= log_.lastTerm() || !hasNoInjectedFault());
         log_.append(entry);
         change.entries.push_back(entry);
     }
@@ -232,20 +241,20 @@
     const std::string& from, const wire::AppendEntriesReply& reply, Microseconds now) -> void {
     if (reply.ok) endSnapshotTransfer(from, reply.match);
     if (reply.term > term_) {
-        // One that is no voter deposes nobody.
+        // A non-voter must not depose a leader.
         if (isVoter(from)) adoptTerm(reply.term, now);
         return;
     }
     if (!leads() || reply.term != term_) return;
-    auto known = progress_.find(from);
-    if (known == progress_.end()) return counters_.add("reply_of_stranger_total");
+    auto found = progress_.find(from);
+    if (found == progress_.end()) return counters_.add("reply_of_stranger_total");
     if (reply.match > last()) return rejectMessage("reply_beyond_log_total", from);
-    auto& progress = known->second;
-    progress.noteReply(reply, now);
+    auto& progress = found->second;
+    progress.recordReply(reply, now);
     auto sendMore = false;
     if (reply.ok) {
         progress.acknowledge(reply.match, now);
-        sendMore = progress.next() <= last() && progress.hasRoom();
+        sendMore = progress.next() <= last() && progress.canSendBatch();
     } else {
         sendMore = progress.reject(reply);
     }
--- a/src/consensus/role.hpp
+++ b/src/consensus/role.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// The roles of a voter and the transitions between them, as a table (Ongaro 2014, figure 3.3, with the
-// pre-candidate of 9.6; a blank disk belongs to no cluster yet).
+// The roles of a voter and the allowed transitions between them, as a Boost.MSM state machine (Ongaro 2014,
+// figure 3.3, with the pre-candidate of section 9.6). An uninitialized disk belongs to no cluster yet.
 #include <boost/msm/back/state_machine.hpp>
 #include <boost/msm/front/functor_row.hpp>
 #include <boost/msm/front/state_machine_def.hpp>
@@ -12,15 +12,15 @@
 namespace msm = boost::msm;
 namespace mpl = boost::mpl;
 
-struct Initialized {};         // a snapshot reached this disk
-struct Erased {};              // what the disk held is given up
-struct ElectionTimeout {};     // no contact to a leader for an election timeout
-struct PreVoteWon {};          // a majority would vote for this one
-struct ElectionWon {};         // a majority did
-struct LeadershipReceived {};  // the leader transferred its leadership
-struct LeaderSeen {};          // a message of a leader or of a higher term
+struct Initialized {};         // the disk received the state of a cluster
+struct Erased {};              // the disk gave up its stored state
+struct ElectionTimeout {};     // no contact with a leader for an election timeout
+struct PreVoteWon {};          // a majority would grant its vote
+struct ElectionWon {};         // a majority granted its vote
+struct LeadershipReceived {};  // the leader transferred its leadership to this voter
+struct LeaderSeen {};          // a message from a leader or with a higher term arrived
 
-/// The state machine's definition. States stand in the order of Voter::Role.
+/// Definition of the state machine. The states have the same order as the values of Voter::Role.
 struct RoleTable : msm::front::state_machine_def<RoleTable> {
     struct Uninitialized : msm::front::state<> {};
     struct Follower : msm::front::state<> {};
@@ -31,22 +31,22 @@
     template <class From, class Event, class To>
     using Row = msm::front::Row<From, Event, To, msm::front::none, msm::front::none>;
     // clang-format off
-    // NOLINTNEXTLINE(readability-identifier-naming): the name that Boost.MSM looks for
+    // NOLINTNEXTLINE(readability-identifier-naming): Boost.MSM requires this name
     struct transition_table : mpl::vector<
-        Row<Uninitialized,        Initialized,        Follower>,
-        Row<Follower,     ElectionTimeout,    PreCandidate>,
-        Row<Follower,     LeadershipReceived, Candidate>,
-        Row<Follower,     LeaderSeen,         Follower>,
-        Row<Follower,     Erased,             Uninitialized>,
-        Row<PreCandidate, ElectionTimeout,    PreCandidate>,
-        Row<PreCandidate, PreVoteWon,         Candidate>,
-        Row<PreCandidate, LeaderSeen,         Follower>,
-        Row<PreCandidate, Erased,             Uninitialized>,
-        Row<Candidate,    ElectionTimeout,    PreCandidate>,
-        Row<Candidate,    ElectionWon,        Leader>,
-        Row<Candidate,    LeaderSeen,         Follower>,
-        Row<Candidate,    Erased,             Uninitialized>,
-        Row<Leader,       LeaderSeen,         Follower>> {};
+        Row<Uninitialized, Initialized,        Follower>,
+        Row<Follower,      ElectionTimeout,    PreCandidate>,
+        Row<Follower,      LeadershipReceived, Candidate>,
+        Row<Follower,      LeaderSeen,         Follower>,
+        Row<Follower,      Erased,             Uninitialized>,
+        Row<PreCandidate,  ElectionTimeout,    PreCandidate>,
+        Row<PreCandidate,  PreVoteWon,         Candidate>,
+        Row<PreCandidate,  LeaderSeen,         Follower>,
+        Row<PreCandidate,  Erased,             Uninitialized>,
+        Row<Candidate,     ElectionTimeout,    PreCandidate>,
+        Row<Candidate,     ElectionWon,        Leader>,
+        Row<Candidate,     LeaderSeen,         Follower>,
+        Row<Candidate,     Erased,             Uninitialized>,
+        Row<Leader,        LeaderSeen,         Follower>> {};
     // clang-format on
     template <class Machine, class Event>
     void no_transition(Event const&, Machine&, int) {
@@ -55,10 +55,12 @@
     bool illegal = false;
 };
 
-/// The current role; an event that the table does not allow changes nothing and is counted.
+/// The current role of a voter. An event that the table does not allow leaves the role unchanged and
+/// increments a counter.
 struct RoleMachine {
     msm::back::state_machine<RoleTable> machine;
     RoleMachine() { machine.start(); }
+    /// Performs the transition for the event; false if the table does not allow it in the current role.
     template <class Event>
     auto process(Event event, Counters& counters) -> bool {
         machine.illegal = false;
--- a/src/consensus/snapshot.cpp
+++ b/src/consensus/snapshot.cpp
@@ -1,4 +1,4 @@
-// Compaction of the log, and installing a snapshot.
+// Log compaction, and installation of received snapshots (Ongaro 2014, chapter 5).
 #include <cstdint>
 #include <memory>
 #include <optional>
@@ -11,8 +11,8 @@
 
 namespace duneturn {
 
-// After so many entries, or when their bytes outweigh the snapshot that would replace them. Not
-// while the voters change: a snapshot names one set of voters only.
+// Compaction is due after a number of entries, or once their size exceeds that of the snapshot that would
+// replace them. Not while the applied configuration is joint: a snapshot names a single set of voters.
 auto Voter::isCompactionDue() const -> bool {
     if (appliedJoint_) return false;
     if (lastApplied_ - snapshot_.index > COMPACTION_ENTRIES) return true;
@@ -31,14 +31,14 @@
     counters_.add("snapshots_total");
 }
 
-// Whether this log is behind a snapshot. What it already holds is kept: entries behind it may
-// have been acknowledged.
-auto Voter::isBehind(std::int64_t index, std::int64_t term) const -> bool {
+// Whether the log lacks the last entry of a snapshot. Otherwise the log must be kept: it may hold later
+// entries that were acknowledged.
+auto Voter::needsSnapshot(std::int64_t index, std::int64_t term) const -> bool {
     return index > snapshot_.index && log_.termAt(index) != term;
 }
 
-// The state of a snapshot of a cluster's epoch; none if the snapshot is malformed.
-auto Voter::loadSnapshot(std::int64_t epoch, const wire::InstallSnapshot& snapshot)
+// Decodes the state of a snapshot; none if it is malformed or belongs to a cluster with another epoch.
+auto Voter::decodeSnapshot(std::int64_t epoch, const wire::InstallSnapshot& snapshot)
     -> std::optional<ReplicatedState> {
     if (snapshot.lastIncludedIndex <= 0 || snapshot.lastIncludedTerm <= 0) return std::nullopt;
     if (snapshot.lastIncludedTerm > snapshot.term) return std::nullopt;
@@ -49,14 +49,14 @@
 
 auto Voter::onInstallSnapshot(const std::string& from, std::int64_t epoch,
     const wire::InstallSnapshot& snapshot, Microseconds now) -> void {
-    auto isOther = epoch != epoch_;
-    if (!isOther && (snapshot.term < term_ || (leads() && snapshot.term == term_))) return;
-    auto isNeeded = isOther || isBehind(snapshot.lastIncludedIndex, snapshot.lastIncludedTerm);
-    if (!isOther && isNeeded && snapshot.lastIncludedIndex <= commitIndex_)
+    auto isOtherCluster = epoch != epoch_;
+    if (!isOtherCluster && (snapshot.term < term_ || (leads() && snapshot.term == term_))) return;
+    auto isNeeded = isOtherCluster || needsSnapshot(snapshot.lastIncludedIndex, snapshot.lastIncludedTerm);
+    if (!isOtherCluster && isNeeded && snapshot.lastIncludedIndex <= commitIndex_)
         return rejectMessage("snapshot_contradicts_committed_total", from);
-    auto state = isNeeded ? loadSnapshot(epoch, snapshot) : std::nullopt;
+    auto state = isNeeded ? decodeSnapshot(epoch, snapshot) : std::nullopt;
     if (isNeeded && !state) return rejectMessage("snapshot_malformed_total", from);
-    if (isOther && !blank() && !leaveCluster(false, now)) return;
+    if (isOtherCluster && !blank() && !leaveCluster(false, now)) return;
     if (blank()) {
         if (isDiskFaulty() || !roles_->process(Initialized{}, counters_)) return;
         epoch_ = epoch;
@@ -75,7 +75,7 @@
     restartElectionTimer(now);
 }
 
-auto Voter::replyInstalled(const std::string& to, std::int64_t index, std::int64_t round, Microseconds now)
+auto Voter::replyInstalled(const std::string& disk, std::int64_t index, std::int64_t round, Microseconds now)
     -> void {
     auto reply = wire::AppendEntriesReply();
     reply.term = term_;
@@ -84,9 +84,9 @@
     reply.match = index;
     reply.knowsJoint = true;
     reply.__set_knowsCompact(true);
-    auto answer = envelope();
-    answer.__set_appendEntriesReply(reply);
-    sendAfterWrite(writeIfUnsaved(now), to, answer);
+    auto message = envelope();
+    message.__set_appendEntriesReply(reply);
+    sendAfterWrite(writeIfUnsaved(now), disk, message);
 }
 
 auto Voter::installSnapshot(
--- a/src/consensus/snapshot.hpp
+++ b/src/consensus/snapshot.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// A snapshot: the replicated state after an entry, in place of the log up to that entry.
+// A snapshot replaces the log up to an entry by the replicated state after that entry.
 #include <cstdint>
 #include <memory>
 #include <string>
@@ -9,13 +9,13 @@
 
 namespace duneturn {
 
-/// The newest snapshot that a voter has; index 0 if it has none.
+/// A voter's newest snapshot; index 0 if it has none.
 struct Snapshot {
-    std::int64_t index = 0;  // the last entry that it includes
-    std::int64_t term = 0;   // of that entry
-    /// The state as a document; shared with the transfers that send it.
+    std::int64_t index = 0;  // the last entry included
+    std::int64_t term = 0;   // the term of that entry
+    /// The encoded state. Shared with the transfers that send it.
     std::shared_ptr<const std::string> document = std::make_shared<const std::string>();
-    std::vector<VoterIdentity> voters;  // as the document names them
+    std::vector<VoterIdentity> voters;  // the voters named in the document
 };
 
 }  // namespace duneturn
--- a/src/consensus/snapshot_chunks.cpp
+++ b/src/consensus/snapshot_chunks.cpp
@@ -1,4 +1,4 @@
-// Sending a snapshot to another replica, and receiving one (see snapshot_transfer.hpp).
+// Sending snapshots to other replicas and receiving them, in chunks (see snapshot_transfer.hpp).
 #include <cstdint>
 #include <string>
 #include <utility>
@@ -10,13 +10,14 @@
 namespace duneturn {
 
 auto Voter::sendSnapshot(const std::string& disk, Microseconds now) -> void {
-    auto& sender = snapshotSenders_[disk];
-    // One that was begun goes on while the entries behind it are still at hand.
-    if (!sender.isUsable(log_.base())) sender.begin(snapshot_, now);
-    auto retry = sender.retry(now);
-    if (retry != SnapshotSender::Retry::None) counters_.add("snapshot_chunks_resent_total");
-    if (retry == SnapshotSender::Retry::ResendWhole) sendWholeSnapshot(disk);
-    while (auto chunk = sender.nextChunk()) sendChunk(disk, *chunk);
+    auto& transfer = outgoingSnapshots_[disk];
+    // A transfer continues, even if there is a newer snapshot, while the log still has the entries after its
+    // own.
+    if (!transfer.isUsable(log_.base())) transfer.begin(snapshot_, now);
+    auto retry = transfer.retry(now);
+    if (retry != OutgoingSnapshot::Retry::None) counters_.add("snapshot_chunks_resent_total");
+    if (retry == OutgoingSnapshot::Retry::ResendWhole) sendWholeSnapshot(disk);
+    while (auto chunk = transfer.nextChunk()) sendChunk(disk, *chunk);
 }
 
 auto Voter::sendWholeSnapshot(const std::string& disk) -> void {
@@ -41,26 +42,26 @@
     counters_.add("snapshot_chunks_sent_total");
 }
 
-// The disks that a new cluster counts on are sent its snapshot until they hold it.
-auto Voter::initializeBlankVoters(Microseconds now) -> void {
-    if (now - lastBlankVoterTry_ < BLANK_VOTER_INTERVAL) return;
-    lastBlankVoterTry_ = now;
-    for (auto& disk : blankVoters_)
+// Sends the snapshot to voters with an uninitialized disk, such as those of a new cluster.
+auto Voter::initializeVoters(Microseconds now) -> void {
+    if (now - lastInitializationAttempt_ < UNINITIALIZED_VOTER_INTERVAL) return;
+    lastInitializationAttempt_ = now;
+    for (auto& disk : uninitializedVoters_)
         if (isVoter(disk)) sendSnapshot(disk, now);
 }
 
 auto Voter::onSnapshotChunk(const wire::Envelope& message, Microseconds now) -> void {
     auto& chunk = message.snapshotChunk;
     auto& from = message.disk;
-    if (!isSoundChunk(chunk)) return rejectMessage("snapshot_chunk_malformed_total", from);
-    auto isOurs = message.epoch == epoch_;
-    if (isOurs && chunk.term < term_) {
+    if (!isValidChunk(chunk)) return rejectMessage("snapshot_chunk_malformed_total", from);
+    auto isSameCluster = message.epoch == epoch_;
+    if (isSameCluster && chunk.term < term_) {
         counters_.add("snapshot_chunk_old_term_total");
         return replyToChunk(message, 0, true);
     }
-    if ((blank() && isDiskFaulty()) || (isOurs && leads() && chunk.term == term_)) return;
-    if (!isOurs) return assembleSnapshot(message, now);
-    if (!isBehind(chunk.lastIncludedIndex, chunk.lastIncludedTerm)) {
+    if ((blank() && isDiskFaulty()) || (isSameCluster && leads() && chunk.term == term_)) return;
+    if (!isSameCluster) return assembleSnapshot(message, now);
+    if (!needsSnapshot(chunk.lastIncludedIndex, chunk.lastIncludedTerm)) {
         followLeader(chunk.term, now);
         return replyInstalled(from, chunk.lastIncludedIndex, chunk.round, now);
     }
@@ -72,16 +73,16 @@
 
 auto Voter::assembleSnapshot(const wire::Envelope& message, Microseconds now) -> void {
     auto& chunk = message.snapshotChunk;
-    auto result = assembly_.take(message.epoch, chunk);
+    auto result = incomingSnapshot_.addChunk(message.epoch, chunk);
     switch (result.state) {
-    case SnapshotAssembly::State::OutOfOrder:
+    case IncomingSnapshot::State::OutOfOrder:
         counters_.add("snapshot_chunk_out_of_order_total");
         return replyToChunk(message, result.received, true);
-    case SnapshotAssembly::State::Incomplete: return replyToChunk(message, result.received, false);
-    case SnapshotAssembly::State::DigestWrong:
+    case IncomingSnapshot::State::Incomplete: return replyToChunk(message, result.received, false);
+    case IncomingSnapshot::State::DigestWrong:
         rejectMessage("snapshot_digest_wrong_total", message.disk);
         return replyToChunk(message, 0, true);
-    case SnapshotAssembly::State::Complete: break;
+    case IncomingSnapshot::State::Complete: break;
     }
     replyToChunk(message, result.received, false);
     auto snapshot = wire::InstallSnapshot();
@@ -96,17 +97,17 @@
 auto Voter::replyToChunk(const wire::Envelope& message, std::size_t received, bool refused) -> void {
     auto& chunk = message.snapshotChunk;
     auto reply = wire::SnapshotChunkReply();
-    // A blank disk has no term of its own yet.
+    // A disk that does not belong to that cluster yet has no term in it.
     reply.term = message.epoch == epoch_ ? term_ : chunk.term;
     reply.lastIncludedIndex = chunk.lastIncludedIndex;
     reply.digest = chunk.digest;
     reply.received = std::int64_t(received);
     reply.refused = refused;
     reply.round = chunk.round;
-    auto answer = envelope();
-    answer.epoch = message.epoch;
-    answer.__set_snapshotChunkReply(reply);
-    port_.sendToReplica(message.disk, answer);
+    auto replyEnvelope = envelope();
+    replyEnvelope.epoch = message.epoch;
+    replyEnvelope.__set_snapshotChunkReply(reply);
+    port_.sendToReplica(message.disk, replyEnvelope);
 }
 
 auto Voter::onSnapshotChunkReply(
@@ -115,20 +116,20 @@
         if (isVoter(from)) adoptTerm(reply.term, now);
         return;
     }
-    auto found = snapshotSenders_.find(from);
-    if (found == snapshotSenders_.end() || reply.term != term_) return;
+    auto found = outgoingSnapshots_.find(from);
+    if (found == outgoingSnapshots_.end() || reply.term != term_) return;
     auto outcome = found->second.onReply(reply, now);
-    if (outcome == SnapshotSender::Reply::OtherSnapshot) return;
-    if (outcome == SnapshotSender::Reply::Malformed)
+    if (outcome == OutgoingSnapshot::Reply::OtherSnapshot) return;
+    if (outcome == OutgoingSnapshot::Reply::Malformed)
         return rejectMessage("snapshot_reply_malformed_total", from);
     if (auto progress = progress_.find(from); leads() && progress != progress_.end())
-        progress->second.noteContact(now);
-    if (outcome == SnapshotSender::Reply::Continue) sendSnapshot(from, now);
+        progress->second.recordContact(now);
+    if (outcome == OutgoingSnapshot::Reply::Continue) sendSnapshot(from, now);
 }
 
 auto Voter::endSnapshotTransfer(const std::string& disk, std::int64_t match) -> void {
-    auto found = snapshotSenders_.find(disk);
-    if (found != snapshotSenders_.end() && match >= found->second.index()) snapshotSenders_.erase(found);
+    auto found = outgoingSnapshots_.find(disk);
+    if (found != outgoingSnapshots_.end() && match >= found->second.index()) outgoingSnapshots_.erase(found);
 }
 
 }  // namespace duneturn
--- a/src/consensus/snapshot_transfer.cpp
+++ b/src/consensus/snapshot_transfer.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-// Covers the part and where it stands in which snapshot.
+// Covers the data, its offset, and the index and size of the snapshot that it belongs to.
 auto checksumOf(const wire::SnapshotChunk& chunk) -> std::int64_t {
     auto position = fmt::format("{}/{}/{}", chunk.lastIncludedIndex, chunk.size, chunk.offset);
     return std::int64_t(hash64(chunk.data, hash64(position)));
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-auto isSoundChunk(const wire::SnapshotChunk& chunk) -> bool {
+auto isValidChunk(const wire::SnapshotChunk& chunk) -> bool {
     if (chunk.lastIncludedIndex <= 0 || chunk.lastIncludedTerm <= 0) return false;
     if (chunk.lastIncludedTerm > chunk.term) return false;
     if (chunk.size <= 0 || chunk.size > std::int64_t(MAX_SNAPSHOT_BYTES)) return false;
@@ -35,14 +35,14 @@
     return chunk.checksum == checksumOf(chunk);
 }
 
-// ---- sending
+// ---- OutgoingSnapshot
 
-auto SnapshotSender::isUsable(std::int64_t logBase) const -> bool { return document_ && index_ >= logBase; }
+auto OutgoingSnapshot::isUsable(std::int64_t logBase) const -> bool { return document_ && index_ >= logBase; }
 
-auto SnapshotSender::begin(const Snapshot& snapshot, Microseconds now) -> void {
-    auto readsChunks = readsChunks_;
+auto OutgoingSnapshot::begin(const Snapshot& snapshot, Microseconds now) -> void {
+    auto supportsChunks = supportsChunks_;
     *this = {};
-    readsChunks_ = readsChunks;
+    supportsChunks_ = supportsChunks;
     index_ = snapshot.index;
     term_ = snapshot.term;
     document_ = snapshot.document;
@@ -50,23 +50,25 @@
     progressAt_ = now;
 }
 
-auto SnapshotSender::retry(Microseconds now) -> Retry {
+auto OutgoingSnapshot::retry(Microseconds now) -> Retry {
     INVARIANT(acknowledged_ <= sent_ && sent_ <= document_->size());
     auto unanswered = sent_ - acknowledged_;
     auto complete = acknowledged_ == document_->size();
     if (unanswered == 0 && !complete) return Retry::None;
     if (now - progressAt_ < RETRY_BASE + Microseconds(unanswered) * RETRY_PER_BYTE) return Retry::None;
-    // All was received, and that it was installed is not known: the last chunk again asks for that.
+    // Everything was received, but no reply has confirmed the installation. Sending the last chunk again
+    // makes the receiver report its state.
     if (complete) acknowledged_ -= std::min(CHUNK_BYTES, acknowledged_);
     sent_ = acknowledged_;
     progressAt_ = now;
-    stalls_++;
-    return !readsChunks_ && stalls_ % STALLS_BEFORE_WHOLE == 0 ? Retry::ResendWhole : Retry::Resend;
+    retries_++;
+    return !supportsChunks_ && retries_ % RETRIES_BEFORE_WHOLE_SNAPSHOT == 0 ? Retry::ResendWhole
+                                                                             : Retry::Resend;
 }
 
-auto SnapshotSender::nextChunk() -> std::optional<wire::SnapshotChunk> {
-    // Until the receiver answers, one chunk at a time.
-    auto window = readsChunks_ && stalls_ == 0 ? MAX_CHUNKS_IN_FLIGHT : 1;
+auto OutgoingSnapshot::nextChunk() -> std::optional<wire::SnapshotChunk> {
+    // One chunk at a time until the receiver answers, at the start and after each retry.
+    auto window = supportsChunks_ && retries_ == 0 ? MAX_CHUNKS_IN_FLIGHT : 1;
     if (sent_ >= document_->size() || sent_ >= acknowledged_ + window * CHUNK_BYTES) return std::nullopt;
     auto chunk = wire::SnapshotChunk();
     chunk.lastIncludedIndex = index_;
@@ -80,18 +82,19 @@
     return chunk;
 }
 
-auto SnapshotSender::onReply(const wire::SnapshotChunkReply& reply, Microseconds now) -> Reply {
+auto OutgoingSnapshot::onReply(const wire::SnapshotChunkReply& reply, Microseconds now) -> Reply {
     if (reply.lastIncludedIndex != index_ || reply.digest != digest_) return Reply::OtherSnapshot;
     auto received = std::size_t(std::max<std::int64_t>(0, reply.received));
     if (received > document_->size()) return Reply::Malformed;
-    readsChunks_ = true;
+    supportsChunks_ = true;
     if (received > acknowledged_) {
         acknowledged_ = received;
         sent_ = std::max(sent_, received);
         progressAt_ = now;
-        stalls_ = 0;
+        retries_ = 0;
     } else if (reply.refused && received < sent_) {
-        // A chunk before it was lost, which is answered once, or all that the receiver had.
+        // An earlier chunk was lost, or the receiver lost everything it had. A loss is answered only once:
+        // each later chunk in flight is reported as out of order too.
         if (received == acknowledged_ && now - progressAt_ < RETRY_BASE / 4) return Reply::Duplicate;
         acknowledged_ = sent_ = received;
         progressAt_ = now;
@@ -99,15 +102,15 @@
     return acknowledged_ < document_->size() ? Reply::Continue : Reply::Complete;
 }
 
-// ---- receiving
+// ---- IncomingSnapshot
 
-auto SnapshotAssembly::isSame(std::int64_t epoch, const wire::SnapshotChunk& chunk) const -> bool {
+auto IncomingSnapshot::isSameSnapshot(std::int64_t epoch, const wire::SnapshotChunk& chunk) const -> bool {
     return epoch_ == epoch && index_ == chunk.lastIncludedIndex && term_ == chunk.lastIncludedTerm
         && size_ == chunk.size && digest_ == chunk.digest;
 }
 
-auto SnapshotAssembly::take(std::int64_t epoch, const wire::SnapshotChunk& chunk) -> Result {
-    if (!isSame(epoch, chunk)) {
+auto IncomingSnapshot::addChunk(std::int64_t epoch, const wire::SnapshotChunk& chunk) -> Result {
+    if (!isSameSnapshot(epoch, chunk)) {
         if (chunk.offset > 0) return {State::OutOfOrder, 0, {}};
         epoch_ = epoch;
         index_ = chunk.lastIncludedIndex;
--- a/src/consensus/snapshot_transfer.hpp
+++ b/src/consensus/snapshot_transfer.hpp
@@ -1,10 +1,10 @@
 #pragma once
-// A snapshot on its way to another replica: numbered chunks, a few in flight, resumed after a loss
-// (InstallSnapshot; Ongaro 2014, 5.3).
+// Transfer of a snapshot to another replica (InstallSnapshot; Ongaro 2014, 5.3). The document is sent in
+// chunks with a few in flight, and the transfer resumes after a loss.
 //
-// The receiver answers each chunk with the offset that it expects next. What it has is known by
-// index, term and digest, so that it goes on where it was also under another leader, whose snapshot
-// of the same entry is the same document.
+// The receiver answers each chunk with the offset that it expects next. Partially received data is
+// identified by index, term and digest, so a transfer continues at the same offset under a new leader: its
+// snapshot of the same entry is the same document.
 #include <cstddef>
 #include <cstdint>
 #include <memory>
@@ -17,36 +17,38 @@
 
 namespace duneturn {
 
-/// Whether a chunk's numbers are possible and its checksum matches.
-[[nodiscard]] auto isSoundChunk(const wire::SnapshotChunk& chunk) -> bool;
+/// Whether the chunk's index, term, size and offset are consistent and its checksum matches.
+[[nodiscard]] auto isValidChunk(const wire::SnapshotChunk& chunk) -> bool;
 
-/// One snapshot that is sent to one replica. Owned by the voter that sends; the document is shared.
-class SnapshotSender {
+/// The transfer of snapshots to one replica, one snapshot at a time. Owned by the sending voter; the
+/// document is shared with it.
+class OutgoingSnapshot {
   public:
     /// What a reply from the receiver means.
     enum class Reply {
-        OtherSnapshot,  // about a snapshot that is not the one under way
-        Malformed,      // names an offset beyond the end
-        Duplicate,      // a loss that was answered for already
-        Continue,       // more can be sent
-        Complete,       // the receiver has all of it
+        OtherSnapshot,  // concerns a snapshot other than the current one
+        Malformed,      // names an offset beyond the end of the document
+        Duplicate,      // reports a loss that was already answered
+        Continue,       // further chunks can be sent
+        Complete,       // the receiver has the complete document
     };
     enum class Retry {
         None,
         Resend,
-        ResendWhole,  // the receiver has answered no chunk: it may know InstallSnapshot only
+        ResendWhole,  // the receiver has answered no chunk: it may support InstallSnapshot only
     };
 
-    /// Whether a snapshot is under way behind which the log is still held, its base being `logBase`.
+    /// Whether a transfer is under way that can continue: the log, whose base is `logBase`, still has all
+    /// entries after its snapshot.
     [[nodiscard]] auto isUsable(std::int64_t logBase) const -> bool;
-    /// Begins with another snapshot.
+    /// Starts the transfer of another snapshot.
     auto begin(const Snapshot& snapshot, Microseconds now) -> void;
-    /// What was sent and is unanswered for too long is sent again.
+    /// Marks chunks that are unanswered for too long as unsent, so that nextChunk() returns them again.
     [[nodiscard]] auto retry(Microseconds now) -> Retry;
-    /// The next chunk that may leave, but for its term and round; none while enough are in flight.
+    /// The next chunk to send, without term and round; none while enough chunks are in flight.
     [[nodiscard]] auto nextChunk() -> std::optional<wire::SnapshotChunk>;
     [[nodiscard]] auto onReply(const wire::SnapshotChunkReply& reply, Microseconds now) -> Reply;
-    /// The last entry that the snapshot includes.
+    /// The index of the last entry that the snapshot includes.
     [[nodiscard]] auto index() const -> std::int64_t { return index_; }
 
   private:
@@ -56,30 +58,31 @@
     std::shared_ptr<const std::string> document_;
     std::size_t acknowledged_ = 0;  // bytes
     std::size_t sent_ = 0;          // bytes
-    Microseconds progressAt_ = 0;   // when more was acknowledged last, or sent again
-    int stalls_ = 0;                // retries since the last progress
-    bool readsChunks_ = false;      // the receiver has answered a chunk
+    Microseconds progressAt_ = 0;   // when more bytes were last acknowledged, or chunks were sent again
+    int retries_ = 0;               // retries since more bytes were last acknowledged
+    bool supportsChunks_ = false;   // the receiver has answered a chunk
 };
 
-/// Puts the chunks of a snapshot together; one snapshot at a time.
-class SnapshotAssembly {
+/// Assembles a snapshot from its chunks, one snapshot at a time.
+class IncomingSnapshot {
   public:
     enum class State {
         OutOfOrder,   // a chunk before this one is missing
-        Incomplete,   // more chunks are expected
-        DigestWrong,  // all chunks came, and are not the document that was announced
+        Incomplete,   // further chunks are expected
+        DigestWrong,  // all chunks arrived, but the document does not match the announced digest
         Complete,
     };
     struct Result {
         State state = State::Incomplete;
-        std::size_t received = 0;  // the offset that is expected next
-        std::string document;      // if complete
+        std::size_t received = 0;  // the offset expected next
+        std::string document;      // the snapshot, if complete
     };
-    /// Takes a sound chunk of a cluster's epoch.
-    [[nodiscard]] auto take(std::int64_t epoch, const wire::SnapshotChunk& chunk) -> Result;
+    /// Adds a chunk for the cluster with this epoch. The chunk must pass isValidChunk(). A chunk of another
+    /// snapshot at offset 0 discards what was received so far.
+    [[nodiscard]] auto addChunk(std::int64_t epoch, const wire::SnapshotChunk& chunk) -> Result;
 
   private:
-    [[nodiscard]] auto isSame(std::int64_t epoch, const wire::SnapshotChunk& chunk) const -> bool;
+    [[nodiscard]] auto isSameSnapshot(std::int64_t epoch, const wire::SnapshotChunk& chunk) const -> bool;
 
     std::int64_t epoch_ = 0;
     std::int64_t index_ = 0;
--- a/src/consensus/voter.cpp
+++ b/src/consensus/voter.cpp
@@ -1,4 +1,4 @@
-// A voter's start, its clock, and which handler a message goes to.
+// Start of a voter, its timers, and the dispatch of messages to their handlers.
 #include "consensus/voter.hpp"
 
 #include <cstdint>
@@ -26,7 +26,7 @@
     lastLeaderContact_ = now;
     restartElectionTimer(now);
     if (state.disk.empty() || state.snapshotIndex == 0) {
-        write({}, now);  // the identity is synced before anyone relies on it
+        write({}, now);  // the identity must be durable before anyone relies on it
         return;
     }
     epoch_ = state.epoch;
@@ -39,7 +39,7 @@
     log_.reset(snapshot_.index, snapshot_.term);
     for (auto& entry : state.log) {
         log_.append(entry);
-        entry.body = std::string();  // so that no entry is held twice for long
+        entry.body = std::string();  // limits memory use: avoids a second copy of the whole log
     }
     lastApplied_ = snapshot_.index;
     lastSynced_ = last();
@@ -63,7 +63,7 @@
 }
 
 auto Voter::checkInvariants() const -> void {
-    if (!isSound()) return;
+    if (!hasNoInjectedFault()) return;
     INVARIANT(lastApplied_ <= commitIndex_);
     INVARIANT(commitIndex_ <= last());
     INVARIANT(snapshot_.index <= lastApplied_);
@@ -86,9 +86,9 @@
 auto Voter::tickDisk(Microseconds now) -> void {
     if (writes_.detectStall(now)) {
         counters_.add("disk_stalled_total");
-        logEvent("disk_write_stalled", "disk={} limit_us={}", disk_, WRITE_STALLED);
+        logEvent("disk_write_stalled", "disk={} limit_us={}", disk_, DISK_STALL_TIMEOUT);
     }
-    if (writes_.takeProbe(now)) write({}, now);
+    if (writes_.takeDueProbe(now)) write({}, now);
 }
 
 auto Voter::tickLeader(Microseconds now) -> void {
@@ -114,7 +114,7 @@
 }
 
 auto Voter::tickFollower(Microseconds now) -> void {
-    initializeBlankVoters(now);
+    initializeVoters(now);
     if (now < electionDeadline_) return;
     if (!isVoter(disk_) || isDiskFaulty()) electionDeadline_ = now + ELECTION_TIMEOUT;
     else if (roles_->process(ElectionTimeout{}, counters_)) beginPreVote(now);
@@ -123,9 +123,10 @@
 auto Voter::handle(const wire::Envelope& message, Microseconds now) -> void {
     if (message.disk == disk_) return;
     auto carriesSnapshot = message.__isset.installSnapshot || message.__isset.snapshotChunk;
-    // A disk that its cluster no longer counts on may learn of a newer one.
-    auto isNewer = message.epoch > epoch_ && votedFor_.empty();
-    if (message.epoch != epoch_ && !(carriesSnapshot && (blank() || isNewer))) {
+    // A disk that has given no vote in its current term is not relied on by its cluster, so it may move to a
+    // newer one.
+    auto mayMoveToNewerCluster = message.epoch > epoch_ && votedFor_.empty();
+    if (message.epoch != epoch_ && !(carriesSnapshot && (blank() || mayMoveToNewerCluster))) {
         counters_.add("other_reign_dropped_total");
         return;
     }
--- a/src/consensus/voter.hpp
+++ b/src/consensus/voter.hpp
@@ -1,24 +1,24 @@
 #pragma once
-// One replica of the replicated log (Raft: Ongaro, "Consensus: Bridging Theory and Practice", 2014; the
-// sections named in this folder are its), with pre-vote, check-quorum, ReadIndex, leadership transfer,
-// learners and joint consensus. Logic only: the disk and the network are behind VoterPort, so that the
-// simulator, the model checker and the tests drive the code that runs.
+// One replica of the replicated log (Raft: Ongaro, "Consensus: Bridging Theory and Practice", 2014; section
+// numbers in this folder refer to it), with pre-vote, check-quorum, ReadIndex, leadership transfer, learners
+// and joint consensus. The class contains no I/O: disk and network are behind VoterPort, so the simulator,
+// the model checker and the tests run the same code as production.
 //
-// A replica is a disk, and is known by the identity of that disk. Voter holds the parts together, passes
-// each message to its handler and each write to the disk. The parts, which know nothing of each other:
+// A replica is identified by the identity of its disk. Voter owns the following parts, which do not depend
+// on each other, dispatches messages to their handlers and issues the writes:
 //
 //   configuration.hpp      who votes, and what is a majority
-//   replicated_log.hpp     the entries in memory
-//   snapshot.hpp           what stands in place of the entries before them
-//   write_queue.hpp        writes under way, and messages that must wait for them
-//   progress.hpp           what a leader knows of another replica
-//   read_index.hpp         reads that wait for a majority
-//   snapshot_transfer.hpp  snapshots on their way
-//   role.hpp               roles and their transitions
-//   limits.hpp             times and sizes
+//   replicated_log.hpp     the log entries in memory
+//   snapshot.hpp           the state that replaces the entries before them
+//   write_queue.hpp        pending writes, and the messages that must wait for them
+//   progress.hpp           the leader's view of another replica
+//   read_index.hpp         linearizable reads that wait for a majority
+//   snapshot_transfer.hpp  snapshots that are being sent or received
+//   role.hpp               roles and the transitions between them
+//   limits.hpp             timeouts and size limits
 //
-// Voter's own functions: voter.cpp (start, clock, dispatch), log.cpp (writes), election.cpp,
-// replication.cpp, membership.cpp, snapshot.cpp, transfer.cpp (snapshots in chunks).
+// The member functions of Voter are in voter.cpp (start, timers, dispatch), log.cpp (writes), election.cpp,
+// replication.cpp, membership.cpp, snapshot.cpp and snapshot_chunks.cpp.
 #include <cstdint>
 #include <functional>
 #include <map>
@@ -46,34 +46,36 @@
 
 namespace duneturn {
 
-/// The entry that brought the state machine forward.
+/// The log entry whose application advanced the state machine.
 struct AppliedEntry {
-    const wire::Entry* entry = nullptr;  // null if the state came as a whole; valid during the call
+    const wire::Entry* entry = nullptr;  // valid during the call; null if the state came from a snapshot
     std::string key;                     // the idempotency key, if the entry was a command
-    Outcome outcome;                     // of that command
+    Outcome outcome;                     // the outcome of that command
 };
 
-/// What a voter needs of its surroundings: a network, a disk, and one that uses the state.
+/// The environment of a voter: network, disk, and the user of the state machine.
 struct VoterPort {
     virtual ~VoterPort() = default;
-    /// Sends a message to the replica with this disk; it may be lost. The callee may complete `message`.
+    /// Sends a message, which may be lost, to the replica with this disk. The callee may set further fields
+    /// of `message`.
     virtual auto sendToReplica(const std::string& disk, wire::Envelope& message) -> void = 0;
-    /// Begins a write; Voter::onDiskWriteDone reports its end. Writes are performed in their order.
+    /// Starts a write, whose result is reported by Voter::onDiskWriteDone. Writes must be performed in the
+    /// order of the calls.
     virtual auto writeToDisk(const DiskWrite& write) -> void = 0;
-    /// The state machine advanced to `state`, which this disk holds.
+    /// The state machine advanced to `state`, which is durable on this disk.
     virtual auto onStateApplied(const ReplicatedState& state, const AppliedEntry& applied) -> void = 0;
-    /// Answers Voter::read: `ok` if this was the leader after the question came, and the state has what
-    /// was committed then.
-    virtual auto onReadDone(std::int64_t id, bool ok) -> void = 0;
+    /// The result of Voter::read. `confirmed`: this voter was the leader at some time after the call, and its
+    /// state machine includes everything that was committed at the time of the call.
+    virtual auto onReadDone(std::int64_t id, bool confirmed) -> void = 0;
 };
 
 struct RoleMachine;
 
-/// One replica. Not thread-safe; `now` is a clock that never goes back (bootNow()).
+/// One replica. Not thread-safe. `now` is the time of a monotonic clock (bootNow()).
 class Voter {
   public:
     enum class Role {
-        Uninitialized,  // belongs to no cluster
+        Uninitialized,  // belongs to no cluster yet
         Follower,
         PreCandidate,
         Candidate,
@@ -83,88 +85,98 @@
     Voter(VoterPort& port, Counters& counters, std::uint64_t seed);
     ~Voter();
 
-    /// Starts from what the disk holds; an empty state makes a blank voter with the identity `newDiskId`.
+    /// Starts from the persistent state. If it has no identity, the voter takes `newDiskId`; if it has no
+    /// snapshot, the voter is uninitialized. Call once, before any other function.
     auto start(DiskState state, const std::string& newDiskId, Microseconds now) -> void;
-    /// To be called often, at least each 50 ms; timers are checked here only.
+    /// Checks all timers. Call at least every 50 ms.
     auto tick(Microseconds now) -> void;
-    /// Takes a message of another replica.
+    /// Handles a message from another replica.
     auto handle(const wire::Envelope& message, Microseconds now) -> void;
-    /// The write `sequence` (DiskWrite::seq) is on disk, or has failed. To be called in their order.
-    auto onDiskWriteDone(std::int64_t sequence, bool ok, Microseconds now) -> void;
-    /// Begins a new cluster with this state on this disk alone, leaving any earlier one; the
-    /// other voters are sent it as a snapshot.
+    /// Reports that the write `sequence` (DiskWrite::seq) is durable or has failed. Call in the order of the
+    /// writes.
+    auto onDiskWriteDone(std::int64_t sequence, bool succeeded, Microseconds now) -> void;
+    /// Bootstraps a new cluster from this state on this disk alone, leaving any earlier cluster. The other
+    /// voters receive the state as a snapshot.
     auto bootstrap(const ReplicatedState& state, std::int64_t term, Microseconds now) -> void;
-    /// Appends a command (its kind, see configuration.hpp, and its body) to the log. False, and nothing is
-    /// appended, unless this leads, its disk works and no transfer of leadership is under way.
+    /// Appends an entry of this kind (see configuration.hpp) to the log. Returns false, and appends nothing,
+    /// unless this voter leads, its disk works and no leadership transfer is under way.
     auto propose(int kind, const std::string& body, Microseconds now) -> bool;
-    /// Of a leader: whether every voter that answers reads entries of kind ENTRY_COMPACT.
-    auto allReadCompact() const -> bool;
-    /// Asks whether this is still the leader; answered through onReadDone with this id.
+    /// On a leader: whether every voter that has answered in this term supports entries of kind
+    /// ENTRY_COMPACT.
+    auto allVotersReadCompact() const -> bool;
+    /// Starts a linearizable read (ReadIndex). The result is reported by VoterPort::onReadDone with this id,
+    /// possibly during the call.
     auto read(std::int64_t id, Microseconds now) -> void;
-    /// Spare disks that could take the place of a voter's, as (node, disk).
+    /// Sets the spare disks that may replace the disk of a voter, as pairs of node and disk.
     auto setSpareDisks(const std::vector<std::pair<std::string, std::string>>& spares) -> void {
         spareDisks_ = spares;
     }
-    /// Voters' disks that say they are blank.
-    auto setUninitializedVoters(const std::vector<std::string>& disks) -> void { blankVoters_ = disks; }
-    /// Transfers leadership to the voter that is furthest along; for a planned stop. False if there is
-    /// none that has all that this disk has.
+    /// Sets the disks that currently report to be uninitialized. Those of voters are sent a snapshot.
+    auto setUninitializedVoters(const std::vector<std::string>& disks) -> void {
+        uninitializedVoters_ = disks;
+    }
+    /// Transfers leadership (3.10) to the reachable voter with the highest match index, for a planned stop.
+    /// Returns false if no such voter holds everything that is durable on this disk.
     auto transferLeadership(Microseconds now) -> bool;
-    /// Leaves a cluster that never had a vote from this disk, or any if `force`.
+    /// Leaves the cluster and erases the disk. Without `force` only if this disk has given no vote in its
+    /// current term. Returns false, and changes nothing, otherwise and while this voter is uninitialized or
+    /// leads; with `force` a leader steps down first.
     auto leaveCluster(bool force, Microseconds now) -> bool;
-    /// A committed state of this cluster, of this version, names the voters without this disk.
-    /// If that is behind all this log holds, the disk becomes a blank one with the identity `newDiskId`.
+    /// To be called when a committed state of this cluster with this version does not include this disk among
+    /// the voters. If this log can't have reached that version, the disk is erased and becomes an
+    /// uninitialized one with the identity `newDiskId`. Returns whether it did.
     auto retire(std::int64_t version, const std::string& newDiskId, Microseconds now) -> bool;
-    /// When this leader last heard from a disk; 0 if never.
+    /// When the last message from a disk arrived at this leader in its term; 0 if none has.
     auto lastContact(const std::string& disk) const -> Microseconds;
-    /// Since when this leads; of a former leader, when its last term as such began.
+    /// When the current leadership of this voter began; for other roles, its most recent one.
     auto leaderSince() const -> Microseconds { return leaderSince_; }
 
     auto role() const -> Role;
     auto blank() const -> bool { return role() == Role::Uninitialized; }
     auto leads() const -> bool { return role() == Role::Leader; }
-    /// Leads, and has applied an entry of its own term.
+    /// Whether this voter leads and has applied an entry of its own term.
     auto ready() const -> bool { return leads() && lastApplied_ >= firstIndexOfTerm_; }
     /// The identity of this disk.
     auto disk() const -> const std::string& { return disk_; }
     auto term() const -> std::int64_t { return term_; }
-    /// Of the cluster: a new one that replaces a lost one has a higher epoch.
+    /// The epoch of the cluster. A cluster that is bootstrapped to replace a lost one has a higher epoch.
     auto epoch() const -> std::int64_t { return epoch_; }
-    /// The disk of the leader of this term; empty if it isn't known.
+    /// The disk of the leader of this term; empty if unknown.
     auto leader() const -> const std::string& { return leaderDisk_; }
-    /// The state after the entry applied().
+    /// The state after applying the entry applied().
     auto replicatedState() const -> const ReplicatedState& { return replicatedState_; }
-    /// The state with everything that is in the log, committed or not.
+    /// The state after applying the complete log, including uncommitted entries.
     auto latestState() const -> const ReplicatedState& { return latestState_; }
-    /// The index of the last entry that is known to be committed.
+    /// The commit index: the last entry that is known to be committed.
     auto commit() const -> std::int64_t { return commitIndex_; }
+    /// The index of the last entry that the state machine has applied.
     auto applied() const -> std::int64_t { return lastApplied_; }
     /// The index of the last entry in the log.
     auto last() const -> std::int64_t { return log_.last(); }
-    /// When this leader last had contact to a majority.
+    /// When this leader last had contact with a majority, as of the last tick().
     auto lastQuorumContact() const -> Microseconds { return lastQuorumContact_; }
-    /// Whether the disk has failed or stalled, and has not worked since.
-    auto isDiskFaulty() const -> bool { return writes_.isDiskBad(); }
-    /// The newest set in the log, committed or not.
+    /// Whether the disk has failed or stalled and has not worked since.
+    auto isDiskFaulty() const -> bool { return writes_.isDiskFaulty(); }
+    /// The voters of the newest configuration in the log, committed or not.
     auto voters() const -> const std::vector<VoterIdentity>& { return configuration_.voters(); }
-    /// While a change is under way, the voters before it; their majority is needed too.
+    /// In a joint configuration, the voters before the change, of which a majority is needed too.
     auto outgoingVoters() const -> const std::vector<VoterIdentity>& { return configuration_.outgoing(); }
     auto joint() const -> bool { return configuration_.isJoint(); }
-    /// How many entries are held in memory.
+    /// The number of log entries in memory.
     auto logSize() const -> std::size_t { return log_.size(); }
 
-    /// Deliberate faults for proving that oracles can fail; none is set outside tests.
+    /// Faults that tests inject to prove that the oracles detect them. All are off in production.
     struct Broken {
-        bool ackBeforeSync = false;      // messages don't wait for the writes that they rest on
-        bool voteTwice = false;          // a second vote in a term, and a second leader of one
-        bool noQuorum = false;           // one voter counts as a majority
-        bool newMajorityOnly = false;    // a joint configuration without its old majority
-        bool truncateCommitted = false;  // committed entries give way to conflicting ones
-        bool ackUnsavedTerm = false;     // after a failed write its term counts as saved
-        bool commitOldTerm = false;      // an entry of an earlier term is committed by counting disks
-        bool skipReadQuorum = false;     // a read is answered without a round of heartbeats
+        bool ackBeforeSync = false;      // messages do not wait for the writes that they depend on
+        bool voteTwice = false;          // votes twice in a term, and accepts a second leader of a term
+        bool noQuorum = false;           // a single voter counts as a majority
+        bool newMajorityOnly = false;    // a joint configuration ignores the outgoing majority
+        bool truncateCommitted = false;  // committed entries are replaced by conflicting ones
+        bool ackUnsavedTerm = false;     // the term of a failed write counts as saved
+        bool commitOldTerm = false;      // entries of earlier terms are committed by counting replicas
+        bool skipReadQuorum = false;     // a read is answered without a heartbeat round
         bool changeBeforeNoop = false;   // voters change before an entry of the own term is committed
-        bool truncateMatching = false;   // an append drops what stands behind it, though it matches
+        bool truncateMatching = false;   // an append removes matching entries behind those it carries
         auto operator==(const Broken&) const -> bool = default;
     };
     Broken broken;
@@ -172,9 +184,9 @@
   private:
     // voter.cpp
     auto envelope() const -> wire::Envelope;
-    /// What holds between two inputs, whatever they were; not with faults that tests bring in.
+    /// Checks what must hold after each input. Skipped if a test has injected a fault.
     auto checkInvariants() const -> void;
-    auto isSound() const -> bool { return broken == Broken(); }
+    auto hasNoInjectedFault() const -> bool { return broken == Broken(); }
     auto dispatch(const wire::Envelope& message, Microseconds now) -> void;
     auto restartElectionTimer(Microseconds now) -> void;
     auto tickDisk(Microseconds now) -> void;
@@ -184,23 +196,24 @@
     // log.cpp
     auto write(DiskWrite write, Microseconds now) -> std::int64_t;
     auto writeIfUnsaved(Microseconds now) -> std::int64_t;
-    auto sendAfterWrite(std::int64_t sequence, const std::string& to, wire::Envelope envelope) -> void;
-    auto writeFailed(const PendingWrite& write, Microseconds now) -> void;
-    auto writeSucceeded(const PendingWrite& write, Microseconds now) -> void;
+    auto sendAfterWrite(std::int64_t sequence, const std::string& disk, wire::Envelope envelope) -> void;
+    auto onWriteFailed(const PendingWrite& write, Microseconds now) -> void;
+    auto onWriteSucceeded(const PendingWrite& write, Microseconds now) -> void;
+    auto countOwnVote(const PendingWrite& write, Microseconds now) -> void;
     auto rebuildLatestState() -> void;
 
     // election.cpp
     auto becomeFollower(Microseconds now) -> void;
     auto adoptTerm(std::int64_t term, Microseconds now) -> void;
     auto beginPreVote(Microseconds now) -> void;
-    /// `leadershipTransfer`: the leader of this term asked for it, so that voters needn't wait for it to
-    /// fail.
+    /// `leadershipTransfer`: the leader requested this election, so voters need not wait until they have lost
+    /// contact with it.
     auto beginElection(bool leadershipTransfer, Microseconds now) -> void;
     auto voteRequest() const -> wire::RequestVote;
     auto becomeLeader(Microseconds now) -> void;
     auto hasElectionMajority() const -> bool;
     auto isUpToDate(const wire::RequestVote& request) const -> bool;
-    auto hasLiveLeader(Microseconds now) const -> bool;
+    auto hasActiveLeader(Microseconds now) const -> bool;
     auto onPreVoteRequest(const std::string& from, const wire::RequestVote& request, Microseconds now)
         -> void;
     auto onRequestVote(const std::string& from, const wire::RequestVote& request, Microseconds now) -> void;
@@ -222,6 +235,7 @@
         -> void;
     auto isWellFormed(const wire::AppendEntries& request) const -> bool;
     auto contradictsCommitted(const wire::AppendEntries& request) const -> bool;
+    auto hasPreviousEntry(const wire::AppendEntries& request) const -> bool;
     auto rejectMessage(const char* counter, const std::string& from) -> void;
     auto storeEntries(const wire::AppendEntries& request) -> DiskWrite;
     auto onAppendEntriesReply(
@@ -230,8 +244,8 @@
     // membership.cpp
     auto refreshConfiguration() -> void;
     auto isVoter(const std::string& disk) const -> bool { return configuration_.isVoter(disk); }
-    auto hasMajority(const std::function<bool(const std::string& disk)>& holds) const -> bool {
-        return configuration_.hasMajority(holds, quorumFaults());
+    auto hasMajority(const std::function<bool(const std::string& disk)>& predicate) const -> bool {
+        return configuration_.hasMajority(predicate, quorumFaults());
     }
     auto quorumFaults() const -> QuorumFaults { return {broken.noQuorum, broken.newMajorityOnly}; }
     auto advanceConfigurationChange(Microseconds now) -> void;
@@ -243,13 +257,13 @@
     // snapshot.cpp
     auto isCompactionDue() const -> bool;
     auto compact(Microseconds now) -> void;
-    auto isBehind(std::int64_t index, std::int64_t term) const -> bool;
+    auto needsSnapshot(std::int64_t index, std::int64_t term) const -> bool;
     auto onInstallSnapshot(const std::string& from, std::int64_t epoch, const wire::InstallSnapshot& snapshot,
         Microseconds now) -> void;
-    static auto loadSnapshot(std::int64_t epoch, const wire::InstallSnapshot& snapshot)
+    static auto decodeSnapshot(std::int64_t epoch, const wire::InstallSnapshot& snapshot)
         -> std::optional<ReplicatedState>;
     auto followLeader(std::int64_t term, Microseconds now) -> void;
-    auto replyInstalled(const std::string& to, std::int64_t index, std::int64_t round, Microseconds now)
+    auto replyInstalled(const std::string& disk, std::int64_t index, std::int64_t round, Microseconds now)
         -> void;
     auto installSnapshot(
         const wire::InstallSnapshot& snapshot, const ReplicatedState& state, Microseconds now) -> void;
@@ -258,7 +272,7 @@
     auto sendSnapshot(const std::string& disk, Microseconds now) -> void;
     auto sendWholeSnapshot(const std::string& disk) -> void;
     auto sendChunk(const std::string& disk, wire::SnapshotChunk chunk) -> void;
-    auto initializeBlankVoters(Microseconds now) -> void;
+    auto initializeVoters(Microseconds now) -> void;
     auto onSnapshotChunk(const wire::Envelope& message, Microseconds now) -> void;
     auto replyToChunk(const wire::Envelope& message, std::size_t received, bool refused) -> void;
     auto assembleSnapshot(const wire::Envelope& message, Microseconds now) -> void;
@@ -271,52 +285,52 @@
     RandomSource random_;
     std::unique_ptr<RoleMachine> roles_;
 
-    // What the disk holds beside the log, or will once the newest write is done.
+    // The persistent state besides the log. It is durable once the newest write is done.
     std::string disk_;  // its identity
     std::int64_t epoch_ = 0;
     std::int64_t term_ = 0;
-    std::string votedFor_;  // in this term; empty: nobody
+    std::string votedFor_;  // the vote of this term; empty: none
     std::int64_t commitIndex_ = 0;
     Snapshot snapshot_;
     ReplicatedLog log_;
     WriteQueue writes_;
-    std::int64_t lastSynced_ = 0;    // the last entry that is on this disk
-    std::int64_t installWrite_ = 0;  // the write of a snapshot from elsewhere; 0 once it is on disk
+    std::int64_t lastSynced_ = 0;    // the last entry that is durable on this disk
+    std::int64_t installWrite_ = 0;  // the pending write of an installed or bootstrap snapshot; 0: none
 
     // The state machine.
     std::int64_t lastApplied_ = 0;
-    bool appliedJoint_ = false;  // the newest applied configuration is a joint one
+    bool appliedJoint_ = false;  // the newest applied configuration is joint
     ReplicatedState replicatedState_;
     ReplicatedState latestState_;
 
-    // The configuration in force: the newest in the log, committed or not (4.1).
+    // The configuration in force is the newest one in the log, committed or not (4.1).
     VoterConfiguration configuration_;
-    std::int64_t configurationIndex_ = 0;  // its entry
+    std::int64_t configurationIndex_ = 0;  // the index of its entry
     std::vector<std::pair<std::string, std::string>> spareDisks_;
-    std::vector<std::string> blankVoters_;
-    Microseconds lastBlankVoterTry_ = 0;
+    std::vector<std::string> uninitializedVoters_;
+    Microseconds lastInitializationAttempt_ = 0;
 
     // Elections.
-    std::string leaderDisk_;  // of this term; empty: not known
+    std::string leaderDisk_;  // the leader of this term; empty: unknown
     Microseconds lastLeaderContact_ = 0;
     Microseconds electionDeadline_ = 0;
     Microseconds preVoteStart_ = 0;
-    std::set<std::string> votes_;    // disks that granted this candidate their vote
-    std::int64_t ownVoteWrite_ = 0;  // the write of this candidate's own vote; 0 once it counts
+    std::set<std::string> votes_;    // the disks that granted their vote to this candidate
+    std::int64_t ownVoteWrite_ = 0;  // the pending write of this candidate's own vote; 0: none
 
-    // Of a leader.
+    // State of a leader.
     std::map<std::string, ReplicaProgress> progress_;  // by disk
     ReadIndexQueue reads_;
     std::int64_t firstIndexOfTerm_ = 0;
-    std::int64_t heartbeatRound_ = 0;  // see ReadIndexQueue
+    std::int64_t heartbeatRound_ = 0;  // the latest round; see ReadIndexQueue
     Microseconds leaderSince_ = 0;
     Microseconds lastQuorumContact_ = 0;
     Microseconds lastHeartbeat_ = 0;
-    Microseconds transferDeadline_ = 0;  // until then nothing is appended
+    Microseconds transferDeadline_ = 0;  // no proposal is accepted until then
 
-    // Snapshots under way; a follower too sends them, to blank voters.
-    std::map<std::string, SnapshotSender> snapshotSenders_;  // by the receiver's disk
-    SnapshotAssembly assembly_;
+    // Snapshot transfers. Followers also send snapshots, to uninitialized voters.
+    std::map<std::string, OutgoingSnapshot> outgoingSnapshots_;  // by the disk of the receiver
+    IncomingSnapshot incomingSnapshot_;
 };
 
 }  // namespace duneturn
--- a/src/consensus/write_queue.cpp
+++ b/src/consensus/write_queue.cpp
@@ -12,26 +12,26 @@
 
 namespace duneturn {
 
-auto WriteQueue::issue(DiskWrite write, std::int64_t last, std::int64_t lastTerm,
+auto WriteQueue::issue(DiskWrite write, std::int64_t lastIndex, std::int64_t lastTerm,
     const std::string& snapshotDocument, Microseconds now) -> DiskWrite {
     write.seq = ++sequence_;
     write.writeEpoch = writeEpoch_;
     if (truncateFrom_ >= 0 && (write.truncateFrom < 0 || write.truncateFrom > truncateFrom_))
         write.truncateFrom = truncateFrom_;
     truncateFrom_ = -1;
-    if (owesSnapshot_ && write.meta.snapshotIndex > 0 && !write.hasSnapshot) {
+    if (carriesSnapshot_ && write.meta.snapshotIndex > 0 && !write.hasSnapshot) {
         write.hasSnapshot = true;
         write.document = snapshotDocument;
     }
-    write.reset = write.reset || owesReset_;
-    owesReset_ = owesSnapshot_ = false;
+    write.reset = write.reset || carriesReset_;
+    carriesReset_ = carriesSnapshot_ = false;
     writtenTerm_ = write.meta.term;
     writtenVote_ = write.meta.vote;
     pending_.push_back({.sequence = write.seq,
         .writeEpoch = writeEpoch_,
         .term = write.meta.term,
         .commit = write.meta.commit,
-        .lastIndex = last,
+        .lastIndex = lastIndex,
         .lastTerm = lastTerm,
         .issuedAt = now,
         .reset = write.reset,
@@ -40,7 +40,7 @@
 }
 
 auto WriteQueue::isUnsaved(std::int64_t term, const std::string& vote) const -> bool {
-    return writtenTerm_ != term || writtenVote_ != vote || owesReset_ || owesSnapshot_;
+    return writtenTerm_ != term || writtenVote_ != vote || carriesReset_ || carriesSnapshot_;
 }
 
 auto WriteQueue::complete(std::int64_t sequence) -> std::optional<PendingWrite> {
@@ -52,38 +52,39 @@
     return std::nullopt;
 }
 
-auto WriteQueue::noteSuccess() -> bool {
-    if (!diskBad_ || !pending_.empty()) return false;
-    diskBad_ = false;
+auto WriteQueue::recordSuccess() -> bool {
+    if (!diskFaulty_ || !pending_.empty()) return false;
+    diskFaulty_ = false;
     return true;
 }
 
-auto WriteQueue::noteFailure(const PendingWrite& write, bool forgetTerm, Microseconds now) -> bool {
+auto WriteQueue::recordFailure(const PendingWrite& write, bool forgetTerm, Microseconds now) -> bool {
     INVARIANT(write.writeEpoch <= writeEpoch_);
     if (write.writeEpoch < writeEpoch_) return false;
     writeEpoch_++;
-    diskBad_ = true;
+    diskFaulty_ = true;
     probeAt_ = now + DISK_PROBE_INTERVAL;
     deferred_.clear();
-    owe(write);
-    for (auto& behind : pending_) owe(behind);
+    carryOver(write);
+    for (auto& laterWrite : pending_) carryOver(laterWrite);
     if (forgetTerm) writtenTerm_ = -1;
     return true;
 }
 
-auto WriteQueue::owe(const PendingWrite& write) -> void {
-    owesReset_ = owesReset_ || write.reset;
-    owesSnapshot_ = owesSnapshot_ || write.hasSnapshot;
+auto WriteQueue::carryOver(const PendingWrite& write) -> void {
+    carriesReset_ = carriesReset_ || write.reset;
+    carriesSnapshot_ = carriesSnapshot_ || write.hasSnapshot;
 }
 
 auto WriteQueue::detectStall(Microseconds now) -> bool {
-    if (diskBad_ || pending_.empty() || now - pending_.front().issuedAt <= WRITE_STALLED) return false;
-    diskBad_ = true;
+    if (diskFaulty_ || pending_.empty() || now - pending_.front().issuedAt <= DISK_STALL_TIMEOUT)
+        return false;
+    diskFaulty_ = true;
     return true;
 }
 
-auto WriteQueue::takeProbe(Microseconds now) -> bool {
-    if (!diskBad_ || !pending_.empty() || now < probeAt_) return false;
+auto WriteQueue::takeDueProbe(Microseconds now) -> bool {
+    if (!diskFaulty_ || !pending_.empty() || now < probeAt_) return false;
     probeAt_ = now + DISK_PROBE_INTERVAL;
     return true;
 }
--- a/src/consensus/write_queue.hpp
+++ b/src/consensus/write_queue.hpp
@@ -1,10 +1,11 @@
 #pragma once
-// The writes that a voter has given to its disk and that are not reported yet, and the messages that must
-// not leave before a write is on disk. Raft's safety rests on that order: no answer is given on a term, a
-// vote, an entry or a snapshot that a loss of power could take back (Ongaro 2014, 3.8).
+// The writes that a voter has issued to its disk and that are not reported yet, and the messages that must
+// wait for them. Raft's safety depends on this order: a message must not rely on a term, a vote, an entry or
+// a snapshot that a power failure could still undo (Ongaro 2014, 3.8).
 //
-// A failed write takes all writes behind it with it (see DiskWriteFence), since their entries would follow
-// entries that are missing. What they were to bring beside entries is owed, and comes with the next write.
+// When a write fails, all writes issued after it fail too (see DiskWriteFence), since their entries would
+// follow entries that are missing. A reset, a truncation or a snapshot of the failed writes is carried over
+// to the next write.
 #include <cstdint>
 #include <deque>
 #include <optional>
@@ -17,79 +18,82 @@
 
 namespace duneturn {
 
-/// A write that the disk has not reported yet: what is known to be on disk once it has.
+/// A write that the disk has not reported yet, with what is known to be durable once it succeeds.
 struct PendingWrite {
     std::int64_t sequence = 0;
     std::int64_t writeEpoch = 0;  // see DiskWrite
     std::int64_t term = 0;
     std::int64_t commit = 0;
-    std::int64_t lastIndex = 0;  // of the log, and the term of that entry
-    std::int64_t lastTerm = 0;
+    std::int64_t lastIndex = 0;  // the last entry of the log at the time of the write
+    std::int64_t lastTerm = 0;   // the term of that entry
     Microseconds issuedAt = 0;
     bool reset = false;
     bool hasSnapshot = false;
 };
 
-/// A message that may leave only when a write is on disk.
+/// A message that may be sent only after a write is durable.
 struct DeferredMessage {
     std::int64_t sequence = 0;  // of the write
     std::string toDisk;
     wire::Envelope envelope;
 };
 
-/// Numbers the writes of one voter, keeps what depends on them, and knows whether the disk works. It
-/// performs nothing itself: its owner passes the writes on and sends the messages.
+/// Numbers the writes of one voter, defers the messages that depend on them, and tracks whether the disk
+/// works. It performs no I/O: its owner passes the writes to the disk and sends the messages.
 class WriteQueue {
   public:
-    /// Completes a write, whose `meta` is set, by its numbers and by what is owed, and queues it.
-    /// `last`, `lastTerm`: the end of the log with this write; `snapshotDocument`: of meta's snapshot.
-    [[nodiscard]] auto issue(DiskWrite write, std::int64_t last, std::int64_t lastTerm,
+    /// Queues a write whose `meta` is set. Returns it with its sequence number and with what was carried
+    /// over from failed writes.
+    /// @param lastIndex, lastTerm the end of the log including this write.
+    /// @param snapshotDocument the document of the snapshot that `meta` names.
+    [[nodiscard]] auto issue(DiskWrite write, std::int64_t lastIndex, std::int64_t lastTerm,
         const std::string& snapshotDocument, Microseconds now) -> DiskWrite;
     /// The sequence number of the newest write.
     [[nodiscard]] auto newest() const -> std::int64_t { return sequence_; }
-    /// Whether the newest write lacks this term or vote, or something that is owed.
+    /// Whether the newest write lacks this term or vote, or something is still to be carried over.
     [[nodiscard]] auto isUnsaved(std::int64_t term, const std::string& vote) const -> bool;
-    /// The next write drops the entries from `index` on, beside what it does itself.
+    /// Makes the next write also remove the entries from `index` on.
     auto truncateWithNextWrite(std::int64_t index) -> void { truncateFrom_ = index; }
 
-    /// Takes a reported write out of the queue; none if it was not in it any more.
+    /// Removes a reported write, and all before it, from the queue; none if it was not in the queue.
     [[nodiscard]] auto complete(std::int64_t sequence) -> std::optional<PendingWrite>;
-    /// Takes note of a completed write that succeeded. True if the disk was bad and works again.
-    [[nodiscard]] auto noteSuccess() -> bool;
-    /// Takes note of one that failed, drops all deferred messages, and makes the disk bad. False if it was
-    /// only one of those behind an earlier failure, so that nothing is new.
-    /// `forgetTerm`: the term and vote count as unsaved (always, but for a test's fault).
-    [[nodiscard]] auto noteFailure(const PendingWrite& write, bool forgetTerm, Microseconds now) -> bool;
-
-    /// Whether the disk has failed or stalled, and has not worked since.
-    [[nodiscard]] auto isDiskBad() const -> bool { return diskBad_; }
-    /// Whether the oldest write has become overdue; if so, the disk is bad from now on.
+    /// Records that a completed write succeeded. Returns whether the disk was faulty and works again.
+    [[nodiscard]] auto recordSuccess() -> bool;
+    /// Records that a completed write failed, drops all deferred messages and marks the disk as faulty.
+    /// Returns false, and changes nothing, if the write failed only as a consequence of an earlier failure.
+    /// `forgetTerm`: whether the term and vote count as unsaved; false only for a fault that tests inject.
+    [[nodiscard]] auto recordFailure(const PendingWrite& write, bool forgetTerm, Microseconds now) -> bool;
+    /// Whether the disk has failed or stalled and has not worked since.
+    [[nodiscard]] auto isDiskFaulty() const -> bool { return diskFaulty_; }
+    /// Marks the disk as faulty if the oldest write is outstanding for longer than DISK_STALL_TIMEOUT.
+    /// Returns whether this call did so.
     [[nodiscard]] auto detectStall(Microseconds now) -> bool;
-    /// Whether a bad disk is to be tried again; if so, not before DISK_PROBE_INTERVAL from now again.
-    [[nodiscard]] auto takeProbe(Microseconds now) -> bool;
+    /// Whether a write should now test if a faulty disk works again. If so, the next test is due
+    /// DISK_PROBE_INTERVAL later.
+    [[nodiscard]] auto takeDueProbe(Microseconds now) -> bool;
 
-    /// Whether the write of this number was reported.
+    /// Whether the write with this number was reported.
     [[nodiscard]] auto isDone(std::int64_t sequence) const -> bool;
-    /// Keeps a message until the write `sequence` is on disk.
+    /// Keeps a message until the write `message.sequence` is durable.
     auto defer(DeferredMessage message) -> void { deferred_.push_back(std::move(message)); }
-    /// Takes the messages that waited for writes up to `sequence`, in their order.
+    /// Removes and returns the messages that waited for writes up to `sequence`, in their order.
     [[nodiscard]] auto takeReleased(std::int64_t sequence) -> std::vector<DeferredMessage>;
-    /// Drops all messages that wait; what they promise holds no more.
+    /// Drops all deferred messages, whose content is no longer valid.
     auto dropDeferred() -> void { deferred_.clear(); }
 
   private:
-    auto owe(const PendingWrite& write) -> void;
+    auto carryOver(const PendingWrite& write) -> void;
 
     std::int64_t sequence_ = 0;
     std::int64_t writeEpoch_ = 0;
-    // The term and vote of the newest write; -1 after a failure.
+    // Term and vote of the newest write; the term is -1 after a failure.
     std::int64_t writtenTerm_ = -1;
     std::string writtenVote_;
-    // Parts of failed writes, for the next one.
-    bool owesReset_ = false;
-    bool owesSnapshot_ = false;
-    std::int64_t truncateFrom_ = -1;  // -1: nothing
-    bool diskBad_ = false;
+    // What the next write must repeat of failed ones.
+    bool carriesReset_ = false;
+    bool carriesSnapshot_ = false;
+    std::int64_t truncateFrom_ = -1;  // -1: nothing to truncate
+    bool diskFaulty_ = false;
     Microseconds probeAt_ = 0;
     std::deque<PendingWrite> pending_;
     std::deque<DeferredMessage> deferred_;
--- a/src/control/operator_connection_watch.hpp
+++ b/src/control/operator_connection_watch.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// Watches the connection of a request that is being answered, so that no command is carried out for a
-// caller who has given up and may have sent other commands elsewhere since.
+// Detects that the caller of an operator's request has disconnected, so that no command is executed for a
+// caller that has given up and may have sent other commands to another node since.
 #include <cstdint>
 #include <functional>
 #include <memory>
@@ -13,49 +13,54 @@
 
 namespace duneturn {
 
-/// Whether the other end of `socket` has closed: its end of stream, or a broken connection.
-inline auto peerClosed(int socket) -> bool {
+/// Whether the peer has closed the connection or the connection has failed. Reads nothing from the socket.
+inline auto isPeerClosed(int socket) -> bool {
     auto byte = char();
     auto received = ::recv(socket, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
     if (received < 0) return errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR;
     return received == 0;
 }
 
-/// Of one request. Used on its connection's executor only.
+/// Watches the connection of one request. To be used only on the executor of that connection.
 class OperatorConnectionWatch : public std::enable_shared_from_this<OperatorConnectionWatch> {
   public:
-    /// `arrived`: when the request was read; `onGone` is called once, if the caller goes.
+    /// @param arrived when the request was read.
+    /// @param onDisconnect called at most once, when the caller has disconnected.
     OperatorConnectionWatch(
-        tcp::socket& socket, Microseconds arrived, std::function<void(OperatorConnectionWatch&)> onGone)
-        : arrived(arrived), socket_(socket), onGone_(std::move(onGone)) {}
+        tcp::socket& socket, Microseconds arrived, std::function<void(OperatorConnectionWatch&)> onDisconnect)
+        : arrived(arrived), socket_(socket), onDisconnect_(std::move(onDisconnect)) {}
 
+    /// Starts to wait for a disconnect.
     auto start() -> void {
         auto self = shared_from_this();
         socket_.async_wait(tcp::socket::wait_read, [self](beast::error_code failed) {
-            // Bytes of a next request hide the end; it is looked for again before each command.
-            if (!self->over_ && (failed || peerClosed(self->socket_.native_handle()))) self->leave();
+            // Bytes of a following request hide the end of the stream, so isCallerGone() checks again before
+            // each command.
+            if (!self->stopped_ && (failed || isPeerClosed(self->socket_.native_handle())))
+                self->reportDisconnect();
         });
     }
-    /// The request is answered, and its connection may go.
-    auto stop() -> void { over_ = true; }
+    /// To be called once the request is answered: a later disconnect is not reported any more.
+    auto stop() -> void { stopped_ = true; }
+    /// Checks the connection and returns whether the caller has disconnected.
     auto isCallerGone() -> bool {
-        if (!gone_ && peerClosed(socket_.native_handle())) leave();
-        return gone_;
+        if (!disconnected_ && isPeerClosed(socket_.native_handle())) reportDisconnect();
+        return disconnected_;
     }
 
     const Microseconds arrived;
-    std::int64_t call = 0;  // the node's number of the command or read under way; 0 if none is
+    std::int64_t call = 0;  // the node's id of the command or read in progress; 0: none
 
   private:
-    auto leave() -> void {
-        if (gone_) return;
-        gone_ = true;
-        onGone_(*this);
+    auto reportDisconnect() -> void {
+        if (disconnected_) return;
+        disconnected_ = true;
+        onDisconnect_(*this);
     }
 
     tcp::socket& socket_;
-    std::function<void(OperatorConnectionWatch&)> onGone_;
-    bool gone_ = false, over_ = false;
+    std::function<void(OperatorConnectionWatch&)> onDisconnect_;
+    bool disconnected_ = false, stopped_ = false;
 };
 
 }  // namespace duneturn
--- a/src/control/order_client.cpp
+++ b/src/control/order_client.cpp
@@ -55,10 +55,11 @@
         if (pending.id == id) return finish(pending.request, outcomeUnknown());
 }
 
-auto OrderClient::answered(const wire::OrderReply& reply, std::int64_t boot, Microseconds now) -> void {
-    // An answer to an earlier boot of this node. One of an older program names no boot; the requests'
-    // numbers begin elsewhere in each boot, too.
-    if (reply.boot != 0 && reply.boot != boot) return;
+auto OrderClient::answered(const wire::OrderReply& reply, std::int64_t incarnation, Microseconds now)
+    -> void {
+    // Ignore an answer to an earlier incarnation of this node. Older programs do not state the incarnation,
+    // but the request numbers also differ between incarnations.
+    if (reply.boot != 0 && reply.boot != incarnation) return;
     auto pending = find(reply.id);
     if (!pending) return;
     if (reply.status == order_answer::NOT_LEADER) {
@@ -69,35 +70,35 @@
         return;
     }
     auto outcome = Outcome{reply.status, reply.body};
-    // This leader has not logged it; one that was asked before may have.
+    // This leader has not logged the command, but another one that received it earlier may have.
     auto maybeLogged = pending->kind == Kind::Command && pending->unansweredSends > 1;
     if (outcome.status == order_answer::UNAVAILABLE && maybeLogged) outcome = outcomeUnknown();
     finish(reply.id, outcome);
 }
 
-auto OrderClient::timedOut(const PendingRequest& pending) -> Outcome {
+auto OrderClient::timeoutOutcome(const PendingRequest& pending) -> Outcome {
     if (pending.kind == Kind::Read)
-        return order_answer::readUnconfirmed("no leader confirmed the readback in time");
-    if (pending.unansweredSends == 0) return order_answer::notLogged("no leader took the order in time");
+        return order_answer::readUnconfirmed("no leader answered the read in time");
+    if (pending.unansweredSends == 0) return order_answer::notLogged("no leader accepted the order in time");
     return outcomeUnknown();
 }
 
-auto OrderClient::step(PendingRequest& pending, std::int64_t boot, Microseconds now) -> void {
+auto OrderClient::sendIfDue(PendingRequest& pending, std::int64_t incarnation, Microseconds now) -> void {
     if (now >= pending.nextSend) {
         auto leader = port_.findLeader(now);
         if (leader.empty()) pending.nextSend = now + retry_.noLeader;
-        else send(pending, leader, boot, now);
+        else send(pending, leader, incarnation, now);
         return;
     }
     if (!retry_.followsLeader) return;
     auto leader = port_.lastLeader();
     auto leaderChanged = pending.sent && !leader.empty() && leader != pending.sentTo;
-    if (leaderChanged) send(pending, leader, boot, now);
+    if (leaderChanged) send(pending, leader, incarnation, now);
 }
 
 auto OrderClient::send(
-    PendingRequest& pending, const std::string& leader, std::int64_t boot, Microseconds now) -> void {
-    pending.nextSend = now + LEADER_SILENCE;
+    PendingRequest& pending, const std::string& leader, std::int64_t incarnation, Microseconds now) -> void {
+    pending.nextSend = now + LEADER_RESPONSE_TIMEOUT;
     pending.sent = true;
     pending.sentTo = leader;
     pending.unansweredSends++;
@@ -105,18 +106,18 @@
     request.id = pending.request;
     request.body = pending.body;
     request.readback = pending.kind == Kind::Read;
-    request.__set_boot(boot);
-    port_.sendOrder(leader, request, now);  // may answer, and so end `pending`
+    request.__set_boot(incarnation);
+    port_.sendOrder(leader, request, now);  // may be answered during the call, which invalidates `pending`
 }
 
-auto OrderClient::tick(std::int64_t boot, Microseconds now) -> void {
+auto OrderClient::tick(std::int64_t incarnation, Microseconds now) -> void {
     auto requests = std::vector<std::int64_t>();
     for (auto& pending : pending_) requests.push_back(pending.request);
     for (auto request : requests) {
         auto pending = find(request);
         if (!pending) continue;
-        if (now >= pending->deadline) finish(request, timedOut(*pending));
-        else step(*pending, boot, now);
+        if (now >= pending->deadline) finish(request, timeoutOutcome(*pending));
+        else sendIfDue(*pending, incarnation, now);
     }
 }
 
--- a/src/control/order_service.cpp
+++ b/src/control/order_service.cpp
@@ -15,9 +15,11 @@
 namespace order_answer {
 
 auto notLeader() -> Outcome { return {NOT_LEADER, bodyOf({{"error", jsonQuote("not the leader")}})}; }
-auto notLogged(std::string_view why) -> Outcome { return {UNAVAILABLE, bodyOf({{"error", jsonQuote(why)}})}; }
-auto readUnconfirmed(std::string_view why) -> Outcome {
-    return {UNAVAILABLE, bodyOf({{"error", jsonQuote(why)}})};
+auto notLogged(std::string_view reason) -> Outcome {
+    return {UNAVAILABLE, bodyOf({{"error", jsonQuote(reason)}})};
+}
+auto readUnconfirmed(std::string_view reason) -> Outcome {
+    return {UNAVAILABLE, bodyOf({{"error", jsonQuote(reason)}})};
 }
 
 }  // namespace order_answer
@@ -30,7 +32,8 @@
     return {jsonString(document, "op"), jsonString(document, "key"), jsonString(document, "body")};
 }
 
-// One of an earlier term may have been dropped from the log, and would be waited for in vain.
+// Ignores commands of earlier terms: they may have been removed from the log, so waiting for them could be
+// in vain.
 auto OrderService::findInLog(const std::string& key, std::int64_t term) -> PendingCommand* {
     for (auto& command : commands_)
         if (command.key == key && command.term == term && !command.applied) return &command;
@@ -41,7 +44,7 @@
     -> PendingCommand& {
     auto command = PendingCommand();
     command.key = key;
-    command.waiting.push_back(from);
+    command.requesters.push_back(from);
     command.term = voter.term();
     command.deadline = now + ORDER_SERVICE_TIMEOUT;
     return commands_.emplace_back(std::move(command));
@@ -52,7 +55,7 @@
     if (!voter.ready()) return port_.answer(from, order_answer::notLeader());
     auto request = parse(text);
     if (request.operation.empty()) return;
-    // The same key again: that it was accepted stays so, whoever leads now.
+    // A retry of an accepted command. It stays accepted whichever node leads now.
     if (auto known = voter.replicatedState().accepted(request.key); known.status) {
         auto& command = awaitOutcome(voter, from, request.key, now);
         command.applied = true;
@@ -61,20 +64,20 @@
         return;
     }
     if (auto command = findInLog(request.key, voter.term()); command && !request.key.empty()) {
-        command->waiting.push_back(from);
+        command->requesters.push_back(from);
         command->deadline = now + ORDER_SERVICE_TIMEOUT;
         return;
     }
     auto command = prepareCommand(voter.latestState(), request.operation, request.key, request.body, wall);
     if (command) return propose(voter, from, *command, now);
     if (command.error().dependsOnState && !broken.rejectFromLog)
-        return confirmRefusal(voter, from, request, now);
-    refuse(from, command.error());
+        return confirmRejection(voter, from, request, now);
+    reject(from, command.error());
 }
 
-/// A log entry that all voters can read.
+// Encodes a command in the most compact form that all voters support.
 static auto encodeForVoters(const Voter& voter, const LoggedCommand& command) -> EncodedCommand {
-    if (voter.allReadCompact()) return encodeCompact(voter.latestState(), command);
+    if (voter.allVotersReadCompact()) return encodeCompact(voter.latestState(), command);
     return {encodeCommand(command), EntryForm::Document};
 }
 
@@ -84,7 +87,8 @@
     auto entry = encodeForVoters(voter, command);
     if (voter.propose(entryKindOf(entry.form), entry.body, now)) return;
     commands_.pop_back();
-    port_.answer(from, order_answer::notLogged("the leader's disk takes nothing; the order was not logged"));
+    port_.answer(
+        from, order_answer::notLogged("the leader can't write to its disk; the order was not logged"));
 }
 
 auto OrderService::applied(const std::string& key, std::int64_t stateVersion, const Outcome& outcome)
@@ -98,15 +102,16 @@
     }
 }
 
-auto OrderService::refuse(const Requester& from, const Outcome& outcome) -> void {
+auto OrderService::reject(const Requester& from, const Outcome& outcome) -> void {
     counters_.add("orders_denied_total");
     port_.answer(from, outcome);
 }
 
-auto OrderService::answerOf(PendingCommand& command, Microseconds now) -> Outcome {
-    // A refusal that was applied is committed; an acknowledgement may need further majorities.
-    auto refused = command.applied && command.outcome.status != order_answer::ACCEPTED;
-    if (refused) return command.outcome;
+auto OrderService::answerIfKnown(PendingCommand& command, Microseconds now) -> Outcome {
+    // The rejection of an applied command is committed, so it can be answered at once. An acknowledgement may
+    // need further majorities.
+    auto rejected = command.applied && command.outcome.status != order_answer::ACCEPTED;
+    if (rejected) return command.outcome;
     if (command.applied && port_.acknowledged(command.proof, command.stateVersion, now))
         return command.outcome;
     return now >= command.deadline ? outcomeUnknown() : Outcome();
@@ -114,7 +119,7 @@
 
 auto OrderService::tickCommands(Microseconds now) -> void {
     for (auto i = std::size_t(0); i < commands_.size();) {
-        auto answer = answerOf(commands_[i], now);
+        auto answer = answerIfKnown(commands_[i], now);
         if (!answer.status) {
             i++;
             continue;
@@ -123,61 +128,62 @@
         commands_.erase(commands_.begin() + std::ptrdiff_t(i));
         auto acknowledged = answer.status == order_answer::ACCEPTED;
         counters_.add(acknowledged ? "orders_acknowledged_total" : "orders_denied_total");
-        for (auto& requester : finished.waiting) port_.answer(requester, answer);
+        for (auto& requester : finished.requesters) port_.answer(requester, answer);
     }
 }
 
-// ---- refusals
+// ---- rejections
 
-auto OrderService::confirmRefusal(
+auto OrderService::confirmRejection(
     Voter& voter, const Requester& from, const Request& request, Microseconds now) -> void {
-    auto refusal = PendingRefusal();
-    refusal.readId = ++lastReadId_;
-    refusal.from = from;
-    refusal.request = request;
-    refusal.logEnd = voter.last();
-    refusal.deadline = now + ORDER_SERVICE_TIMEOUT;
-    refusals_.push_back(refusal);
+    auto rejection = PendingRejection();
+    rejection.readId = ++lastReadId_;
+    rejection.from = from;
+    rejection.request = request;
+    rejection.logEnd = voter.last();
+    rejection.deadline = now + ORDER_SERVICE_TIMEOUT;
+    rejections_.push_back(rejection);
     counters_.add("refusals_to_confirm_total");
-    voter.read(refusal.readId, now);
+    voter.read(rejection.readId, now);
 }
 
 auto OrderService::prepareAgain(
-    Voter& voter, const PendingRefusal& refusal, Microseconds wall, Microseconds now) -> void {
-    auto& request = refusal.request;
+    Voter& voter, const PendingRejection& rejection, Microseconds wall, Microseconds now) -> void {
+    auto& request = rejection.request;
     auto& state = voter.replicatedState();
-    if (auto known = state.accepted(request.key); known.status) return port_.answer(refusal.from, known);
+    if (auto known = state.accepted(request.key); known.status) return port_.answer(rejection.from, known);
     auto command = prepareCommand(state, request.operation, request.key, request.body, wall);
-    if (command) return propose(voter, refusal.from, *command, now);
-    refuse(refusal.from, command.error());
+    if (command) return propose(voter, rejection.from, *command, now);
+    reject(rejection.from, command.error());
 }
 
-auto OrderService::tickRefusals(Voter& voter, Microseconds wall, Microseconds now) -> void {
-    for (auto i = std::size_t(0); i < refusals_.size();) {
-        auto& refusal = refusals_[i];
-        auto confirmed = refusal.confirmed && voter.ready() && voter.applied() >= refusal.logEnd;
-        if (!confirmed && now < refusal.deadline) {
+auto OrderService::tickRejections(Voter& voter, Microseconds wall, Microseconds now) -> void {
+    for (auto i = std::size_t(0); i < rejections_.size();) {
+        auto& rejection = rejections_[i];
+        auto confirmed = rejection.confirmed && voter.ready() && voter.applied() >= rejection.logEnd;
+        if (!confirmed && now < rejection.deadline) {
             i++;
             continue;
         }
-        auto finished = std::move(refusal);
-        refusals_.erase(refusals_.begin() + std::ptrdiff_t(i));
+        auto finished = std::move(rejection);
+        rejections_.erase(rejections_.begin() + std::ptrdiff_t(i));
         if (confirmed) prepareAgain(voter, finished, wall, now);
         else
-            port_.answer(finished.from, order_answer::notLogged("no majority confirmed the refusal in time"));
+            port_.answer(
+                finished.from, order_answer::notLogged("no majority confirmed the rejection in time"));
     }
 }
 
-auto OrderService::refusalReadDone(std::int64_t id, bool confirmed) -> void {
-    auto isRead = [&](const PendingRefusal& refusal) { return refusal.readId == id; };
-    auto found = std::find_if(refusals_.begin(), refusals_.end(), isRead);
-    if (found == refusals_.end()) return;
+auto OrderService::rejectionReadDone(std::int64_t id, bool confirmed) -> void {
+    auto isRead = [&](const PendingRejection& rejection) { return rejection.readId == id; };
+    auto found = std::find_if(rejections_.begin(), rejections_.end(), isRead);
+    if (found == rejections_.end()) return;
     if (confirmed) {
         found->confirmed = true;
         return;
     }
     auto from = found->from;
-    refusals_.erase(found);
+    rejections_.erase(found);
     port_.answer(from, order_answer::notLeader());
 }
 
@@ -199,7 +205,7 @@
 auto OrderService::readDone(Voter& voter, std::int64_t id, bool confirmed) -> void {
     auto isRead = [&](const PendingRead& read) { return read.id == id; };
     auto found = std::find_if(reads_.begin(), reads_.end(), isRead);
-    if (found == reads_.end()) return refusalReadDone(id, confirmed);
+    if (found == reads_.end()) return rejectionReadDone(id, confirmed);
     if (confirmed) {
         found->confirmed = true;
         found->stateVersion = voter.replicatedState().version;
@@ -211,15 +217,15 @@
     port_.answer(from, order_answer::notLeader());
 }
 
-auto OrderService::answerOf(PendingRead& read, Microseconds now) -> Outcome {
+auto OrderService::answerIfKnown(PendingRead& read, Microseconds now) -> Outcome {
     if (read.confirmed && port_.acknowledged(read.proof, read.stateVersion, now)) return read.outcome;
     if (now < read.deadline) return {};
-    return order_answer::readUnconfirmed("no majority confirmed the readback in time");
+    return order_answer::readUnconfirmed("no majority confirmed the read in time");
 }
 
 auto OrderService::tickReads(Microseconds now) -> void {
     for (auto i = std::size_t(0); i < reads_.size();) {
-        auto answer = answerOf(reads_[i], now);
+        auto answer = answerIfKnown(reads_[i], now);
         if (!answer.status) {
             i++;
             continue;
@@ -232,7 +238,7 @@
 }
 
 auto OrderService::tick(Voter& voter, Microseconds wall, Microseconds now) -> void {
-    tickRefusals(voter, wall, now);
+    tickRejections(voter, wall, now);
     tickCommands(now);
     tickReads(now);
 }
--- a/src/control/order_service.hpp
+++ b/src/control/order_service.hpp
@@ -1,9 +1,9 @@
 #pragma once
-// The leader's side of operators' commands and linearizable reads. An accepted command is acknowledged
-// once it is committed; one that is sent again is recognised by its idempotency key. A read, and a refusal
-// that depends on the state, is answered out of committed state after a majority has confirmed this
-// leader, in a round that began after the question arrived (ReadIndex: Ongaro, "Consensus: Bridging Theory
-// and Practice", 6.4).
+// The leader's handling of operators' commands and linearizable reads. An accepted command is acknowledged
+// once it is committed; a retried command is recognized by its idempotency key. Reads, and rejections that
+// depend on the state, are answered from committed state after a majority has confirmed this leader in a
+// heartbeat round that began after the request arrived (ReadIndex: Ongaro, "Consensus: Bridging Theory and
+// Practice", 2014, 6.4).
 #include <cstdint>
 #include <map>
 #include <string>
@@ -17,63 +17,73 @@
 
 namespace duneturn {
 
-/// How long the leader waits for a majority; below the waiting node's own timeout (ORDER_TIMEOUT), so that
-/// the answer is in time.
+/// How long the leader waits for a majority. Shorter than the timeout of the requesting node
+/// (ORDER_TIMEOUT), so that the answer reaches it in time.
 constexpr Microseconds ORDER_SERVICE_TIMEOUT = 4 * SECOND;
 
-/// Who waits for an answer: a node's peer address, and the request's number in one boot of that node.
+/// Where an answer goes: a node's peer address, and a request number that is unique within the incarnation
+/// `boot` of that node.
 struct Requester {
     std::string address;
     std::int64_t boot = 0;
     std::int64_t request = 0;
 };
 
-/// That a majority of voters and of the roster hold something at one same moment: each was seen
-/// holding it by `begun`, and again, in the same boot, after `begun`.
+/// Progress of establishing that majorities of the voters and of the roster hold a state at one moment. Each
+/// member must be seen to hold it by `begun` and again, in the same incarnation, after `begun`; a member that
+/// restarted in between may have lost it.
 struct MajorityProof {
-    Microseconds begun = 0;
-    std::map<std::string, std::int64_t> incarnations;
+    Microseconds begun = 0;                            // 0: not begun
+    std::map<std::string, std::int64_t> incarnations;  // by node, of those seen to hold it by `begun`
 };
 
-/// Answers that the order service gives beside the state's own outcomes.
+/// Answers of the order service besides the outcomes that the replicated state gives.
 namespace order_answer {
 constexpr int ACCEPTED = 200;
-/// "Ask another node": this one is not the leader, and has put nothing into its log for the asker.
+/// This node is not the leader and has logged nothing for this request, so another node may be asked.
 constexpr int NOT_LEADER = 421;
 constexpr int UNAVAILABLE = 503;
 [[nodiscard]] auto notLeader() -> Outcome;
-/// The command is not in the log by this request.
-[[nodiscard]] auto notLogged(std::string_view why) -> Outcome;
-[[nodiscard]] auto readUnconfirmed(std::string_view why) -> Outcome;
+/// The command was not logged for this request.
+[[nodiscard]] auto notLogged(std::string_view reason) -> Outcome;
+/// The read was not answered, since no majority or no leader confirmed it.
+[[nodiscard]] auto readUnconfirmed(std::string_view reason) -> Outcome;
 }  // namespace order_answer
 
-/// What the service needs of its node.
+/// The environment of an OrderService.
 struct OrderServicePort {
     virtual ~OrderServicePort() = default;
+    /// Sends the outcome of a command or a read.
     virtual auto answer(const Requester& to, const Outcome& outcome) -> void = 0;
-    /// Whether the state of this version is held by all the majorities that an acknowledgement needs.
+    /// Whether all majorities that an acknowledgement needs hold the state of this version. `proof` keeps the
+    /// progress between the calls for one request.
     virtual auto acknowledged(MajorityProof& proof, std::int64_t stateVersion, Microseconds now) -> bool = 0;
 };
 
+/// The pending commands and reads of a leader. Not thread-safe.
 class OrderService {
   public:
     OrderService(OrderServicePort& port, Counters& counters) : port_(port), counters_(counters) {}
 
-    /// A command as OrderClient encodes it; `wall`: calendar time.
+    /// Handles a command.
+    /// @param text the command as OrderClient encodes it.
+    /// @param wall the calendar time, which is logged with the command.
     auto order(Voter& voter, const Requester& from, const std::string& text, Microseconds wall,
         Microseconds now) -> void;
+    /// Handles a linearizable read.
     auto read(Voter& voter, const Requester& from, const StateQuery& query, Microseconds now) -> void;
-    /// The voter's answer to Voter::read.
+    /// Handles the result of Voter::read.
     auto readDone(Voter& voter, std::int64_t id, bool confirmed) -> void;
-    /// A command was applied and made this version of the state, or was refused on it.
+    /// Records the outcome of an applied command: it resulted in this version of the state, or was rejected
+    /// by it.
     auto applied(const std::string& key, std::int64_t stateVersion, const Outcome& outcome) -> void;
-    /// Answers what can be answered by now.
+    /// Answers the requests whose outcome is known or that have timed out.
     auto tick(Voter& voter, Microseconds wall, Microseconds now) -> void;
 
-    /// Deliberate faults that the tests' oracles must see; none is set outside tests.
+    /// Faults that tests inject to prove that the oracles detect them. All are off in production.
     struct Broken {
-        bool rejectFromLog = false;    // refuses by entries that are not committed, unconfirmed
-        bool readUnconfirmed = false;  // reads are answered at once
+        bool rejectFromLog = false;  // rejects commands because of uncommitted entries, without confirmation
+        bool readUnconfirmed = false;  // answers reads without confirming the leadership
     };
     Broken broken;
 
@@ -81,14 +91,14 @@
     struct Request {
         std::string operation, key, body;
     };
-    /// A command in the log, or one that was accepted before, until its outcome is acknowledged.
+    /// A command that is in the log, or was accepted earlier, and whose outcome is not answered yet.
     struct PendingCommand {
         std::string key;
-        std::vector<Requester> waiting;
-        std::int64_t term = 0;  // in which it was put into the log
+        std::vector<Requester> requesters;
+        std::int64_t term = 0;  // the term in which it was logged
         Microseconds deadline = 0;
         bool applied = false;
-        std::int64_t stateVersion = 0;  // the one that holds it
+        std::int64_t stateVersion = 0;  // the first version that includes it
         Outcome outcome;
         MajorityProof proof;
     };
@@ -98,16 +108,17 @@
         StateQuery query;
         Microseconds deadline = 0;
         bool confirmed = false;
-        std::int64_t stateVersion = 0;  // the one that was read
+        std::int64_t stateVersion = 0;  // the version that was read
         Outcome outcome;
         MajorityProof proof;
     };
-    /// A command that the log as it stands refuses; prepared again on committed state.
-    struct PendingRefusal {
+    /// A command that the log, including uncommitted entries, rejects. It is prepared again on committed
+    /// state once a majority has confirmed this leader.
+    struct PendingRejection {
         std::int64_t readId = 0;
         Requester from;
         Request request;
-        std::int64_t logEnd = 0;  // the log's last index when the request came
+        std::int64_t logEnd = 0;  // the last log index when the request arrived
         Microseconds deadline = 0;
         bool confirmed = false;
     };
@@ -117,24 +128,24 @@
     auto awaitOutcome(Voter& voter, const Requester& from, const std::string& key, Microseconds now)
         -> PendingCommand&;
     auto propose(Voter& voter, const Requester& from, const LoggedCommand& command, Microseconds now) -> void;
-    auto confirmRefusal(Voter& voter, const Requester& from, const Request& request, Microseconds now)
+    auto confirmRejection(Voter& voter, const Requester& from, const Request& request, Microseconds now)
         -> void;
-    auto prepareAgain(Voter& voter, const PendingRefusal& refusal, Microseconds wall, Microseconds now)
+    auto prepareAgain(Voter& voter, const PendingRejection& rejection, Microseconds wall, Microseconds now)
         -> void;
-    auto refuse(const Requester& from, const Outcome& outcome) -> void;
-    auto refusalReadDone(std::int64_t id, bool confirmed) -> void;
-    /// The answer to a pending command or read that can be given by now; status 0 if none can.
-    auto answerOf(PendingCommand& command, Microseconds now) -> Outcome;
-    auto answerOf(PendingRead& read, Microseconds now) -> Outcome;
+    auto reject(const Requester& from, const Outcome& outcome) -> void;
+    auto rejectionReadDone(std::int64_t id, bool confirmed) -> void;
+    /// The answer to a pending command or read; status 0 if it can't be answered yet.
+    auto answerIfKnown(PendingCommand& command, Microseconds now) -> Outcome;
+    auto answerIfKnown(PendingRead& read, Microseconds now) -> Outcome;
     auto tickCommands(Microseconds now) -> void;
     auto tickReads(Microseconds now) -> void;
-    auto tickRefusals(Voter& voter, Microseconds wall, Microseconds now) -> void;
+    auto tickRejections(Voter& voter, Microseconds wall, Microseconds now) -> void;
 
     OrderServicePort& port_;
     Counters& counters_;
     std::vector<PendingCommand> commands_;
     std::vector<PendingRead> reads_;
-    std::vector<PendingRefusal> refusals_;
+    std::vector<PendingRejection> rejections_;
     std::int64_t lastReadId_ = 0;
 };
 
--- a/tests/consensus/consensus_fixture.hpp
+++ b/tests/consensus/consensus_fixture.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// Voters over links of a given speed, in virtual time: messages keep their order and are lost only
-// where a test says so; disks sync each write within a step.
+// A simulated cluster of voters in virtual time. Links have a bandwidth, keep the order of messages and lose
+// only what a test specifies. Disks complete each write within a step unless a test stops them.
 #include <algorithm>
 #include <cstdint>
 #include <deque>
@@ -24,45 +24,49 @@
 
 namespace duneturn {
 
+/// A cluster of voters, driven step by step by a test.
 struct ConsensusFixture {
     static constexpr Microseconds STEP = 5 * MILLISECOND;
 
+    /// One voter with its disk.
     struct Member : VoterPort {
         ConsensusFixture& cluster;
         std::string disk;
         Counters counters;
-        DiskState held;
+        DiskState held;  // what is durable on the disk
         std::deque<DiskWrite> pending;
-        DiskWriteFence gate;
+        DiskWriteFence fence;
         std::unique_ptr<Voter> voter;
         bool diskHangs = false, failNextWrite = false;
-        std::vector<std::pair<std::string, wire::Envelope>> sent;  // kept while `record`
+        std::vector<std::pair<std::string, wire::Envelope>> sent;  // collected while `recordSent` is set
         std::map<std::int64_t, bool> reads;
 
         Member(ConsensusFixture& owner, std::string identity) : cluster(owner), disk(std::move(identity)) {}
-        auto sendToReplica(const std::string& to, wire::Envelope& message) -> void override {
-            if (cluster.record) sent.emplace_back(to, message);
-            cluster.post(disk, to, message);
+        auto sendToReplica(const std::string& toDisk, wire::Envelope& message) -> void override {
+            if (cluster.recordSent) sent.emplace_back(toDisk, message);
+            cluster.post(disk, toDisk, message);
         }
         auto writeToDisk(const DiskWrite& write) -> void override { pending.push_back(write); }
         auto onStateApplied(const ReplicatedState&, const AppliedEntry&) -> void override {}
-        auto onReadDone(std::int64_t id, bool ok) -> void override { reads[id] = ok; }
+        auto onReadDone(std::int64_t id, bool confirmed) -> void override { reads[id] = confirmed; }
+        /// Starts the voter from the durable state, as after a restart of its process.
         auto start() -> void {
             pending.clear();
-            gate = {};
+            fence = {};
             voter = std::make_unique<Voter>(*this, counters, cluster.random.next());
             voter->broken = cluster.broken;
             voter->start(held, disk, cluster.now);
         }
+        /// Completes the pending writes.
         auto sync() -> void {
             while (!diskHangs && voter && !pending.empty()) {
                 auto write = pending.front();
                 pending.pop_front();
-                auto ok = gate.takes(write) && !failNextWrite;
+                auto succeeded = fence.takes(write) && !failNextWrite;
                 failNextWrite = false;
-                if (ok) applyDiskWrite(held, write);
-                else gate.fail(write);
-                voter->onDiskWriteDone(write.seq, ok, cluster.now);
+                if (succeeded) applyDiskWrite(held, write);
+                else fence.fail(write);
+                voter->onDiskWriteDone(write.seq, succeeded, cluster.now);
             }
         }
     };
@@ -70,14 +74,15 @@
     RandomSource random{1};
     Microseconds now = SECOND;
     Voter::Broken broken;
-    bool record = false;
+    bool recordSent = false;
     std::map<std::string, std::unique_ptr<Member>> members;
     std::vector<std::pair<std::string, std::string>> spares;
-    std::set<std::pair<std::string, std::string>> cut;  // links that carry nothing
-    std::map<std::string, std::int64_t> bitsPerSecond;  // into a member; absent: no limit
-    std::function<bool(const std::string&, wire::Envelope&)> drop;
-    std::multimap<Microseconds, std::pair<std::string, wire::Envelope>> network;
-    std::map<std::pair<std::string, std::string>, Microseconds> linkFree;
+    std::set<std::pair<std::string, std::string>> partitioned;  // links that lose everything, (from, to)
+    std::map<std::string, std::int64_t> bitsPerSecond;          // by receiver; absent: 10 Gbit/s
+    // Returns whether to drop a message to a disk; may also change the message.
+    std::function<bool(const std::string& to, wire::Envelope& message)> drop;
+    std::multimap<Microseconds, std::pair<std::string, wire::Envelope>> network;  // by arrival
+    std::map<std::pair<std::string, std::string>, Microseconds> linkFreeAt;
     std::int64_t bytesSent = 0;
 
     static auto sizeOf(const wire::Envelope& message) -> std::int64_t {
@@ -87,14 +92,15 @@
             + std::int64_t(message.installSnapshot.document.size() + message.snapshotChunk.data.size());
     }
     auto post(const std::string& from, const std::string& to, wire::Envelope message) -> void {
-        if (cut.count({from, to}) || !members.count(to)) return;
+        if (partitioned.count({from, to}) || !members.count(to)) return;
         if (drop && drop(to, message)) return;
-        auto& free = linkFree[{from, to}];
+        auto& freeAt = linkFreeAt[{from, to}];
         auto rate = bitsPerSecond.count(to) ? bitsPerSecond[to] : std::int64_t(10'000'000'000);
-        free = std::max(free, now) + sizeOf(message) * 8 * SECOND / rate;
+        freeAt = std::max(freeAt, now) + sizeOf(message) * 8 * SECOND / rate;
         bytesSent += sizeOf(message);
-        network.emplace(free + 2 * MILLISECOND, std::pair(to, std::move(message)));
+        network.emplace(freeAt + 2 * MILLISECOND, std::pair(to, std::move(message)));
     }
+    /// Starts a voter with an uninitialized disk.
     auto add(const std::string& disk) -> Member& {
         auto& member = members[disk] = std::make_unique<Member>(*this, disk);
         member->start();
@@ -104,15 +110,19 @@
     auto counter(const std::string& disk, std::string_view name) -> std::int64_t {
         return members.at(disk)->counters.get(name);
     }
+    /// Stops a voter. Its disk stays and can be started again.
     auto stop(const std::string& disk) -> void { members.at(disk)->voter.reset(); }
+    /// Removes a voter together with its disk.
     auto lose(const std::string& disk) -> void { members.erase(disk); }
+    /// Partitions a disk from all others, or ends the partition.
     auto isolate(const std::string& disk, bool isolated) -> void {
         for (auto& [other, member] : members)
             for (const auto& link : {std::pair(disk, other), std::pair(other, disk)})
-                if (isolated) cut.insert(link);
-                else cut.erase(link);
+                if (isolated) partitioned.insert(link);
+                else partitioned.erase(link);
     }
-    // A cluster of these disks, each of a node "s-<disk>", led by somebody.
+    /// Bootstraps a cluster of these disks, each on a node "s-<disk>", and waits until it has a leader.
+    /// `name` is stored in the configuration and can be used to enlarge the snapshots.
     auto bootstrap(const std::vector<std::string>& disks, const std::string& name = "") -> void {
         auto initialVoters = std::vector<VoterIdentity>();
         for (auto& disk : disks) {
@@ -140,13 +150,13 @@
             if (receiver != members.end() && receiver->second->voter)
                 receiver->second->voter->handle(message, now);
         }
-        auto blank = std::vector<std::string>();
+        auto uninitialized = std::vector<std::string>();
         for (auto& [disk, member] : members)
-            if (member->voter && member->voter->blank()) blank.push_back(disk);
+            if (member->voter && member->voter->blank()) uninitialized.push_back(disk);
         for (auto& [disk, member] : members) {
             member->sync();
             if (!member->voter) continue;
-            member->voter->setUninitializedVoters(blank);
+            member->voter->setUninitializedVoters(uninitialized);
             member->voter->setSpareDisks(spares);
             member->voter->tick(now);
         }
@@ -154,7 +164,7 @@
     auto run(Microseconds duration) -> void {
         for (auto end = now + duration; now < end;) step();
     }
-    /// Steps until `done` or the time is over; whether it was done.
+    /// Steps until `done` returns true, for at most `limit`. Returns the last result of `done`.
     auto until(const std::function<bool()>& done, Microseconds limit) -> bool {
         for (auto end = now + limit; now < end;) {
             if (done()) return true;
@@ -162,24 +172,27 @@
         }
         return done();
     }
+    /// The ready leader with the highest term; empty if there is none.
     auto leader() -> std::string {
-        auto best = std::string();
+        auto leaderDisk = std::string();
         for (auto& [disk, member] : members) {
             auto& voter = member->voter;
-            if (voter && voter->ready() && (best.empty() || voter->term() > at(best).term())) best = disk;
+            if (voter && voter->ready() && (leaderDisk.empty() || voter->term() > at(leaderDisk).term()))
+                leaderDisk = disk;
         }
-        return best;
+        return leaderDisk;
     }
-    /// Makes `disk` the leader.
+    /// Isolates other leaders until `disk` is the leader.
     auto lead(const std::string& disk) -> void {
-        for (auto tries = 0; tries < 50 && leader() != disk; tries++) {
+        for (auto attempts = 0; attempts < 50 && leader() != disk; attempts++) {
             if (auto other = leader(); !other.empty()) isolate(other, true);
             run(3 * SECOND);
-            cut.clear();
+            partitioned.clear();
             run(2 * SECOND);
         }
         CHECK_EQ(disk, leader());
     }
+    /// Proposes the evacuation of a zone at this disk.
     auto propose(const std::string& disk, const std::string& zone) -> bool {
         auto body = orderPrepare(at(disk).latestState(), "empty", fmt::format("k{}", ++keys_),
             fmt::format("{{\"district\":\"{}\"}}", zone), now);
--- a/tests/consensus/consensus_membership_test.cpp
+++ b/tests/consensus/consensus_membership_test.cpp
@@ -1,4 +1,5 @@
-// Replacing a voter: joint configurations, learners, retiring, and what may be lost meanwhile.
+// Replacement of voters: joint configurations, learners, retired disks, and which losses a cluster survives
+// during the replacement.
 #include <set>
 #include <string>
 #include <utility>
@@ -14,43 +15,44 @@
 
 using Disks = std::set<std::string>;
 
-// ---- by enumeration
+// ---- comparison of procedures by enumeration
 
-/// A moment of a replacement: the sets of voters of which each needs a majority.
-struct Moment {
+/// A phase of a replacement, with the sets of voters of which each needs a majority.
+struct Phase {
     std::string name;
     std::vector<Disks> quorums;
 };
 
-auto available(const Moment& moment, const Disks& alive) -> bool {
-    return std::all_of(moment.quorums.begin(), moment.quorums.end(), [&](auto& voters) {
-        auto living =
+auto hasQuorums(const Phase& phase, const Disks& alive) -> bool {
+    return std::all_of(phase.quorums.begin(), phase.quorums.end(), [&](auto& voters) {
+        auto aliveCount =
             std::count_if(voters.begin(), voters.end(), [&](auto& disk) { return alive.count(disk) > 0; });
-        return std::size_t(living) * 2 > voters.size();
+        return std::size_t(aliveCount) * 2 > voters.size();
     });
 }
 
-/// Of how many sets of `losses` among the living a quorum is left, and of how many sets there are.
-auto borne(const Moment& moment, const Disks& alive, int losses) -> std::pair<int, int> {
+/// Enumerates all ways to lose `losses` of the disks that are alive. Returns after how many of them the
+/// cluster still has its quorums, and how many there are.
+auto countSurvivedLosses(const Phase& phase, const Disks& alive, int losses) -> std::pair<int, int> {
     auto list = std::vector<std::string>(alive.begin(), alive.end());
-    auto ok = 0, all = 0;
+    auto survived = 0, total = 0;
     for (auto bits = 0u; bits < 1u << list.size(); bits++) {
         if (__builtin_popcount(bits) != losses) continue;
         auto left = alive;
         for (auto i = std::size_t(0); i < list.size(); i++)
             if (bits >> i & 1) left.erase(list[i]);
-        all++;
-        ok += available(moment, left);
+        total++;
+        survived += hasQuorums(phase, left);
     }
-    return {ok, all};
+    return {survived, total};
 }
 
 struct Procedure {
     std::string name;
-    std::vector<Moment> moments;
+    std::vector<Phase> phases;
 };
 
-// The disk `newcomer` takes the place of `old`.
+// The procedures by which the disk `newcomer` can replace `old`.
 auto procedures(const Disks& voters, const std::string& old, const std::string& newcomer)
     -> std::vector<Procedure> {
     auto after = voters, both = voters, without = voters;
@@ -58,25 +60,26 @@
     after.insert(newcomer);
     both.insert(newcomer);
     without.erase(old);
-    auto first = Moment{"before, the newcomer learns", {voters}}, last = Moment{"after", {after}};
+    auto first = Phase{"before, newcomer is a learner", {voters}}, last = Phase{"after", {after}};
     return {{"add, then remove", {first, {"both vote", {both}}, last}},
         {"remove, then add", {first, {"one fewer", {without}}, last}},
         {"joint", {first, {"joint", {voters, after}}, last}}};
 }
 
 auto disksOf(int count) -> Disks {
-    auto out = Disks();
-    for (auto i = 0; i < count; i++) out.insert(std::string(1, char('a' + i)));
-    return out;
+    auto disks = Disks();
+    for (auto i = 0; i < count; i++) disks.insert(std::string(1, char('a' + i)));
+    return disks;
 }
 
-// ---- the voter itself
+// ---- replacement by Voter
 
 struct Replacement {
     ConsensusFixture cluster;
     Replacement() { cluster.bootstrap({"a", "b", "c"}); }
-    // Steps to the moment at which the leader has appended the joint configuration.
-    auto toJoint(const std::string& replaced) -> std::string {
+    /// Adds disk "d" on the node of the replaced disk and steps until the leader has appended the joint
+    /// configuration. Returns the leader.
+    auto runUntilJoint(const std::string& replaced) -> std::string {
         auto leader = cluster.leader();
         cluster.add("d");
         cluster.spares = {{"s-" + replaced, "d"}};
@@ -87,87 +90,84 @@
 
 }  // namespace
 
-TEST(ConsensusMembership, lossesBorneByEachProcedure) {
+TEST(ConsensusMembership, jointChangeSurvivesMostLosses) {
     for (auto size : {3, 5})
-        for (auto dead : {true, false}) {
+        for (auto replacedIsDead : {true, false}) {
             auto voters = disksOf(size);
             auto alive = voters;
             alive.insert("new");
-            if (dead) alive.erase("a");
+            if (replacedIsDead) alive.erase("a");
             auto all = procedures(voters, "a", "new");
             auto& joint = all[2];
             for (auto& procedure : all)
-                for (auto i = std::size_t(0); i < procedure.moments.size(); i++)
+                for (auto i = std::size_t(0); i < procedure.phases.size(); i++)
                     for (auto losses = 1; losses <= 3; losses++) {
-                        auto [ok, sum] = borne(procedure.moments[i], alive, losses);
+                        auto [survived, total] = countSurvivedLosses(procedure.phases[i], alive, losses);
                         if (getenv("DT_SHOW"))
                             fmt::print("{} voters, replaced one {}: {} / {}: {} of {} sets of {}\n", size,
-                                dead ? "dead" : "alive", procedure.name, procedure.moments[i].name, ok, sum,
-                                losses);
-                        // At no moment does another procedure bear more than the joint one.
-                        CHECK(borne(joint.moments[i], alive, losses).first >= ok);
+                                replacedIsDead ? "dead" : "alive", procedure.name, procedure.phases[i].name,
+                                survived, total, losses);
+                        // In no phase does another procedure survive more losses than the joint one.
+                        CHECK(countSurvivedLosses(joint.phases[i], alive, losses).first >= survived);
                     }
-            // Adding first bears fewer: this comparison is able to fail.
-            auto sum = [&](const Procedure& procedure) {
-                auto total = 0;
+            // "add, then remove" survives fewer, which shows that the comparison above can fail.
+            auto sumOfSurvived = [&](const Procedure& procedure) {
+                auto sum = 0;
                 for (auto losses = 1; losses <= 3; losses++)
-                    total += borne(procedure.moments[1], alive, losses).first;
-                return total;
+                    sum += countSurvivedLosses(procedure.phases[1], alive, losses).first;
+                return sum;
             };
-            CHECK(sum(all[0]) < sum(joint));
+            CHECK(sumOfSurvived(all[0]) < sumOfSurvived(joint));
         }
 }
 
-TEST(ConsensusMembership, replacesALostVoter) {
+TEST(ConsensusMembership, lostVoterIsReplaced) {
     auto replacement = Replacement();
-    auto leader = replacement.cluster.leader();
+    auto& cluster = replacement.cluster;
+    auto leader = cluster.leader();
     auto lost = leader == "c" ? std::string("b") : std::string("c");
-    replacement.cluster.lose(lost);
-    replacement.toJoint(lost);
-    CHECK(replacement.cluster.at(leader).voters().size() == 3
-        && replacement.cluster.at(leader).outgoingVoters().size() == 3);
-    CHECK(replacement.cluster.until([&] { return !replacement.cluster.at(leader).joint(); }, 2 * SECOND));
-    replacement.cluster.run(SECOND);
-    for (auto& [disk, member] : replacement.cluster.members) {
-        CHECK_EQ(std::size_t(1), replacement.cluster.votersOf(disk).count("d"));
-        CHECK_EQ(std::size_t(0), replacement.cluster.votersOf(disk).count(lost));
-        CHECK_EQ(replacement.cluster.at(leader).replicatedState().version,
-            member->voter->replicatedState().version);
+    cluster.lose(lost);
+    replacement.runUntilJoint(lost);
+    CHECK(cluster.at(leader).voters().size() == 3 && cluster.at(leader).outgoingVoters().size() == 3);
+    CHECK(cluster.until([&] { return !cluster.at(leader).joint(); }, 2 * SECOND));
+    cluster.run(SECOND);
+    for (auto& [disk, member] : cluster.members) {
+        CHECK_EQ(std::size_t(1), cluster.votersOf(disk).count("d"));
+        CHECK_EQ(std::size_t(0), cluster.votersOf(disk).count(lost));
+        CHECK_EQ(cluster.at(leader).replicatedState().version, member->voter->replicatedState().version);
         CHECK_EQ(std::size_t(3), member->voter->replicatedState().voters().size());
     }
 }
 
-// With four voters of which three are needed nothing would be committed again.
-TEST(ConsensusMembership, newcomerLostWhileJoint) {
+// The new voter is lost during the joint configuration. With single-server changes there would be four
+// voters, of which three are needed and two are left, so nothing could be committed any more.
+TEST(ConsensusMembership, newVoterLostDuringJointChange) {
     auto replacement = Replacement();
-    auto leader = replacement.cluster.leader();
+    auto& cluster = replacement.cluster;
+    auto leader = cluster.leader();
     auto lost = leader == "c" ? std::string("b") : std::string("c");
-    replacement.cluster.lose(lost);
-    replacement.toJoint(lost);
-    replacement.cluster.lose("d");
-    CHECK(replacement.cluster.until([&] { return !replacement.cluster.at(leader).joint(); }, 2 * SECOND));
-    CHECK(replacement.cluster.propose(leader, "z"));
-    auto index = replacement.cluster.at(leader).last();
-    CHECK(
-        replacement.cluster.until([&] { return replacement.cluster.at(leader).commit() >= index; }, SECOND));
-    // And the next newcomer takes the place.
-    replacement.cluster.add("e");
-    replacement.cluster.spares = {{"s-" + lost, "e"}};
-    CHECK(replacement.cluster.until(
-        [&] {
-            return !replacement.cluster.at(leader).joint() && replacement.cluster.votersOf(leader).count("e");
-        },
-        10 * SECOND));
+    cluster.lose(lost);
+    replacement.runUntilJoint(lost);
+    cluster.lose("d");
+    CHECK(cluster.until([&] { return !cluster.at(leader).joint(); }, 2 * SECOND));
+    CHECK(cluster.propose(leader, "z"));
+    auto index = cluster.at(leader).last();
+    CHECK(cluster.until([&] { return cluster.at(leader).commit() >= index; }, SECOND));
+    // Another disk can then replace the lost voter.
+    cluster.add("e");
+    cluster.spares = {{"s-" + lost, "e"}};
+    CHECK(cluster.until(
+        [&] { return !cluster.at(leader).joint() && cluster.votersOf(leader).count("e"); }, 10 * SECOND));
 }
 
-TEST(ConsensusMembership, nextLeaderEndsAJointChange) {
+TEST(ConsensusMembership, newLeaderCompletesJointChange) {
     auto replacement = Replacement();
     auto& cluster = replacement.cluster;
     auto leader = cluster.leader();
     auto replaced = leader == "c" ? std::string("b") : std::string("c");
-    replacement.toJoint(replaced);
-    // The others get the joint configuration, no answer reaches the leader.
-    for (auto& [disk, member] : cluster.members) cluster.cut.insert({disk, leader});
+    replacement.runUntilJoint(replaced);
+    // The others receive the joint configuration, but their replies do not reach the leader.
+    for (auto& [disk, member] : cluster.members) cluster.partitioned.insert({disk, leader});
     cluster.run(100 * MILLISECOND);
     cluster.lose(leader);
     cluster.spares.clear();
@@ -177,7 +177,8 @@
     CHECK_EQ(std::size_t(1), cluster.votersOf(cluster.leader()).count("d"));
 }
 
-// Of a joint configuration the new majority alone commits nothing: the old one may elect another.
+// Only the voters of the new majority are reachable. If they could commit entries, the old majority could
+// elect another leader without these entries.
 static auto newMajorityCommits(Voter::Broken broken) -> bool {
     auto cluster = ConsensusFixture();
     cluster.broken = broken;
@@ -195,32 +196,32 @@
     return cluster.at(leader).commit() >= index;
 }
 
-TEST(ConsensusMembership, oldMajorityIsNeededToo) {
+TEST(ConsensusMembership, jointCommitNeedsOutgoingMajority) {
     CHECK(!newMajorityCommits({}));
     auto broken = Voter::Broken();
     broken.newMajorityOnly = true;
     CHECK(newMajorityCommits(broken));
 }
 
-// Entries come faster than the learner's link carries them.
-TEST(ConsensusMembership, slowLearnerDoesNotVote) {
+// Entries are appended faster than the learner's link can transfer them.
+TEST(ConsensusMembership, slowLearnerIsNotPromoted) {
     auto replacement = Replacement();
     auto& cluster = replacement.cluster;
     auto leader = cluster.leader();
     auto lost = leader == "c" ? std::string("b") : std::string("c");
-    auto storm = [&](Microseconds duration) {
+    auto proposeFor = [&](Microseconds duration) {
         for (auto end = cluster.now + duration; cluster.now < end;) {
             cluster.at(leader).propose(ENTRY_NOOP, std::string(20'000, 'x'), cluster.now);
             cluster.run(50 * MILLISECOND);
         }
     };
     cluster.lose(lost);
-    storm(2 * SECOND);
+    proposeFor(2 * SECOND);
     cluster.add("d");
     cluster.bitsPerSecond["d"] = 1'000'000;
     cluster.spares = {{"s-" + lost, "d"}};
     while (cluster.counter(leader, "learner_too_slow_total") == 0 && cluster.now < 200 * SECOND) {
-        storm(SECOND);
+        proposeFor(SECOND);
         CHECK_EQ(std::size_t(0), cluster.votersOf(leader).count("d"));
     }
     CHECK(cluster.counter(leader, "learner_too_slow_total") > 0);
@@ -229,8 +230,9 @@
         [&] { return !cluster.at(leader).joint() && cluster.votersOf(leader).count("d"); }, 60 * SECOND));
 }
 
-// A store of the format before joint configurations, in the middle of "add, then remove".
-TEST(ConsensusMembership, formerVotersEntryIsRead) {
+// A store written by a program without joint configurations, which stopped between adding the new disk of a
+// node and removing the old one. The present program must complete the replacement.
+TEST(ConsensusMembership, singleServerChangeOfEarlierProgramIsCompleted) {
     auto cluster = ConsensusFixture();
     cluster.bootstrap({"a", "b", "c"});
     auto leader = cluster.leader();
@@ -263,8 +265,8 @@
     CHECK(cluster.votersOf(cluster.leader()) == (Disks{"a", "b", "d"}));
 }
 
-// A program that reads no joint configurations is sent none.
-TEST(ConsensusMembership, waitsForMembersOfAnEarlierProgram) {
+// A voter without support for joint configurations would misinterpret them, so no change may begin.
+TEST(ConsensusMembership, changeWaitsForUpgradeOfAllVoters) {
     auto replacement = Replacement();
     auto& cluster = replacement.cluster;
     auto leader = cluster.leader();
@@ -274,7 +276,7 @@
         message.appendEntriesReply.knowsJoint = false;
         return false;
     };
-    cluster.lead(leader);  // a leader remembers what was answered in its own term only
+    cluster.lead(leader);  // a new term, since a leader remembers supported features for its term
     cluster.add("d");
     cluster.spares = {{"s-" + lost, "d"}};
     cluster.run(10 * SECOND);
@@ -284,31 +286,33 @@
     CHECK(cluster.until([&] { return cluster.votersOf(cluster.leader()).count("d") > 0; }, 10 * SECOND));
 }
 
-// A program that reads no compact commands is sent none, and the leader logs none while one such answers.
+// A voter without support for compact commands rejects them and all later entries. It must not be sent any,
+// and the leader must not log any while such a voter answers.
 TEST(ConsensusMembership, compactCommandsWaitForAllVoters) {
     auto cluster = ConsensusFixture();
     cluster.drop = [](const std::string& to, wire::Envelope& message) {
         message.appendEntriesReply.knowsCompact =
             message.appendEntriesReply.knowsCompact && message.disk != "c";
-        // The earlier program refuses an entry of a kind that it does not know.
+        // The earlier program rejects entries of unknown kinds.
         for (auto& entry : message.appendEntries.entries) CHECK(to != "c" || entry.kind != ENTRY_COMPACT);
         return false;
     };
     cluster.bootstrap({"a", "b", "c"});
     cluster.lead("a");
-    CHECK(!cluster.at("a").allReadCompact());
-    // One that was logged all the same, by a leader that had not heard of it, goes to the others only.
+    CHECK(!cluster.at("a").allVotersReadCompact());
+    // One may be logged nevertheless, by a leader that has no answer from c yet. It goes to the other voters
+    // only.
     CHECK(cluster.at("a").propose(ENTRY_COMPACT, R"({"key":"x","op":"empty","district":"z"})", cluster.now));
     CHECK(cluster.until([&] { return cluster.at("b").replicatedState().evacuated("z"); }, SECOND));
     CHECK(!cluster.at("c").replicatedState().evacuated("z"));
-    cluster.drop = nullptr;  // it is upgraded
+    cluster.drop = nullptr;  // c is upgraded
     CHECK(cluster.until([&] { return cluster.at("c").replicatedState().evacuated("z"); }, 2 * SECOND));
-    CHECK(cluster.at("a").allReadCompact());
+    CHECK(cluster.at("a").allVotersReadCompact());
 }
 
-// The replaced voter gives its content up, then another disk is lost: whatever was acknowledged
-// must be there, and somebody must lead. `early`: by a change that is not committed.
-static auto survivesRetiring(bool early, const std::string& victim) -> bool {
+// The replaced voter c erases its disk, then another disk is lost. Returns whether there is a leader that
+// still has the acknowledged order. `early`: c erases its disk because of a change that is not committed yet.
+static auto acknowledgedOrderSurvives(bool early, const std::string& victim) -> bool {
     auto cluster = ConsensusFixture();
     cluster.bootstrap({"a", "b", "c"});
     cluster.lead("a");
@@ -318,18 +322,18 @@
     cluster.add("d");
     cluster.isolate("b", true);
     cluster.spares = {{"s-c", "d"}};
-    auto named = [&] {
+    auto isRemoved = [&] {
         auto voters = early ? cluster.at("a").voters() : cluster.at("a").replicatedState().voters();
         return std::none_of(voters.begin(), voters.end(), [](auto& voter) { return voter.disk == "c"; });
     };
-    CHECK(cluster.until(named, 10 * SECOND));
+    CHECK(cluster.until(isRemoved, 10 * SECOND));
     auto version =
         early ? cluster.at("c").replicatedState().version + 1000 : cluster.at("a").replicatedState().version;
-    // One whose log holds the change itself knows of it; only one that is behind retires.
+    // A voter retires only if its log lacks the change.
     cluster.at("c").retire(version, "c2", cluster.now);
     if (early) CHECK(cluster.at("c").blank());
     cluster.spares.clear();
-    cluster.cut.clear();
+    cluster.partitioned.clear();
     cluster.lose(victim);
     auto kept = [&] {
         return !cluster.leader().empty() && cluster.at(cluster.leader()).replicatedState().evacuated("kept");
@@ -338,11 +342,11 @@
     return cluster.until(kept, 10 * SECOND);
 }
 
-TEST(ConsensusMembership, retiringLosesNothing) {
-    for (auto victim : {"a", "b", "d"}) CHECK(survivesRetiring(false, victim));
-    auto lost = 0;
-    for (auto victim : {"a", "b", "d"}) lost += !survivesRetiring(true, victim);
-    CHECK(lost > 0);
+TEST(ConsensusMembership, retiredDiskLosesNoAcknowledgedOrder) {
+    for (auto victim : {"a", "b", "d"}) CHECK(acknowledgedOrderSurvives(false, victim));
+    auto lostOrders = 0;
+    for (auto victim : {"a", "b", "d"}) lostOrders += !acknowledgedOrderSurvives(true, victim);
+    CHECK(lostOrders > 0);
 }
 
 }  // namespace duneturn
--- a/tests/consensus/consensus_test.cpp
+++ b/tests/consensus/consensus_test.cpp
@@ -1,4 +1,4 @@
-// What a voter rejects, and what it answers only once its disk holds it.
+// Messages that a voter must reject, and answers that must wait until its disk holds what they promise.
 #include <cstdint>
 #include <memory>
 #include <string>
@@ -14,6 +14,7 @@
 namespace duneturn {
 namespace {
 
+// An AppendEntries message of the leader without entries.
 auto appendFrom(ConsensusFixture& cluster, const std::string& leader) -> wire::Envelope {
     auto message = wire::Envelope();
     auto request = wire::AppendEntries();
@@ -26,12 +27,12 @@
     return message;
 }
 
-auto entry(std::int64_t term, std::int64_t index, int kind = ENTRY_NOOP) -> wire::Entry {
-    auto made = wire::Entry();
-    made.term = term;
-    made.index = index;
-    made.kind = kind;
-    return made;
+auto makeEntry(std::int64_t term, std::int64_t index, int kind = ENTRY_NOOP) -> wire::Entry {
+    auto entry = wire::Entry();
+    entry.term = term;
+    entry.index = index;
+    entry.kind = kind;
+    return entry;
 }
 
 auto other(ConsensusFixture& cluster, const std::string& excluded, const std::string& alsoExcluded = "")
@@ -41,8 +42,9 @@
     return "";
 }
 
-// An entry of another term at a committed index.
-auto contradict(Voter::Broken broken) -> std::pair<std::int64_t, std::int64_t> {
+// Sends a follower an entry of another term at a committed index. Returns by how many entries its log was
+// shortened, and how many messages it rejected for contradicting committed entries.
+auto sendConflictingEntry(Voter::Broken broken) -> std::pair<std::int64_t, std::int64_t> {
     auto cluster = ConsensusFixture();
     cluster.broken = broken;
     cluster.bootstrap({"a", "b", "c"});
@@ -56,47 +58,47 @@
     message.appendEntries.term++;
     message.appendEntries.prevLogIndex = before - 3;
     message.appendEntries.prevLogTerm = voter.term();
-    message.appendEntries.entries = {entry(voter.term() + 1, before - 2)};
+    message.appendEntries.entries = {makeEntry(voter.term() + 1, before - 2)};
     voter.handle(message, cluster.now);
     return {before - voter.last(), cluster.counter(follower, "append_contradicts_committed_total")};
 }
 
 }  // namespace
 
-TEST(Consensus, committedEntriesStay) {
-    CHECK(contradict({}) == std::pair(std::int64_t(0), std::int64_t(1)));
+TEST(Consensus, committedEntriesAreNotTruncated) {
+    CHECK(sendConflictingEntry({}) == std::pair(std::int64_t(0), std::int64_t(1)));
     auto broken = Voter::Broken();
     broken.truncateCommitted = true;
-    CHECK(contradict(broken).first > 0);
+    CHECK(sendConflictingEntry(broken).first > 0);
 }
 
-TEST(Consensus, malformedAppendsAreRefused) {
+TEST(Consensus, malformedAppendsAreRejected) {
     auto cluster = ConsensusFixture();
     cluster.bootstrap({"a", "b", "c"});
     auto leader = cluster.leader(), follower = other(cluster, leader);
     auto& voter = cluster.at(follower);
     auto last = voter.last(), term = voter.term();
-    auto handle = [&](std::int64_t prev, std::vector<wire::Entry> entries) {
+    auto handle = [&](std::int64_t prevLogIndex, std::vector<wire::Entry> entries) {
         auto message = appendFrom(cluster, leader);
-        message.appendEntries.prevLogIndex = prev;
+        message.appendEntries.prevLogIndex = prevLogIndex;
         message.appendEntries.prevLogTerm = term;
         message.appendEntries.entries = std::move(entries);
         voter.handle(message, cluster.now);
     };
-    handle(last, {entry(term, last + 2)});                         // a gap
-    handle(last, {entry(term, last + 1), entry(term, last + 1)});  // an index twice
-    handle(last, {entry(term + 1, last + 1)});                     // of a term to come
-    handle(last, {entry(term - 1, last + 1)});                     // falling terms
-    handle(last, {entry(term, last + 1, 77)});                     // of an unknown kind
-    handle(last, {entry(term, last + 1, ENTRY_JOINT)});            // without its voters
+    handle(last, {makeEntry(term, last + 2)});                             // a gap
+    handle(last, {makeEntry(term, last + 1), makeEntry(term, last + 1)});  // a repeated index
+    handle(last, {makeEntry(term + 1, last + 1)});                         // a term above the message's
+    handle(last, {makeEntry(term - 1, last + 1)});                         // a decreasing term
+    handle(last, {makeEntry(term, last + 1, 77)});                         // an unknown kind
+    handle(last, {makeEntry(term, last + 1, ENTRY_JOINT)});                // a configuration without voters
     handle(-1, {});
     CHECK_EQ(std::int64_t(7), cluster.counter(follower, "append_malformed_total"));
     CHECK_EQ(last, voter.last());
-    handle(last, {entry(term, last + 1)});
+    handle(last, {makeEntry(term, last + 1)});
     CHECK_EQ(last + 1, voter.last());
 }
 
-TEST(Consensus, secondLeaderOfATermIsRefused) {
+TEST(Consensus, secondLeaderOfTermIsRejected) {
     auto cluster = ConsensusFixture();
     cluster.bootstrap({"a", "b", "c"});
     auto leader = cluster.leader(), follower = other(cluster, leader),
@@ -110,7 +112,7 @@
     CHECK_EQ(leader, cluster.at(follower).leader());
 }
 
-TEST(Consensus, repliesOfStrangersAndBeyondTheLogAreRefused) {
+TEST(Consensus, repliesFromNonMembersOrBeyondTheLogAreRejected) {
     auto cluster = ConsensusFixture();
     cluster.bootstrap({"a", "b", "c"});
     auto leader = cluster.leader(), follower = other(cluster, leader);
@@ -131,7 +133,7 @@
     CHECK_EQ(std::int64_t(1), cluster.counter(leader, "reply_beyond_log_total"));
 }
 
-TEST(Consensus, takeOverComesFromTheLeaderOnly) {
+TEST(Consensus, timeoutNowIsAcceptedOnlyFromTheLeader) {
     auto cluster = ConsensusFixture();
     cluster.bootstrap({"a", "b", "c"});
     auto leader = cluster.leader(), follower = other(cluster, leader),
@@ -148,7 +150,8 @@
     CHECK_EQ(std::int64_t(1), cluster.counter(follower, "transfer_refused_total"));
 }
 
-// An append of a new term whose write fails: that term must be on disk before one is answered.
+// A follower receives an append of a new term, and its write fails. It must not answer the next one before
+// that term is durable. Returns whether it does.
 static auto answersWithUnsavedTerm(Voter::Broken broken) -> bool {
     auto cluster = ConsensusFixture();
     cluster.broken = broken;
@@ -167,7 +170,7 @@
     member.sync();
     CHECK(member.voter->isDiskFaulty());
     member.diskHangs = true;
-    cluster.record = true;
+    cluster.recordSent = true;
     member.sent.clear();
     member.voter->handle(message, cluster.now + 10 * MILLISECOND);
     CHECK(member.held.term < message.appendEntries.term);
@@ -175,43 +178,43 @@
         [](auto& sent) { return sent.second.__isset.appendEntriesReply; });
 }
 
-TEST(Consensus, termIsSavedBeforeAnAnswer) {
+TEST(Consensus, termIsDurableBeforeReply) {
     CHECK(!answersWithUnsavedTerm({}));
     auto broken = Voter::Broken();
     broken.ackUnsavedTerm = true;
     CHECK(answersWithUnsavedTerm(broken));
 }
 
-TEST(Consensus, ownVoteCountsOnceItIsSaved) {
+TEST(Consensus, ownVoteCountsOnlyOnceDurable) {
     auto cluster = ConsensusFixture();
     cluster.bootstrap({"a"});
     CHECK(cluster.at("a").leads());
     cluster.stop("a");
     cluster.members.at("a")->start();
     cluster.members.at("a")->diskHangs = true;
-    cluster.run(900 * MILLISECOND);  // a write that takes longer makes the disk bad
+    cluster.run(900 * MILLISECOND);  // shorter than DISK_STALL_TIMEOUT
     CHECK(!cluster.at("a").leads());
     cluster.members.at("a")->diskHangs = false;
     CHECK(cluster.until([&] { return cluster.at("a").ready(); }, 3 * SECOND));
 }
 
-TEST(Consensus, failedSnapshotIsWrittenAgain) {
+TEST(Consensus, failedSnapshotWriteIsRepeated) {
     auto cluster = ConsensusFixture();
     cluster.bootstrap({"a", "b", "c"});
-    auto leader = cluster.leader(), late = other(cluster, leader);
-    cluster.stop(late);
+    auto leader = cluster.leader(), lagging = other(cluster, leader);
+    cluster.stop(lagging);
     for (auto i = 0; i < 600; i++) {
         cluster.propose(leader, fmt::format("z{}", i % 7));
         cluster.step();
     }
-    auto& member = *cluster.members.at(late);
+    auto& member = *cluster.members.at(lagging);
     member.start();
     cluster.step();
     member.diskHangs = true;
-    auto installed = cluster.counter(late, "snapshots_installed_total");
+    auto installed = cluster.counter(lagging, "snapshots_installed_total");
     CHECK(cluster.until(
-        [&] { return cluster.counter(late, "snapshots_installed_total") > installed; }, 5 * SECOND));
-    // The write of the snapshot is under way.
+        [&] { return cluster.counter(lagging, "snapshots_installed_total") > installed; }, 5 * SECOND));
+    // The write of the snapshot is pending.
     CHECK(std::any_of(
         member.pending.begin(), member.pending.end(), [](auto& write) { return write.hasSnapshot; }));
     member.failNextWrite = true;
@@ -221,14 +224,14 @@
     cluster.run(5 * SECOND);
     CHECK(!member.voter->isDiskFaulty());
     CHECK_EQ(cluster.at(leader).commit(), member.voter->commit());
-    auto again = ConsensusFixture();
-    again.members["x"] = std::make_unique<ConsensusFixture::Member>(again, "x");
-    again.members.at("x")->held = member.held;
-    again.members.at("x")->start();
-    CHECK_EQ(cluster.at(leader).replicatedState().version, again.at("x").replicatedState().version);
+    auto restarted = ConsensusFixture();
+    restarted.members["x"] = std::make_unique<ConsensusFixture::Member>(restarted, "x");
+    restarted.members.at("x")->held = member.held;
+    restarted.members.at("x")->start();
+    CHECK_EQ(cluster.at(leader).replicatedState().version, restarted.at("x").replicatedState().version);
 }
 
-TEST(Consensus, readNeedsAMajorityAfterTheQuestion) {
+TEST(Consensus, readNeedsMajorityAfterItsArrival) {
     auto cluster = ConsensusFixture();
     cluster.bootstrap({"a", "b", "c"});
     auto leader = cluster.leader();
@@ -239,7 +242,7 @@
     CHECK(cluster.members.at(leader)->reads.empty());
     cluster.run(3 * SECOND);
     CHECK(!cluster.members.at(leader)->reads.at(7));
-    cluster.cut.clear();
+    cluster.partitioned.clear();
     cluster.run(3 * SECOND);
     cluster.at(cluster.leader()).read(8, cluster.now);
     cluster.run(SECOND);
