--- a/tests/consensus/voter_test.cpp
+++ b/tests/consensus/voter_test.cpp
@@ -1,3 +1,5 @@
+// Randomized tests of Voter under faults. Invariants: one leader per term, equal states for equal versions,
+// no acknowledged order lost, linearizable reads. Each run ends without faults and must then have a leader.
 #include <algorithm>
 #include <cstddef>
 #include <cstdint>
@@ -21,29 +23,30 @@
 namespace duneturn {
 namespace {
 
-// Contested elections: see Cluster::contestElections().
+// Contested elections; see Cluster::contestElection().
 constexpr Microseconds CONTEST_INTERVAL = 5 * SECOND;
-constexpr Microseconds CONTEST_QUIET = 1 * SECOND;           // before it, in which all logs become equal
-constexpr Microseconds CONTEST_FREEZE = 1500 * MILLISECOND;  // longer than a leader leads unheard
+constexpr Microseconds CONTEST_QUIET = 1 * SECOND;  // fault-free time before, in which all logs become equal
+constexpr Microseconds CONTEST_FREEZE = 1500 * MILLISECOND;  // longer than QUORUM_TIMEOUT
 constexpr Microseconds CONTEST_LENGTH = 2500 * MILLISECOND;
-constexpr double USUAL_LOSS = 0.05;  // of messages
+constexpr double USUAL_LOSS = 0.05;  // probability of losing a message
 constexpr Microseconds STEP = 5 * MILLISECOND;
-constexpr int CALM_STEPS = 1200;              // at the end of a run, in which nothing goes wrong any more
-constexpr std::size_t REMEMBERED_KEYS = 100;  // of acknowledged orders; the state keeps the last 256
+constexpr int FAULT_FREE_STEPS = 1200;        // fault-free steps at the end of a run
+constexpr std::size_t REMEMBERED_KEYS = 100;  // acknowledged orders to check; the state keeps the last 256
 
-// Voters on a lawless network: messages are lost, doubled and late, disks sync when they
-// like, power goes and takes with it what was not synced, disks are replaced.
+// A cluster of voters with faults: messages are lost, duplicated and delayed; disks complete writes after
+// random times, and some writes fail; replicas freeze or lose power together with unsynced writes; disks are
+// replaced.
 struct Cluster {
     struct Replica : VoterPort {
         Cluster& cluster;
         int number;
         Counters counters;
-        DiskState held;
+        DiskState durable;
         std::deque<DiskWrite> pending;
-        DiskWriteFence gate;
-        std::unique_ptr<Voter> voter;  // none while the power is off
+        DiskWriteFence fence;
+        std::unique_ptr<Voter> voter;  // null while the power is off
         std::string disk;
-        Microseconds wakesAt = 0;  // it is off or frozen until then
+        Microseconds resumesAt = 0;  // without power or frozen until then
         Replica(Cluster& owner, int index) : cluster(owner), number(index) {}
         auto sendToReplica(const std::string& toDisk, wire::Envelope& message) -> void override {
             cluster.post(toDisk, message);
@@ -52,42 +55,43 @@
         auto onStateApplied(const ReplicatedState& state, const AppliedEntry& entry) -> void override {
             auto& key = entry.key;
             cluster.applied(state);
-            // The one who proposed it learns of it: from here on it is acknowledged.
+            // A leader that has applied an order acknowledges it.
             if (!key.empty() && entry.outcome.status == 200 && voter && voter->leads())
                 cluster.acknowledged.push_back(key);
         }
-        auto onReadDone(std::int64_t id, bool ok) -> void override {
-            if (!ok) return;
-            auto known = cluster.versionAtRead[id];
+        auto onReadDone(std::int64_t id, bool confirmed) -> void override {
+            if (!confirmed) return;
+            auto expected = cluster.versionAtRead[id];
             auto version = voter->replicatedState().version;
-            if (version < known)
-                cluster.violation =
-                    fmt::format("a readback gave version {} after {} was known", version, known);
+            if (version < expected)
+                cluster.violation = fmt::format(
+                    "a read returned version {} although version {} existed before it", version, expected);
         }
         auto start() -> void {
-            gate = {};
+            fence = {};
             voter = std::make_unique<Voter>(*this, counters, cluster.random.next());
             voter->broken = cluster.broken;
-            voter->start(held, disk, cluster.now);
+            voter->start(durable, disk, cluster.now);
             disk = voter->disk();
         }
         auto powerOff(Microseconds duration) -> void {
             voter.reset();
             pending.clear();
-            wakesAt = cluster.now + duration;
+            resumesAt = cluster.now + duration;
         }
         auto syncWrites() -> void {
             while (!pending.empty() && cluster.random.chance(cluster.syncChance)) {
                 auto write = pending.front();
                 pending.pop_front();
-                auto ok = gate.takes(write) && (cluster.calm || !cluster.random.chance(.002));
-                if (ok) applyDiskWrite(held, write);
-                else gate.fail(write);
-                voter->onDiskWriteDone(write.seq, ok, cluster.now);
+                auto succeeded = fence.takes(write) && (cluster.faultFree || !cluster.random.chance(.002));
+                if (succeeded) applyDiskWrite(durable, write);
+                else fence.fail(write);
+                voter->onDiskWriteDone(write.seq, succeeded, cluster.now);
             }
         }
-        // Whether it runs, and holds a whole set of voters that are all of these disks.
-        auto hasSoundVoters(const std::vector<std::unique_ptr<Replica>>& all) const -> bool {
+        // Whether the voter is running with a single set of voters, which consists of the disks of all
+        // replicas.
+        auto hasCompleteVoters(const std::vector<std::unique_ptr<Replica>>& all) const -> bool {
             if (!voter || voter->blank() || voter->joint() || voter->voters().size() != all.size())
                 return false;
             auto& voters = voter->voters();
@@ -106,21 +110,23 @@
     std::multimap<Microseconds, std::pair<std::string, wire::Envelope>> network;
     std::map<std::int64_t, std::string> textOfVersion;
     std::map<std::pair<std::int64_t, std::int64_t>, std::string> leaderOfTerm;  // by epoch and term
-    std::vector<std::string> acknowledged;                                      // keys of orders
-    std::map<std::int64_t, std::int64_t> versionAtRead;                         // the newest known when asked
+    std::vector<std::string> acknowledged;                                      // idempotency keys of orders
+    std::map<std::int64_t, std::int64_t> versionAtRead;  // the newest version when a read began, by id
     std::int64_t newestVersion = 0;
-    std::string violation;  // a broken promise
-    std::string unsettled;  // why nobody leads after the calm time, which an overloaded disk may cause too
+    std::string violation;  // the violated invariant; empty: none
+    // Why there is no leader after the fault-free time; empty: there is one. Overloaded disks may cause it
+    // too.
+    std::string leaderless;
     int nextKey = 0;
     int nextDisk = 0;
     double loss = USUAL_LOSS;
-    double syncChance = 0.2;  // of the oldest write, each step
-    bool calm = false;
+    double syncChance = 0.2;  // probability per step that the oldest write completes
+    bool faultFree = false;
     bool contestedElections = false;
     Microseconds nextContest = CONTEST_INTERVAL, contestEnds = 0, nextFault = SECOND;
-    std::pair<std::string, std::string> cutLink;  // the disks at the two ends of a link that loses everything
-    std::string heldDisk;                         // what is sent to this disk waits until then
-    Microseconds heldUntil = 0;
+    std::pair<std::string, std::string> partitionedLink;  // the two disks of a link that loses all messages
+    std::string delayedDisk;  // messages to this disk are delivered at delayedUntil or later
+    Microseconds delayedUntil = 0;
 
     Cluster(std::uint64_t seed, int size) : random{seed} {
         for (auto number = 0; number < size; number++) {
@@ -129,49 +135,51 @@
         }
     }
     auto post(const std::string& toDisk, const wire::Envelope& message) -> void {
-        if (cutLink == std::pair(toDisk, message.disk) || cutLink == std::pair(message.disk, toDisk)) return;
+        if (partitionedLink == std::pair(toDisk, message.disk)
+            || partitionedLink == std::pair(message.disk, toDisk))
+            return;
         if (random.chance(loss)) return;
-        auto earliest = toDisk == heldDisk ? heldUntil : now;
+        auto earliest = toDisk == delayedDisk ? delayedUntil : now;
         auto arrival =
             now + Microseconds(random.below(random.chance(.1) ? 400 * MILLISECOND : 20 * MILLISECOND));
         network.emplace(std::max(arrival, earliest), std::pair(toDisk, message));
         if (!random.chance(.03)) return;
-        auto second = now + Microseconds(random.below(800 * MILLISECOND));
-        network.emplace(std::max(second, earliest), std::pair(toDisk, message));
+        auto secondArrival = now + Microseconds(random.below(800 * MILLISECOND));
+        network.emplace(std::max(secondArrival, earliest), std::pair(toDisk, message));
     }
     auto applied(const ReplicatedState& state) -> void {
         if (state.version == 0) return;
         auto& text = textOfVersion[state.version];
         if (text.empty()) text = state.text();
         else if (text != state.text())
-            violation = fmt::format("two states of version {}: {} {}", state.version,
+            violation = fmt::format("different states of version {}: {} {}", state.version,
                 getenv("DT_SHOW") ? text : "", getenv("DT_SHOW") ? state.text() : "");
         newestVersion = std::max(newestVersion, state.version);
     }
-    // Nothing else goes wrong shortly before a contest and during it.
-    auto contestNear() const -> bool {
-        return contestedElections && !calm && (now >= nextContest - CONTEST_QUIET || now < contestEnds);
+    // Whether a contested election is in progress or begins soon. No other faults are injected in that time.
+    auto isContestNear() const -> bool {
+        return contestedElections && !faultFree && (now >= nextContest - CONTEST_QUIET || now < contestEnds);
     }
     auto contestElections() -> void {
-        if (now >= contestEnds || calm) cutLink = {};
-        if (!contestNear()) return;
+        if (now >= contestEnds || faultFree) partitionedLink = {};
+        if (!isContestNear()) return;
         loss = USUAL_LOSS;
         if (now < nextContest) return;
         nextContest = now + CONTEST_INTERVAL;
         contestEnds = now + CONTEST_LENGTH;
         contestElection();
     }
-    // The leader freezes, and the two next to it don't reach each other. Their requests for a pre-vote
-    // wait for the frozen one, which reads them all when it wakes; so both campaign in the same term,
-    // and both need its vote.
+    // Makes two replicas compete for the vote of a third in one term. The leader freezes, and the next two
+    // replicas can't reach each other. Their pre-vote requests are delivered when the former leader resumes,
+    // so both campaign in the same term, and both need its vote.
     auto contestElection() -> void {
         auto leader = std::find_if(replicas.begin(), replicas.end(),
             [](auto& replica) { return replica->voter && replica->voter->leads(); });
         if (leader == replicas.end()) return;
         auto position = std::size_t(leader - replicas.begin());
-        heldDisk = (*leader)->disk;
-        heldUntil = (*leader)->wakesAt = now + CONTEST_FREEZE;
-        cutLink = {replicas[(position + 1) % replicas.size()]->disk,
+        delayedDisk = (*leader)->disk;
+        delayedUntil = (*leader)->resumesAt = now + CONTEST_FREEZE;
+        partitionedLink = {replicas[(position + 1) % replicas.size()]->disk,
             replicas[(position + 2) % replicas.size()]->disk};
     }
     auto bootstrap() -> void {
@@ -188,36 +196,36 @@
             auto [toDisk, message] = network.begin()->second;
             network.erase(network.begin());
             for (auto& replica : replicas)
-                if (replica->voter && replica->disk == toDisk && now >= replica->wakesAt)
+                if (replica->voter && replica->disk == toDisk && now >= replica->resumesAt)
                     replica->voter->handle(message, now);
         }
     }
     auto tick(Replica& replica) -> void {
         if (!replica.voter) {
-            if (now >= replica.wakesAt) replica.start();
+            if (now >= replica.resumesAt) replica.start();
             return;
         }
-        if (now < replica.wakesAt) return;
+        if (now < replica.resumesAt) return;
         replica.syncWrites();
-        auto blank = std::vector<std::string>();
+        auto uninitialized = std::vector<std::string>();
         auto spares = std::vector<std::pair<std::string, std::string>>();
         for (auto& other : replicas) {
             if (!other->voter) continue;
-            if (other->voter->blank()) blank.push_back(other->disk);
+            if (other->voter->blank()) uninitialized.push_back(other->disk);
             spares.emplace_back(fmt::format("s{}", other->number), other->disk);
         }
-        replica.voter->setUninitializedVoters(blank);
+        replica.voter->setUninitializedVoters(uninitialized);
         replica.voter->setSpareDisks(spares);
         replica.voter->tick(now);
         if (replica.voter->leads()) useLeader(replica);
     }
-    // Checks that a leader is alone in its term, and gives it orders, reads and transfers of leadership.
+    // Checks that there is one leader per term, and requests orders, reads and leadership transfers from it.
     auto useLeader(Replica& replica) -> void {
         auto& voter = *replica.voter;
         auto& leader = leaderOfTerm[{voter.epoch(), voter.term()}];
         if (leader.empty()) leader = replica.disk;
         if (leader != replica.disk) violation = fmt::format("two leaders in term {}", voter.term());
-        if (!contestNear() && random.chance(.05)) {
+        if (!isContestNear() && random.chance(.05)) {
             auto key = fmt::format("k{}", nextKey++);
             auto body = orderPrepare(voter.latestState(), "empty", key,
                 fmt::format("{{\"district\":\"z{}\"}}", random.below(5)), now);
@@ -227,23 +235,24 @@
             versionAtRead[nextKey] = newestVersion;
             voter.read(nextKey++, now);
         }
-        if (!calm && !contestNear() && random.chance(.002)) voter.transferLeadership(now);
+        if (!faultFree && !isContestNear() && random.chance(.002)) voter.transferLeadership(now);
     }
     auto injectFault(bool mayReplaceDisk) -> void {
-        if (now < nextFault || contestNear()) return;
+        if (now < nextFault || isContestNear()) return;
         nextFault = now + Microseconds(random.below(1500 * MILLISECOND));
         auto& replica = *replicas[random.below(replicas.size())];
         auto kind = random.below(10);
         if (kind < 4) replica.powerOff(Microseconds(random.below(800 * MILLISECOND)));
-        else if (kind < 6) replica.wakesAt = now + Microseconds(random.below(2 * SECOND));  // frozen
+        else if (kind < 6) replica.resumesAt = now + Microseconds(random.below(2 * SECOND));  // frozen
         else if (kind < 7) loss = random.chance(.5) ? 0.4 : USUAL_LOSS;
         else if (kind < 8 && mayReplaceDisk) replaceDisk(replica);
     }
-    // Where all the others are sound voters.
+    // Replaces the disk of a replica, provided that all replicas are running and list the disks of all as
+    // voters.
     auto replaceDisk(Replica& replica) -> void {
-        auto isSound = [&](auto& other) { return other->hasSoundVoters(replicas); };
-        if (!std::all_of(replicas.begin(), replicas.end(), isSound)) return;
-        replica.held = {};
+        auto hasCompleteVoters = [&](auto& other) { return other->hasCompleteVoters(replicas); };
+        if (!std::all_of(replicas.begin(), replicas.end(), hasCompleteVoters)) return;
+        replica.durable = {};
         replica.disk = fmt::format("d{}", nextDisk++);
         replica.powerOff(Microseconds(random.below(500 * MILLISECOND)));
     }
@@ -255,22 +264,22 @@
             for (auto& replica : replicas) tick(*replica);
             contestElections();
             injectFault(step < steps * 3 / 4);
-            if (step == steps - CALM_STEPS) {  // from here on they must agree again
+            if (step == steps - FAULT_FREE_STEPS) {  // no faults from here on
                 loss = 0;
                 nextFault = INT64_MAX;
-                calm = true;
+                faultFree = true;
             }
         }
         if (!violation.empty()) return;
-        checkSettled();
+        checkHasLeader();
         checkAcknowledged();
     }
-    auto checkSettled() -> void {
+    auto checkHasLeader() -> void {
         auto leaders = 0;
         for (auto& replica : replicas) leaders += replica->voter && replica->voter->leads();
         if (leaders == 1) return;
-        unsettled = fmt::format("{} leaders after six calm seconds:", leaders);
-        for (auto& replica : replicas) unsettled += describe(*replica);
+        leaderless = fmt::format("{} leaders after six fault-free seconds:", leaders);
+        for (auto& replica : replicas) leaderless += describe(*replica);
     }
     static auto describe(const Replica& replica) -> std::string {
         if (!replica.voter)
@@ -288,7 +297,7 @@
             if (!replica->voter || !replica->voter->leads()) continue;
             for (auto key = acknowledged.end() - std::ptrdiff_t(count); key != acknowledged.end(); ++key)
                 if (replica->voter->replicatedState().outcome(*key).status != 200)
-                    violation = "acknowledged and gone: " + *key;
+                    violation = "acknowledged order lost: " + *key;
         }
     }
 };
@@ -300,8 +309,8 @@
 };
 
 struct FuzzResult {
-    int unsafe = 0;     // seeds that broke a promise
-    int unsettled = 0;  // seeds that had no leader after the calm time
+    int unsafe = 0;      // seeds with a violation
+    int leaderless = 0;  // seeds without a leader after the fault-free time
     std::string firstFailure;
 };
 
@@ -317,8 +326,8 @@
         cluster.run(6000);
         acknowledged += cluster.acknowledged.size();
         result.unsafe += !cluster.violation.empty();
-        result.unsettled += !cluster.unsettled.empty();
-        auto& failure = cluster.violation.empty() ? cluster.unsettled : cluster.violation;
+        result.leaderless += !cluster.leaderless.empty();
+        auto& failure = cluster.violation.empty() ? cluster.leaderless : cluster.violation;
         if (failure.empty()) continue;
         if (result.firstFailure.empty()) result.firstFailure = fmt::format("seed {}: {}", seed, failure);
         if (getenv("DT_SHOW")) fmt::print("seed {}: {}\n", seed, failure);
@@ -328,26 +337,30 @@
     return result;
 }
 
-auto isSound(const FuzzOptions& options) -> void {
+auto checkNoViolation(const FuzzOptions& options) -> void {
     auto result = fuzz({}, options);
-    CPPUNIT_ASSERT_EQUAL_MESSAGE(result.firstFailure, 0, result.unsafe + result.unsettled);
+    CPPUNIT_ASSERT_EQUAL_MESSAGE(result.firstFailure, 0, result.unsafe + result.leaderless);
 }
 
 }  // namespace
 
-TEST(Voter, fuzzThree) { isSound({.firstSeed = 1, .seeds = 60}); }
-TEST(Voter, fuzzFive) { isSound({.firstSeed = 1000, .seeds = 30, .replicas = 5}); }
-TEST(Voter, fuzzContestedElections) { isSound({.seeds = 60, .contestedElections = true}); }
-// Each deliberate fault must break a promise. That nobody leads doesn't count: disks as slow as
-// those of `ackBeforeSync` bring that about with sound voters too.
-TEST(Voter, brokenIsSeen) {
+TEST(Voter, threeVotersUnderRandomFaults) { checkNoViolation({.firstSeed = 1, .seeds = 60}); }
+TEST(Voter, fiveVotersUnderRandomFaults) {
+    checkNoViolation({.firstSeed = 1000, .seeds = 30, .replicas = 5});
+}
+TEST(Voter, contestedElectionsUnderRandomFaults) {
+    checkNoViolation({.seeds = 60, .contestedElections = true});
+}
+// Each injected fault must cause a violation. A missing leader doesn't count as one: disks as slow as those
+// of `ackBeforeSync` cause it with correct voters too.
+TEST(Voter, injectedFaultsAreDetected) {
     struct Variant {
         std::string_view name;
         bool Voter::Broken::*fault;
         FuzzOptions options;
     };
     const auto variants = std::vector<Variant>{
-        // Slow disks: more is acknowledged that a loss of power takes.
+        // With slow disks, more of what was acknowledged is lost with the power.
         {"ackBeforeSync", &Voter::Broken::ackBeforeSync, {.seeds = 100, .syncChance = 0.05}},
         {"voteTwice", &Voter::Broken::voteTwice, {.seeds = 60, .contestedElections = true}},
         {"noQuorum", &Voter::Broken::noQuorum, {.seeds = 20}},
@@ -355,7 +368,7 @@
     for (auto& variant : variants) {
         auto broken = Voter::Broken();
         broken.*variant.fault = true;
-        // The refusal to give committed entries up would hide these faults behind it.
+        // The check that rejects conflicts with committed entries would hide these faults.
         broken.truncateCommitted = true;
         auto unsafe = fuzz(broken, variant.options).unsafe;
         if (getenv("DT_SHOW"))
