--- a/src/control/order_service.hpp
+++ b/src/control/order_service.hpp
@@ -46,7 +46,7 @@
 [[nodiscard]] auto notLeader() -> Outcome;
 /// The command was not logged for this request.
 [[nodiscard]] auto notLogged(std::string_view reason) -> Outcome;
-/// The read was not answered, since no majority or no leader confirmed it.
+/// The read has no result, for example because no majority confirmed the leader in time.
 [[nodiscard]] auto readUnconfirmed(std::string_view reason) -> Outcome;
 }  // namespace order_answer
 
