--- a/src/consensus/voter.cpp
+++ b/src/consensus/voter.cpp
@@ -1,4 +1,4 @@
-// A voter's start, its clock, and which handler a message goes to.
+// Start of a voter, its timers, and the dispatch of messages to their handlers.
 #include "consensus/voter.hpp"
 
 #include <cstdint>
@@ -26,7 +26,7 @@
     lastLeaderContact_ = now;
     restartElectionTimer(now);
     if (state.disk.empty() || state.snapshotIndex == 0) {
-        write({}, now);  // the identity is synced before anyone relies on it
+        write({}, now);  // the identity must be durable before anyone relies on it
         return;
     }
     epoch_ = state.epoch;
@@ -39,7 +39,7 @@
     log_.reset(snapshot_.index, snapshot_.term);
     for (auto& entry : state.log) {
         log_.append(entry);
-        entry.body = std::string();  // so that no entry is held twice for long
+        entry.body = std::string();  // limits memory use: avoids a second copy of the whole log
     }
     lastApplied_ = snapshot_.index;
     lastSynced_ = last();
@@ -47,7 +47,7 @@
     roles_->process(Initialized{}, counters_);
     refreshConfiguration();
     applyCommitted(commitIndex_, now);
-    port_.voterApplied(replicatedState_, {});
+    port_.onStateApplied(replicatedState_, {});
 }
 
 auto Voter::envelope() const -> wire::Envelope {
@@ -63,7 +63,7 @@
 }
 
 auto Voter::checkInvariants() const -> void {
-    if (!isSound()) return;
+    if (!hasNoInjectedFault()) return;
     INVARIANT(lastApplied_ <= commitIndex_);
     INVARIANT(commitIndex_ <= last());
     INVARIANT(snapshot_.index <= lastApplied_);
@@ -86,9 +86,9 @@
 auto Voter::tickDisk(Microseconds now) -> void {
     if (writes_.detectStall(now)) {
         counters_.add("disk_stalled_total");
-        logEvent("disk_write_stalled", "disk={} limit_us={}", disk_, WRITE_STALLED);
+        logEvent("disk_write_stalled", "disk={} limit_us={}", disk_, DISK_STALL_TIMEOUT);
     }
-    if (writes_.takeProbe(now)) write({}, now);
+    if (writes_.takeDueProbe(now)) write({}, now);
 }
 
 auto Voter::tickLeader(Microseconds now) -> void {
@@ -99,8 +99,8 @@
     };
     if (hasMajority(hasContact)) lastQuorumContact_ = now;
     auto quorumLost = now - lastQuorumContact_ > QUORUM_TIMEOUT;
-    if (diskBad() || quorumLost) {
-        counters_.add(diskBad() ? "leader_gave_up_disk_total" : "leader_lost_quorum_total");
+    if (isDiskFaulty() || quorumLost) {
+        counters_.add(isDiskFaulty() ? "leader_gave_up_disk_total" : "leader_lost_quorum_total");
         auto transferred = transferLeadership(now);
         becomeFollower(now);
         if (!transferred || quorumLost) leaderDisk_.clear();
@@ -114,18 +114,19 @@
 }
 
 auto Voter::tickFollower(Microseconds now) -> void {
-    initializeBlankVoters(now);
+    initializeVoters(now);
     if (now < electionDeadline_) return;
-    if (!isVoter(disk_) || diskBad()) electionDeadline_ = now + ELECTION_TIMEOUT;
+    if (!isVoter(disk_) || isDiskFaulty()) electionDeadline_ = now + ELECTION_TIMEOUT;
     else if (roles_->process(ElectionTimeout{}, counters_)) beginPreVote(now);
 }
 
 auto Voter::handle(const wire::Envelope& message, Microseconds now) -> void {
     if (message.disk == disk_) return;
     auto carriesSnapshot = message.__isset.installSnapshot || message.__isset.snapshotChunk;
-    // A disk that its cluster no longer counts on may learn of a newer one.
-    auto isNewer = message.epoch > epoch_ && votedFor_.empty();
-    if (message.epoch != epoch_ && !(carriesSnapshot && (blank() || isNewer))) {
+    // A disk that has given no vote in its current term is not relied on by its cluster, so it may move to a
+    // newer one.
+    auto mayMoveToNewerCluster = message.epoch > epoch_ && votedFor_.empty();
+    if (message.epoch != epoch_ && !(carriesSnapshot && (blank() || mayMoveToNewerCluster))) {
         counters_.add("other_reign_dropped_total");
         return;
     }
--- a/src/membership/node.cpp
+++ b/src/membership/node.cpp
@@ -170,14 +170,14 @@
 auto Node::tickVoter(Microseconds now, Microseconds wall) -> void {
     auto& voter = *context_.voter;
     protocol_->placeVoters(now);
-    voter.setBlankVoters(blankVoterDisks(context_, now));
+    voter.setUninitializedVoters(blankVoterDisks(context_, now));
     scheduler_.tick(context_, wall, now);
     protocol_->beginEpochIfDue(now);
     orderService_.tick(voter, context_.wall, now);
     context_.counters.set("core_leader", voter.leads());
     context_.counters.set("core_term", voter.term());
     context_.counters.set("core_commit", voter.commit());
-    context_.counters.set("disk_bad", voter.diskBad());
+    context_.counters.set("disk_bad", voter.isDiskFaulty());
 }
 
 auto Node::publishCounters(Microseconds now) -> void {
--- a/src/membership/node.hpp
+++ b/src/membership/node.hpp
@@ -51,7 +51,7 @@
     /// `wall`: calendar time.
     auto tick(Microseconds now, Microseconds wall) -> void;
     auto handle(const wire::Envelope& envelope, Microseconds now) -> void;
-    auto diskDone(std::int64_t seq, bool ok, Microseconds now) -> void;
+    auto onDiskWriteDone(std::int64_t seq, bool ok, Microseconds now) -> void;
     /// What a probe brought; `refused`: the server said itself that nobody is there.
     auto probeFinished(const std::string& server, bool ok, bool refused, const wire::ServerLoad& load,
         Microseconds now) -> void;
@@ -120,7 +120,7 @@
     /// This node's retry budget and its want of more, for its record.
     auto setCredit(std::int64_t credit, std::int64_t want) -> void;
     /// A grant that another node gave to this one, taken once.
-    std::function<void(std::int64_t)> onGrant;
+    std::function<void(std::int64_t)> onCreditGrant;
     std::function<void()> onStateChange;
 
     /// The tokens of tenants' quotas that this node may spend.
@@ -139,10 +139,10 @@
     auto orderService() -> OrderService& { return orderService_; }
 
     // VoterPort.
-    auto voterSend(const std::string& disk, wire::Envelope& envelope) -> void override;
-    auto voterWrite(const DiskWrite& write) -> void override;
-    auto voterApplied(const ReplicatedState& state, const AppliedEntry& applied) -> void override;
-    auto voterRead(std::int64_t id, bool ok) -> void override;
+    auto sendToReplica(const std::string& disk, wire::Envelope& envelope) -> void override;
+    auto writeToDisk(const DiskWrite& write) -> void override;
+    auto onStateApplied(const ReplicatedState& state, const AppliedEntry& applied) -> void override;
+    auto onReadDone(std::int64_t id, bool ok) -> void override;
     // OrderServicePort.
     auto answer(const Requester& to, const Outcome& outcome) -> void override;
     auto acknowledged(MajorityProof& proof, std::int64_t version, Microseconds now) -> bool override;
@@ -150,7 +150,7 @@
     auto findLeader(Microseconds now) -> std::string override;
     auto lastLeader() -> std::string override;
     auto sendOrder(const std::string& node, wire::OrderRequest& ask, Microseconds now) -> void override;
-    auto orderDone(std::int64_t id, const Outcome& outcome) -> void override;
+    auto onOrderDone(std::int64_t id, const Outcome& outcome) -> void override;
 
   private:
     auto noticeFreeze(Microseconds now) -> void;
--- a/src/membership/node_messages.cpp
+++ b/src/membership/node_messages.cpp
@@ -33,9 +33,9 @@
     }
 }
 
-auto Node::diskDone(std::int64_t seq, bool ok, Microseconds now) -> void {
+auto Node::onDiskWriteDone(std::int64_t seq, bool ok, Microseconds now) -> void {
     noticeFreeze(now);
-    if (context_.voter) context_.voter->diskDone(seq, ok, now);
+    if (context_.voter) context_.voter->onDiskWriteDone(seq, ok, now);
     protocol_->refreshOwnRecord();
     orderService_.tick(*context_.voter, context_.wall, now);
 }
@@ -76,7 +76,7 @@
     announceState();
 }
 
-auto Node::voterApplied(const ReplicatedState& state, const AppliedEntry& applied) -> void {
+auto Node::onStateApplied(const ReplicatedState& state, const AppliedEntry& applied) -> void {
     if (takeNewerState(state)) {
         if (applied.entry) context_.statePublisher.noteEntry(*applied.entry);
         announceState();
@@ -84,14 +84,14 @@
     orderService_.applied(applied.key, state.version, applied.outcome);
 }
 
-auto Node::voterSend(const std::string& disk, wire::Envelope& envelope) -> void {
+auto Node::sendToReplica(const std::string& disk, wire::Envelope& envelope) -> void {
     envelope.node = context_.members.own().node;
     if (auto known = context_.members.withDisk(disk)) context_.port.send(known->record.peer, envelope);
 }
 
-auto Node::voterWrite(const DiskWrite& write) -> void { context_.port.disk(write); }
+auto Node::writeToDisk(const DiskWrite& write) -> void { context_.port.disk(write); }
 
-auto Node::voterRead(std::int64_t id, bool ok) -> void { orderService_.readDone(*context_.voter, id, ok); }
+auto Node::onReadDone(std::int64_t id, bool ok) -> void { orderService_.readDone(*context_.voter, id, ok); }
 
 // ---- orders
 
@@ -133,7 +133,7 @@
     context_.port.send(record->peer, envelope);
 }
 
-auto Node::orderDone(std::int64_t id, const Outcome& outcome) -> void { context_.port.done(id, outcome); }
+auto Node::onOrderDone(std::int64_t id, const Outcome& outcome) -> void { context_.port.done(id, outcome); }
 
 // ---- retry budget
 
@@ -155,7 +155,7 @@
     auto& taken = grantsTaken_[from];
     if (grant.seq <= taken) return;
     taken = grant.seq;
-    if (onGrant) onGrant(grant.credit);
+    if (onCreditGrant) onCreditGrant(grant.credit);
 }
 
 auto Node::setCredit(std::int64_t credit, std::int64_t want) -> void {
--- a/src/membership/roster_membership.cpp
+++ b/src/membership/roster_membership.cpp
@@ -213,7 +213,7 @@
     noteIncarnation(server, listing.inc, now);
     held = listing;
     server.listedAt = now - listing.age;
-    server.coldUntil = listing.cold > 0 ? now + listing.cold : 0;
+    server.slowStartUntil = listing.cold > 0 ? now + listing.cold : 0;
     listingTakenAt_ = std::max(listingTakenAt_, server.listedAt);
 }
 
@@ -267,7 +267,7 @@
 // ---- replicated state
 
 auto RosterMembership::withinLease(Microseconds now) const -> bool {
-    if (context_.faults.noLease) return context_.state.version > 0;
+    if (context_.faults.ignoreLease) return context_.state.version > 0;
     return context_.state.version > 0 && context_.members.own().settled
         && majorityConfirms(context_, VotersCounted::SettledOnly, now);
 }
@@ -291,7 +291,7 @@
 /// newer is known, so that this was held up on its way.
 auto RosterMembership::nextRevision(std::int64_t platformRevision) const -> std::int64_t {
     auto top = context_.directory.topRevision();
-    if (!platformRevision || context_.faults.lateUp) return top + 1;
+    if (!platformRevision || context_.faults.acceptSupersededListing) return top + 1;
     return platformRevision > top ? platformRevision : -1;
 }
 
@@ -317,7 +317,7 @@
     server.listing = entry.listing;
     server.listing.revision = revision;
     server.listedAt = now;
-    server.coldUntil = entry.coldMicroseconds >= 0 ? now + entry.coldMicroseconds : 0;
+    server.slowStartUntil = entry.coldMicroseconds >= 0 ? now + entry.coldMicroseconds : 0;
     return server.listing.state == LEAVING && !wasLeaving;
 }
 
--- a/src/modelcheck/replica.cpp
+++ b/src/modelcheck/replica.cpp
@@ -125,9 +125,9 @@
     auto write = pending_.front();
     pending_.pop_front();
     auto taken = ok && gate_.takes(write);
-    if (taken) diskApply(durable_, write);
+    if (taken) applyDiskWrite(durable_, write);
     else gate_.fail(write);
-    voter_.diskDone(write.seq, taken, now_);
+    voter_.onDiskWriteDone(write.seq, taken, now_);
 }
 
 auto Replica::propose(std::uint32_t number) -> void {
@@ -136,20 +136,20 @@
     if (body) voter_.propose(ENTRY_ORDER, *body, now_);
 }
 
-auto Replica::voterSend(const std::string& disk, wire::Envelope& envelope) -> void {
+auto Replica::sendToReplica(const std::string& disk, wire::Envelope& envelope) -> void {
     output_.sent.push_back({disk, envelope});
 }
 
-auto Replica::voterWrite(const DiskWrite& write) -> void {
+auto Replica::writeToDisk(const DiskWrite& write) -> void {
     if (write.truncateFrom >= 0) output_.cuts.push_back(write.truncateFrom);
     pending_.push_back(write);
 }
 
-auto Replica::voterApplied(const ReplicatedState& state, const AppliedEntry&) -> void {
+auto Replica::onStateApplied(const ReplicatedState& state, const AppliedEntry&) -> void {
     output_.applied.push_back({state.version, hash64(state.text())});
 }
 
-auto Replica::voterRead(std::int64_t id, bool ok) -> void {
+auto Replica::onReadDone(std::int64_t id, bool ok) -> void {
     auto visible = std::uint32_t(0);
     for (auto number = 0u; number < MAX_ORDERS; number++)
         if (voter_.replicatedState().outcome(orderKey(number)).status == 200) visible |= 1u << number;
@@ -160,7 +160,7 @@
     auto state = durable_;
     auto gate = gate_;
     for (auto i = std::size_t(0); i < kept && i < pending_.size(); i++)
-        if (gate.takes(pending_[i])) diskApply(state, pending_[i]);
+        if (gate.takes(pending_[i])) applyDiskWrite(state, pending_[i]);
     return state;
 }
 
--- a/src/modelcheck/replica.hpp
+++ b/src/modelcheck/replica.hpp
@@ -89,7 +89,7 @@
 /// What can be seen of a replica between two steps.
 struct Observation {
     std::string disk;
-    Voter::Role role = Voter::Role::Blank;
+    Voter::Role role = Voter::Role::Uninitialized;
     bool ready = false;
     std::int64_t term = 0, commit = 0, version = 0;
     std::uint32_t ordersApplied = 0;  // bit sets of order numbers
@@ -113,10 +113,10 @@
     auto diskAfterCrash(std::size_t kept) const -> DiskState;
 
   private:
-    auto voterSend(const std::string& disk, wire::Envelope& envelope) -> void override;
-    auto voterWrite(const DiskWrite& write) -> void override;
-    auto voterApplied(const ReplicatedState& state, const AppliedEntry& applied) -> void override;
-    auto voterRead(std::int64_t id, bool ok) -> void override;
+    auto sendToReplica(const std::string& disk, wire::Envelope& envelope) -> void override;
+    auto writeToDisk(const DiskWrite& write) -> void override;
+    auto onStateApplied(const ReplicatedState& state, const AppliedEntry& applied) -> void override;
+    auto onReadDone(std::int64_t id, bool ok) -> void override;
     auto electionTimeout() -> void;
     auto finishWrite(bool ok) -> void;
     auto propose(std::uint32_t number) -> void;
@@ -124,7 +124,7 @@
     Counters counters_;
     DiskState durable_;
     std::deque<DiskWrite> pending_;
-    DiskGate gate_;
+    DiskWriteFence gate_;
     StepOutput output_;
     Microseconds now_;
     Voter voter_;
--- a/src/quota/tenant_ledger.hpp
+++ b/src/quota/tenant_ledger.hpp
@@ -8,7 +8,7 @@
 #include "quota/grant_reserve.hpp"
 #include "quota/quota_faults.hpp"
 #include "quota/quota_limits.hpp"
-#include "quota/sliding_count.hpp"
+#include "quota/sliding_window_counter.hpp"
 #include "quota/token_bucket.hpp"
 #include "state/tenants.hpp"
 #include "wire_types.h"
@@ -61,7 +61,7 @@
     // Images.
     /// The image's part; it reserves tokens.
     auto image(std::int64_t sequence, Microseconds now) -> wire::QuotaTenantImage;
-    auto imageHeld(std::int64_t sequence) -> void { reserve_.confirm(sequence); }
+    auto confirmImage(std::int64_t sequence) -> void { reserve_.confirm(sequence); }
     /// Whether a newer image is wanted, since much of the reserve is used.
     [[nodiscard]] auto wantsImage() const -> bool;
     /// Whether requests wait for nothing else than a newer image.
@@ -94,8 +94,8 @@
     std::int64_t refused_ = 0;
     std::int64_t blocked_ = 0;  // requests that wait since the last image, because the reserve was used up
     std::int64_t announcedReserve_ = 0;
-    SlidingCount spent_{QUOTA_LEDGER_STEP};
-    SlidingCount granted_{QUOTA_LEDGER_STEP};  // lately
+    SlidingWindowCounter spent_{QUOTA_LEDGER_STEP};
+    SlidingWindowCounter granted_{QUOTA_LEDGER_STEP};  // lately
     TokenBucket bucket_;
     GrantReserve reserve_;
 };
--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -39,23 +39,24 @@
 auto Edge::accept(const std::string& method, const std::string& path, const Headers& headers,
     const std::string& body, Microseconds now, Microseconds arrived) -> std::int64_t {
     fleet_.start(now);
-    auto& request = beginRequest(method, path, headers, now);
-    auto refuse = [&](const Refusal& refusal) {
+    auto& request = createRequest(method, path, headers, now);
+    auto refuse = [&](const RequestRejection& refusal) {
         fail(request, refusal.status, refusal.why, now);
         return request.id;
     };
-    if (auto refusal = whyRefused(headers, now)) return refuse(*refusal);
-    if (auto refusal = bindAtFirst(request, headers)) return refuse(*refusal);
+    if (auto refusal = checkAdmission(headers, now)) return refuse(*refusal);
+    if (auto refusal = bindNewRequest(request, headers)) return refuse(*refusal);
     // A long body may have taken a while; the client counts from the request's beginning.
     readRequest(request, headers, body, arrived > 0 ? std::min(arrived, now) : now);
-    if (auto refusal = readResumption(request, now)) return refuse(*refusal);
+    if (auto refusal = admitResumption(request, now)) return refuse(*refusal);
     auto& limits = request.limits;
-    limits.immovable = limits.sequenceTokens > request.route.maxSequenceTokens || !request.relayed.countable;
-    noteAcceptance(request, now);
+    limits.migrationDisabled =
+        limits.sequenceTokens > request.route.maxSequenceTokens || !request.relayed.hasOrderedIds;
+    traceAcceptance(request, now);
     counters_.add("accepted_total");
     auto answer = quota_.ask(request, now);
-    if (answer == QuotaAnswer::Refused) return refuse({429, BEYOND_QUOTA});
-    if (answer == QuotaAnswer::Granted) proceed(request, now);
+    if (answer == QuotaDecision::Refused) return refuse({429, BEYOND_QUOTA});
+    if (answer == QuotaDecision::Granted) proceed(request, now);
     return request.id;
 }
 
@@ -68,7 +69,7 @@
         fail(request, 503, "the servers are full and so is the queue", now);
 }
 
-auto Edge::serveQuotaWaiters(Microseconds now) -> void {
+auto Edge::serveRequestsAwaitingQuota(Microseconds now) -> void {
     auto settle = [&](Request& request, QuotaVerdict verdict) {
         if (verdict == QuotaVerdict::Admitted) return proceed(request, now);
         if (verdict == QuotaVerdict::Refused) return fail(request, 429, BEYOND_QUOTA, now);
@@ -78,7 +79,7 @@
 }
 
 // What is known of a request before anything of it is checked.
-auto Edge::beginRequest(const std::string& method, const std::string& path, const Headers& headers,
+auto Edge::createRequest(const std::string& method, const std::string& path, const Headers& headers,
     Microseconds now) -> Request& {
     auto id = ++lastRequestId_;
     auto& request = requests_[id];
@@ -100,27 +101,29 @@
 }
 
 // Why this node takes no request, or not this one, whatever its route.
-auto Edge::whyRefused(const Headers& headers, Microseconds now) const -> std::optional<Refusal> {
+auto Edge::checkAdmission(const Headers& headers, Microseconds now) const -> std::optional<RequestRejection> {
     if (dialect_.clientNamesRequests)
         if (auto name = header(headers, dialect_.request); name.empty() || name.size() > MAX_NAME)
-            return Refusal{400, "the header " + dialect_.request + " is missing or too long"};
-    if (refusingNew_ || (draining_ && !dialect_.clientNamesRequests))
-        return Refusal{503, "this node is stopping"};
-    if (broken.noServe) return Refusal{503, "broken"};
-    if (!node_.withinLease(now)) return Refusal{503, "this node has not heard a majority within its lease"};
+            return RequestRejection{400, "the header " + dialect_.request + " is missing or too long"};
+    if (rejectingNew_ || (draining_ && !dialect_.clientNamesRequests))
+        return RequestRejection{503, "this node is stopping"};
+    if (broken.rejectEverything) return RequestRejection{503, "broken"};
+    if (!node_.withinLease(now))
+        return RequestRejection{503, "this node has not heard a majority within its lease"};
     auto isEvacuated = evacuatedAt_ > 0 && now - evacuatedAt_ > EVACUATION_GRACE;
-    if (isEvacuated && !dialect_.clientNamesRequests) return Refusal{503, "this district is emptied"};
+    if (isEvacuated && !dialect_.clientNamesRequests)
+        return RequestRejection{503, "this district is emptied"};
     return std::nullopt;
 }
 
 // The route and the tenant of a request that has just come in.
-auto Edge::bindAtFirst(Request& request, const Headers& headers) -> std::optional<Refusal> {
+auto Edge::bindNewRequest(Request& request, const Headers& headers) -> std::optional<RequestRejection> {
     request.received.model = header(headers, dialect_.model);
     request.tenant.key = ClientKey(headers, dialect_);
     return bind(request, routes_);
 }
 
-auto Edge::noteAcceptance(Request& request, Microseconds now) -> void {
+auto Edge::traceAcceptance(Request& request, Microseconds now) -> void {
     auto& limits = request.limits;
     auto& tenant = request.tenant;
     note(request,
@@ -156,12 +159,12 @@
             received.sharedTokens = prompt->sharedTokens;
         }
     } else if (auto bytes = request.route.affinityBytes) {
-        received.prefixKey = beginnings_.keyOf(std::string_view(body).substr(0, bytes));
+        received.prefixKey = prefixHistory_.keyOf(std::string_view(body).substr(0, bytes));
     }
 }
 
 // A client that goes on with a stream of which it holds the beginning.
-auto Edge::readResumption(Request& request, Microseconds now) -> std::optional<Refusal> {
+auto Edge::admitResumption(Request& request, Microseconds now) -> std::optional<RequestRejection> {
     auto& headers = request.received.headers;
     auto lastEventId = header(headers, dialect_.lastEvent);
     if (lastEventId.empty()) return std::nullopt;
@@ -171,18 +174,18 @@
         if (!request.route.mayRunAgain() || !request.route.stream) return std::nullopt;
         auto& relayed = request.relayed;
         relayed.lastEventId = parseNumber(lastEventId);
-        relayed.countable = relayed.lastEventId >= 0;
+        relayed.hasOrderedIds = relayed.lastEventId >= 0;
         request.limits.sequenceTokens += std::max<std::int64_t>(0, relayed.lastEventId);
         return std::nullopt;
     }
     auto why = migration_.resumeForClient(request, lastEventId, header(headers, dialect_.weights));
     if (!why.empty()) {
         counters_.add("resumptions_denied_total");
-        return Refusal{409, why};
+        return RequestRejection{409, why};
     }
     if (budget_.allows(request, now)) return std::nullopt;
     budget_.recordShortage(now);
-    return Refusal{503, "the fleet's budget for extra sends is spent"};
+    return RequestRejection{503, "the fleet's budget for extra sends is spent"};
 }
 
 // Takes a place in the service's queue, that of a less urgent request where the queue is full.
@@ -201,18 +204,19 @@
 }
 
 // A newer configuration binds those who wait too: it may refuse them, or change their order.
-auto Edge::rebindQueue(Microseconds now) -> void {
+auto Edge::rebindQueuedRequests(Microseconds now) -> void {
     if (queueRevision_ == routes_.revision) return;
     queueRevision_ = routes_.revision;
     for (auto request : backlog_.inOrder())
-        if (auto refusal = rebindToNewest(*request)) fail(*request, refusal->status, refusal->why, now);
+        if (auto refusal = rebindToNewestConfiguration(*request))
+            fail(*request, refusal->status, refusal->why, now);
 }
 
-auto Edge::serveQueue(Microseconds now) -> void {
-    rebindQueue(now);
+auto Edge::dispatchQueuedRequests(Microseconds now) -> void {
+    rebindQueuedRequests(now);
     auto failures = std::map<PlacesOfRoute, int>();
     for (auto request : backlog_.inOrder()) {
-        if (now >= request->queuePlace.until) {
+        if (now >= request->queueEntry.until) {
             fail(*request, 503, "no server had room in time", now);
             continue;
         }
--- a/src/routing/candidate_filters.cpp
+++ b/src/routing/candidate_filters.cpp
@@ -18,7 +18,7 @@
 auto isListed(const KnownServer& server, const ServerStatistics* statistics, const EdgeFaults& faults)
     -> bool {
     if (statistics && statistics->wrongAddressRevision >= server.listing.revision) return false;
-    return !server.listing.address.empty() && (server.listing.state == UP || faults.ignoreLeaving);
+    return !server.listing.address.empty() && (server.listing.state == UP || faults.ignoreDraining);
 }
 
 auto isOutsideEvacuatedZones(const KnownServer& server, const ReplicatedState& state) -> bool {
@@ -27,7 +27,7 @@
 
 auto isInHomeRegion(const KnownServer& server, const Request& request, const EdgeFaults& faults) -> bool {
     auto& homes = request.route.homes;
-    return faults.ignoreHome || std::any_of(homes.begin(), homes.end(), [&](auto& home) {
+    return faults.ignoreHomeRegion || std::any_of(homes.begin(), homes.end(), [&](auto& home) {
         return server.listing.region == homeRegion(home, request.received.region);
     });
 }
@@ -36,7 +36,7 @@
     const EdgeFaults& faults) -> bool {
     if (dialect.clientNamesRequests && server.listing.weights.empty()) return true;
     auto& relayed = request.relayed;
-    return faults.anyWeights || relayed.weights.empty() || relayed.lastEventId < 0
+    return faults.ignoreWeightsVersion || relayed.weights.empty() || relayed.lastEventId < 0
         || server.listing.weights == relayed.weights;
 }
 
@@ -59,7 +59,7 @@
         return false;
     auto& server = *candidate.server;
     auto isDark = server.loadReadAt && now - server.loadReadAt < LOAD_MAX_AGE && server.load.dark;
-    return !isDark && ejection.fitness(now) >= leastFitness;
+    return !isDark && ejection.healthScore(now) >= leastFitness;
 }
 
 auto hasRoom(const Candidate& candidate, const ServerStatistics& statistics, const ServiceRule& rule,
--- a/src/routing/completion.cpp
+++ b/src/routing/completion.cpp
@@ -37,7 +37,7 @@
         countOutcome(request, "cut");
     } else {
         replyFailure(request, status, why);
-        if (status == KEY_REFUSED) counters_.add("keys_refused_total");
+        if (status == KEY_REJECTED_STATUS) counters_.add("keys_refused_total");
         countOutcome(request, mayHaveRun ? "failed" : "denied");
     }
     finish(request, "failed: " + why, now);
@@ -45,12 +45,12 @@
 
 // Ends a stream visibly incomplete.
 auto Edge::cutStream(Request& request, const std::string& why) -> void {
-    if (!dialect_.passHeaders)
-        port_.sendPart(request.id,
+    if (!dialect_.passThroughHeaders)
+        port_.sendStreamBytes(request.id,
             fmt::format("event: failed\ndata: {}\n\n",
                 bodyOf({{"error", jsonQuote(why)},
                     {"lastEventId", fmt::to_string(request.relayed.lastEventId)}, {"retryAfter", "1"}})));
-    port_.endStream(request.id, broken.cutLooksWhole);
+    port_.endStream(request.id, broken.truncatedLooksComplete);
 }
 
 // The header by which nothing ran is said only where it is certain.
@@ -60,7 +60,7 @@
     if (status >= 500 || status == 429) {  // else coming back changes nothing
         auto after = std::string("1");
         if (dialect_.clientNamesRequests) {
-            auto spread = refusingNew_ ? 0 : RETRY_AFTER_STEP * double(random_.below(RETRY_AFTER_STEPS));
+            auto spread = rejectingNew_ ? 0 : RETRY_AFTER_STEP * double(random_.below(RETRY_AFTER_STEPS));
             after = fmt::format("{:.2f}", RETRY_AFTER + spread);
         }
         headers.emplace_back("Retry-After", after);
@@ -75,12 +75,12 @@
 auto Edge::finish(Request& request, const std::string& how, Microseconds now) -> void {
     auto& attempts = request.attempts;
     if (attempts.countedInflight && attempts.tracker.written())
-        statistics_.ofService(request.route.service).recordHoldTime(now - attempts.chosenAt);
+        statistics_.ofService(request.route.service).recordRequestDuration(now - attempts.chosenAt);
     release(request);
     backlog_.leave(request);
     quota_.release(request, now);
     turn(request, counters_, PhaseEvent::End);
-    if (broken.badStep) turn(request, counters_, PhaseEvent::Loss);
+    if (broken.illegalPhaseChange) turn(request, counters_, PhaseEvent::Loss);
     note(request, fmt::format("+{} us {}", now - request.received.acceptedAt, how));
     decisions_.record(request, how);
     finished_.push_back(request.id);
--- a/src/routing/dispatch.cpp
+++ b/src/routing/dispatch.cpp
@@ -26,7 +26,7 @@
 
 // Sends a request to a server, if one may take it now. The request may have ended if none may.
 auto Edge::dispatch(Request& request, Microseconds now) -> bool {
-    if (auto refusal = rebindToNewest(request)) {
+    if (auto refusal = rebindToNewestConfiguration(request)) {
         fail(request, refusal->status, refusal->why, now);
         return false;
     }
@@ -54,7 +54,7 @@
     attempts.countedInflight = true;
     auto& server = node_.servers().at(name);
     if (auto rule = serviceRule(request)) {
-        slowStart_.admits(name, server, *rule, now, BucketUse::Take);
+        slowStart_.admits(name, server, *rule, now, BucketUse::Consume);
         if (rule->isEngine) reserveEngine(request, statistics, *rule);
     }
     turn(request, counters_, PhaseEvent::Send);
@@ -65,11 +65,12 @@
 // What a request takes of an engine: its prompt is to be read, its tokens fill the memory.
 auto Edge::reserveEngine(Request& request, ServerStatistics& statistics, const ServiceRule& rule) -> void {
     auto& received = request.received;
-    request.attempts.unreadTokens = unreadPromptTokens(statistics, received, PrefixAssumption::AsRecorded);
-    statistics.unreadTokens += double(request.attempts.unreadTokens);
-    statistics.heldTokens += double(received.ownTokens());
-    statistics_.ofService(request.route.service).recordOwnTokens(received.ownTokens());
-    auto capacity = rule.memoryTokens ? rule.memoryTokens : UNSTATED_MEMORY_TOKENS;
+    request.attempts.pendingPromptTokens =
+        uncachedPromptTokens(statistics, received, PrefixAssumption::AsRecorded);
+    statistics.pendingPromptTokens += double(request.attempts.pendingPromptTokens);
+    statistics.reservedTokens += double(received.unsharedTokens());
+    statistics_.ofService(request.route.service).recordUnsharedTokens(received.unsharedTokens());
+    auto capacity = rule.kvCacheTokens ? rule.kvCacheTokens : UNSTATED_MEMORY_TOKENS;
     for (auto& [part, tokens] : received.promptParts) statistics.prefixCache.add(part, tokens, capacity);
 }
 
@@ -80,21 +81,21 @@
     request.attempts.countedInflight = false;
     auto& statistics = statistics_.of(request.attempts.server);
     statistics.inflight--;
-    auto held = std::max(0.0, statistics.heldTokens - double(request.received.ownTokens()));
-    statistics.heldTokens = statistics.inflight ? held : 0;
+    auto held = std::max(0.0, statistics.reservedTokens - double(request.received.unsharedTokens()));
+    statistics.reservedTokens = statistics.inflight ? held : 0;
 }
 
 // The server has read the prompt, or never will.
 auto Edge::promptRead(Request& request) -> void {
-    auto& unread = request.attempts.unreadTokens;
+    auto& unread = request.attempts.pendingPromptTokens;
     if (!unread) return;
     auto& statistics = statistics_.of(request.attempts.server);
-    statistics.unreadTokens = std::max(0.0, statistics.unreadTokens - double(unread));
+    statistics.pendingPromptTokens = std::max(0.0, statistics.pendingPromptTokens - double(unread));
     unread = 0;
 }
 
 // Why the newest configuration no longer lets the request be sent, if it does not.
-auto Edge::rebindToNewest(Request& request) -> std::optional<Refusal> {
+auto Edge::rebindToNewestConfiguration(Request& request) -> std::optional<RequestRejection> {
     auto tenant = request.tenant.name;
     auto refusal = rebind(request, routes_, dialect_, broken);
     if (request.tenant.name != tenant)
@@ -104,10 +105,10 @@
 }
 
 // Why the request may not be sent, whatever the server.
-auto Edge::whyNoAttempt(Request& request) -> std::optional<Refusal> {
-    if (auto refusal = rebindToNewest(request)) return refusal;
+auto Edge::whyNoAttempt(Request& request) -> std::optional<RequestRejection> {
+    if (auto refusal = rebindToNewestConfiguration(request)) return refusal;
     auto why = migration_.objection(request, request.attempts.tracker.earlier(), AttemptGrant::Granted);
-    return why.empty() ? std::nullopt : std::optional(Refusal{503, why});
+    return why.empty() ? std::nullopt : std::optional(RequestRejection{503, why});
 }
 
 // Why the server that was chosen may not be sent to after all.
@@ -120,13 +121,13 @@
     if (reused && !mayReuseConnection(request)) return "it may not go on a used connection any more";
     auto rule = serviceRule(request);
     auto isHeldUp = now - request.attempts.chosenAt > HELD_UP;
-    if (rule && isHeldUp && !slowStart_.admits(server->first, server->second, *rule, now, BucketUse::Take))
+    if (rule && isHeldUp && !slowStart_.admits(server->first, server->second, *rule, now, BucketUse::Consume))
         return "it is cold, and this send was held up";
     return "";
 }
 
 // The process may just have woken from a freeze, so all is asked again.
-auto Edge::beforeFirstByte(std::int64_t id, int attempt, Microseconds now, bool reused) -> bool {
+auto Edge::confirmSend(std::int64_t id, int attempt, Microseconds now, bool reused) -> bool {
     auto request = currentAttempt(id, attempt);
     if (!request) return false;
     // Some things no other server can mend.
@@ -187,9 +188,10 @@
 }
 
 auto Edge::requestHeaders(const Request& request, Microseconds now) const -> Headers {
-    auto headers = endToEnd(request.received.headers);
+    auto headers = endToEndHeaders(request.received.headers);
     auto drop = [&](std::string_view name) {
-        if (!name.empty()) std::erase_if(headers, [&](auto& entry) { return sameName(entry.first, name); });
+        if (!name.empty())
+            std::erase_if(headers, [&](auto& entry) { return equalsIgnoreCase(entry.first, name); });
     };
     auto set = [&](const std::string& name, std::string value) {
         if (name.empty()) return;
--- a/src/routing/edge.cpp
+++ b/src/routing/edge.cpp
@@ -29,8 +29,8 @@
       selection_({node, routes_, dialect_, fleet_, broken, statistics_, slowStart_, random_}),
       migration_(routes_, dialect_, statistics_, broken) {
     node_.onStateChange = [this] { takeState(); };
-    node_.onGrant = [this](std::int64_t credit) { budget_.receiveGrant(credit); };
-    node_.onQuotaAnswer = [this](Microseconds now) { serveQuotaWaiters(now); };
+    node_.onCreditGrant = [this](std::int64_t credit) { budget_.receiveGrant(credit); };
+    node_.onQuotaAnswer = [this](Microseconds now) { serveRequestsAwaitingQuota(now); };
     takeState();
 }
 
@@ -85,8 +85,8 @@
     }
     for (auto& [id, request] : requests_)
         if (request.phase() != Phase::Finished) tickRequest(request, now);
-    serveQuotaWaiters(now);
-    serveQueue(now);
+    serveRequestsAwaitingQuota(now);
+    dispatchQueuedRequests(now);
     for (auto id : finished_) requests_.erase(id);
     finished_.clear();
     budget_.tick(node_, now);
--- a/src/routing/edge.hpp
+++ b/src/routing/edge.hpp
@@ -37,7 +37,7 @@
 #include "routing/migration.hpp"
 #include "routing/prompt_prefix.hpp"
 #include "routing/quota_admission.hpp"
-#include "routing/refusal.hpp"
+#include "routing/request_rejection.hpp"
 #include "routing/request.hpp"
 #include "routing/retry_budget.hpp"
 #include "routing/route_table.hpp"
@@ -74,7 +74,7 @@
 
     /// The last check, just before the first byte; true: it is sent now. `reused`: on a connection that
     /// carried another request before, where an answer must prove whose it is.
-    [[nodiscard]] auto beforeFirstByte(std::int64_t id, int attempt, Microseconds now, bool reused = false)
+    [[nodiscard]] auto confirmSend(std::int64_t id, int attempt, Microseconds now, bool reused = false)
         -> bool;
     /// The headers to send, complete but for what concerns length and connection.
     [[nodiscard]] auto requestHeaders(const Request& request, Microseconds now) const -> Headers;
@@ -109,7 +109,7 @@
     /// The process stops. A Dialect with clientNamesRequests serves on until stopAccepting.
     auto drain() -> void { draining_ = true; }
     /// From now on new requests are refused at once.
-    auto stopAccepting() -> void { refusingNew_ = true; }
+    auto stopAccepting() -> void { rejectingNew_ = true; }
     /// Ends what still runs, visibly; the stop's limit is over.
     auto abortAll(Microseconds now) -> void;
 
@@ -138,19 +138,21 @@
     enum class EventVerdict { Sound, OutOfOrder, Unsound, Uncountable };
 
     // Admission (admission.cpp).
-    auto beginRequest(const std::string& method, const std::string& path, const Headers& headers,
+    auto createRequest(const std::string& method, const std::string& path, const Headers& headers,
         Microseconds now) -> Request&;
-    [[nodiscard]] auto whyRefused(const Headers& headers, Microseconds now) const -> std::optional<Refusal>;
-    [[nodiscard]] auto bindAtFirst(Request& request, const Headers& headers) -> std::optional<Refusal>;
+    [[nodiscard]] auto checkAdmission(const Headers& headers, Microseconds now) const
+        -> std::optional<RequestRejection>;
+    [[nodiscard]] auto bindNewRequest(Request& request, const Headers& headers)
+        -> std::optional<RequestRejection>;
     auto readRequest(Request& request, const Headers& headers, const std::string& body, Microseconds begunAt)
         -> void;
-    auto readResumption(Request& request, Microseconds now) -> std::optional<Refusal>;
-    auto noteAcceptance(Request& request, Microseconds now) -> void;
+    auto admitResumption(Request& request, Microseconds now) -> std::optional<RequestRejection>;
+    auto traceAcceptance(Request& request, Microseconds now) -> void;
     auto proceed(Request& request, Microseconds now) -> void;
-    auto serveQuotaWaiters(Microseconds now) -> void;
+    auto serveRequestsAwaitingQuota(Microseconds now) -> void;
     auto enqueue(Request& request, Microseconds now) -> bool;
-    auto rebindQueue(Microseconds now) -> void;
-    auto serveQueue(Microseconds now) -> void;
+    auto rebindQueuedRequests(Microseconds now) -> void;
+    auto dispatchQueuedRequests(Microseconds now) -> void;
 
     // Dispatch (dispatch.cpp).
     auto dispatch(Request& request, Microseconds now) -> bool;
@@ -158,8 +160,8 @@
     auto reserveEngine(Request& request, ServerStatistics& statistics, const ServiceRule& rule) -> void;
     auto release(Request& request) -> void;
     auto promptRead(Request& request) -> void;
-    [[nodiscard]] auto rebindToNewest(Request& request) -> std::optional<Refusal>;
-    [[nodiscard]] auto whyNoAttempt(Request& request) -> std::optional<Refusal>;
+    [[nodiscard]] auto rebindToNewestConfiguration(Request& request) -> std::optional<RequestRejection>;
+    [[nodiscard]] auto whyNoAttempt(Request& request) -> std::optional<RequestRejection>;
     [[nodiscard]] auto whyNotToServer(const Request& request, bool reused, Microseconds now) -> std::string;
     auto giveUpAttempt(Request& request, const std::string& why, Microseconds now) -> void;
     auto holdBack(Request& request, const std::string& why, Microseconds now) -> void;
@@ -228,9 +230,9 @@
     QuotaAdmission quota_;
     ServerSelection selection_;
     Migration migration_;
-    KnownBeginnings beginnings_;
+    PrefixHistory prefixHistory_;
     DecisionLog decisions_;
-    bool draining_ = false, refusingNew_ = false;
+    bool draining_ = false, rejectingNew_ = false;
     Microseconds evacuatedAt_ = 0;    // when this node's own zone was evacuated; -1 until the next tick
     std::int64_t queueRevision_ = 0;  // of the routes that all waiting requests are bound to
     Microseconds prunedAt_ = 0;       // when unlisted servers were last forgotten
--- a/src/routing/edge_port.hpp
+++ b/src/routing/edge_port.hpp
@@ -11,7 +11,7 @@
 /// `attempt` the number of one attempt of it.
 struct EdgePort {
     virtual ~EdgePort() = default;
-    /// Connects to `address` and sends; Edge::beforeFirstByte is asked just before the first byte.
+    /// Connects to `address` and sends; Edge::confirmSend is asked just before the first byte.
     virtual auto startAttempt(
         std::int64_t request, int attempt, const std::string& server, const std::string& address) -> void = 0;
     /// Closes the attempt's connection for good; what still comes of it is ignored.
@@ -19,7 +19,7 @@
     /// The head of a streamed answer to the client.
     virtual auto sendHead(std::int64_t request, int status, const Headers& headers) -> void = 0;
     /// Further bytes of a streamed answer.
-    virtual auto sendPart(std::int64_t request, const std::string& bytes) -> void = 0;
+    virtual auto sendStreamBytes(std::int64_t request, const std::string& bytes) -> void = 0;
     /// Ends a streamed answer: whole, or visibly cut.
     virtual auto endStream(std::int64_t request, bool whole) -> void = 0;
     /// A whole answer to the client.
--- a/src/routing/migration.cpp
+++ b/src/routing/migration.cpp
@@ -11,7 +11,7 @@
 namespace duneturn {
 namespace {
 
-constexpr auto PACE_SMOOTHING = Smoothing{0.8, 0.2};
+constexpr auto PACE_SMOOTHING = ExponentialSmoothing{0.8, 0.2};
 constexpr auto PACE_SAMPLES = 8;                               // events before an attempt's pace is judged
 constexpr auto SLOWEST_SOUND_GAP = double(100 * MILLISECOND);  // a pace that nobody is moved for
 constexpr auto CRAWL_FACTOR = 5;                               // times the median of its like
@@ -21,13 +21,13 @@
 auto Migration::objection(const Request& request, Execution earlier, AttemptGrant grant) const
     -> std::string {
     auto& relayed = request.relayed;
-    if (earlier >= Execution::MayHaveRun && !faults_.resendAny) {
+    if (earlier >= Execution::MayHaveRun && !faults_.retryNonRepeatable) {
         auto step = stepAfterFailure(Execution::MayHaveRun, relayed.headSent);
         if (!mayAttemptAgain(step, request.retryRights()))
             return relayed.headSent && request.retryRights().repeatable
                 ? "its beginning was delivered, and nothing can be joined to it"
                 : "it may have run, and what may not be repeated never runs twice";
-        if (relayed.headSent && !relayed.countable)
+        if (relayed.headSent && !relayed.hasOrderedIds)
             return "its events cannot be counted, so they cannot be joined";
     }
     auto isFurther = grant == AttemptGrant::Further;
@@ -35,7 +35,7 @@
     // A stream of no model has the limit that is the default: none.
     auto& route = request.route;
     auto isLimited = !route.model.empty() || (dialect_.clientNamesRequests && route.stream);
-    auto isSpent = migrations > route.migrationLimit || (isFurther && request.limits.immovable);
+    auto isSpent = migrations > route.migrationLimit || (isFurther && request.limits.migrationDisabled);
     if (isLimited && migrations > 0 && isSpent) return "no migration is left";
     if (request.attempts.sent >= route.maxAttempts) return "MaxTries is reached";
     return "";
@@ -49,7 +49,7 @@
     request.relayed.lastEventId = last;
     request.relayed.weights = weights;
     request.limits.sequenceTokens += std::max<std::int64_t>(0, last);
-    if (faults_.resumeAny) return "";
+    if (faults_.resumeUnchecked) return "";
     auto& route = request.route;
     if (!route.resumable)
         return "streams of this mapping cannot be resumed; send it anew without Last-Event-Id";
@@ -61,18 +61,18 @@
     return "";
 }
 
-auto Migration::eventTokens(const Request& request, const ServerSentEvent& event) const -> int {
+auto Migration::tokensPerEvent(const Request& request, const ServerSentEvent& event) const -> int {
     if (dialect_.clientNamesRequests && event.id.empty()) return 0;
     auto rule = serviceRuleOf(routes_, dialect_, request.route.service);
-    return rule && rule->eventTokens > 0 ? rule->eventTokens : 1;
+    return rule && rule->tokensPerEvent > 0 ? rule->tokensPerEvent : 1;
 }
 
 auto Migration::recordRelayed(Request& request, const ServerSentEvent& event) const -> bool {
     auto& limits = request.limits;
-    limits.sequenceTokens += eventTokens(request, event);
+    limits.sequenceTokens += tokensPerEvent(request, event);
     if (limits.sequenceTokens > request.route.maxSequenceTokens) {
-        auto wasMovable = !limits.immovable;
-        limits.immovable = true;
+        auto wasMovable = !limits.migrationDisabled;
+        limits.migrationDisabled = true;
         request.relayed.events.clear();
         return wasMovable;
     }
@@ -91,7 +91,8 @@
     if (!route.firstByteTarget) return route.idleTimeout;
     auto usual = std::max({0.7 * double(route.firstByteTarget),
         4 * statistics_.median(route.service, &ServerStatistics::firstByteTime), double(200 * MILLISECOND)});
-    return Microseconds(usual + 2 * double(request.attempts.unreadTokens) / PROMPT_TOKENS_PER_MICROSECOND);
+    return Microseconds(
+        usual + 2 * double(request.attempts.pendingPromptTokens) / PROMPT_TOKENS_PER_MICROSECOND);
 }
 
 auto Migration::crawls(Request& request, Microseconds gap) const -> std::optional<std::string> {
--- a/src/routing/request.hpp
+++ b/src/routing/request.hpp
@@ -34,7 +34,7 @@
     std::uint64_t prefixKey = 0;  ///< Of the prompt's shared beginning; 0: none is known.
     std::int64_t promptTokens = 0, outputTokens = 0, sharedTokens = 0;
     /// The tokens that only this request needs.
-    [[nodiscard]] auto ownTokens() const -> std::int64_t {
+    [[nodiscard]] auto unsharedTokens() const -> std::int64_t {
         return std::max<std::int64_t>(0, promptTokens - sharedTokens) + outputTokens;
     }
 };
@@ -47,9 +47,9 @@
     Microseconds lastActivityAt = 0;    ///< When its server last sent something, or begun to be written to.
     Microseconds nextStallCheckAt = 0;  ///< Until then its silence is not looked at again.
     bool countedInflight = false;       ///< It counts among its server's attempts under way.
-    std::int64_t unreadTokens = 0;      ///< Of the prompt, that its server has not read yet.
-    bool onReusedConnection = false;    ///< Its connection carried another request before.
-    double eventGap = 0;                ///< Smoothed time between its events, in microseconds.
+    std::int64_t pendingPromptTokens = 0;  ///< Of the prompt, that its server has not read yet.
+    bool onReusedConnection = false;       ///< Its connection carried another request before.
+    double eventGap = 0;                   ///< Smoothed time between its events, in microseconds.
     int eventGapSamples = 0;
     int headReadOf = 0;      ///< The attempt whose head was read.
     AttemptTracker tracker;  ///< What is known of it and of those before it.
@@ -70,7 +70,7 @@
     Headers headers;   ///< and its headers.
     std::string weights;
     std::int64_t lastEventId = -1;    ///< Of the newest event relayed; -1: none was.
-    bool countable = true;            ///< Ids so far were whole numbers that rise as they should.
+    bool hasOrderedIds = true;        ///< Ids so far were whole numbers that rise as they should.
     std::vector<std::string> events;  ///< Relayed ones, kept while the request may still migrate.
 };
 
@@ -79,12 +79,12 @@
     Microseconds deadline = 0;
     std::int64_t routesRevision = 0;  ///< Of the routes that bind it.
     std::int64_t sequenceTokens = 0;  ///< Prompt and events so far, as counted or estimated here.
-    bool immovable = false;           ///< It can no longer migrate, whatever the limit.
+    bool migrationDisabled = false;   ///< It can no longer migrate, whatever the limit.
     bool resumedByClient = false;     ///< Its client lost another node and goes on with its stream here.
 };
 
 /// A place in a service's queue.
-struct QueuePlace {
+struct QueueEntry {
     std::string service;     ///< Empty: it holds no place.
     Microseconds until = 0;  ///< When it has waited long enough.
 };
@@ -112,7 +112,7 @@
     RequestAttempts attempts;
     RelayedStream relayed;
     RequestLimits limits;
-    QueuePlace queuePlace;
+    QueueEntry queueEntry;
     QuotaClaim quota;
     std::vector<std::string> trace;  ///< What was decided of it, for operators.
     std::unique_ptr<RequestMachine> machine;
@@ -133,7 +133,7 @@
     }
     /// The migrations that are left to it.
     [[nodiscard]] auto migrationsLeft() const -> int {
-        return limits.immovable ? 0 : std::max(0, route.migrationLimit - attempts.migrations);
+        return limits.migrationDisabled ? 0 : std::max(0, route.migrationLimit - attempts.migrations);
     }
 };
 
--- a/src/routing/response_relay.cpp
+++ b/src/routing/response_relay.cpp
@@ -17,7 +17,7 @@
 constexpr auto FULL_FOR = 150 * MILLISECOND;         // a server that said that it was full
 constexpr auto SLOW_FIRST_BYTE = 200 * MILLISECOND;  // a shorter time to the first byte is never slow
 constexpr auto SLOW_FACTOR = 5;                      // times the median of its like
-// Factors of a server's fitness.
+// Factors of a server's healthScore.
 constexpr auto SLOW = 0.9;
 constexpr auto DECLINED = 0.8;
 constexpr auto SERVER_ERROR = 0.7;
@@ -47,7 +47,7 @@
 
 // Whether the answer is another request's, or does not prove that it is this one's.
 auto Edge::isOtherRequests(const Request& request, const Headers& headers, int status) const -> bool {
-    if (broken.anyIdentity) return false;
+    if (broken.ignoreRequestIdentity) return false;
     auto name = header(headers, dialect_.request);
     if (!name.empty()) return name != request.received.name;
     // Of a success without a name nobody knows whose it is; of a failure neither, where a late answer to an
@@ -78,7 +78,7 @@
     if (taken <= SLOW_FIRST_BYTE || isNotExecuted(status, headers)) return;
     auto median = statistics_.median(request.route.service, &ServerStatistics::firstByteTime);
     if (median > 0 && statistics.firstByteTime > SLOW_FACTOR * median)
-        statistics.ejection.lowerFitness(SLOW, now);
+        statistics.ejection.lowerHealthScore(SLOW, now);
 }
 
 auto Edge::onResponseHead(std::int64_t id, int attempt, int status, const Headers& headers, Microseconds now)
@@ -102,7 +102,7 @@
     // What a server says of its weights itself is newer than the listing.
     if (auto weights = header(headers, dialect_.weights); status == 200 && !weights.empty()) {
         attempts.weights = weights;
-        auto isBound = relayed.lastEventId >= 0 && !relayed.weights.empty() && !broken.anyWeights;
+        auto isBound = relayed.lastEventId >= 0 && !relayed.weights.empty() && !broken.ignoreWeightsVersion;
         if (isBound && weights != relayed.weights) {
             counters_.add("wrong_weights_total");
             retryElsewhere(
@@ -110,15 +110,15 @@
             return false;
         }
     }
-    if (!relayed.headSent && dialect_.passHeaders) {
+    if (!relayed.headSent && dialect_.passThroughHeaders) {
         relayed.status = status;
-        relayed.headers = endToEnd(headers);
+        relayed.headers = endToEndHeaders(headers);
     }
     return true;
 }
 
 auto Edge::onWrongIdentity(Request& request, Microseconds now) -> void {
-    statistics_.of(request.attempts.server).ejection.lowerFitness(WRONG_IDENTITY, now);
+    statistics_.of(request.attempts.server).ejection.lowerHealthScore(WRONG_IDENTITY, now);
     counters_.add("wrong_exchange_total");
     retryElsewhere(request, AttemptEvent::WrongIdentity, "the server sent another exchange's reply", now);
 }
@@ -134,7 +134,7 @@
     if (relayed.headSent) return;
     relayed.headSent = true;
     if (!request.limits.resumedByClient) relayed.weights = request.attempts.weights;
-    if (dialect_.passHeaders) return port_.sendHead(request.id, relayed.status, relayed.headers);
+    if (dialect_.passThroughHeaders) return port_.sendHead(request.id, relayed.status, relayed.headers);
     port_.sendHead(request.id, 200,
         {{"Content-Type", "text/event-stream"}, {dialect_.request, request.received.name},
             {dialect_.weights, relayed.weights}});
@@ -146,17 +146,17 @@
         if (isComment(event.raw)) return EventVerdict::Sound;
         if (relayed.lastEventId >= 0 || (event.data.empty() && event.type.empty()))
             return EventVerdict::Unsound;
-        relayed.countable = false;
+        relayed.hasOrderedIds = false;
         return EventVerdict::Sound;
     }
-    if (!relayed.countable) return EventVerdict::Sound;
+    if (!relayed.hasOrderedIds) return EventVerdict::Sound;
     auto number = parseNumber(event.id);
     if (number < 0) {
         if (relayed.lastEventId >= 0) return EventVerdict::Unsound;
-        relayed.countable = false;
+        relayed.hasOrderedIds = false;
         return EventVerdict::Sound;
     }
-    if (number <= relayed.lastEventId && !broken.joinAny) return EventVerdict::OutOfOrder;
+    if (number <= relayed.lastEventId && !broken.joinUnorderedEvents) return EventVerdict::OutOfOrder;
     relayed.lastEventId = number;
     return EventVerdict::Sound;
 }
@@ -165,19 +165,19 @@
 auto Edge::judgeEvent(RelayedStream& relayed, const ServerSentEvent& event) const -> EventVerdict {
     if (dialect_.clientNamesRequests) return judgeRisingEvent(relayed, event);
     if (event.id.empty()) {
-        if (!event.done()) relayed.countable = false;
+        if (!event.done()) relayed.hasOrderedIds = false;
         return EventVerdict::Sound;
     }
-    if (!relayed.countable) return EventVerdict::Sound;
+    if (!relayed.hasOrderedIds) return EventVerdict::Sound;
     auto number = parseNumber(event.id);
     if (number < 0) {
         // Ids that are no numbers cannot be counted, nor joined.
         if (relayed.lastEventId >= 0) return EventVerdict::Uncountable;
-        relayed.countable = false;
+        relayed.hasOrderedIds = false;
         return EventVerdict::Sound;
     }
     auto isNext = relayed.lastEventId < 0 || number == relayed.lastEventId + 1;
-    if (!isNext && !broken.joinAny) return EventVerdict::OutOfOrder;
+    if (!isNext && !broken.joinUnorderedEvents) return EventVerdict::OutOfOrder;
     relayed.lastEventId = number;
     return EventVerdict::Sound;
 }
@@ -187,10 +187,10 @@
     auto last = request.relayed.lastEventId;
     if (verdict == EventVerdict::Uncountable)
         return fail(request, 502, fmt::format("the event after {} came as {}", last, event.id), now);
-    statistics_.of(request.attempts.server).ejection.lowerFitness(UNSOUND_EVENT, now);
+    statistics_.of(request.attempts.server).ejection.lowerHealthScore(UNSOUND_EVENT, now);
     counters_.add(verdict == EventVerdict::OutOfOrder ? "events_out_of_line_total" : "events_unsound_total");
     if (dialect_.clientNamesRequests && !request.relayed.headSent)
-        return retryElsewhere(request, AttemptEvent::MalformedAnswer, "its first event is unsound", now);
+        return retryElsewhere(request, AttemptEvent::MalformedResponse, "its first event is unsound", now);
     auto came = event.id.empty() ? "garbage" : event.id;
     fail(request, 502, fmt::format("the event after {} came as {}", last, came), now);
 }
@@ -205,7 +205,7 @@
     headRead(*request, 200, {});
     auto verdict = judgeEvent(request->relayed, event);
     if (verdict != EventVerdict::Sound) return rejectEvent(*request, event, verdict, now);
-    if (!request->relayed.countable) request->limits.immovable = true;
+    if (!request->relayed.hasOrderedIds) request->limits.migrationDisabled = true;
     sendHeadOnce(*request);
     turn(*request, counters_, PhaseEvent::Bytes);
     apply(*request, AttemptEvent::EventReceived);
@@ -213,13 +213,13 @@
         note(*request,
             fmt::format(
                 "+{} us past the maximum sequence length: migrations 0", now - request->received.acceptedAt));
-    port_.sendPart(id, event.raw);
-    if (dialect_.doneEvent && event.done()) completeStream(*request, now);
+    port_.sendStreamBytes(id, event.raw);
+    if (dialect_.streamEndsWithDoneEvent && event.done()) completeStream(*request, now);
     else if (request->relayed.lastEventId > 0) moveIfCrawling(*request, gap, now);
 }
 
 auto Edge::completeStream(Request& request, Microseconds now) -> void {
-    statistics_.of(request.attempts.server).ejection.raiseFitness(now);
+    statistics_.of(request.attempts.server).ejection.raiseHealthScore(now);
     apply(request, AttemptEvent::AnswerWhole);
     port_.endStream(request.id, true);
     countOutcome(request, request.attempts.sent > 1 ? "whole_moved" : "whole");
@@ -229,14 +229,14 @@
 auto Edge::onStreamEnd(std::int64_t id, int attempt, Microseconds now) -> void {
     auto request = currentAttempt(id, attempt);
     if (!request) return;
-    if (dialect_.doneEvent)
+    if (dialect_.streamEndsWithDoneEvent)
         return onConnectionLost(id, attempt, "the stream ended without its completion mark", now);
     headRead(*request, 200, {});
     sendHeadOnce(*request);
     turn(*request, counters_, PhaseEvent::Bytes);
     statistics_.of(request->attempts.server).lastReceivedAt = now;
     completeStream(*request, now);
-    serveQueue(now);
+    dispatchQueuedRequests(now);
 }
 
 auto Edge::onResponse(std::int64_t id, int attempt, int status, const Headers& headers,
@@ -263,7 +263,7 @@
     counters_.add("server_denied_total");
     auto& statistics = statistics_.of(request.attempts.server);
     if (!dialect_.clientNamesRequests) {
-        statistics.ejection.lowerFitness(DECLINED, now);
+        statistics.ejection.lowerHealthScore(DECLINED, now);
     } else if (status == MISDIRECTED) {
         // Its address is another server's by now; it may be listed for a while yet.
         if (auto server = node_.servers().find(request.attempts.server); server != node_.servers().end())
@@ -280,10 +280,10 @@
 // Why a whole answer cannot be passed on as it is; empty if it can. Judges the server by it.
 auto Edge::whyUnsuitable(Request& request, int status, Microseconds now) -> std::string {
     if (request.relayed.headSent) return fmt::format("the resumed stream was not one (status {})", status);
-    if (request.route.stream && status == 200 && !dialect_.passHeaders) return "not a stream";
+    if (request.route.stream && status == 200 && !dialect_.passThroughHeaders) return "not a stream";
     auto& ejection = statistics_.of(request.attempts.server).ejection;
-    if (status >= 500) ejection.lowerFitness(SERVER_ERROR, now);
-    else ejection.raiseFitness(now);
+    if (status >= 500) ejection.lowerHealthScore(SERVER_ERROR, now);
+    else ejection.raiseHealthScore(now);
     if (!dialect_.clientNamesRequests) return "";
     auto isRepeatable = request.retryRights().repeatable;
     if (status >= 500 && isRepeatable && couldMove(request, AttemptEvent::AnswerUnsuitable, now))
@@ -297,8 +297,8 @@
 auto Edge::relayResponse(
     Request& request, int status, const Headers& headers, const std::string& body, Microseconds now) -> void {
     auto passed = Headers{{dialect_.request, request.received.name}};
-    if (dialect_.passHeaders) {
-        passed = endToEnd(headers);
+    if (dialect_.passThroughHeaders) {
+        passed = endToEndHeaders(headers);
     } else {
         for (auto name : {"Content-Type", "Retry-After", "Cache-Control", "ETag"})
             if (auto value = header(headers, name); !value.empty()) passed.emplace_back(name, value);
@@ -309,7 +309,7 @@
     auto success = request.attempts.sent > 1 ? "whole_moved" : "whole";
     countOutcome(request, status < 400 ? success : "server_error");
     finish(request, fmt::format("reply {}", status), now);
-    if (dialect_.clientNamesRequests) serveQueue(now);
+    if (dialect_.clientNamesRequests) dispatchQueuedRequests(now);
 }
 
 }  // namespace duneturn
--- a/src/routing/retry.cpp
+++ b/src/routing/retry.cpp
@@ -16,7 +16,7 @@
 constexpr auto MAX_REFUSALS = 3;                       // connections refused of one request, at no cost
 constexpr auto SILENCE_LOOKED_AT = 150 * MILLISECOND;  // shorter silences are not looked at
 constexpr auto SILENCE_INTERVAL = 50 * MILLISECOND;    // from one look at a silent server to the next
-// Factors of a server's fitness.
+// Factors of a server's healthScore.
 constexpr auto LOST = 0.4;
 constexpr auto CRAWLING = 0.5;
 
@@ -26,11 +26,11 @@
 auto Edge::couldMove(Request& request, AttemptEvent event, Microseconds now) -> bool {
     auto& attempts = request.attempts;
     auto execution = attemptRule(attempts.tracker.state(), event).execution;
-    if (broken.silenceIsNoArrival && event == AttemptEvent::Silence) execution = Execution::NotArrived;
+    if (broken.silenceMeansNotArrived && event == AttemptEvent::Silence) execution = Execution::NotArrived;
     auto known = std::max(execution, attempts.tracker.earlier());
     auto isFurther = budget_.countsAsFurther(execution);
     auto grant = isFurther ? AttemptGrant::Further : AttemptGrant::Granted;
-    if (rebindToNewest(request) || now >= request.limits.deadline) return false;
+    if (rebindToNewestConfiguration(request) || now >= request.limits.deadline) return false;
     if (!migration_.objection(request, known, grant).empty()) return false;
     if (isFurther && !budget_.allows(request, now)) return false;
     attempts.tried.push_back(attempts.server);
@@ -46,7 +46,7 @@
 auto Edge::retryElsewhere(Request& request, AttemptEvent event, const std::string& why, Microseconds now)
     -> void {
     auto execution = apply(request, event);
-    if (broken.silenceIsNoArrival && event == AttemptEvent::Silence) {
+    if (broken.silenceMeansNotArrived && event == AttemptEvent::Silence) {
         request.attempts.tracker = AttemptTracker();
         execution = Execution::NotArrived;
     }
@@ -55,8 +55,8 @@
     auto grant = isFurther ? AttemptGrant::Further : AttemptGrant::Granted;
     abandonAttempt(request, execution, why, now);
     // What the newest configuration allows is what counts, not what it allowed at first.
-    if (auto refusal = rebindToNewest(request)) {
-        auto status = refusal->status == KEY_REFUSED ? KEY_REFUSED : 502;
+    if (auto refusal = rebindToNewestConfiguration(request)) {
+        auto status = refusal->status == KEY_REJECTED_STATUS ? KEY_REJECTED_STATUS : 502;
         return fail(request, status, why + "; " + refusal->why, now);
     }
     if (auto objection = migration_.objection(request, known, grant); !objection.empty())
@@ -112,7 +112,7 @@
     if (attempts.tracker.written())
         return onConnectionLost(id, attempt, "the connection broke while sending", now);
     auto& statistics = statistics_.of(attempts.server);
-    statistics.ejection.lowerFitness(LOST, now);
+    statistics.ejection.lowerHealthScore(LOST, now);
     statistics.ejection.eject(now);
     statistics.lastFailureAt = now;
     statistics.prefixCache.clear();
@@ -132,7 +132,7 @@
     auto request = currentAttempt(id, attempt);
     if (!request) return;
     auto& statistics = statistics_.of(request->attempts.server);
-    statistics.ejection.lowerFitness(LOST, now);
+    statistics.ejection.lowerHealthScore(LOST, now);
     auto isUnanswered = statistics.unansweredSince > statistics.lastReceivedAt;
     if (isUnanswered || now - statistics.lastReceivedAt > SECOND) statistics.ejection.eject(now);
     statistics.lastFailureAt = now;
@@ -143,7 +143,7 @@
 // Silence is a loss.
 auto Edge::checkSilence(Request& request, Microseconds now) -> void {
     if (now - request.attempts.lastActivityAt < request.route.idleTimeout) return;
-    statistics_.of(request.attempts.server).ejection.lowerFitness(LOST, now);
+    statistics_.of(request.attempts.server).ejection.lowerHealthScore(LOST, now);
     counters_.add("stalls_total");
     retryElsewhere(
         request, AttemptEvent::Silence, fmt::format("silent for {} us", request.route.idleTimeout), now);
@@ -162,11 +162,11 @@
             onConnectionRefused(request.id, attempts.current, now);
         return;
     }
-    auto mayMove = request.retryRights().repeatable || broken.silenceIsNoArrival;
+    auto mayMove = request.retryRights().repeatable || broken.silenceMeansNotArrived;
     if (!mayMove || silence < migration_.silenceLimit(request)) return;
     attempts.nextStallCheckAt = now + SILENCE_INTERVAL;
     if (!couldMove(request, AttemptEvent::Silence, now)) return;
-    statistics_.of(attempts.server).ejection.lowerFitness(LOST, now);
+    statistics_.of(attempts.server).ejection.lowerHealthScore(LOST, now);
     counters_.add("stalls_total");
     retryElsewhere(request, AttemptEvent::Silence, fmt::format("silent for {} us", silence), now);
 }
@@ -179,8 +179,8 @@
     statistics.recordEventGap(gap);
     auto why = migration_.crawls(request, gap);
     if (!why) return;
-    statistics.ejection.lowerFitness(CRAWLING, now);
-    if (!budget_.allows(request, now) || rebindToNewest(request)) return;
+    statistics.ejection.lowerHealthScore(CRAWLING, now);
+    if (!budget_.allows(request, now) || rebindToNewestConfiguration(request)) return;
     if (now >= request.limits.deadline) return;
     if (!migration_.objection(request, Execution::MayHaveRun, AttemptGrant::Further).empty()) return;
     attempts.tried.push_back(attempts.server);
--- a/src/routing/route_table.cpp
+++ b/src/routing/route_table.cpp
@@ -32,8 +32,8 @@
     table.budgetCap = jsonInteger(budget, "cap", table.budgetCap);
     table.budgetSlack = jsonNumber(budget, "slack", table.budgetSlack);
     auto& ramp = section(config, "ramp");
-    table.rampDuration = jsonInteger(ramp, "overUs", table.rampDuration);
-    table.rampFirstSlots = int(jsonInteger(ramp, "first", table.rampFirstSlots));
+    table.slowStartDuration = jsonInteger(ramp, "overUs", table.slowStartDuration);
+    table.slowStartInitialSlots = int(jsonInteger(ramp, "first", table.slowStartInitialSlots));
     auto& cold = section(config, "cold");
     table.coldOverrun = jsonNumber(cold, "overrun", table.coldOverrun);
     table.coldSlack = jsonNumber(cold, "slack", table.coldSlack);
@@ -44,10 +44,10 @@
         auto& rule = table.services[member.name.GetString()];
         rule.maxConnections = int(jsonInteger(member.value, "maxConns"));
         rule.slots = int(jsonInteger(member.value, "slots"));
-        rule.eventTokens = int(jsonInteger(member.value, "stride"));
+        rule.tokensPerEvent = int(jsonInteger(member.value, "stride"));
         rule.coldDuration = jsonInteger(member.value, "coldUs");
         rule.coldRate = jsonNumber(member.value, "coldRate");
-        rule.memoryTokens = jsonInteger(member.value, "kvTokens");
+        rule.kvCacheTokens = jsonInteger(member.value, "kvTokens");
         rule.isEngine = jsonBool(member.value, "engine");
     }
 }
--- a/src/routing/route_table.hpp
+++ b/src/routing/route_table.hpp
@@ -36,7 +36,7 @@
     Near,       ///< In the client's region, or in one that takes its overflow.
     Pick,       ///< The one that is chosen.
 };
-/// A stage with its threshold: a fitness (Fit), an occupancy (Room, Near), or whether prompts' beginnings
+/// A stage with its threshold: a healthScore (Fit), an occupancy (Room, Near), or whether prompts' beginnings
 /// are hashed to servers (Pick).
 struct SelectionStep {
     SelectionStage stage = SelectionStage::Service;
@@ -45,13 +45,13 @@
 
 /// What the configuration says of a service's servers. 0: nothing.
 struct ServiceRule {
-    int maxConnections = 0;         ///< That one server accepts, of all nodes.
-    int slots = 0;                  ///< Requests that one server runs at once.
-    int eventTokens = 0;            ///< Tokens in one event of a stream.
-    Microseconds coldDuration = 0;  ///< How long a server that has just started is cold.
-    double coldRate = 0;            ///< Requests a second that a cold server bears, of all nodes.
-    std::int64_t memoryTokens = 0;  ///< Tokens that one server's memory holds.
-    bool isEngine = false;          ///< The servers run a model, and queue by themselves.
+    int maxConnections = 0;          ///< That one server accepts, of all nodes.
+    int slots = 0;                   ///< Requests that one server runs at once.
+    int tokensPerEvent = 0;          ///< Tokens in one event of a stream.
+    Microseconds coldDuration = 0;   ///< How long a server that has just started is cold.
+    double coldRate = 0;             ///< Requests a second that a cold server bears, of all nodes.
+    std::int64_t kvCacheTokens = 0;  ///< Tokens that one server's memory holds.
+    bool isEngine = false;           ///< The servers run a model, and queue by themselves.
 };
 
 /// What the configuration says of a model; see docs/source-design.md.
@@ -105,8 +105,8 @@
     std::int64_t budgetCap = 50;  ///< Attempts that a node may save up.
     double coldOverrun = 1.5;     ///< A cold server bears its rate times this,
     double coldSlack = 5;         ///< and so many requests more.
-    Microseconds rampDuration = 20 * SECOND;
-    int rampFirstSlots = 2;  ///< Slots of a server at its ramp's beginning, of all nodes.
+    Microseconds slowStartDuration = 20 * SECOND;
+    int slowStartInitialSlots = 2;  ///< Slots of a server at its ramp's beginning, of all nodes.
 
     [[nodiscard]] auto tenants() const -> const TenantTable& { return configuration->tenants(); }
     /// The index of a request's route, -1 if there is none: of its host, else of any; the longest path;
--- a/src/routing/scoring.cpp
+++ b/src/routing/scoring.cpp
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-auto unreadPromptTokens(const ServerStatistics& statistics, const ReceivedRequest& request,
+auto uncachedPromptTokens(const ServerStatistics& statistics, const ReceivedRequest& request,
     PrefixAssumption assumption) -> std::int64_t {
     auto held = std::int64_t(0), all = std::int64_t(0);
     auto isLeading = true;
@@ -36,19 +36,19 @@
     PrefixAssumption assumption, Microseconds now) -> double {
     auto& statistics = statistics_.of(*candidate.name);
     auto slots = double(statistics_.slots(*candidate.name, *candidate.server, rule));
-    auto holdTime = statistics_.ofService(request.route.service).holdTime;
-    if (holdTime <= 0) holdTime = DEFAULT_HOLD_TIME;
+    auto requestDuration = statistics_.ofService(request.route.service).requestDuration;
+    if (requestDuration <= 0) requestDuration = DEFAULT_HOLD_TIME;
     auto time = candidate.occupancy * OCCUPANCY_COST;
-    if (candidate.occupancy >= 1) time += (candidate.occupancy * slots - slots + 1) * holdTime / slots;
+    if (candidate.occupancy >= 1) time += (candidate.occupancy * slots - slots + 1) * requestDuration / slots;
     if (rule.isEngine) {
         // Those that wait while slots are free are being read.
         auto others =
             now - statistics.loadAt < LOAD_FRESHNESS ? double(statistics.waiting) * WAITING_TOKENS : 0.0;
-        auto own = double(unreadPromptTokens(statistics, request.received, assumption));
-        time += (std::max(statistics.unreadTokens, others) + own) / PROMPT_TOKENS_PER_MICROSECOND;
+        auto own = double(uncachedPromptTokens(statistics, request.received, assumption));
+        time += (std::max(statistics.pendingPromptTokens, others) + own) / PROMPT_TOKENS_PER_MICROSECOND;
     }
     if (candidate.server->listing.region != request.received.region) time += double(OTHER_REGION_LATENCY);
-    return time / std::max(LEAST_FITNESS, statistics.ejection.fitness(now));
+    return time / std::max(LEAST_FITNESS, statistics.ejection.healthScore(now));
 }
 
 auto Scoring::fitsInMemory(
@@ -57,9 +57,9 @@
     auto others =
         std::max(0.0, statistics_.load(*candidate.name, *candidate.server, now) - statistics.inflight);
     if (statistics.inflight + others < 1) return true;
-    auto room = MEMORY_SHARE * double(rule.memoryTokens) - double(request.received.sharedTokens);
-    auto ofOthers = others * statistics_.ofService(request.route.service).ownTokens;
-    return statistics.heldTokens + ofOthers + double(request.received.ownTokens()) <= room;
+    auto room = MEMORY_SHARE * double(rule.kvCacheTokens) - double(request.received.sharedTokens);
+    auto ofOthers = others * statistics_.ofService(request.route.service).unsharedTokens;
+    return statistics.reservedTokens + ofOthers + double(request.received.unsharedTokens()) <= room;
 }
 
 }  // namespace duneturn
--- a/src/routing/server_selection.cpp
+++ b/src/routing/server_selection.cpp
@@ -106,8 +106,8 @@
     auto statisticsOf(const Candidate& candidate) const -> ServerStatistics& {
         return inputs_.statistics.of(*candidate.name);
     }
-    auto fitness(const Candidate& candidate) const -> double {
-        return statisticsOf(candidate).ejection.fitness(now_);
+    auto healthScore(const Candidate& candidate) const -> double {
+        return statisticsOf(candidate).ejection.healthScore(now_);
     }
     auto isNear(const Candidate& candidate) const -> bool {
         return candidate.server->listing.region == request_.received.region;
@@ -135,7 +135,7 @@
         auto& slowStart = inputs_.slowStart;
         if (rule_)
             return keep("cold", [&](auto& candidate) {
-                return slowStart.admits(*candidate.name, *candidate.server, *rule_, now_, BucketUse::Look);
+                return slowStart.admits(*candidate.name, *candidate.server, *rule_, now_, BucketUse::Peek);
             });
         keep("ramp", [&](auto& candidate) {
             return statisticsOf(candidate).inflight
@@ -159,7 +159,7 @@
                 statistics.load(*candidate.name, *candidate.server, now_) / slots(candidate);
         auto share = std::size_t(rule_->maxConnections) / inputs_.fleet.nodes();
         auto connectionShare = std::max<std::size_t>(2, share);
-        auto isBoundByMemory = rule_->isEngine && rule_->memoryTokens > 0;
+        auto isBoundByMemory = rule_->isEngine && rule_->kvCacheTokens > 0;
         keep("room", [&](auto& candidate) {
             if (isBoundByMemory && !scoring_.fitsInMemory(candidate, request_, *rule_, now_)) return false;
             return hasRoom(
@@ -244,7 +244,7 @@
         selection_.isOutsideRegion = !isNear(candidate);
         selection_.explanation +=
             fmt::format(", picked {} ({}, region {}, occupancy {:.2f}, fitness {:.2f})", selection_.server,
-                picked.how, candidate.server->listing.region, candidate.occupancy, fitness(candidate));
+                picked.how, candidate.server->listing.region, candidate.occupancy, healthScore(candidate));
     }
 
     // The index of the candidate with the least cost, the first of several.
@@ -272,7 +272,7 @@
     // A long shared beginning goes where it was read before. All else goes to the best of some drawn at
     // random, since many nodes that know the same would all run to one.
     auto pickByPrediction() -> Picked {
-        if (inputs_.faults.pickRandom)
+        if (inputs_.faults.selectRandomly)
             return {std::size_t(inputs_.random.below(candidates_.size())), "least of some"};
         auto& received = request_.received;
         if (!rule_->isEngine || !received.prefixKey || received.sharedTokens < LONG_PREFIX_TOKENS)
@@ -310,11 +310,11 @@
 
     auto pickByOccupancy(bool byPrefix) -> Picked {
         auto cost = [&](auto& candidate) {
-            return (candidate.occupancy + 0.05) / std::max(0.05, fitness(candidate));
+            return (candidate.occupancy + 0.05) / std::max(0.05, healthScore(candidate));
         };
         auto draw = [&] { return std::size_t(inputs_.random.below(candidates_.size())); };
-        if (inputs_.faults.pickRandom) return {draw(), "random"};
-        if (inputs_.faults.pickLeast) return {leastBy(cost), "least"};
+        if (inputs_.faults.selectRandomly) return {draw(), "random"};
+        if (inputs_.faults.selectLeastLoaded) return {leastBy(cost), "least"};
         if (byPrefix && request_.received.prefixKey) {
             auto least = leastBy(cost);
             auto homes = cacheHomes();
--- a/src/routing/server_statistics.cpp
+++ b/src/routing/server_statistics.cpp
@@ -14,10 +14,10 @@
 namespace duneturn {
 namespace {
 
-constexpr auto FIRST_BYTE_SMOOTHING = Smoothing{0.8, 0.2};
-constexpr auto EVENT_GAP_SMOOTHING = Smoothing{0.9, 0.1};
-constexpr auto HOLD_TIME_SMOOTHING = Smoothing{0.95, 0.05};
-constexpr auto OWN_TOKENS_SMOOTHING = Smoothing{0.98, 0.02};
+constexpr auto FIRST_BYTE_SMOOTHING = ExponentialSmoothing{0.8, 0.2};
+constexpr auto EVENT_GAP_SMOOTHING = ExponentialSmoothing{0.9, 0.1};
+constexpr auto HOLD_TIME_SMOOTHING = ExponentialSmoothing{0.95, 0.05};
+constexpr auto OWN_TOKENS_SMOOTHING = ExponentialSmoothing{0.98, 0.02};
 // What is left of the weight of earlier requests with each new one: some hundreds of them count.
 constexpr auto RECENT_REQUESTS_DECAY = 0.995;
 constexpr auto MOST_REPORTED = std::int64_t(1 << 20);  // a server's number beyond it is believed no further
@@ -38,12 +38,12 @@
     eventGap = EVENT_GAP_SMOOTHING.next(eventGap, double(gap));
 }
 
-auto ServiceStatistics::recordHoldTime(Microseconds taken) -> void {
-    holdTime = HOLD_TIME_SMOOTHING.next(holdTime, double(taken));
+auto ServiceStatistics::recordRequestDuration(Microseconds taken) -> void {
+    requestDuration = HOLD_TIME_SMOOTHING.next(requestDuration, double(taken));
 }
 
-auto ServiceStatistics::recordOwnTokens(std::int64_t tokens) -> void {
-    ownTokens = OWN_TOKENS_SMOOTHING.next(ownTokens, double(tokens));
+auto ServiceStatistics::recordUnsharedTokens(std::int64_t tokens) -> void {
+    unsharedTokens = OWN_TOKENS_SMOOTHING.next(unsharedTokens, double(tokens));
 }
 
 auto ServiceStatistics::recordRequest(const std::string& region) -> void {
@@ -82,7 +82,7 @@
     if (!statistics.loadAt) return own + service.requestsOfOthers;
     auto others = double(std::max(0, statistics.running + statistics.waiting - statistics.inflightAtLoad));
     auto age = double(now - statistics.loadAt);
-    auto still = std::exp(-age / std::max(service.holdTime, double(20 * MILLISECOND)));
+    auto still = std::exp(-age / std::max(service.requestDuration, double(20 * MILLISECOND)));
     auto expected = own + others * still + service.requestsOfOthers * (1 - still);
     auto trust = age <= double(LOAD_BELIEVED_FOR)
         ? 1
@@ -117,7 +117,7 @@
     if (auto text = header(headers, dialect.load); !text.empty()) readLoad(name, text, now);
     if (auto text = header(headers, dialect.coldMs); !text.empty())
         if (auto number = parseNumber(text); number >= 0)
-            statistics.coldUntil = number ? now + std::min(number, MOST_COLD_MS) * MILLISECOND : 0;
+            statistics.slowStartUntil = number ? now + std::min(number, MOST_COLD_MS) * MILLISECOND : 0;
 }
 
 // "RUNNING,WAITING,SLOTS".
--- a/src/routing/server_statistics.hpp
+++ b/src/routing/server_statistics.hpp
@@ -17,7 +17,7 @@
 
 /// The weights of an exponentially smoothed figure: what is kept of the old value, what is taken of a
 /// new one. 0 stands for "no value yet".
-struct Smoothing {
+struct ExponentialSmoothing {
     double keep, take;
     [[nodiscard]] auto next(double previous, double sample) const -> double {
         return previous > 0 ? previous * keep + sample * take : sample;
@@ -41,11 +41,11 @@
     Microseconds lastReceivedAt = 0;   ///< When it last answered.
     /// The revision of the listing under which another server answered at its address.
     std::int64_t wrongAddressRevision = -1;
-    Microseconds coldUntil = 0;     ///< As it said itself.
-    double coldBucket = 1;          ///< Requests that a cold one may still be sent; see SlowStart.
-    Microseconds coldBucketAt = 0;  ///< When the bucket was last filled.
-    double heldTokens = 0;          ///< Of its memory that ours hold, beside what they share.
-    double unreadTokens = 0;        ///< Of prompts sent to it that it has not begun to answer.
+    Microseconds slowStartUntil = 0;  ///< As it said itself.
+    double coldBucket = 1;            ///< Requests that a cold one may still be sent; see SlowStart.
+    Microseconds coldBucketAt = 0;    ///< When the bucket was last filled.
+    double reservedTokens = 0;        ///< Of its memory that ours hold, beside what they share.
+    double pendingPromptTokens = 0;   ///< Of prompts sent to it that it has not begun to answer.
     PrefixCache prefixCache;
 
     /// It was sent something that it has not answered for much longer than it usually takes.
@@ -58,15 +58,15 @@
 
 /// Figures of one service's requests, as this node sees them.
 struct ServiceStatistics {
-    double holdTime = 0;        ///< Smoothed: how long a request takes a server, in microseconds.
-    double ownTokens = 0;       ///< Smoothed: the tokens that only one request needs.
-    double recentRequests = 0;  ///< Requests of late; older ones count less and less.
+    double requestDuration = 0;  ///< Smoothed: how long a request takes a server, in microseconds.
+    double unsharedTokens = 0;   ///< Smoothed: the tokens that only one request needs.
+    double recentRequests = 0;   ///< Requests of late; older ones count less and less.
     std::map<std::string, double> boundByRegion;  ///< Those of them that only one region may serve.
     std::int64_t loadReports = 0;
     double requestsOfOthers = 0;  ///< Smoothed: what a server holds of other nodes' requests.
 
-    auto recordHoldTime(Microseconds taken) -> void;
-    auto recordOwnTokens(std::int64_t tokens) -> void;
+    auto recordRequestDuration(Microseconds taken) -> void;
+    auto recordUnsharedTokens(std::int64_t tokens) -> void;
     /// A request was accepted that only `region` may serve; empty: that several may.
     auto recordRequest(const std::string& region) -> void;
     auto recordRequestsOfOthers(double requests) -> void;
--- a/src/routing/slow_start.cpp
+++ b/src/routing/slow_start.cpp
@@ -25,17 +25,18 @@
     if (!server.loadReadAt) return now - server.firstSeenAt;
     // So it does where it was last seen not to answer, or nobody has read its load of late.
     if (server.load.dark || now - server.loadReadAt > LOAD_STALE_AFTER) return 0;
-    if (!server.load.cold && server.load.up >= routes_.rampDuration) return routes_.rampDuration;
+    if (!server.load.cold && server.load.up >= routes_.slowStartDuration) return routes_.slowStartDuration;
     return server.load.up + (now - server.loadReadAt);
 }
 
 auto SlowStart::rampShare(const std::string& name, const KnownServer& server, Microseconds now) -> int {
-    if (faults_.noRamp || routes_.rampDuration <= 0) return NO_LIMIT;
+    if (faults_.skipSlowStart || routes_.slowStartDuration <= 0) return NO_LIMIT;
     auto elapsed = upTime(name, server, now);
-    if (elapsed >= routes_.rampDuration) return NO_LIMIT;
+    if (elapsed >= routes_.slowStartDuration) return NO_LIMIT;
     auto slots = double(std::max(1, server.listing.slots));
-    auto grown = (slots - routes_.rampFirstSlots) * double(elapsed) / double(routes_.rampDuration);
-    auto all = int(routes_.rampFirstSlots + grown);
+    auto grown =
+        (slots - routes_.slowStartInitialSlots) * double(elapsed) / double(routes_.slowStartDuration);
+    auto all = int(routes_.slowStartInitialSlots + grown);
     // Each node takes its part; the remainder goes to those that rendezvous hashing puts first.
     auto nodes = node_.aliveNodes(now);
     auto before = 0;
@@ -47,11 +48,11 @@
 auto SlowStart::isCold(
     const std::string& name, const KnownServer& server, const ServiceRule& rule, Microseconds now) -> bool {
     auto& statistics = statistics_.of(name);
-    if (server.coldUntil > server.listedAt && now < server.coldUntil + COLD_MARGIN) return true;
-    if (now < statistics.coldUntil + COLD_MARGIN && statistics.coldUntil > 0) return true;
+    if (server.slowStartUntil > server.listedAt && now < server.slowStartUntil + COLD_MARGIN) return true;
+    if (now < statistics.slowStartUntil + COLD_MARGIN && statistics.slowStartUntil > 0) return true;
     // New in our time, and nobody says how it is.
     auto isNew = listedAt_ && server.firstSeenAt > listedAt_ + SECOND;
-    if (!server.coldUntil && isNew && now < server.firstSeenAt + rule.coldDuration) return true;
+    if (!server.slowStartUntil && isNew && now < server.firstSeenAt + rule.coldDuration) return true;
     // Servers of a zone that is restored may have turned cold just before.
     auto restored = restoredZones_.find(server.listing.zone);
     return restored != restoredZones_.end()
@@ -62,7 +63,7 @@
 // the same second.
 auto SlowStart::admits(const std::string& name, const KnownServer& server, const ServiceRule& rule,
     Microseconds now, BucketUse use) -> bool {
-    if (rule.coldRate <= 0 || faults_.noRamp || !isCold(name, server, rule, now)) return true;
+    if (rule.coldRate <= 0 || faults_.skipSlowStart || !isCold(name, server, rule, now)) return true;
     if (!fleet_.settled(now)) return false;
     auto burst = BURST_SHARE * ((routes_.coldOverrun - RATE_SHARE) * rule.coldRate + routes_.coldSlack);
     auto sharers = std::min(fleet_.nodes(), std::size_t(std::max(1.0, burst)));
@@ -76,7 +77,7 @@
         std::min(1.0, statistics.coldBucket + elapsed * RATE_SHARE * rule.coldRate / double(sharers));
     statistics.coldBucketAt = now;
     if (statistics.coldBucket < 1) return false;
-    if (use == BucketUse::Take) statistics.coldBucket -= 1;
+    if (use == BucketUse::Consume) statistics.coldBucket -= 1;
     return true;
 }
 
--- a/src/sim/machine.cpp
+++ b/src/sim/machine.cpp
@@ -43,26 +43,26 @@
     edge = std::make_unique<Edge>(
         *node, *this, *ct, hash64(st.node, w.op.seed * 1000 + 500 + std::uint64_t(life)));
     auto& b = w.op.broken;
-    node->broken.noLease = b == "no-lease";
-    node->broken.ackEarly = b == "ack-early";
+    node->broken.ignoreLease = b == "no-lease";
+    node->broken.ackBeforeMajorities = b == "ack-early";
     node->broken.acceptOldState = b == "old-word";
-    edge->broken.resendAny = b == "resend-any";
-    edge->broken.joinAny = b == "join-any";
-    edge->broken.ignoreHome = b == "ignore-home";
-    edge->broken.noBudget = b == "no-budget";
-    edge->broken.noRamp = b == "no-ramp";
-    edge->broken.cutLooksWhole = b == "cut-looks-whole";
-    edge->broken.ignoreLeaving = b == "ignore-leaving";
-    edge->broken.oldRules = b == "old-rules";
-    edge->broken.resumeAny = b == "resume-any";
-    edge->broken.queueLeak = b == "queue-leak";
-    edge->broken.anyWeights = b == "any-weights";
-    node->broken.lateUp = b == "late-up";
-    edge->broken.noServe = b == "no-serve" && w.t > 30 * SECOND;
-    edge->broken.badStep = b == "bad-step";
-    node->broken.oldBoot = b == "old-boot";
-    edge->broken.pickRandom = w.op.place == "random";
-    edge->broken.pickLeast = w.op.place == "least";
+    edge->broken.retryNonRepeatable = b == "resend-any";
+    edge->broken.joinUnorderedEvents = b == "join-any";
+    edge->broken.ignoreHomeRegion = b == "ignore-home";
+    edge->broken.ignoreRetryBudget = b == "no-budget";
+    edge->broken.skipSlowStart = b == "no-ramp";
+    edge->broken.truncatedLooksComplete = b == "cut-looks-whole";
+    edge->broken.ignoreDraining = b == "ignore-leaving";
+    edge->broken.keepFirstConfiguration = b == "old-rules";
+    edge->broken.resumeUnchecked = b == "resume-any";
+    edge->broken.leakQueueSlots = b == "queue-leak";
+    edge->broken.ignoreWeightsVersion = b == "any-weights";
+    node->broken.acceptSupersededListing = b == "late-up";
+    edge->broken.rejectEverything = b == "no-serve" && w.t > 30 * SECOND;
+    edge->broken.illegalPhaseChange = b == "bad-step";
+    node->broken.reuseIncarnation = b == "old-boot";
+    edge->broken.selectRandomly = w.op.place == "random";
+    edge->broken.selectLeastLoaded = w.op.place == "least";
     top = {0, 0};
     if (core) {
         dk.under.clear();
@@ -88,7 +88,7 @@
     // Under a kill alone the machine may still sync what the process had begun to write.
     if (!power)
         while (!dk.under.empty() && !dk.full && !dk.stalled && w.rng.chance(.5)) {
-            diskApply(dk.held, dk.under.front());
+            applyDiskWrite(dk.held, dk.under.front());
             dk.under.pop_front();
         }
     dk.under.clear();
@@ -104,8 +104,8 @@
 }
 
 auto Machine::send(const std::string& addr, const wire::Envelope& e) -> void {
-    auto j = w.byAddr.find(addr);
-    if (j == w.byAddr.end()) return;
+    auto j = w.indexByAddress.find(addr);
+    if (j == w.indexByAddress.end()) return;
     auto to = j->second;
     if (to == i) return;
     if (w.cut[std::size_t(i)][std::size_t(to)] > 0 || (w.loss > 0 && w.net.chance(w.loss))) return;
@@ -141,10 +141,10 @@
             return;
         }
         auto ok = !dk.full && dk.gate.takes(dk.under.front());
-        if (ok) diskApply(dk.held, dk.under.front());
+        if (ok) applyDiskWrite(dk.held, dk.under.front());
         else dk.gate.fail(dk.under.front());
         dk.under.pop_front();
-        w.to(i, l, 0, [this, seq, ok] { node->diskDone(seq, ok, now()); });
+        w.to(i, l, 0, [this, seq, ok] { node->onDiskWriteDone(seq, ok, now()); });
         diskStep();
     });
 }
@@ -210,7 +210,7 @@
         }
         w.to(i, l, w.lat(), [this, p, x, a, l] {
             auto e = edge->find(x);
-            if (!p->open || !e || !edge->beforeFirstByte(x, a, now())) {
+            if (!p->open || !e || !edge->confirmSend(x, a, now())) {
                 p->open = false;
                 return;
             }
@@ -237,7 +237,7 @@
     for (auto& [n, v] : h)
         if (n == "X-Weights") T.weights = v;
 }
-auto Machine::sendPart(std::int64_t x, const std::string& s) -> void {
+auto Machine::sendStreamBytes(std::int64_t x, const std::string& s) -> void {
     auto k = w.tryOf.find({i, life, x});
     if (k == w.tryOf.end()) return;
     auto& l = w.linkAt[{1000 + i, int(x % 1000000)}];
--- a/src/sim/scale_fleet.cpp
+++ b/src/sim/scale_fleet.cpp
@@ -172,9 +172,10 @@
     fleet.atNode(*this, SYNC_TIME + Microseconds(fleet.rng.below(SYNC_TIME)), [](HollowNode& self) {
         auto write = std::move(self.writing.front());
         self.writing.pop_front();
-        diskApply(self.held, write);
+        applyDiskWrite(self.held, write);
         self.stats.syncs++;
-        self.fleet.spend(self, &Stats::other, [&] { self.node->diskDone(write.seq, true, self.fleet.now); });
+        self.fleet.spend(
+            self, &Stats::other, [&] { self.node->onDiskWriteDone(write.seq, true, self.fleet.now); });
         self.fleet.noteConfig(self);
         self.syncNext();
     });
@@ -399,7 +400,7 @@
 auto Fleet::leader() -> HollowNode* {
     for (auto i = 0; i < cores; i++) {
         auto& node = *nodes[std::size_t(i)];
-        if (node.up && node.node->voter()->ready() && now - node.node->voter()->quorumAt() < SECOND
+        if (node.up && node.node->voter()->ready() && now - node.node->voter()->lastQuorumContact() < SECOND
             && node.region != partitionedRegion)
             return &node;
     }
--- a/src/sim/world.hpp
+++ b/src/sim/world.hpp
@@ -31,7 +31,7 @@
     DiskState held;               // what survives the loss of power
     std::deque<DiskWrite> under;  // written, not yet synced
     Microseconds lat = 2 * MILLISECOND;
-    DiskGate gate;
+    DiskWriteFence gate;
     bool full = false, stalled = false, busy = false;
 };
 
@@ -68,7 +68,7 @@
         -> void override;
     auto cancelAttempt(std::int64_t x, int a) -> void override;
     auto sendHead(std::int64_t x, int status, const Headers& h) -> void override;
-    auto sendPart(std::int64_t x, const std::string& s) -> void override;
+    auto sendStreamBytes(std::int64_t x, const std::string& s) -> void override;
     auto endStream(std::int64_t x, bool whole) -> void override;
     auto sendReply(std::int64_t x, int status, const Headers& h, const std::string& body) -> void override;
 };
@@ -149,7 +149,7 @@
     std::priority_queue<Ev, std::vector<Ev>, Later> q;
     std::int64_t evs = 0;
     std::vector<std::unique_ptr<Machine>> ms;
-    std::map<std::string, int> byAddr;
+    std::map<std::string, int> indexByAddress;
     std::vector<SimServer> ss;
     std::map<std::string, int> sByAddr;
     std::vector<Kind> ks;
--- a/tests/membership/gossip_listing_test.cpp
+++ b/tests/membership/gossip_listing_test.cpp
@@ -11,15 +11,15 @@
 
 // A server that left while a node was cut off is not known there any more, nor announced anew by it.
 TEST(GossipMembership, longCutForgetsServers) {
-    auto q = Quiet();
+    auto q = MutedLog();
     for (auto i : {2u, 9u}) {
         auto f = Fleet(92);
-        f.standing();
+        f.startCluster();
         auto l = f.leader();
-        if (l == f.bs[i].get()) continue;
+        if (l == f.nodes[i].get()) continue;
         CHECK_EQ(200, f.list(*l, {"s1", "s2"}));
         f.run(SECOND);
-        auto& c = *f.bs[i];
+        auto& c = *f.nodes[i];
         f.lone(c, true);
         CHECK_EQ(200, f.list(*l, {"s1"}));
         f.run(70 * SECOND);
@@ -35,18 +35,18 @@
 // Two halves without a leader, each with a listing of its own, come together on the one of the
 // higher number, whole.
 TEST(GossipMembership, twoListingsBecomeOne) {
-    auto q = Quiet();
+    auto q = MutedLog();
     for (auto seed = 1u; seed < 9; seed++) {
         auto f = Fleet(seed);
-        f.standing();
+        f.startCluster();
         CHECK_EQ(200, f.list(*f.leader(), {"s0"}));
         f.run(SECOND);
-        for (auto i = 0u; i < 3; i++) f.stop(*f.bs[i]);
+        for (auto i = 0u; i < 3; i++) f.stop(*f.nodes[i]);
         f.run(5 * SECOND);
         auto part = [&](bool on) {
             for (auto i = 0u; i < 12; i++)
                 for (auto j = 0u; j < 12; j++)
-                    if (f.bs[i]->st.region != f.bs[j]->st.region) {
+                    if (f.nodes[i]->st.region != f.nodes[j]->st.region) {
                         if (on) f.cut.insert({i, j});
                         else f.cut.erase({i, j});
                     }
@@ -67,7 +67,7 @@
         f.run(5 * SECOND);
         CHECK_EQ(std::size_t(1), f.duties().size());
         auto& a = *f.duties()[0]->n;
-        for (auto& b : f.bs) {
+        for (auto& b : f.nodes) {
             if (!b->up) continue;
             CHECK_EQ(a.servers().size(), b->n->servers().size());
             for (auto& [n, s] : a.servers()) {
@@ -80,17 +80,17 @@
 }
 
 TEST(GossipMembership, oneDutyAndItsListing) {
-    auto q = Quiet();
+    auto q = MutedLog();
     auto f = Fleet(90);
-    f.standing();
+    f.startCluster();
     CHECK_EQ(std::size_t(1), f.duties().size());
     auto l = f.leader();
     CHECK(f.duties()[0] == l);
-    CHECK_EQ(409, f.list(*f.bs[8], {"x"}));
+    CHECK_EQ(409, f.list(*f.nodes[8], {"x"}));
     CHECK_EQ(200, f.list(*l, {"s1", "s2"}, R"(,"coldUs":5000000)"));
     CHECK(f.until(400 * MILLISECOND, [&] { return f.listed("s1", UP) && f.listed("s2", UP); }));
-    for (auto& b : f.bs) {
-        auto left = b->n->servers().at("s1").coldUntil - f.t;
+    for (auto& b : f.nodes) {
+        auto left = b->n->servers().at("s1").slowStartUntil - f.t;
         CHECK(left > 4 * SECOND && left <= 5 * SECOND + 300 * MILLISECOND);
     }
     // Without confirmation it still stands: the platform may be out of reach.
@@ -98,7 +98,7 @@
     CHECK(f.listed("s1", UP));
     CHECK_EQ(200, f.list(*l, {"s1"}));
     CHECK(f.until(400 * MILLISECOND, [&] { return f.listed("s2", LEAVING) && f.listed("s1", UP); }));
-    f.bs[6]->n->mark(++f.ids, "s1", 0, f.t);
+    f.nodes[6]->n->mark(++f.ids, "s1", 0, f.t);
     CHECK(f.ok(f.ids));
     f.stop(*l);
     CHECK(f.until(4 * SECOND, [&] { return f.duties().size() == 1; }));
@@ -115,9 +115,9 @@
 // With no leader at all the root of the tree does the duty; a listing of the one superseded, that
 // was frozen meanwhile, undoes nothing.
 TEST(GossipMembership, dutyIsHandedOn) {
-    auto q = Quiet();
+    auto q = MutedLog();
     auto f = Fleet(91);
-    f.standing();
+    f.startCluster();
     auto l = f.leader();
     CHECK_EQ(200, f.list(*l, {"s1"}));
     f.run(SECOND);
@@ -129,7 +129,7 @@
     CHECK_EQ(409, f.list(*l, {"s1"}));
     f.run(2 * SECOND);
     CHECK(f.listed("s2", UP) && f.listed("s1", LEAVING));
-    for (auto i = 0u; i < 3; i++) f.stop(*f.bs[i]);
+    for (auto i = 0u; i < 3; i++) f.stop(*f.nodes[i]);
     f.run(6 * SECOND);
     CHECK_EQ(std::size_t(1), f.duties().size());
     CHECK_EQ(200, f.list(*f.duties()[0], {"s3"}));
@@ -138,15 +138,15 @@
 
 // All lose power at once: nobody has a listing then, and one is asked for before there is a leader.
 TEST(GossipMembership, listingBeforeTheElection) {
-    auto q = Quiet();
+    auto q = MutedLog();
     for (auto seed = 300u; seed < 304; seed++) {
         auto f = Fleet(seed);
-        f.standing();
+        f.startCluster();
         CHECK_EQ(200, f.list(*f.leader(), {"s1"}));
         f.run(SECOND);
-        for (auto& b : f.bs) f.stop(*b);
+        for (auto& b : f.nodes) f.stop(*b);
         f.run(SECOND);
-        for (auto& b : f.bs) f.start(*b);
+        for (auto& b : f.nodes) f.start(*b);
         CHECK(f.until(450 * MILLISECOND, [&] { return !f.leader() && !f.duties().empty(); }));
         CHECK_EQ(200, f.list(*f.duties()[0], {"s1"}));
         CHECK(f.until(3 * SECOND, [&] { return f.listed("s1", UP); }));
--- a/tests/membership/quota_voters_test.cpp
+++ b/tests/membership/quota_voters_test.cpp
@@ -24,31 +24,31 @@
 }
 
 /// Whether a request that asks now gets a token, which it spends.
-auto isGranted(Fleet& fleet, Box& box) -> bool {
+auto isGranted(Fleet& fleet, FleetNode& box) -> bool {
     auto reservation = QuotaReservation();
     auto& account = box.n->quota();
     auto answer = account.reserve(TENANT, reservation, fleet.t);
-    if (answer == QuotaAnswer::Wait) account.stopWaiting(TENANT);
-    return answer == QuotaAnswer::Granted && account.spend(reservation, fleet.t);
+    if (answer == QuotaDecision::Wait) account.stopWaiting(TENANT);
+    return answer == QuotaDecision::Granted && account.spend(reservation, fleet.t);
 }
 
 }  // namespace
 
 TEST(QuotaVoters, tokensAreGrantedOnceAVotersPlaceHasPassedToAnotherNode) {
-    auto quiet = Quiet();
+    auto quiet = MutedLog();
     for (auto k = 0U; k < 3; k++) {
         auto fleet = Fleet(40 + k);
-        fleet.standing();
+        fleet.startCluster();
         putTenants(fleet);
-        auto& client = *fleet.bs.back();
+        auto& client = *fleet.nodes.back();
         CHECK(fleet.until(12 * SECOND, [&] { return isGranted(fleet, client); }));
-        auto& gone = *fleet.bs[k];
+        auto& gone = *fleet.nodes[k];
         fleet.stop(gone);
         gone.removed = true;
         auto& successor = fleet.add(gone.st.region, gone.st.zone, true, false);
         fleet.start(successor);
         CHECK(fleet.until(5 * SECOND, [&] { return fleet.seated(successor); }));
-        fleet.stop(*fleet.bs[(k + 1) % 3]);
+        fleet.stop(*fleet.nodes[(k + 1) % 3]);
         fleet.run(4 * SECOND);  // by then nothing is left that was granted before
         CHECK(fleet.until(16 * SECOND, [&] { return isGranted(fleet, client); }));
     }
--- a/tests/membership/tenant_distribution_test.cpp
+++ b/tests/membership/tenant_distribution_test.cpp
@@ -22,7 +22,7 @@
     int revision = 1;  // of the last tenant's keys
 
     TenantFleet(std::uint64_t seed, int nodes, int tenantCount) : Fleet(seed), tenants(tenantCount) {
-        standing(3, nodes);
+        startCluster(3, nodes);
         put();
         CHECK(until(2 * SECOND, [&] { return inForceEverywhere(); }));
     }
@@ -40,7 +40,7 @@
         put();
     }
     /// Whether a node takes the newest keys and none that was withdrawn.
-    auto inForceAt(Box& box) -> bool {
+    auto inForceAt(FleetNode& box) -> bool {
         auto configuration = box.n->replicatedState().configuration();
         auto& table = configuration->tenants();
         auto last = tenants - 1;
@@ -48,11 +48,12 @@
             && !table.findByKey(testKey(last, revision - 1));
     }
     auto inForceEverywhere() -> bool {
-        return std::all_of(bs.begin(), bs.end(), [&](auto& box) { return !box->up || inForceAt(*box); });
+        return std::all_of(
+            nodes.begin(), nodes.end(), [&](auto& box) { return !box->up || inForceAt(*box); });
     }
     auto count(const char* counter) -> std::int64_t {
         auto sum = std::int64_t(0);
-        for (auto& box : bs) sum += box->ct.get(counter);
+        for (auto& box : nodes) sum += box->ct.get(counter);
         return sum;
     }
 };
@@ -60,7 +61,7 @@
 }  // namespace
 
 TEST(TenantDistribution, withdrawnKeyIsGoneAtEveryNodeWithinASecond) {
-    auto quiet = Quiet();
+    auto quiet = MutedLog();
     auto fleet = TenantFleet(61, 72, 76);
     auto wholeBefore = fleet.count("whole_states_sent_total");
     fleet.weigh = true;
@@ -72,7 +73,7 @@
     CHECK(fleet.until(SECOND - (fleet.t - before), [&] { return fleet.inForceEverywhere(); }));
     auto took = fleet.t - before;
     fleet.run(SECOND - took);
-    auto bytes = (fleet.all - atRest) / std::int64_t(fleet.bs.size());
+    auto bytes = (fleet.all - atRest) / std::int64_t(fleet.nodes.size());
     if (getenv("DT_SHOW")) fmt::print("{} bytes a node, everywhere after {} us\n", bytes, took);
     CHECK(bytes > 100);  // counted at all
     CHECK(bytes < 10'000);
@@ -80,9 +81,9 @@
 }
 
 TEST(TenantDistribution, nodeThatWasCutOffLearnsOfWithdrawnKeys) {
-    auto quiet = Quiet();
+    auto quiet = MutedLog();
     auto fleet = TenantFleet(62, 12, 20);
-    auto& node = *fleet.bs.back();
+    auto& node = *fleet.nodes.back();
     fleet.lone(node, true);
     for (auto i = 0; i < 4; i++) fleet.withdraw();
     fleet.run(6 * SECOND);
@@ -93,12 +94,12 @@
 
 // Its store holds older keys; it learns of the newest ones before it counts as in touch.
 TEST(TenantDistribution, restartedVoterTakesNoWithdrawnKeyFromItsStore) {
-    auto quiet = Quiet();
+    auto quiet = MutedLog();
     for (auto seed = 63u; seed < 67; seed++) {
         auto fleet = TenantFleet(seed, 12, 20);
         auto leader = fleet.leader();
-        auto node = std::find_if(
-            fleet.bs.begin(), fleet.bs.end(), [&](auto& box) { return box->core && box.get() != leader; });
+        auto node = std::find_if(fleet.nodes.begin(), fleet.nodes.end(),
+            [&](auto& box) { return box->core && box.get() != leader; });
         fleet.stop(**node);
         for (auto i = 0; i < 3; i++) fleet.withdraw();
         fleet.run(3 * SECOND);
@@ -111,9 +112,9 @@
 
 // Until it knows a configuration it has none, rather than one without tenants or with older ones.
 TEST(TenantDistribution, nodeWithoutADiskStartsWithoutKeysAndThenHasTheNewest) {
-    auto quiet = Quiet();
+    auto quiet = MutedLog();
     auto fleet = TenantFleet(67, 12, 20);
-    auto& node = *fleet.bs.back();
+    auto& node = *fleet.nodes.back();
     fleet.stop(node);
     for (auto i = 0; i < 3; i++) fleet.withdraw();
     CHECK(fleet.until(SECOND, [&] { return fleet.inForceEverywhere(); }));
@@ -125,7 +126,7 @@
 }
 
 TEST(TenantDistribution, viewsAndCountersHoldNoKey) {
-    auto quiet = Quiet();
+    auto quiet = MutedLog();
     auto fleet = TenantFleet(68, 12, 20);
     fleet.withdraw();
     fleet.run(SECOND);
@@ -138,7 +139,7 @@
 }
 
 TEST(TenantDistribution, lostMessagesDelayNoWithdrawalForLong) {
-    auto quiet = Quiet();
+    auto quiet = MutedLog();
     for (auto seed = 70u; seed < 76; seed++) {
         auto fleet = TenantFleet(seed, 12, 20);
         fleet.loss = .3;
--- a/tests/platform/platform_orders_fixture.hpp
+++ b/tests/platform/platform_orders_fixture.hpp
@@ -14,7 +14,7 @@
 #include "base/json.hpp"
 #include "base/settings.hpp"
 #include "base/time.hpp"
-#include "control/request_age.hpp"
+#include "control/start_delay.hpp"
 #include "membership/fleet_fixture.hpp"
 #include "platform.hpp"
 
@@ -33,7 +33,7 @@
 /// One call of an operator, running at one node.
 struct ControlCall : Shell {
     ControlFleet& site;
-    Box& box;
+    FleetNode& box;
     std::int64_t life;
     HttpRequest request;
     std::shared_ptr<asio::steady_timer> timer;
@@ -43,7 +43,7 @@
     int status = 0;            // 0: not answered yet
     std::string body;
 
-    ControlCall(ControlFleet& s, Box& b, const HttpRequest& q);
+    ControlCall(ControlFleet& s, FleetNode& b, const HttpRequest& q);
     auto await(std::function<void(std::int64_t)> begin) -> asio::awaitable<Outcome>;
     auto order(const std::string& op, const std::string& key, const std::string& body)
         -> asio::awaitable<Outcome> override;
@@ -83,7 +83,7 @@
         fleet.bootstrap(cores, nodes);
         CHECK(fleet.until(5 * SECOND, [&] { return fleet.leader() != nullptr; }));
     }
-    auto call(Box& box, http::verb verb, const std::string& target, const std::string& body = "",
+    auto call(FleetNode& box, http::verb verb, const std::string& target, const std::string& body = "",
         const std::string& base = "") -> ControlCallPtr {
         auto request = HttpRequest(verb, target, 11);
         request.body() = body;
@@ -106,14 +106,15 @@
     }
     auto pump() -> void {
         for (auto& call : calls)
-            if (call->pending && (fleet.outs.count(call->pending) || !call->alive())) call->timer->cancel();
+            if (call->pending && (fleet.outcomes.count(call->pending) || !call->alive()))
+                call->timer->cancel();
         io.restart();
         io.poll();
         std::erase_if(calls, [](auto& call) { return call->status != 0; });
     }
     auto step() -> void {
         if (faults.readUnconfirmed)
-            for (auto& box : fleet.bs)
+            for (auto& box : fleet.nodes)
                 if (box->up) box->n->orderService().broken.readUnconfirmed = true;
         fleet.run(20 * MILLISECOND);
         pump();
@@ -125,7 +126,7 @@
     auto finish(http::verb verb, const std::string& target, const std::string& body, const std::string& base,
         Microseconds limit, std::string* answer = nullptr) -> int {
         for (auto end = fleet.t + limit; fleet.t < end;) {
-            auto& box = *fleet.bs[fleet.r.below(fleet.bs.size())];
+            auto& box = *fleet.nodes[fleet.r.below(fleet.nodes.size())];
             if (!box.up || box.frozen > fleet.t) {
                 run(100 * MILLISECOND);
                 continue;
@@ -141,7 +142,7 @@
     }
 };
 
-inline ControlCall::ControlCall(ControlFleet& s, Box& b, const HttpRequest& q)
+inline ControlCall::ControlCall(ControlFleet& s, FleetNode& b, const HttpRequest& q)
     : site(s),
       box(b),
       life(b.life),
@@ -154,19 +155,19 @@
     if (!alive() || gone) co_return unknown;
     pending = ++site.fleet.ids;
     begin(pending);
-    while (alive() && !site.fleet.outs.count(pending)) {
+    while (alive() && !site.fleet.outcomes.count(pending)) {
         timer->expires_at(asio::steady_timer::time_point::max());
         auto failed = boost::system::error_code();
         co_await timer->async_wait(asio::redirect_error(asio::use_awaitable, failed));
     }
-    auto outcome = alive() ? site.fleet.outs[pending] : unknown;
+    auto outcome = alive() ? site.fleet.outcomes[pending] : unknown;
     pending = 0;
     co_return outcome;
 }
 
 inline auto ControlCall::order(const std::string& op, const std::string& key, const std::string& body)
     -> asio::awaitable<Outcome> {
-    auto late = !site.faults.ageless && tooLateToBegin(op, arrived, site.fleet.t);
+    auto late = !site.faults.ageless && isTooLateToStart(op, arrived, site.fleet.t);
     if (late) co_return Outcome{503, "{}"};
     auto text = body;
     auto name = key;
--- a/tests/platform/platform_orders_model.hpp
+++ b/tests/platform/platform_orders_model.hpp
@@ -128,8 +128,8 @@
     }
 
   private:
-    auto cutOff(const Box& box) const -> bool {
-        auto self = site.fleet.byAddr[box.st.peer];
+    auto cutOff(const FleetNode& box) const -> bool {
+        auto self = site.fleet.indexByAddress[box.st.peer];
         auto other = self ? std::size_t(0) : std::size_t(1);
         return site.fleet.cut.count({self, other}) > 0;
     }
@@ -144,7 +144,7 @@
         next = now + 100 * MILLISECOND + Microseconds(random.below(400 * MILLISECOND));
     }
     auto send() -> void {
-        auto& box = *site.fleet.bs[random.below(site.fleet.bs.size())];
+        auto& box = *site.fleet.nodes[random.below(site.fleet.nodes.size())];
         sent = site.fleet.t;
         if (!box.up || box.frozen > site.fleet.t) return retry(sent + (box.up ? SECOND : 0));
         call = site.call(box, verb, target, body, base);
@@ -252,7 +252,7 @@
         }
         auto leader = site.fleet.leader();
         auto& box =
-            leader && random.chance(.7) ? *leader : *site.fleet.bs[random.below(site.fleet.bs.size())];
+            leader && random.chance(.7) ? *leader : *site.fleet.nodes[random.below(site.fleet.nodes.size())];
         begin(box, random.below(3));
     }
     auto end() -> void {
@@ -261,7 +261,7 @@
     }
 
   private:
-    auto begin(Box& box, std::uint64_t kind) -> void {
+    auto begin(FleetNode& box, std::uint64_t kind) -> void {
         auto& fleet = site.fleet;
         if (kind == 0) {
             fleet.lone(box, true);
--- a/tests/platform/platform_orders_test.cpp
+++ b/tests/platform/platform_orders_test.cpp
@@ -58,7 +58,7 @@
 }  // namespace
 
 TEST(ControlOrders, randomisedOperatorsAndTroubles) {
-    auto quiet = Quiet();
+    auto quiet = MutedLog();
     for (auto seed = std::uint64_t(1); seed <= seeds(); seed++) {
         auto faults = judged(seed, {}, 40 * SECOND);
         CPPUNIT_ASSERT_EQUAL_MESSAGE(
@@ -74,19 +74,19 @@
     return false;
 }
 TEST(ControlOrders, aMissingMemoryIsSeen) {
-    auto quiet = Quiet();
+    auto quiet = MutedLog();
     auto faults = ControlFaults();
     faults.keyPerTry = true;
     CHECK(seen(faults, "sent again, answered with 412") || seen(faults, "acknowledged and refused"));
 }
 TEST(ControlOrders, anUnfencedEvacuationIsSeen) {
-    auto quiet = Quiet();
+    auto quiet = MutedLog();
     auto faults = ControlFaults();
     faults.unfenced = faults.ageless = true;
     CHECK(seen(faults, "the zone is"));
 }
 TEST(ControlOrders, unconfirmedReadsAreSeen) {
-    auto quiet = Quiet();
+    auto quiet = MutedLog();
     auto faults = ControlFaults();
     faults.readUnconfirmed = true;
     CHECK(seen(faults, "was read after"));
@@ -120,9 +120,9 @@
                 record.base = last, record.version = last + 1, record.acknowledged = site.fleet.t;
                 last++;
             }
-            auto at = site.fleet.bs[0].get() == old ? 1u : 0u;
+            auto at = site.fleet.nodes[0].get() == old ? 1u : 0u;
             wrote = site.fleet.t;
-            write = site.call(*site.fleet.bs[at], http::verb::put, CONFIG, document(last + 1, last + 1),
+            write = site.call(*site.fleet.nodes[at], http::verb::put, CONFIG, document(last + 1, last + 1),
                 fmt::to_string(last));
         }
         site.step();
@@ -141,7 +141,7 @@
     return history.judge();
 }
 TEST(ControlOrders, aCutOffLeaderHandsOutNothingOld) {
-    auto quiet = Quiet();
+    auto quiet = MutedLog();
     for (auto seed = std::uint64_t(1); seed <= 5; seed++)
         CHECK_EQ(std::size_t(0), cutOffLeader(seed, {}).size());
     auto broken = ControlFaults();
@@ -155,30 +155,30 @@
 // out of date to it. Returns the status that the order is answered with there.
 static auto refusedByWhatIsNotCommitted(bool broken) -> int {
     auto fleet = Fleet(7);
-    fleet.standing(3, 5);
+    fleet.startCluster(3, 5);
     auto leader = fleet.leader();
-    leader->n->orderService().broken.refuseFromLog = broken;
+    leader->n->orderService().broken.rejectFromLog = broken;
     fleet.lone(*leader, true);
     auto lost = ++fleet.ids;
     leader->n->order(lost, "config", "lost", R"({"base":1,"config":{"mappings":[]}})", fleet.t);
     fleet.run(60 * MILLISECOND);
     auto merge = ++fleet.ids;
     leader->n->order(merge, "merge", "merge", R"({"base":1,"patch":{"name":"n"}})", fleet.t);
-    fleet.until(6 * SECOND, [&] { return fleet.outs.count(merge) > 0; });
-    return fleet.outs[merge].status;
+    fleet.until(6 * SECOND, [&] { return fleet.outcomes.count(merge) > 0; });
+    return fleet.outcomes[merge].status;
 }
 TEST(ControlOrders, aRefusalRestsOnCommittedState) {
-    auto quiet = Quiet();
+    auto quiet = MutedLog();
     auto status = refusedByWhatIsNotCommitted(false);
     CHECK(status == 503 || status == 504);
     CHECK_EQ(409, refusedByWhatIsNotCommitted(true));
     // In touch with a majority it is refused, after one more round.
     auto fleet = Fleet(8);
-    fleet.standing(3, 5);
+    fleet.startCluster(3, 5);
     auto id = ++fleet.ids;
-    fleet.bs[4]->n->order(id, "merge", "late", R"({"base":0,"patch":{"name":"n"}})", fleet.t);
-    CHECK(fleet.until(SECOND, [&] { return fleet.outs.count(id) > 0; }));
-    CHECK_EQ(409, fleet.outs[id].status);
+    fleet.nodes[4]->n->order(id, "merge", "late", R"({"base":0,"patch":{"name":"n"}})", fleet.t);
+    CHECK(fleet.until(SECOND, [&] { return fleet.outcomes.count(id) > 0; }));
+    CHECK_EQ(409, fleet.outcomes[id].status);
 }
 
 // An evacuation that was read at a node, and whose order is held up by a freeze of that node, while the
@@ -189,7 +189,7 @@
     auto site = ControlFleet(seed, faults);
     site.bootstrap(3, 5);
     CHECK_EQ(200, site.finish(http::verb::put, CONFIG, document(1, 1), "0", 8 * SECOND));
-    auto& held = *site.fleet.bs[4];
+    auto& held = *site.fleet.nodes[4];
     auto call = site.call(held, http::verb::post, ZONE);
     // Until the read is answered and the order is under way.
     auto read = call->pending;
@@ -198,7 +198,7 @@
     held.frozen = site.fleet.t + 3 * SECOND;
     auto others = [&](http::verb verb) {
         for (auto i = 0; i < 20; i++) {
-            auto one = site.call(*site.fleet.bs[3], verb, ZONE);
+            auto one = site.call(*site.fleet.nodes[3], verb, ZONE);
             site.run(SECOND);
             if (one->status == 200) return;
         }
@@ -212,7 +212,7 @@
     return site.fleet.leader()->n->replicatedState().evacuated("x");
 }
 TEST(ControlOrders, aFrozenEvacuationIsFenced) {
-    auto quiet = Quiet();
+    auto quiet = MutedLog();
     for (auto seed = std::uint64_t(1); seed <= 4; seed++) CHECK(!frozenEvacuationCounts(seed, false));
     CHECK(frozenEvacuationCounts(1, true));
 }
@@ -226,12 +226,12 @@
     auto site = ControlFleet(seed, faults);
     site.bootstrap(3, 5);
     CHECK_EQ(200, site.finish(http::verb::put, CONFIG, document(1, 1), "0", 8 * SECOND));
-    auto& node = *site.fleet.bs[4];
+    auto& node = *site.fleet.nodes[4];
     site.fleet.lone(node, true);
     auto call = site.call(node, http::verb::post, ZONE);
     site.run(SECOND);
     for (auto verb : {http::verb::post, http::verb::delete_}) {
-        auto one = site.call(*site.fleet.bs[3], verb, ZONE);
+        auto one = site.call(*site.fleet.nodes[3], verb, ZONE);
         site.run(SECOND);
         CHECK_EQ(200, one->status);
     }
@@ -241,26 +241,26 @@
     return site.fleet.leader()->n->replicatedState().evacuated("x");
 }
 TEST(ControlOrders, aCutOffEvacuationIsNotBegunLate) {
-    auto quiet = Quiet();
+    auto quiet = MutedLog();
     for (auto seed = std::uint64_t(1); seed <= 4; seed++) CHECK(!cutOffEvacuationCounts(seed, false));
     CHECK(cutOffEvacuationCounts(1, true));
-    CHECK(!tooLateToBegin("config", 0, 60 * SECOND));
-    CHECK(!tooLateToBegin("empty", 0, CALLER_PATIENCE));
-    CHECK(tooLateToBegin("give-back", 0, CALLER_PATIENCE + 1));
+    CHECK(!isTooLateToStart("config", 0, 60 * SECOND));
+    CHECK(!isTooLateToStart("empty", 0, MAX_START_DELAY));
+    CHECK(isTooLateToStart("give-back", 0, MAX_START_DELAY + 1));
 }
 
 // A caller that is gone has its order cancelled, as far as it is not sent.
 TEST(ControlOrders, ordersOfCallersThatAreGoneEnd) {
-    auto quiet = Quiet();
+    auto quiet = MutedLog();
     auto fleet = Fleet(9);
-    fleet.standing(3, 5);
-    auto& node = *fleet.bs[4];
+    fleet.startCluster(3, 5);
+    auto& node = *fleet.nodes[4];
     fleet.lone(node, true);
     fleet.run(4 * SECOND);  // it knows of no leader any more
     auto id = fleet.order(node, "zone");
     fleet.run(200 * MILLISECOND);
     node.n->cancelOrder(id);
-    CHECK_EQ(504, fleet.outs[id].status);
+    CHECK_EQ(504, fleet.outcomes[id].status);
     fleet.lone(node, false);
     fleet.run(5 * SECOND);
     CHECK(!fleet.leader()->n->replicatedState().evacuated("zone"));
@@ -268,10 +268,10 @@
 
 // After a freeze, what came by its end may have lain unread.
 TEST(ControlOrders, aFreezeIsToldToRequests) {
-    auto quiet = Quiet();
+    auto quiet = MutedLog();
     auto fleet = Fleet(10);
-    fleet.standing(3, 5);
-    auto& node = *fleet.bs[4];
+    fleet.startCluster(3, 5);
+    auto& node = *fleet.nodes[4];
     CHECK(!node.n->wasFrozenSince(fleet.t, fleet.t));
     node.frozen = fleet.t + 3 * SECOND;
     auto before = fleet.t;
@@ -296,7 +296,7 @@
         auto sendOrder(const std::string&, wire::OrderRequest& ask, Microseconds) -> void override {
             sent.push_back(ask);
         }
-        auto orderDone(std::int64_t id, const Outcome& outcome) -> void override { done[id] = outcome; }
+        auto onOrderDone(std::int64_t id, const Outcome& outcome) -> void override { done[id] = outcome; }
     };
     auto port = Port();
     auto client = OrderClient(port, {}, 100);
@@ -321,12 +321,12 @@
 
 // Requests' numbers differ from life to life, for an older leader that names no life in its answers.
 TEST(ControlOrders, numbersBeginElsewhereInEachLife) {
-    auto quiet = Quiet();
+    auto quiet = MutedLog();
     auto fleet = Fleet(11);
-    fleet.standing(3, 5);
+    fleet.startCluster(3, 5);
     auto asked = std::set<std::int64_t>();
     for (auto life = 0; life < 3; life++) {
-        auto& node = *fleet.bs[4];
+        auto& node = *fleet.nodes[4];
         for (auto i = 0; i < 3; i++) fleet.order(node, fmt::format("z{}-{}", life, i));
         for (auto i = 0; i < 10; i++) {
             fleet.run(2 * MILLISECOND);
@@ -344,17 +344,17 @@
 
 // What surely was not logged is told apart from what may have been.
 TEST(ControlOrders, whatWasNotLoggedIsSaid) {
-    auto quiet = Quiet();
+    auto quiet = MutedLog();
     auto fleet = Fleet(12);
-    fleet.standing(3, 5);
+    fleet.startCluster(3, 5);
     auto leader = fleet.leader();
     fleet.lone(*leader, true);
     auto logged = fleet.order(*leader, "zone");
     fleet.run(6 * SECOND);
-    CHECK_EQ(504, fleet.outs[logged].status);
+    CHECK_EQ(504, fleet.outcomes[logged].status);
     auto unsent = fleet.order(*leader, "other");
     fleet.run(6 * SECOND);
-    CHECK_EQ(503, fleet.outs[unsent].status);
+    CHECK_EQ(503, fleet.outcomes[unsent].status);
 }
 
 }  // namespace duneturn
--- a/tests/quota/quota_cost_test.cpp
+++ b/tests/quota/quota_cost_test.cpp
@@ -8,7 +8,7 @@
 
 #include <fmt/format.h>
 
-#include "quota/quota_world.hpp"
+#include "quota/quota_simulation.hpp"
 #include "test.hpp"
 
 namespace duneturn {
@@ -24,9 +24,9 @@
 };
 
 // A few large tenants send half of all requests, the others the rest; each uses 60% of its limit.
-auto costSettings(int nodes, int tenants) -> WorldSettings {
+auto costSettings(int nodes, int tenants) -> QuotaSimulationSettings {
     constexpr auto USAGE = 0.6;
-    auto settings = WorldSettings();
+    auto settings = QuotaSimulationSettings();
     settings.nodes = nodes;
     settings.voters = 5;
     settings.checksInvariant = false;
@@ -42,7 +42,7 @@
     return settings;
 }
 
-auto refusedIn(const QuotaWorld& world) -> std::int64_t {
+auto refusedIn(const QuotaSimulation& world) -> std::int64_t {
     auto refused = std::int64_t(0);
     for (auto i = std::size_t(0); i < world.settings().tenants.size(); i++)
         refused += world.results(i).refused;
@@ -51,7 +51,7 @@
 
 auto measureCost(int nodes, int tenants) -> Cost {
     constexpr auto SECONDS = 15;
-    auto world = QuotaWorld(costSettings(nodes, tenants));
+    auto world = QuotaSimulation(costSettings(nodes, tenants));
     world.runUntil(10 * SECOND);
     auto refusedBefore = refusedIn(world);
     world.network().measures = world.measures = true;
--- a/tests/quota/quota_parts_test.cpp
+++ b/tests/quota/quota_parts_test.cpp
@@ -9,7 +9,7 @@
 #include "quota/quota_account.hpp"
 #include "quota/quota_ledger.hpp"
 #include "quota/quota_replica.hpp"
-#include "quota/sliding_count.hpp"
+#include "quota/sliding_window_counter.hpp"
 #include "quota/token_bucket.hpp"
 #include "test.hpp"
 
@@ -41,7 +41,7 @@
         holdImage();
         exchange();  // the account learns the term
     }
-    auto holdImage() -> void { ledger.imageHeld(ledger.image(now).sequence, now); }
+    auto holdImage() -> void { ledger.confirmImage(ledger.image(now).sequence, now); }
     auto answer() -> wire::QuotaGrant {
         auto grant = ledger.take("n", account.report(now), now);
         grant.granter = "g";
@@ -50,9 +50,9 @@
     auto exchange() -> void { (void)account.take(answer(), now); }
     auto reserve() -> QuotaReservation {
         auto reservation = QuotaReservation();
-        if (account.reserve(TENANT, reservation, now) == QuotaAnswer::Granted) return reservation;
+        if (account.reserve(TENANT, reservation, now) == QuotaDecision::Granted) return reservation;
         exchange();
-        CHECK(account.reserveWaiting(TENANT, reservation, now) == QuotaAnswer::Granted);
+        CHECK(account.reserveWaiting(TENANT, reservation, now) == QuotaDecision::Granted);
         return reservation;
     }
     [[nodiscard]] auto held() const -> std::int64_t { return account.outstanding(TENANT, now); }
@@ -62,7 +62,7 @@
 }  // namespace
 
 TEST(QuotaParts, eventsCountAtLeastTheWindow) {
-    auto count = SlidingCount(50 * MILLISECOND);
+    auto count = SlidingWindowCounter(50 * MILLISECOND);
     count.add(3, 101 * MILLISECOND);
     count.expire(SECOND, 1101 * MILLISECOND);
     CHECK_EQ(std::int64_t(3), count.total());
@@ -71,7 +71,7 @@
 }
 
 TEST(QuotaParts, agesAreRoundedDown) {
-    auto count = SlidingCount(50 * MILLISECOND);
+    auto count = SlidingWindowCounter(50 * MILLISECOND);
     count.add(1, 1000 * MILLISECOND);
     count.add(2, 1500 * MILLISECOND);
     CHECK(std::vector<std::int64_t>({0, 2, 0, 1}) == count.ages(250 * MILLISECOND, 1999 * MILLISECOND));
@@ -163,7 +163,7 @@
     auto account = QuotaAccount(7, counters);
     account.setTenants(table(0), BEGIN);
     auto reservation = QuotaReservation();
-    CHECK(account.reserve(TENANT, reservation, BEGIN) == QuotaAnswer::Granted);
+    CHECK(account.reserve(TENANT, reservation, BEGIN) == QuotaDecision::Granted);
     CHECK(reservation.tenant.empty());
     CHECK(account.spend(reservation, BEGIN));
     CHECK(!account.reportDue(BEGIN + 10 * SECOND));
@@ -202,7 +202,7 @@
     ledger.setTenants(table(), pair.now);
     auto allowanceAt = [&](Microseconds now, std::int64_t sequence) {
         ledger.tick(now);
-        ledger.imageHeld(ledger.image(now).sequence, now);
+        ledger.confirmImage(ledger.image(now).sequence, now);
         auto report = wire::QuotaReport();
         report.life = 9;
         report.sequence = sequence;
--- a/tests/routing/edge_fixture.hpp
+++ b/tests/routing/edge_fixture.hpp
@@ -29,8 +29,8 @@
     d.request = "X-Try", d.notExecuted = "X-Not-Run", d.weights = "", d.target = "X-For";
     d.deadlineMs = "X-Left", d.urgency = "X-Urgency", d.load = "X-Load", d.serverId = "X-Server";
     d.coldMs = "X-Cold", d.parts = "X-Parts", d.tokens = "X-Tokens", d.model = "X-Model";
-    d.clientNamesRequests = d.passHeaders = true;
-    d.doneEvent = false;
+    d.clientNamesRequests = d.passThroughHeaders = true;
+    d.streamEndsWithDoneEvent = false;
     return d;
 }
 
@@ -86,7 +86,7 @@
     }
     auto cancelAttempt(std::int64_t x, int a) -> void override { cancelled.emplace_back(x, a); }
     auto sendHead(std::int64_t x, int s, const Headers& h) -> void override { heads[x] = {s, h}; }
-    auto sendPart(std::int64_t x, const std::string& s) -> void override { parts[x] += s; }
+    auto sendStreamBytes(std::int64_t x, const std::string& s) -> void override { parts[x] += s; }
     auto endStream(std::int64_t x, bool w) -> void override {
         CHECK(!cut.count(x) && !whole.count(x));
         (w ? whole : cut).insert(x);
@@ -119,7 +119,7 @@
         edge->tick(now);
         auto q = std::move(diskWrites);
         diskWrites.clear();
-        for (auto& w : q) node->diskDone(w.seq, true, now);
+        for (auto& w : q) node->onDiskWriteDone(w.seq, true, now);
         now += 20 * MILLISECOND;
     }
     auto runFor(Microseconds d) -> void {
@@ -145,7 +145,7 @@
                 + bodyOf({{"name", jsonQuote(s.name)}, {"address", "\"127.0.0.1:9\""},
                     {"region", jsonQuote(s.region)}, {"district", jsonQuote(s.zone)},
                     {"pool", jsonQuote(s.service)}, {"slots", fmt::to_string(s.slots)}});
-        for (auto& [s, till] : coldUntil)  // named for those alone whose cold time is known
+        for (auto& [s, till] : slowStartUntil)  // named for those alone whose cold time is known
             if (auto i = o.find(bodyOf({{"name", jsonQuote(s)}}).substr(1, s.size() + 9));
                 i != std::string::npos)
                 o.insert(i, fmt::format("\"coldUs\":{},", std::max<Microseconds>(0, till - now)));
@@ -154,10 +154,10 @@
     }
     /// A server's cold time, as a listing would name it.
     auto setColdUntil(const std::string& s, Microseconds till) -> void {
-        coldUntil[s] = till;
+        slowStartUntil[s] = till;
         listServers(std::vector<ListedServer>(listed), 0);
     }
-    std::map<std::string, Microseconds> coldUntil;  // named by every listing
+    std::map<std::string, Microseconds> slowStartUntil;  // named by every listing
     auto sendRequest(const std::string& path, Headers h = {}, const std::string& host = "h.example")
         -> std::int64_t {
         h.emplace_back("Host", host);
@@ -170,7 +170,7 @@
         return h;
     }
     auto lastSend() -> StartedAttempt { return sends.back(); }
-    auto sendFirstByte(std::int64_t x) -> bool { return edge->beforeFirstByte(x, lastSend().attempt, now); }
+    auto sendFirstByte(std::int64_t x) -> bool { return edge->confirmSend(x, lastSend().attempt, now); }
     auto answer(std::int64_t x, Headers h = {}) -> void {
         auto p = edge->find(x);
         auto a = p->attempts.current;
--- a/tests/storage/storage_full_test.cpp
+++ b/tests/storage/storage_full_test.cpp
@@ -30,7 +30,7 @@
 
     auto write(DiskWrite write) -> bool {
         auto written = bool(store->write(write));
-        if (written) diskApply(state, write);
+        if (written) applyDiskWrite(state, write);
         return written;
     }
     auto base() const -> DiskWrite {
@@ -117,12 +117,12 @@
         CHECK(!store.setAside());
         voter.start(*state, "d", now);
     }
-    auto voterSend(const std::string&, wire::Envelope&) -> void override {}
-    auto voterWrite(const DiskWrite& write) -> void override { writes.push_back(write); }
-    auto voterApplied(const ReplicatedState&, const AppliedEntry& entry) -> void override {
+    auto sendToReplica(const std::string&, wire::Envelope&) -> void override {}
+    auto writeToDisk(const DiskWrite& write) -> void override { writes.push_back(write); }
+    auto onStateApplied(const ReplicatedState&, const AppliedEntry& entry) -> void override {
         applied += !entry.key.empty() && entry.outcome.status == 200;
     }
-    auto voterRead(std::int64_t, bool) -> void override {}
+    auto onReadDone(std::int64_t, bool) -> void override {}
     auto run(Microseconds duration) -> void {
         for (auto end = now + duration; now < end; now += 50 * MILLISECOND) {
             voter.tick(now);
@@ -133,7 +133,7 @@
         while (!writes.empty()) {
             auto write = std::move(writes.front());
             writes.pop_front();
-            voter.diskDone(write.seq, bool(store.write(write)), now);
+            voter.onDiskWriteDone(write.seq, bool(store.write(write)), now);
         }
     }
     auto bootstrap() -> void {
