--- a/src/quota/grant_reserve.cpp
+++ b/src/quota/grant_reserve.cpp
@@ -4,17 +4,17 @@
 
 namespace duneturn {
 
-auto GrantReserve::announce(std::int64_t sequence, std::int64_t reserve) -> void {
-    auto covered = granted_ + reserve;
-    covered_ = std::min(covered_, covered);
-    for (auto& image : unconfirmed_) image.covered = std::min(image.covered, covered);
-    unconfirmed_.push_back({sequence, covered});
+auto GrantReserve::addImage(std::int64_t sequence, std::int64_t reserve) -> void {
+    auto grantLimit = granted_ + reserve;
+    grantLimit_ = std::min(grantLimit_, grantLimit);
+    for (auto& image : pendingImages_) image.grantLimit = std::min(image.grantLimit, grantLimit);
+    pendingImages_.push_back({sequence, grantLimit});
 }
 
 auto GrantReserve::confirm(std::int64_t sequence) -> void {
-    while (!unconfirmed_.empty() && unconfirmed_.front().sequence <= sequence) {
-        covered_ = unconfirmed_.front().covered;
-        unconfirmed_.pop_front();
+    while (!pendingImages_.empty() && pendingImages_.front().sequence <= sequence) {
+        grantLimit_ = pendingImages_.front().grantLimit;
+        pendingImages_.pop_front();
     }
 }
 
--- a/src/quota/quota_account.cpp
+++ b/src/quota/quota_account.cpp
@@ -5,13 +5,13 @@
 namespace duneturn {
 namespace {
 
-/// What rejected clients are asked to wait: as long as it takes to refill a part of a bucket.
+/// The time that rejected clients are asked to wait, in which a part of the tenant's bucket refills.
 constexpr Microseconds RETRY_AFTER = 1 * SECOND;
 
 }  // namespace
 
 auto QuotaAccount::setTenants(const TenantTable& tenants, Microseconds now) -> void {
-    lapseIfDue(now);
+    expireIfDue(now);
     for (auto& [name, account] : accounts_) {
         auto tenant = tenants.find(name);
         account.limited = tenant && tenant->isLimited();
@@ -27,16 +27,16 @@
 }
 
 auto QuotaAccount::voidTokens(TenantAccount& account) -> void {
-    account.voidTokens();
-    account.lease = ++leases_;
+    account.returnAll();
+    account.leaseNumber = ++lastLeaseNumber_;
 }
 
-// The clock counts the time that the process was stopped, so a lease has lapsed when it wakes up.
-auto QuotaAccount::lapseIfDue(Microseconds now) -> void {
-    if (!leaseUntil_ || !isLeaseOver(now) || broken.spendWithoutLease) return;
-    leaseUntil_ = 0;
+// The clock includes the time that the process was stopped, so the lease has expired when it resumes.
+auto QuotaAccount::expireIfDue(Microseconds now) -> void {
+    if (!leaseEndsAt_ || !isLeaseOver(now) || faults.spendWithoutLease) return;
+    leaseEndsAt_ = 0;
     for (auto& [name, account] : accounts_) {
-        if (account.held() > 0) counters_.add("quota_tokens_lapsed_total", account.held());
+        if (account.outstanding() > 0) counters_.add("quota_tokens_lapsed_total", account.outstanding());
         voidTokens(account);
     }
 }
@@ -47,21 +47,21 @@
     -> bool {
     if (!account.reserve()) return false;
     reservation.tenant = tenant;
-    reservation.lease = account.lease;
+    reservation.leaseNumber = account.leaseNumber;
     return true;
 }
 
 auto QuotaAccount::reserve(const std::string& tenant, QuotaReservation& reservation, Microseconds now)
     -> QuotaDecision {
     reservation = {};
-    lapseIfDue(now);
+    expireIfDue(now);
     auto account = findLimited(tenant);
     if (!account) return QuotaDecision::Granted;
-    account->noteRequest(now);
+    account->recordRequest(now);
     if (takeToken(*account, tenant, reservation)) return QuotaDecision::Granted;
-    if (now < account->refusedUntil) return QuotaDecision::Refused;
-    account->waiting++;
-    waiting_++;
+    if (now < account->rejectedUntil) return QuotaDecision::Refused;
+    account->waitingRequests++;
+    waitingRequests_++;
     reportSoon_ = true;
     return QuotaDecision::Wait;
 }
@@ -69,10 +69,10 @@
 auto QuotaAccount::reserveWaiting(const std::string& tenant, QuotaReservation& reservation, Microseconds now)
     -> QuotaDecision {
     reservation = {};
-    lapseIfDue(now);
+    expireIfDue(now);
     auto account = findLimited(tenant);
     if (account && !takeToken(*account, tenant, reservation)) {
-        if (now >= account->refusedUntil) return QuotaDecision::Wait;
+        if (now >= account->rejectedUntil) return QuotaDecision::Wait;
         stopWaiting(tenant);
         return QuotaDecision::Refused;
     }
@@ -82,53 +82,53 @@
 
 auto QuotaAccount::stopWaiting(const std::string& tenant) -> void {
     auto found = accounts_.find(tenant);
-    if (found == accounts_.end() || found->second.waiting <= 0) return;
-    found->second.waiting--;
-    waiting_--;
+    if (found == accounts_.end() || found->second.waitingRequests <= 0) return;
+    found->second.waitingRequests--;
+    waitingRequests_--;
 }
 
 auto QuotaAccount::spend(const QuotaReservation& reservation, Microseconds now) -> bool {
     if (reservation.tenant.empty()) return true;
-    lapseIfDue(now);
+    expireIfDue(now);
     auto account = findLimited(reservation.tenant);
     if (!account) return true;
-    if (account->lease != reservation.lease) return false;
+    if (account->leaseNumber != reservation.leaseNumber) return false;
     account->spend();
     return true;
 }
 
 auto QuotaAccount::release(const QuotaReservation& reservation, Microseconds now) -> void {
     if (reservation.tenant.empty()) return;
-    lapseIfDue(now);
+    expireIfDue(now);
     auto account = findLimited(reservation.tenant);
-    if (account && account->lease == reservation.lease) account->release();
+    if (account && account->leaseNumber == reservation.leaseNumber) account->release();
 }
 
 // ---- reports
 
 auto QuotaAccount::reportDue(Microseconds now) const -> bool {
-    auto since = now - reportedAt_;
-    if (reportedAt_ && since < QUOTA_REPORT_SPACING) return false;
+    auto sinceReport = now - reportedAt_;
+    if (reportedAt_ && sinceReport < QUOTA_MIN_REPORT_INTERVAL) return false;
     if (reportSoon_) return true;
-    if (waiting_ > 0 && since >= QUOTA_WAITING_INTERVAL) return true;
-    if (since < QUOTA_REPORT_INTERVAL) return false;
+    if (waitingRequests_ > 0 && sinceReport >= QUOTA_WAITING_REPORT_INTERVAL) return true;
+    if (sinceReport < QUOTA_REPORT_INTERVAL) return false;
     return std::any_of(accounts_.begin(), accounts_.end(),
-        [](auto& entry) { return entry.second.held() > 0 || entry.second.hasNews(); });
+        [](auto& entry) { return entry.second.outstanding() > 0 || entry.second.needsReport(); });
 }
 
 auto QuotaAccount::report(Microseconds now) -> wire::QuotaReport {
-    lapseIfDue(now);
+    expireIfDue(now);
     auto report = wire::QuotaReport();
-    report.life = life_;
+    report.life = incarnation_;
     report.sequence = ++sequence_;
     report.term = term_;
     auto sent = SentReport{sequence_, now, {}};
     for (auto& [name, account] : accounts_) {
-        if (account.limited) account.adjustStock(now);
-        if (!account.hasNews()) continue;
-        report.uses.push_back(account.use());
+        if (account.limited) account.adjustPrefetch(now);
+        if (!account.needsReport()) continue;
+        report.uses.push_back(account.usage());
         report.uses.back().tenant = name;
-        sent.uses.push_back({name, account.version(), account.spent()});
+        sent.usages.push_back({name, account.version(), account.spent()});
     }
     reportedAt_ = now;
     reportSoon_ = false;
@@ -138,9 +138,9 @@
 }
 
 auto QuotaAccount::take(const wire::QuotaGrant& grant, Microseconds now) -> bool {
-    lapseIfDue(now);
-    if (grant.term < term_ && !broken.takeLowerTerm) return false;
-    if (grant.sequence && grant.life != life_) return false;
+    expireIfDue(now);
+    if (grant.term < term_ && !faults.acceptStaleGrants) return false;
+    if (grant.sequence && grant.life != incarnation_) return false;
     if (grant.term != term_) beginTerm(grant);
     granter_ = grant.granter;
     if (grant.sequence <= answeredSequence_) return true;
@@ -148,25 +148,25 @@
     if (sentReports_.empty() || sentReports_.front().sequence != grant.sequence) return true;
     answeredSequence_ = grant.sequence;
     answeredAt_ = now;
-    leaseUntil_ = std::max(leaseUntil_, sentReports_.front().sentAt + QUOTA_LEASE);
+    leaseEndsAt_ = std::max(leaseEndsAt_, sentReports_.front().sentAt + QUOTA_LEASE);
     acknowledge(sentReports_.front());
     sentReports_.pop_front();
-    for (auto& allowance : grant.allowances) accounts_[allowance.tenant].take(allowance, now);
-    lapseIfDue(now);
+    for (auto& allowance : grant.allowances) accounts_[allowance.tenant].applyAllowance(allowance, now);
+    expireIfDue(now);
     return true;
 }
 
 auto QuotaAccount::acknowledge(const SentReport& report) -> void {
-    for (auto& use : report.uses) accounts_[use.tenant].acknowledge(use.version, use.spent);
+    for (auto& usage : report.usages) accounts_[usage.tenant].acknowledge(usage.version, usage.spent);
 }
 
-// Tokens stay usable under the lease of the earlier term; the new granter learns of them by the next report.
+// Tokens stay usable under the lease of the previous term; the next report informs the new granter of them.
 auto QuotaAccount::beginTerm(const wire::QuotaGrant& grant) -> void {
     term_ = grant.term;
     sentReports_.clear();
     for (auto& [name, account] : accounts_) {
-        account.beginTerm(broken.forgetCarried);
-        reportSoon_ = reportSoon_ || account.waiting > 0 || account.held() > 0;
+        account.beginTerm(faults.omitCarriedTokens);
+        reportSoon_ = reportSoon_ || account.waitingRequests > 0 || account.outstanding() > 0;
     }
 }
 
@@ -177,13 +177,13 @@
 
 auto QuotaAccount::outstanding(const std::string& tenant, Microseconds now) const -> std::int64_t {
     auto found = accounts_.find(tenant);
-    auto isOver = isLeaseOver(now) && !broken.spendWithoutLease;
-    return found == accounts_.end() || isOver ? 0 : found->second.held();
+    auto isExpired = isLeaseOver(now) && !faults.spendWithoutLease;
+    return found == accounts_.end() || isExpired ? 0 : found->second.outstanding();
 }
 
 auto QuotaAccount::retryAfter(const std::string& tenant, Microseconds now) const -> Microseconds {
     auto found = accounts_.find(tenant);
-    return found != accounts_.end() && now < found->second.refusedUntil ? RETRY_AFTER : 0;
+    return found != accounts_.end() && now < found->second.rejectedUntil ? RETRY_AFTER : 0;
 }
 
 }  // namespace duneturn
--- a/src/quota/quota_account.hpp
+++ b/src/quota/quota_account.hpp
@@ -1,6 +1,7 @@
 #pragma once
-// A node's side of the tenants' quotas: the tokens that it may spend, the requests that wait for one, and the
-// reports by which it asks the granter for more. Logic only.
+// A node's side of the tenants' quotas: the tokens that it may spend, the requests that wait for tokens, and
+// the reports in which it asks the quota granter for more. Free of I/O: the caller sends the reports,
+// delivers the answers and supplies the time.
 #include <cstdint>
 #include <deque>
 #include <map>
@@ -17,97 +18,106 @@
 
 namespace duneturn {
 
-/// A token that a request holds. It is void once the lease has lapsed under which it was taken.
+/// A token reserved for a request. It becomes void when the lease expires under which it was reserved.
 struct QuotaReservation {
-    std::string tenant;      ///< Empty: the request needs none.
-    std::int64_t lease = 0;  ///< The number of that lease.
+    std::string tenant;            ///< Empty if the request needs no token.
+    std::int64_t leaseNumber = 0;  ///< See TenantAccount::leaseNumber.
 };
 
-/// The answer to a request that wants a token.
+/// The outcome of an attempt to reserve a token for a request.
 enum class QuotaDecision {
-    Granted,  ///< It has a token.
-    Wait,     ///< The granter is asked; it counts as waiting until it is granted or refused, or ends.
-    Refused,  ///< Its tenant is beyond its limit.
+    Granted,  ///< The request has a token, or needs none.
+    Wait,  ///< The granter is asked. The request counts as waiting until it is granted, refused or stopped.
+    Refused,  ///< The tenant has exceeded its limit.
 };
 
-/// Tokens are granted by one node for all (QuotaLedger), and lapse when it has not answered for QUOTA_LEASE.
-/// Each is spent once, or returned.
+/// The tokens that one incarnation of a node holds for all tenants.
+///
+/// A single node, the quota granter, grants tokens to all nodes (see QuotaLedger). Tokens are leased: they
+/// expire when the granter has not answered a report for QUOTA_LEASE. Each token is either spent once or
+/// returned. Times are readings of a monotonic clock that includes time during which the machine is
+/// suspended.
 class QuotaAccount {
   public:
-    /// `life`: a random number that no other process has.
-    QuotaAccount(std::int64_t life, Counters& counters) : life_(life), counters_(counters) {}
+    /// `incarnation`: a random number that identifies this process.
+    QuotaAccount(std::int64_t incarnation, Counters& counters)
+        : incarnation_(incarnation), counters_(counters) {}
 
-    /// The tenants of the configuration in force. Tokens of tenants that are no longer limited are returned.
+    /// Applies the tenants of the current configuration. Tokens of tenants without a limit are returned.
     auto setTenants(const TenantTable& tenants, Microseconds now) -> void;
 
-    /// A request asks for a token. Granted at once to a tenant without a limit.
+    /// Reserves a token for a new request. Tenants without a limit need none and are granted at once.
     [[nodiscard]] auto reserve(const std::string& tenant, QuotaReservation& reservation, Microseconds now)
         -> QuotaDecision;
-    /// The same, of a request that waits.
+    /// Repeats the attempt for a request whose last outcome was QuotaDecision::Wait.
     [[nodiscard]] auto reserveWaiting(
         const std::string& tenant, QuotaReservation& reservation, Microseconds now) -> QuotaDecision;
-    /// A waiting request has ended.
+    /// A request ended while its last outcome was QuotaDecision::Wait.
     auto stopWaiting(const std::string& tenant) -> void;
-    /// The request is about to be sent for the first time. False if its token is void: it needs another.
+    /// Spends the token of a request that is about to be sent for the first time. Returns false if the
+    /// reservation is void; the request needs another token then.
     [[nodiscard]] auto spend(const QuotaReservation& reservation, Microseconds now) -> bool;
-    /// The request ended without having been sent.
+    /// Releases the token of a request that ended before it was sent.
     auto release(const QuotaReservation& reservation, Microseconds now) -> void;
 
-    /// Whether a report is due: a request waits that the granter does not know of yet, or it is time for one.
+    /// Whether a report should be sent now: a new request waits, or the interval has elapsed while requests
+    /// wait, tokens are outstanding or the granter lacks a change.
     [[nodiscard]] auto reportDue(Microseconds now) const -> bool;
-    /// The next report, to be sent now.
+    /// Makes the next report, which the caller sends to the granter at once.
     [[nodiscard]] auto report(Microseconds now) -> wire::QuotaReport;
-    /// Takes a granter's answer; false if it is of a lower term than one that was taken, or for another life.
+    /// Applies a granter's answer. Returns false if it has a lower term than an earlier one, or if it is for
+    /// another incarnation.
     auto take(const wire::QuotaGrant& grant, Microseconds now) -> bool;
 
-    /// The granter of the highest term that is known; empty if none is.
+    /// The granter of the highest known term; empty if none is known.
     [[nodiscard]] auto granter() const -> const std::string& { return granter_; }
     [[nodiscard]] auto term() const -> std::int64_t { return term_; }
-    /// When the granter last answered a report; 0 if never.
+    /// When a granter's answer to a report last arrived; 0 if never.
     [[nodiscard]] auto answeredAt() const -> Microseconds { return answeredAt_; }
-    /// Tokens of a tenant that no request holds, for operators.
+    /// A tenant's tokens that no request has reserved, for the operators' view.
     [[nodiscard]] auto available(const std::string& tenant, Microseconds now) const -> std::int64_t;
 
-    /// Tokens of a tenant that may still be spent here, those that requests hold included.
+    /// A tenant's tokens that may still be spent here, including those reserved by requests.
     [[nodiscard]] auto outstanding(const std::string& tenant, Microseconds now) const -> std::int64_t;
-    /// How long a rejected client should wait before it asks again.
+    /// How long a rejected client should wait before it retries; 0 if the tenant is not being rejected.
     [[nodiscard]] auto retryAfter(const std::string& tenant, Microseconds now) const -> Microseconds;
 
-    /// Test-only faults.
-    QuotaFaults broken;
+    /// For tests only.
+    QuotaFaults faults;
 
   private:
-    /// What a report said of one tenant.
-    struct SentUse {
+    /// What a report contained about one tenant.
+    struct SentUsage {
         std::string tenant;
         std::int64_t version = 0, spent = 0;
     };
     struct SentReport {
         std::int64_t sequence = 0;
         Microseconds sentAt = 0;
-        std::vector<SentUse> uses;
+        std::vector<SentUsage> usages;
     };
     auto findLimited(const std::string& tenant) -> TenantAccount*;
-    auto lapseIfDue(Microseconds now) -> void;
+    auto expireIfDue(Microseconds now) -> void;
     auto beginTerm(const wire::QuotaGrant& grant) -> void;
     auto acknowledge(const SentReport& report) -> void;
+    /// Returns all tokens of a tenant and voids the reservations of its requests.
     auto voidTokens(TenantAccount& account) -> void;
     auto takeToken(TenantAccount& account, const std::string& tenant, QuotaReservation& reservation) -> bool;
-    [[nodiscard]] auto isLeaseOver(Microseconds now) const -> bool { return now >= leaseUntil_; }
+    [[nodiscard]] auto isLeaseOver(Microseconds now) const -> bool { return now >= leaseEndsAt_; }
 
-    std::int64_t life_;
+    std::int64_t incarnation_;
     Counters& counters_;
     std::int64_t term_ = 0;
     std::string granter_;
     Microseconds answeredAt_ = 0;
-    std::map<std::string, TenantAccount> accounts_;  // by tenant; kept when its limit is removed
-    std::deque<SentReport> sentReports_;             // without an answer, oldest first
+    std::map<std::string, TenantAccount> accounts_;  // by tenant; kept after its limit is removed
+    std::deque<SentReport> sentReports_;             // unanswered, oldest first
     std::int64_t sequence_ = 0, answeredSequence_ = 0;
-    std::int64_t leases_ = 0;      // numbers that were used
-    Microseconds leaseUntil_ = 0;  // 0: no tokens may be used
+    std::int64_t lastLeaseNumber_ = 0;
+    Microseconds leaseEndsAt_ = 0;  // 0: no tokens may be used
     Microseconds reportedAt_ = 0;
-    std::int64_t waiting_ = 0;  // requests of all tenants that wait
-    bool reportSoon_ = false;   // without waiting for the interval
+    std::int64_t waitingRequests_ = 0;  // over all tenants
+    bool reportSoon_ = false;           // send the next report without waiting for the interval
 };
 
 }  // namespace duneturn
--- a/src/quota/quota_ledger.cpp
+++ b/src/quota/quota_ledger.cpp
@@ -6,10 +6,10 @@
 namespace duneturn {
 namespace {
 
-/// How long after a node's tokens have lapsed the counts of that life are kept.
-constexpr Microseconds HOLDER_KEPT = 60 * SECOND;
-/// How often the tenants whose tokens are scarce are looked for.
-constexpr Microseconds SCARCE_INTERVAL = 50 * MILLISECOND;
+/// How long the counters of an incarnation are kept after its tokens have expired.
+constexpr Microseconds EXPIRED_HOLDER_RETENTION = 60 * SECOND;
+/// How often the list of tenants with scarce tokens is updated.
+constexpr Microseconds SCARCE_UPDATE_INTERVAL = 50 * MILLISECOND;
 
 }  // namespace
 
@@ -17,18 +17,18 @@
     Counters& counters, Microseconds now)
     : term_(term),
       counters_(counters),
-      predecessorsLapseAt_(now - age + QUOTA_PREDECESSOR_LAPSE),
+      predecessorsExpireAt_(now - age + QUOTA_PREDECESSOR_EXPIRY),
       predecessorsUnknown_(!predecessors) {
     if (!predecessors) return;
-    for (auto& part : predecessors->tenants) tenantLedger(part.tenant).inherit(part, now - age, now);
+    for (auto& image : predecessors->tenants) tenantLedger(image.tenant).inherit(image, now - age, now);
 }
 
 auto QuotaLedger::tenantLedger(const std::string& tenant) -> TenantLedger& {
     auto [found, isNew] = tenants_.try_emplace(tenant);
     auto& ledger = found->second;
     if (!isNew) return ledger;
-    ledger.faults = &broken;
-    if (predecessorsUnknown_ && !predecessorsLapsed_) ledger.inheritUnknown();
+    ledger.faults = &faults;
+    if (predecessorsUnknown_ && !predecessorsExpired_) ledger.inheritUnknown();
     return ledger;
 }
 
@@ -41,7 +41,7 @@
 
 // ---- reports
 
-auto QuotaLedger::announcement(const std::string& node) const -> wire::QuotaGrant {
+auto QuotaLedger::makeGrant(const std::string& node) const -> wire::QuotaGrant {
     auto grant = wire::QuotaGrant();
     grant.node = node;
     grant.term = term_;
@@ -50,104 +50,109 @@
 
 auto QuotaLedger::take(const std::string& node, const wire::QuotaReport& report, Microseconds now)
     -> wire::QuotaGrant {
-    auto grant = announcement(node);
-    auto mayAnswer = hasGranterLease(now) || broken.answerWithoutAuthority;
+    auto grant = makeGrant(node);
+    auto mayAnswer = hasGranterLease(now) || faults.answerWithoutLease;
     if (report.term != term_ || !mayAnswer) return grant;
     auto& holder = holders_[report.life];
-    if (report.sequence <= holder.sequence) return grant;
-    holder.sequence = report.sequence;
+    if (report.sequence <= holder.reportSequence) return grant;
+    holder.reportSequence = report.sequence;
     holder.answeredAt = now;
-    holder.hasLapsed = false;
+    holder.hasExpired = false;
     grant.life = report.life;
     grant.sequence = report.sequence;
-    for (auto& use : report.uses) {
-        auto& tenant = tenantLedger(use.tenant);
+    for (auto& usage : report.uses) {
+        auto& tenant = tenantLedger(usage.tenant);
         tenant.tick(now);
-        auto& holding = openHolding(holder, use, tenant);
-        takeUse(holding, use, tenant, now);
-        grant.allowances.push_back(grantFor(holding, use, tenant, now));
+        auto& balance = findOrOpenBalance(holder, usage, tenant);
+        applyUsage(balance, usage, tenant, now);
+        grant.allowances.push_back(grantAllowance(balance, usage, tenant, now));
     }
-    addScarce(holder, grant);
+    addScarceTenants(holder, grant);
     return grant;
 }
 
-// A node that this term has no counts of brings tokens along, or its counts were dropped after a lapse: then
-// it holds nothing that the ledger doesn't count as spent.
-auto QuotaLedger::openHolding(Holder& holder, const wire::QuotaUse& use, TenantLedger& tenant) -> Holding& {
-    auto [found, isNew] = holder.holdings.try_emplace(use.tenant);
-    auto& holding = found->second;
-    if (!isNew) return holding;
-    holding.carried = use.carried;
-    if (use.granted > 0) {
-        holding.granted = use.granted;
-        holding.spent = use.spent;
-        holding.returned = use.returned;
-        tenant.claim(holding.held());
-        return holding;
+// There are two reasons why the ledger has no balance of an incarnation. If the report names granted tokens,
+// the balance was dropped some time after the tokens expired, and all of these already count as spent.
+// Otherwise this is its first report in this term, which names the tokens carried over from earlier terms;
+// those that were spent without an acknowledgement are outstanding until applyUsage records them.
+auto QuotaLedger::findOrOpenBalance(Holder& holder, const wire::QuotaUse& usage, TenantLedger& tenant)
+    -> TokenBalance& {
+    auto [found, isNew] = holder.balances.try_emplace(usage.tenant);
+    auto& balance = found->second;
+    if (!isNew) return balance;
+    balance.carried = usage.carried;
+    if (usage.granted > 0) {
+        balance.granted = usage.granted;
+        balance.spent = usage.spent;
+        balance.returned = usage.returned;
+        tenant.claimCarried(balance.outstanding());
+        return balance;
     }
-    auto spentBefore = std::min(use.spent, use.carried);
-    tenant.claim(use.carried - spentBefore);
-    tenant.addHeld(spentBefore);
-    return holding;
-}
-
-auto QuotaLedger::takeUse(Holding& holding, const wire::QuotaUse& use, TenantLedger& tenant, Microseconds now)
+    auto spentBefore = std::min(usage.spent, usage.carried);
+    tenant.claimCarried(usage.carried - spentBefore);
+    tenant.addOutstanding(spentBefore);
+    return balance;
+}
+
+auto QuotaLedger::applyUsage(
+    TokenBalance& balance, const wire::QuotaUse& usage, TenantLedger& tenant, Microseconds now) -> void {
+    reinstateExpired(balance, usage, tenant);
+    auto spent = std::max<std::int64_t>(usage.spent - balance.spent, 0);
+    auto returned = std::max<std::int64_t>(usage.returned - balance.returned, 0);
+    auto chargedSpent = std::min(balance.charged, spent);
+    balance.charged -= chargedSpent;
+    auto chargedReturned = std::min(balance.charged, returned);
+    balance.charged -= chargedReturned;
+    tenant.recordSpent(spent, chargedSpent, now);
+    tenant.recordReturned(returned, chargedReturned);
+    balance.spent += spent;
+    balance.returned += returned;
+}
+
+// A node that was unresponsive may report that it spent or returned tokens that have expired in this ledger.
+// These count as granted again, and no longer as spent since their expiry.
+auto QuotaLedger::reinstateExpired(TokenBalance& balance, const wire::QuotaUse& usage, TenantLedger& tenant)
     -> void {
-    raiseGranted(holding, use, tenant);
-    auto spent = std::max<std::int64_t>(use.spent - holding.spent, 0);
-    auto returned = std::max<std::int64_t>(use.returned - holding.returned, 0);
-    auto chargedSpent = std::min(holding.charged, spent);
-    holding.charged -= chargedSpent;
-    auto chargedReturned = std::min(holding.charged, returned);
-    holding.charged -= chargedReturned;
-    tenant.spend(spent, chargedSpent, now);
-    tenant.takeBack(returned, chargedReturned);
-    holding.spent += spent;
-    holding.returned += returned;
-}
-
-// A node that was silent reports what became of tokens that have lapsed here: they count as granted again.
-auto QuotaLedger::raiseGranted(Holding& holding, const wire::QuotaUse& use, TenantLedger& tenant) -> void {
-    auto used = std::max(use.spent, holding.spent) + std::max(use.returned, holding.returned);
-    auto missing = used - holding.carried - holding.granted;
+    auto used = std::max(usage.spent, balance.spent) + std::max(usage.returned, balance.returned);
+    auto missing = used - balance.carried - balance.granted;
     if (missing <= 0) return;
-    holding.granted += missing;
-    tenant.addHeld(missing);
-    auto settled = std::min(missing, holding.lapsed);
-    tenant.settleLapsed(settled, holding.lapsedAt);
-    holding.lapsed -= settled;
+    balance.granted += missing;
+    tenant.addOutstanding(missing);
+    auto reconciled = std::min(missing, balance.expired);
+    tenant.reconcileExpired(reconciled, balance.expiredAt);
+    balance.expired -= reconciled;
 }
 
-// What was granted and has not reached the node yet is for those who wait, too.
-auto QuotaLedger::grantFor(Holding& holding, const wire::QuotaUse& use, TenantLedger& tenant,
+// Tokens that were granted but have not reached the node yet will also serve its waiting requests.
+auto QuotaLedger::grantAllowance(TokenBalance& balance, const wire::QuotaUse& usage, TenantLedger& tenant,
     Microseconds now) -> wire::QuotaAllowance {
-    auto onTheWay = std::max<std::int64_t>(holding.granted - use.granted, 0);
-    auto needed = std::max<std::int64_t>(use.waiting - onTheWay, 0);
-    auto granted = tenant.grantWaiting(needed, now);
-    holding.granted += granted;
-    holding.charged += tenant.isLimited() ? granted : 0;
+    auto inFlight = std::max<std::int64_t>(balance.granted - usage.granted, 0);
+    auto needed = std::max<std::int64_t>(usage.waiting - inFlight, 0);
+    auto granted = tenant.grantToWaiting(needed, now);
+    balance.granted += granted;
+    balance.charged += tenant.isLimited() ? granted : 0;
     auto allowance = wire::QuotaAllowance();
     if (granted < needed) {
         allowance.refused = tenant.isExhausted();
-        if (allowance.refused) tenant.noteRefused(needed - granted);
+        if (allowance.refused) tenant.recordRejected(needed - granted);
     } else {
-        auto stock = std::max<std::int64_t>(use.waiting + use.wanted - holding.held(), 0);
-        holding.granted += tenant.grantStock(stock, now);
+        auto prefetch = std::max<std::int64_t>(usage.waiting + usage.wanted - balance.outstanding(), 0);
+        balance.granted += tenant.grantPrefetch(prefetch, now);
     }
-    allowance.tenant = use.tenant;
-    allowance.granted = holding.granted;
+    allowance.tenant = usage.tenant;
+    allowance.granted = balance.granted;
     allowance.scarce = tenant.isScarce();
     return allowance;
 }
 
-// A node learns of scarce tokens also where it has nothing to say of the tenant.
-auto QuotaLedger::addScarce(const Holder& holder, wire::QuotaGrant& grant) const -> void {
-    for (auto& tenant : scarce_) {
-        auto found = holder.holdings.find(tenant);
-        if (found == holder.holdings.end() || found->second.held() <= 0) continue;
-        auto isNamed = std::any_of(grant.allowances.begin(), grant.allowances.end(),
+// A node that holds scarce tokens is informed even if its report did not mention the tenant.
+auto QuotaLedger::addScarceTenants(const Holder& holder, wire::QuotaGrant& grant) const -> void {
+    for (auto& tenant : scarceTenants_) {
+        auto found = holder.balances.find(tenant);
+        if (found == holder.balances.end() || found->second.outstanding() <= 0) continue;
+        auto isIncluded = std::any_of(grant.allowances.begin(), grant.allowances.end(),
             [&](auto& allowance) { return allowance.tenant == tenant; });
-        if (isNamed) continue;
+        if (isIncluded) continue;
         auto allowance = wire::QuotaAllowance();
         allowance.tenant = tenant;
         allowance.granted = found->second.granted;
@@ -156,44 +161,45 @@
     }
 }
 
-// ---- time
+// ---- expiry
 
 auto QuotaLedger::tick(Microseconds now) -> void {
-    lapsePredecessors(now);
-    auto silence = broken.freeSilentAtOnce ? SECOND : QUOTA_LEASE + QUOTA_LEASE_MARGIN;
+    expirePredecessors(now);
+    auto timeout = faults.expireHoldersEarly ? SECOND : QUOTA_LEASE + QUOTA_LEASE_MARGIN;
     for (auto holder = holders_.begin(); holder != holders_.end();) {
-        auto silentFor = now - holder->second.answeredAt;
-        if (!holder->second.hasLapsed && silentFor >= silence) lapseHolder(holder->second, now);
-        auto isOver = predecessorsLapsed_ && silentFor >= silence + HOLDER_KEPT;
-        holder = isOver ? holders_.erase(holder) : std::next(holder);
+        auto sinceAnswer = now - holder->second.answeredAt;
+        if (!holder->second.hasExpired && sinceAnswer >= timeout) expireHolder(holder->second, now);
+        auto isObsolete = predecessorsExpired_ && sinceAnswer >= timeout + EXPIRED_HOLDER_RETENTION;
+        holder = isObsolete ? holders_.erase(holder) : std::next(holder);
     }
-    if (now - scarceAt_ < SCARCE_INTERVAL) return;
-    scarceAt_ = now;
-    scarce_.clear();
+    if (now - scarceTenantsUpdatedAt_ < SCARCE_UPDATE_INTERVAL) return;
+    scarceTenantsUpdatedAt_ = now;
+    scarceTenants_.clear();
     for (auto& [name, tenant] : tenants_) {
         tenant.tick(now);
-        if (tenant.isScarce()) scarce_.push_back(name);
+        if (tenant.isScarce()) scarceTenants_.push_back(name);
     }
 }
 
-// The counts go on as if the lapsed tokens had not been granted; see raiseGranted.
-auto QuotaLedger::lapseHolder(Holder& holder, Microseconds now) -> void {
-    holder.hasLapsed = true;
-    for (auto& [name, holding] : holder.holdings) {
-        auto held = holding.held();
-        if (held <= 0) continue;
-        tenantLedger(name).lapse(held, now);
-        holding.granted -= held;
-        holding.charged = 0;
-        holding.lapsed = held;
-        holding.lapsedAt = now;
+// The counters continue as if the expired tokens had not been granted; reinstateExpired corrects this if the
+// node reports that it used them.
+auto QuotaLedger::expireHolder(Holder& holder, Microseconds now) -> void {
+    holder.hasExpired = true;
+    for (auto& [name, balance] : holder.balances) {
+        auto outstanding = balance.outstanding();
+        if (outstanding <= 0) continue;
+        tenantLedger(name).expireHeld(outstanding, now);
+        balance.granted -= outstanding;
+        balance.charged = 0;
+        balance.expired = outstanding;
+        balance.expiredAt = now;
     }
 }
 
-auto QuotaLedger::lapsePredecessors(Microseconds now) -> void {
-    if (predecessorsLapsed_ || now < predecessorsLapseAt_) return;
-    predecessorsLapsed_ = true;
-    for (auto& [name, tenant] : tenants_) tenant.lapsePredecessors(predecessorsLapseAt_);
+auto QuotaLedger::expirePredecessors(Microseconds now) -> void {
+    if (predecessorsExpired_ || now < predecessorsExpireAt_) return;
+    predecessorsExpired_ = true;
+    for (auto& [name, tenant] : tenants_) tenant.expirePredecessors(predecessorsExpireAt_);
 }
 
 // ---- images
@@ -213,21 +219,21 @@
 }
 
 auto QuotaLedger::confirmImage(std::int64_t sequence, Microseconds sentAt) -> void {
-    heldImageSentAt_ = std::max(heldImageSentAt_, sentAt);
+    confirmedImageSentAt_ = std::max(confirmedImageSentAt_, sentAt);
     for (auto& [name, tenant] : tenants_) tenant.confirmImage(sequence);
 }
 
 auto QuotaLedger::hasGranterLease(Microseconds now) const -> bool {
-    return heldImageSentAt_ && now - heldImageSentAt_ <= QUOTA_AUTHORITY;
+    return confirmedImageSentAt_ && now - confirmedImageSentAt_ <= QUOTA_GRANTER_LEASE;
 }
 
 auto QuotaLedger::imageDue(Microseconds now) const -> bool {
-    auto since = now - imageMadeAt_;
-    if (!imageSequence_ || since >= QUOTA_IMAGE_HEARTBEAT) return true;
-    if (since < QUOTA_IMAGE_SPACING) return false;
+    auto sinceImage = now - imageMadeAt_;
+    if (!imageSequence_ || sinceImage >= QUOTA_IMAGE_HEARTBEAT) return true;
+    if (sinceImage < QUOTA_MIN_IMAGE_INTERVAL) return false;
     return std::any_of(tenants_.begin(), tenants_.end(), [&](auto& entry) {
         auto& tenant = entry.second;
-        return tenant.isBlockedByReserve() || (since >= QUOTA_IMAGE_INTERVAL && tenant.wantsImage());
+        return tenant.isBlockedByReserve() || (sinceImage >= QUOTA_IMAGE_INTERVAL && tenant.wantsImage());
     });
 }
 
@@ -235,11 +241,11 @@
     auto views = std::vector<QuotaView>();
     for (auto& [name, tenant] : tenants_) {
         if (!tenant.isLimited()) continue;
-        auto current = tenant;  // as of now
+        auto current = tenant;  // a copy, because tick() modifies it
         current.tick(now);
         auto outstanding = std::min(current.outstanding(), std::int64_t(current.bound()));
         views.push_back({name, current.limit(), current.bound(), current.spentInWindow(), outstanding,
-            current.refused()});
+            current.rejected()});
     }
     return views;
 }
--- a/src/quota/quota_ledger.hpp
+++ b/src/quota/quota_ledger.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// The granter's side of the tenants' quotas: how many tokens every node holds, how many were spent when, and
-// how many more may be granted. Logic only. docs/quotas.md proves the bound.
+// The quota granter's side of the tenants' quotas: how many tokens each node holds, how many were spent and
+// when, and how many more may be granted. Free of I/O. docs/quotas.md proves the bound.
 #include <cstdint>
 #include <map>
 #include <string>
@@ -16,91 +16,106 @@
 
 namespace duneturn {
 
-/// What operators see of one tenant.
+/// The state of one tenant's quota for the operators' view.
 struct QuotaView {
     std::string tenant;
-    double limit = 0;              ///< Requests in a window, burst included.
-    double bound = 0;              ///< What must never be exceeded in a window.
-    std::int64_t spent = 0;        ///< In the last window, over all nodes.
-    std::int64_t outstanding = 0;  ///< Tokens that nodes hold, and those of predecessors that may be spent.
-    std::int64_t refused = 0;      ///< Waiting requests that got no token in this term.
+    double limit = 0;              ///< Requests per window, including the burst.
+    double bound = 0;              ///< The number of requests that no window may exceed.
+    std::int64_t spent = 0;        ///< Tokens spent within the last window, over all nodes.
+    std::int64_t outstanding = 0;  ///< Tokens that nodes may still spend, including those of predecessors.
+    std::int64_t refused = 0;      ///< Waiting requests that were rejected in this term.
 };
 
-/// The ledger of one granter's term. Between two calls: for every tenant, the tokens that may still be spent
-/// and those that were spent within the last window are together at most the tenant's bound.
+/// The ledger of a granter for one term.
+///
+/// Invariant between calls: for each tenant, the tokens that may still be spent and those spent within the
+/// last window do not exceed the tenant's bound in total.
+///
+/// The ledger is replicated to the voters as images, which are snapshots with an increasing sequence. A
+/// successor starts from an image that a majority of voters acknowledged.
 class QuotaLedger {
   public:
-    QuotaLedger(const QuotaLedger&) = delete;  // its tenants refer to its faults
+    QuotaLedger(const QuotaLedger&) = delete;  // tenants_ holds pointers to `faults`
     auto operator=(const QuotaLedger&) -> QuotaLedger& = delete;
-    /// `predecessors`: what a majority of voters knew of earlier terms, the newest image; `age`: since a
-    /// voter had it. Null if too few of them remember: then nothing is granted until all that may have been
-    /// granted before has lapsed; `age`: since any of a majority of voters can have held an image.
+    /// `predecessors`: the newest image of earlier terms known to a majority of voters, and `age` the time
+    /// since a voter received it. If too few voters know an image, `predecessors` is null and `age` a lower
+    /// bound on the time since a majority last acknowledged an image; then nothing is granted until all
+    /// tokens of earlier terms have expired and left the window.
     QuotaLedger(std::int64_t term, const wire::QuotaImage* predecessors, Microseconds age, Counters& counters,
         Microseconds now);
 
-    /// The tenants of the configuration in force.
+    /// Applies the tenants of the current configuration.
     auto setTenants(const TenantTable& tenants, Microseconds now) -> void;
-    /// Answers a node's report. One that is not newer than another of the same node and life changes nothing.
-    /// Each life of a node holds tokens of its own.
+    /// Answers a report. Each incarnation of a node holds its own tokens. The answer carries no sequence and
+    /// no allowances, and the ledger is unchanged, if the report is of another term, is not newer than an
+    /// earlier one of the same incarnation, or arrives without the granter's lease.
     [[nodiscard]] auto take(const std::string& node, const wire::QuotaReport& report, Microseconds now)
         -> wire::QuotaGrant;
-    /// Forgets what has left the window and the tokens of nodes that were silent for too long.
+    /// Drops spent tokens that have left the window, and expires the tokens of unresponsive nodes.
     auto tick(Microseconds now) -> void;
 
-    /// The image for the other voters; its sequence rises with each call. It includes a reserve: so many
-    /// tokens may be granted before a later image must be held by a majority.
+    /// Makes the next image for the voters. It accounts for all tokens granted so far and for a reserve; when
+    /// the reserve is used up, a majority must acknowledge a newer image before more tokens are granted.
     [[nodiscard]] auto image(Microseconds now) -> wire::QuotaImage;
-    /// A majority of the voters holds this image, which was sent at `sentAt`.
+    /// A majority of voters has acknowledged the image with this sequence, which was sent at `sentAt`.
     auto confirmImage(std::int64_t sequence, Microseconds sentAt) -> void;
-    /// Whether the newest such image is recent enough for reports to be answered.
+    /// Whether a majority has acknowledged an image that was sent within QUOTA_GRANTER_LEASE.
     [[nodiscard]] auto hasGranterLease(Microseconds now) const -> bool;
-    /// Whether tokens were granted or spent since the last image.
+    /// Whether an image should be sent now: there is none yet, the heartbeat is due, the reserve runs low, or
+    /// requests wait for a larger reserve.
     [[nodiscard]] auto imageDue(Microseconds now) const -> bool;
 
     [[nodiscard]] auto term() const -> std::int64_t { return term_; }
+    /// The limited tenants as of `now`.
     [[nodiscard]] auto views(Microseconds now) const -> std::vector<QuotaView>;
 
-    /// Test-only faults.
-    QuotaFaults broken;
+    /// For tests only.
+    QuotaFaults faults;
 
   private:
-    /// One node's tokens of one tenant, in counts that rise within the term.
-    struct Holding {
+    /// The tokens of one tenant at one incarnation, as counters that increase within the term. Only the
+    /// expiry of tokens lowers `granted`.
+    struct TokenBalance {
         std::int64_t carried = 0, granted = 0, spent = 0, returned = 0;
-        std::int64_t charged = 0;  ///< Of the held tokens, those that the bucket was charged for.
-        std::int64_t lapsed = 0;   ///< Tokens that lapsed, and of which nothing was reported since,
-        Microseconds lapsedAt = 0;
-        [[nodiscard]] auto held() const -> std::int64_t { return carried + granted - spent - returned; }
+        std::int64_t charged = 0;  ///< Outstanding tokens that the bucket was charged for when granted.
+        std::int64_t expired = 0;  ///< Tokens that expired and whose use has not been reported since.
+        Microseconds expiredAt = 0;
+        [[nodiscard]] auto outstanding() const -> std::int64_t {
+            return carried + granted - spent - returned;
+        }
     };
-    /// One life of a node.
+    /// One incarnation of a node.
     struct Holder {
-        std::int64_t sequence = 0;  ///< Of its newest report,
-        Microseconds answeredAt = 0;
-        bool hasLapsed = false;
-        std::map<std::string, Holding> holdings;  // by tenant
+        std::int64_t reportSequence = 0;               ///< Of the newest report.
+        Microseconds answeredAt = 0;                   ///< When the newest report was answered.
+        bool hasExpired = false;                       ///< Its tokens have expired since.
+        std::map<std::string, TokenBalance> balances;  // by tenant
     };
-    [[nodiscard]] auto announcement(const std::string& node) const -> wire::QuotaGrant;
+    [[nodiscard]] auto makeGrant(const std::string& node) const -> wire::QuotaGrant;
     auto tenantLedger(const std::string& tenant) -> TenantLedger&;
-    auto openHolding(Holder& holder, const wire::QuotaUse& use, TenantLedger& tenant) -> Holding&;
-    auto takeUse(Holding& holding, const wire::QuotaUse& use, TenantLedger& tenant, Microseconds now) -> void;
-    auto raiseGranted(Holding& holding, const wire::QuotaUse& use, TenantLedger& tenant) -> void;
-    auto grantFor(Holding& holding, const wire::QuotaUse& use, TenantLedger& tenant, Microseconds now)
-        -> wire::QuotaAllowance;
-    auto addScarce(const Holder& holder, wire::QuotaGrant& grant) const -> void;
-    auto lapseHolder(Holder& holder, Microseconds now) -> void;
-    auto lapsePredecessors(Microseconds now) -> void;
+    auto findOrOpenBalance(Holder& holder, const wire::QuotaUse& usage, TenantLedger& tenant)
+        -> TokenBalance&;
+    auto applyUsage(
+        TokenBalance& balance, const wire::QuotaUse& usage, TenantLedger& tenant, Microseconds now) -> void;
+    auto reinstateExpired(TokenBalance& balance, const wire::QuotaUse& usage, TenantLedger& tenant) -> void;
+    auto grantAllowance(TokenBalance& balance, const wire::QuotaUse& usage, TenantLedger& tenant,
+        Microseconds now) -> wire::QuotaAllowance;
+    auto addScarceTenants(const Holder& holder, wire::QuotaGrant& grant) const -> void;
+    auto expireHolder(Holder& holder, Microseconds now) -> void;
+    auto expirePredecessors(Microseconds now) -> void;
 
     std::int64_t term_;
     Counters& counters_;
     std::map<std::string, TenantLedger> tenants_;
-    std::map<std::int64_t, Holder> holders_;  // by life
-    Microseconds predecessorsLapseAt_;
-    bool predecessorsLapsed_ = false;
+    std::map<std::int64_t, Holder> holders_;  // by incarnation
+    Microseconds predecessorsExpireAt_;
+    bool predecessorsExpired_ = false;
     bool predecessorsUnknown_;
     std::int64_t imageSequence_ = 0;
-    Microseconds imageMadeAt_ = 0, heldImageSentAt_ = 0;
-    Microseconds scarceAt_ = 0;
-    std::vector<std::string> scarce_;  // tenants, as of scarceAt_
+    Microseconds imageMadeAt_ = 0;
+    Microseconds confirmedImageSentAt_ = 0;  // 0: no image is confirmed
+    Microseconds scarceTenantsUpdatedAt_ = 0;
+    std::vector<std::string> scarceTenants_;  // as of scarceTenantsUpdatedAt_
 };
 
 }  // namespace duneturn
--- a/src/quota/quota_replica.cpp
+++ b/src/quota/quota_replica.cpp
@@ -6,8 +6,8 @@
 namespace duneturn {
 
 auto QuotaReplica::take(const wire::QuotaImage& image, Microseconds now) -> bool {
-    if (image.term < promised_ && !broken.ignorePromise) return false;
-    promised_ = std::max(promised_, image.term);
+    if (image.term < promisedTerm_ && !faults.ignorePromise) return false;
+    promisedTerm_ = std::max(promisedTerm_, image.term);
     auto isNewer = std::pair(image.term, image.sequence) > std::pair(image_.term, image_.sequence);
     if (!isNewer) return true;
     image_ = image;
@@ -17,10 +17,10 @@
 
 auto QuotaReplica::promise(
     std::int64_t term, Microseconds window, wire::QuotaImageAnswer& answer, Microseconds now) -> bool {
-    if (term < promised_) return false;
-    promised_ = term;
+    if (term < promisedTerm_) return false;
+    promisedTerm_ = term;
     answer.term = term;
-    answer.known = broken.rememberNothing || now - startedAt_ >= QUOTA_PREDECESSOR_LAPSE + window;
+    answer.known = faults.claimMemoryAfterRestart || now - startedAt_ >= QUOTA_PREDECESSOR_EXPIRY + window;
     answer.image = image_;
     answer.age = now - (image_.sequence ? receivedAt_ : startedAt_);
     return true;
--- a/src/quota/quota_replica.hpp
+++ b/src/quota/quota_replica.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// What a voter keeps of the granter's ledger, in memory, for the granter's successor.
+// A voter's in-memory replica of the granter's ledger, from which the granter's successor recovers.
 #include <cstdint>
 
 #include "base/time.hpp"
@@ -9,26 +9,31 @@
 
 namespace duneturn {
 
-/// The newest image of the ledger that this voter was sent, and the highest term that it has promised to.
+/// Keeps the newest ledger image that this voter received and the highest term that it promised to follow,
+/// in the manner of an acceptor in Paxos. Nothing is kept on disk: the caller must reject terms below the
+/// voter's durable term, so that a promise outlives the process.
 class QuotaReplica {
   public:
-    /// `startedAt`: of this process, which remembers nothing from before.
+    /// `startedAt`: the start of this process, which knows no images received before.
     explicit QuotaReplica(Microseconds startedAt) : startedAt_(startedAt) {}
 
-    /// Takes an image; false, and it must not be acknowledged, if a higher term was promised.
+    /// Stores an image unless a newer one is stored. Returns false if a higher term was promised; the image
+    /// must not be acknowledged then.
     [[nodiscard]] auto take(const wire::QuotaImage& image, Microseconds now) -> bool;
-    /// Promises to a new granter, and answers with what is held; false if a higher term was promised.
-    /// `window`: the longest for which anything granted before this process's start may count, beside leases.
+    /// Promises a new granter to accept no image of a lower term, and fills `answer` with the stored image.
+    /// Returns false if a higher term was promised already. `window`: the longest time for which tokens spent
+    /// before the start of this process can count against a bound. The answer is `known` if this process has
+    /// run for that time after all leases from before its start expired.
     [[nodiscard]] auto promise(
         std::int64_t term, Microseconds window, wire::QuotaImageAnswer& answer, Microseconds now) -> bool;
 
-    /// Test-only faults.
-    QuotaFaults broken;
+    /// For tests only.
+    QuotaFaults faults;
 
   private:
     Microseconds startedAt_;
-    std::int64_t promised_ = 0;
-    wire::QuotaImage image_;
+    std::int64_t promisedTerm_ = 0;
+    wire::QuotaImage image_;  // sequence 0: none received
     Microseconds receivedAt_ = 0;
 };
 
--- a/src/quota/sliding_window_counter.cpp
+++ b/src/quota/sliding_window_counter.cpp
@@ -12,31 +12,32 @@
 
 auto SlidingWindowCounter::add(std::int64_t events, Microseconds at) -> void {
     if (events <= 0) return;
-    events_[stepEnd(at)] += events;
+    eventsByStepEnd_[stepEnd(at)] += events;
     total_ += events;
 }
 
 auto SlidingWindowCounter::remove(std::int64_t events, Microseconds at) -> std::int64_t {
-    auto found = events_.find(stepEnd(at));
-    if (found == events_.end() || events <= 0) return 0;
+    auto found = eventsByStepEnd_.find(stepEnd(at));
+    if (found == eventsByStepEnd_.end() || events <= 0) return 0;
     auto removed = std::min(events, found->second);
     found->second -= removed;
-    if (found->second == 0) events_.erase(found);
+    if (found->second == 0) eventsByStepEnd_.erase(found);
     total_ -= removed;
     return removed;
 }
 
 auto SlidingWindowCounter::expire(Microseconds window, Microseconds now) -> void {
-    while (!events_.empty() && events_.begin()->first + window < now) {
-        total_ -= events_.begin()->second;
-        events_.erase(events_.begin());
+    while (!eventsByStepEnd_.empty() && eventsByStepEnd_.begin()->first + window < now) {
+        total_ -= eventsByStepEnd_.begin()->second;
+        eventsByStepEnd_.erase(eventsByStepEnd_.begin());
     }
 }
 
-auto SlidingWindowCounter::ages(Microseconds ageStep, Microseconds now) const -> std::vector<std::int64_t> {
+auto SlidingWindowCounter::countsByAge(Microseconds ageStep, Microseconds now) const
+    -> std::vector<std::int64_t> {
     auto counts = std::vector<std::int64_t>();
-    for (auto& [at, events] : events_) {
-        auto age = std::size_t(std::max<Microseconds>(now - at, 0) / ageStep);
+    for (auto& [stepEnd, events] : eventsByStepEnd_) {
+        auto age = std::size_t(std::max<Microseconds>(now - stepEnd, 0) / ageStep);
         if (counts.size() <= age) counts.resize(age + 1);
         counts[age] += events;
     }
--- a/src/quota/sliding_window_counter.hpp
+++ b/src/quota/sliding_window_counter.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Counts of events within a sliding window of time, in steps.
+// Counts events within a sliding window, grouped into time steps.
 #include <cstdint>
 #include <map>
 #include <vector>
@@ -8,27 +8,29 @@
 
 namespace duneturn {
 
-/// How many events lie within a window that ends now. An event counts until the window after the end of its
-/// step: never too short, and at most a step too long.
+/// Counts the events of a window that ends now. Every event is dated to the end of its time step, so it is
+/// counted for at least the window and at most one step longer, never for less.
 class SlidingWindowCounter {
   public:
     explicit SlidingWindowCounter(Microseconds step) : step_(step) {}
 
+    /// Counts events that happened at `at`; a count that is not positive is ignored.
     auto add(std::int64_t events, Microseconds at) -> void;
-    /// Takes back up to so many events of this time; how many there were.
+    /// Removes up to `events` events from the step that contains `at`. Returns the number removed.
     auto remove(std::int64_t events, Microseconds at) -> std::int64_t;
-    /// Forgets what has left the window.
+    /// Removes the events that are older than `window`.
     auto expire(Microseconds window, Microseconds now) -> void;
-    /// Events that have not been forgotten.
+    /// All events that have not been removed.
     [[nodiscard]] auto total() const -> std::int64_t { return total_; }
-    /// The same by age, in steps of `ageStep`; without trailing zeros. Ages are rounded down.
-    [[nodiscard]] auto ages(Microseconds ageStep, Microseconds now) const -> std::vector<std::int64_t>;
+    /// total() broken down by age: element i counts the events between i and i + 1 times `ageStep` old.
+    /// Ages are rounded down; trailing zeros are omitted.
+    [[nodiscard]] auto countsByAge(Microseconds ageStep, Microseconds now) const -> std::vector<std::int64_t>;
 
   private:
     [[nodiscard]] auto stepEnd(Microseconds at) const -> Microseconds;
 
     Microseconds step_;
-    std::map<Microseconds, std::int64_t> events_;  // by the end of their step
+    std::map<Microseconds, std::int64_t> eventsByStepEnd_;
     std::int64_t total_ = 0;
 };
 
--- a/src/quota/tenant_account.cpp
+++ b/src/quota/tenant_account.cpp
@@ -30,17 +30,17 @@
     version_++;
 }
 
-auto TenantAccount::voidTokens() -> void {
+auto TenantAccount::returnAll() -> void {
     free_ += reserved_;
     reserved_ = 0;
     if (free_ > 0) returnFree(free_);
 }
 
-auto TenantAccount::adjustStock(Microseconds now) -> void {
+auto TenantAccount::adjustPrefetch(Microseconds now) -> void {
     auto isScarce = now < scarceUntil_;
-    auto wanted = isScarce ? 0 : demand_.wantedTokens(now);
-    noteWanted(wanted, now);
-    auto surplus = free_ - waiting - wanted;
+    auto target = isScarce ? 0 : demand_.prefetchTarget(now);
+    updatePrefetchTarget(target, now);
+    auto surplus = free_ - waitingRequests - target;
     if (surplus <= 0) {
         surplusSince_ = 0;
         return;
@@ -51,47 +51,47 @@
     surplusSince_ = 0;
 }
 
-// Stock that was not granted is asked for again, but not with each report.
-auto TenantAccount::noteWanted(std::int64_t wanted, Microseconds now) -> void {
-    auto lacks = wanted > free_ && now - wantedAt_ >= QUOTA_STOCK_INTERVAL;
-    if (lacks) {
+// Prefetched tokens that were not granted are requested again, but only every QUOTA_PREFETCH_RETRY_INTERVAL.
+auto TenantAccount::updatePrefetchTarget(std::int64_t target, Microseconds now) -> void {
+    auto isRequestDue = target > free_ && now - prefetchRequestedAt_ >= QUOTA_PREFETCH_RETRY_INTERVAL;
+    if (isRequestDue) {
         version_++;
-        wantedAt_ = now;
+        prefetchRequestedAt_ = now;
     }
-    wanted_ = wanted;
+    prefetchTarget_ = target;
 }
 
-auto TenantAccount::use() const -> wire::QuotaUse {
-    auto use = wire::QuotaUse();
-    use.carried = carried_;
-    use.granted = granted_;
-    use.spent = spent_;
-    use.returned = returned_;
-    use.waiting = waiting;
-    use.wanted = reserved_ + wanted_;
-    return use;
+auto TenantAccount::usage() const -> wire::QuotaUse {
+    auto usage = wire::QuotaUse();
+    usage.carried = carried_;
+    usage.granted = granted_;
+    usage.spent = spent_;
+    usage.returned = returned_;
+    usage.waiting = waitingRequests;
+    usage.wanted = reserved_ + prefetchTarget_;
+    return usage;
 }
 
 auto TenantAccount::acknowledge(std::int64_t version, std::int64_t spent) -> void {
-    answeredVersion_ = std::max(answeredVersion_, version);
+    acknowledgedVersion_ = std::max(acknowledgedVersion_, version);
     acknowledgedSpent_ = std::max(acknowledgedSpent_, spent);
 }
 
-auto TenantAccount::take(const wire::QuotaAllowance& allowance, Microseconds now) -> void {
+auto TenantAccount::applyAllowance(const wire::QuotaAllowance& allowance, Microseconds now) -> void {
     auto added = allowance.granted - granted_;
     if (added > 0) {
         granted_ += added;
         free_ += added;
     }
     scarceUntil_ = allowance.scarce ? now + QUOTA_SCARCE_TIME : 0;
-    refusedUntil = allowance.refused ? now + QUOTA_REFUSAL_TIME : 0;
+    rejectedUntil = allowance.refused ? now + QUOTA_REJECTION_TIME : 0;
 }
 
-auto TenantAccount::beginTerm(bool forgetCarried) -> void {
-    auto unacknowledged = spent_ - acknowledgedSpent_;
-    carried_ = forgetCarried ? 0 : held() + unacknowledged;
-    granted_ = forgetCarried ? held() : 0;
-    spent_ = forgetCarried ? 0 : unacknowledged;
+auto TenantAccount::beginTerm(bool omitCarriedTokens) -> void {
+    auto unacknowledgedSpent = spent_ - acknowledgedSpent_;
+    carried_ = omitCarriedTokens ? 0 : outstanding() + unacknowledgedSpent;
+    granted_ = omitCarriedTokens ? outstanding() : 0;
+    spent_ = omitCarriedTokens ? 0 : unacknowledgedSpent;
     returned_ = 0;
     acknowledgedSpent_ = 0;
     if (carried_ > 0) version_++;
--- a/src/quota/tenant_ledger.cpp
+++ b/src/quota/tenant_ledger.cpp
@@ -13,107 +13,110 @@
     limit_ = tenant->ratePerSecond * double(bounds.window) / double(SECOND) + tenant->burst;
     auto tolerance = bounds.overrun * limit_ + bounds.slack;
     bound_ = limit_ + tolerance;
-    grantBound_ = bound_ - QUOTA_ATTEMPT_RESERVE * tolerance;
+    grantBound_ = bound_ - QUOTA_EXTRA_ATTEMPT_SHARE * tolerance;
     configureBucket(*tenant, bounds, now);
 }
 
-// A granter's first bucket is as full as its predecessors' spends would have left it.
+// A new granter replays the spent tokens it inherited, so that its first bucket is as full as the bucket of
+// its predecessors would be.
 auto TenantLedger::configureBucket(const Tenant& tenant, const QuotaBounds& bounds, Microseconds now)
     -> void {
-    auto rate = QUOTA_REFILL * tenant.ratePerSecond;
-    auto capacity = tenant.burst + QUOTA_SLACK_IN_BUCKET * bounds.slack;
+    auto rate = QUOTA_REFILL_FACTOR * tenant.ratePerSecond;
+    auto capacity = tenant.burst + QUOTA_BUCKET_SLACK_SHARE * bounds.slack;
     auto isFirst = !std::exchange(hasBucket_, true);
     if (!isFirst) return bucket_.configure(rate, capacity, now);
-    auto spends = spent_.ages(QUOTA_AGE_STEP, now);
-    bucket_.configure(rate, capacity, now - Microseconds(spends.size()) * QUOTA_AGE_STEP);
-    for (auto age = spends.size(); age-- > 0;) {
+    auto spentByAge = spent_.countsByAge(QUOTA_AGE_STEP, now);
+    bucket_.configure(rate, capacity, now - Microseconds(spentByAge.size()) * QUOTA_AGE_STEP);
+    for (auto age = spentByAge.size(); age-- > 0;) {
         bucket_.refill(now - Microseconds(age) * QUOTA_AGE_STEP);
-        bucket_.charge(spends[age]);
+        bucket_.charge(spentByAge[age]);
     }
 }
 
 auto TenantLedger::inherit(const wire::QuotaTenantImage& image, Microseconds imageAt, Microseconds now)
     -> void {
     predecessors_ = image.outstanding;
-    for (auto i = std::size_t(0); i < image.spent.size(); i++)
-        spent_.add(image.spent[i], std::min(imageAt, now) - Microseconds(i) * QUOTA_AGE_STEP);
+    for (auto age = std::size_t(0); age < image.spent.size(); age++)
+        spent_.add(image.spent[age], std::min(imageAt, now) - Microseconds(age) * QUOTA_AGE_STEP);
 }
 
 auto TenantLedger::tick(Microseconds now) -> void {
-    auto early = faults && faults->forgetSpendsEarly;
-    spent_.expire(early ? window_ / 2 : window_, now);
+    auto expiresEarly = faults && faults->expireSpendsEarly;
+    spent_.expire(expiresEarly ? window_ / 2 : window_, now);
     bucket_.refill(now);
 }
 
-// ---- what nodes report
+// ---- reports of nodes
 
-auto TenantLedger::claim(std::int64_t tokens) -> void {
+auto TenantLedger::claimCarried(std::int64_t tokens) -> void {
     predecessors_ -= std::min(predecessors_, tokens);
-    held_ += tokens;
+    heldByNodes_ += tokens;
 }
 
-auto TenantLedger::spend(std::int64_t tokens, std::int64_t charged, Microseconds now) -> void {
-    held_ -= tokens;
+auto TenantLedger::recordSpent(std::int64_t tokens, std::int64_t charged, Microseconds now) -> void {
+    heldByNodes_ -= tokens;
     spent_.add(tokens, now);
     bucket_.charge(tokens - charged);
 }
 
-auto TenantLedger::takeBack(std::int64_t tokens, std::int64_t charged) -> void {
+auto TenantLedger::recordReturned(std::int64_t tokens, std::int64_t charged) -> void {
     auto times = faults && faults->countReturnsTwice ? 2 : 1;
-    held_ -= times * tokens;
+    heldByNodes_ -= times * tokens;
     bucket_.refund(charged);
 }
 
-auto TenantLedger::lapse(std::int64_t tokens, Microseconds now) -> void {
-    held_ -= tokens;
-    if (faults && faults->freeLapsed) return;
+auto TenantLedger::expireHeld(std::int64_t tokens, Microseconds now) -> void {
+    heldByNodes_ -= tokens;
+    if (faults && faults->dropExpiredTokens) return;
     spent_.add(tokens, now);
 }
 
-auto TenantLedger::lapsePredecessors(Microseconds lapsedAt) -> void {
-    spent_.add(predecessors_, lapsedAt);
+auto TenantLedger::expirePredecessors(Microseconds expiredAt) -> void {
+    spent_.add(predecessors_, expiredAt);
     predecessors_ = 0;
 }
 
-// ---- what nodes get
+// ---- grants to nodes
 
-auto TenantLedger::roomBelow(double bound) const -> std::int64_t {
+auto TenantLedger::capacityBelow(double bound) const -> std::int64_t {
     return std::max<std::int64_t>(std::int64_t(bound) - total(), 0);
 }
 
-auto TenantLedger::grantWaiting(std::int64_t tokens, Microseconds now) -> std::int64_t {
+auto TenantLedger::grantToWaiting(std::int64_t tokens, Microseconds now) -> std::int64_t {
     if (!limited_) {
-        held_ += tokens;
+        heldByNodes_ += tokens;
         return tokens;
     }
-    auto possible = std::min({tokens, bucket_.available(), roomBelow(grantBound_)});
-    auto covered = faults && faults->ignoreReserve ? possible : reserve_.remaining();
-    if (possible > covered) blocked_ += possible - covered;
-    possible = std::min(possible, covered);
-    bucket_.charge(possible);
-    grant(possible, now);
-    return possible;
+    auto possible = std::min({tokens, bucket_.available(), capacityBelow(grantBound_)});
+    auto reserved = faults && faults->ignoreReserve ? possible : reserve_.remaining();
+    if (possible > reserved) blockedRequests_ += possible - reserved;
+    auto granted = std::min(possible, reserved);
+    bucket_.charge(granted);
+    grant(granted, now);
+    return granted;
 }
 
-auto TenantLedger::grantStock(std::int64_t tokens, Microseconds now) -> std::int64_t {
-    if (!limited_ || isScarce() || blocked_ > 0) return 0;
-    auto possible = std::min({tokens, roomBelow(QUOTA_STOCK_SHARE * grantBound_), reserve_.remaining()});
-    grant(possible, now);
-    return possible;
+auto TenantLedger::grantPrefetch(std::int64_t tokens, Microseconds now) -> std::int64_t {
+    if (!limited_ || isScarce() || blockedRequests_ > 0) return 0;
+    auto capacity = capacityBelow(QUOTA_PREFETCH_SHARE * grantBound_);
+    auto granted = std::min({tokens, capacity, reserve_.remaining()});
+    grant(granted, now);
+    return granted;
 }
 
 auto TenantLedger::grant(std::int64_t tokens, Microseconds now) -> void {
-    held_ += tokens;
+    heldByNodes_ += tokens;
     reserve_.grant(tokens);
     granted_.add(tokens, now);
 }
 
 auto TenantLedger::isScarce() const -> bool {
     if (!limited_) return false;
-    return bucket_.isBelow(QUOTA_LOW_BUCKET) || double(total()) >= QUOTA_SCARCE_SHARE * grantBound_;
+    return bucket_.isBelow(QUOTA_LOW_BUCKET_SHARE) || double(total()) >= QUOTA_SCARCE_SHARE * grantBound_;
 }
 
-// What nodes hold may be returned soon; all else leaves the bound with time alone.
+// Tokens held by nodes are left out, since nodes may return them soon. Spent tokens and those of predecessors
+// stop counting only as time passes.
 auto TenantLedger::isExhausted() const -> bool {
     if (!limited_) return false;
     return bucket_.available() < 1 || double(predecessors_ + spent_.total() + 1) > grantBound_;
@@ -122,18 +125,18 @@
 // ---- images
 
 auto TenantLedger::reserveNeeded(Microseconds now) -> std::int64_t {
-    granted_.expire(QUOTA_RESERVE_TIME, now);
-    return std::max({std::int64_t(QUOTA_LEAST_RESERVE), 2 * granted_.total(), blocked_});
+    granted_.expire(QUOTA_RESERVE_WINDOW, now);
+    return std::max({std::int64_t(QUOTA_MIN_RESERVE), 2 * granted_.total(), blockedRequests_});
 }
 
 auto TenantLedger::image(std::int64_t sequence, Microseconds now) -> wire::QuotaTenantImage {
-    auto part = wire::QuotaTenantImage();
+    auto image = wire::QuotaTenantImage();
     announcedReserve_ = limited_ ? reserveNeeded(now) : 0;
-    reserve_.announce(sequence, announcedReserve_);
-    blocked_ = 0;
-    part.outstanding = outstanding() + announcedReserve_;
-    part.spent = spent_.ages(QUOTA_AGE_STEP, now);
-    return part;
+    reserve_.addImage(sequence, announcedReserve_);
+    blockedRequests_ = 0;
+    image.outstanding = outstanding() + announcedReserve_;
+    image.spent = spent_.countsByAge(QUOTA_AGE_STEP, now);
+    return image;
 }
 
 auto TenantLedger::wantsImage() const -> bool {
--- a/src/quota/tenant_ledger.hpp
+++ b/src/quota/tenant_ledger.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// One tenant's part of the granter's ledger: what is outstanding, what was spent in the window, and how many
-// more tokens may be granted. Logic only.
+// One tenant's entry in the granter's ledger: the tokens outstanding, the tokens spent within the window, and
+// how many more may be granted. Free of I/O.
 #include <cstdint>
 #include <optional>
 
@@ -15,87 +15,105 @@
 
 namespace duneturn {
 
-/// The limit of one tenant. Two bounds follow from it: one that holds always, and a bucket that says how much
-/// is granted while all is well.
+/// Enforces the limit of one tenant in two ways. A bound on outstanding plus spent tokens is never exceeded,
+/// whatever fails; it is the bound of an escrow, or bounded counter. A token bucket with a tighter rate
+/// decides how many tokens are granted in normal operation.
 class TenantLedger {
   public:
-    /// Tokens of predecessors of whom nothing is known: more than any bound.
+    /// Stands for the outstanding tokens of predecessors if their number is unknown; exceeds every bound.
     static constexpr std::int64_t UNKNOWN_PREDECESSORS = std::int64_t(1) << 40;
 
-    /// The tenant's limit, or none.
+    /// Applies the tenant's limit. `tenant` is null if the configuration no longer contains the tenant.
     auto setLimit(const Tenant* tenant, const QuotaBounds& bounds, Microseconds now) -> void;
-    /// What an image of an earlier term says of this tenant; `imageAt`: when a voter received it at the
-    /// latest.
+    /// Takes over outstanding and spent tokens from an image of an earlier term. `imageAt`: the latest time
+    /// at which a voter can have received the image.
     auto inherit(const wire::QuotaTenantImage& image, Microseconds imageAt, Microseconds now) -> void;
-    /// Tokens of earlier terms may be outstanding, nobody knows how many.
+    /// An unknown number of tokens of earlier terms may be outstanding.
     auto inheritUnknown() -> void { predecessors_ = UNKNOWN_PREDECESSORS; }
-    /// Forgets what has left the window.
+    /// Drops spent tokens that have left the window, and refills the bucket.
     auto tick(Microseconds now) -> void;
 
-    // What nodes report.
-    /// A node brings tokens along from an earlier term.
-    auto claim(std::int64_t tokens) -> void;
-    /// Tokens are outstanding that this ledger did not grant.
-    auto addHeld(std::int64_t tokens) -> void { held_ += tokens; }
-    /// A node's tokens were spent, `charged` of them were taken out of the bucket when they were granted.
-    auto spend(std::int64_t tokens, std::int64_t charged, Microseconds now) -> void;
-    /// Tokens of which `charged` were taken out of the bucket came back.
-    auto takeBack(std::int64_t tokens, std::int64_t charged) -> void;
-    /// A silent node's tokens may have been spent.
-    auto lapse(std::int64_t tokens, Microseconds now) -> void;
-    /// What became of lapsed tokens has been reported after all.
-    auto settleLapsed(std::int64_t tokens, Microseconds lapsedAt) -> void { spent_.remove(tokens, lapsedAt); }
-    /// Predecessors' tokens that nobody has claimed can't be used any more since `lapsedAt`.
-    auto lapsePredecessors(Microseconds lapsedAt) -> void;
+    // Reports of nodes.
 
-    // What nodes get.
-    /// Grants up to so many tokens to requests that wait.
-    auto grantWaiting(std::int64_t tokens, Microseconds now) -> std::int64_t;
-    /// Grants up to so many tokens for requests to come.
-    auto grantStock(std::int64_t tokens, Microseconds now) -> std::int64_t;
-    /// Whether nodes should return what no request needs.
+    /// A node reports tokens that it carried over from an earlier term.
+    auto claimCarried(std::int64_t tokens) -> void;
+    /// Adds outstanding tokens that this ledger has not granted.
+    auto addOutstanding(std::int64_t tokens) -> void { heldByNodes_ += tokens; }
+    /// A node has spent tokens; the bucket was charged for `charged` of them when they were granted.
+    auto recordSpent(std::int64_t tokens, std::int64_t charged, Microseconds now) -> void;
+    /// A node has returned tokens; the bucket was charged for `charged` of them when they were granted.
+    auto recordReturned(std::int64_t tokens, std::int64_t charged) -> void;
+    /// The tokens of an unresponsive node have expired. They count as spent, since the node may have spent
+    /// them without a report.
+    auto expireHeld(std::int64_t tokens, Microseconds now) -> void;
+    /// A node has reported what became of tokens that expired at `expiredAt`; they no longer count as spent.
+    auto reconcileExpired(std::int64_t tokens, Microseconds expiredAt) -> void {
+        spent_.remove(tokens, expiredAt);
+    }
+    /// Tokens of predecessors that no node has claimed cannot be used after `expiredAt`. They count as spent
+    /// at that time.
+    auto expirePredecessors(Microseconds expiredAt) -> void;
+
+    // Grants to nodes.
+
+    /// Grants up to `tokens` tokens to waiting requests and returns the number granted.
+    auto grantToWaiting(std::int64_t tokens, Microseconds now) -> std::int64_t;
+    /// Grants up to `tokens` tokens for future requests and returns the number granted.
+    auto grantPrefetch(std::int64_t tokens, Microseconds now) -> std::int64_t;
+    /// Whether nodes should return tokens that no request needs.
     [[nodiscard]] auto isScarce() const -> bool;
-    /// Whether requests that wait have nothing to wait for.
+    /// Whether waiting requests cannot expect a token soon and should be rejected.
     [[nodiscard]] auto isExhausted() const -> bool;
 
     // Images.
-    /// The image's part; it reserves tokens.
+
+    /// This tenant's part of the image with this sequence, which reserves tokens for later grants. The caller
+    /// fills in the tenant's name.
     auto image(std::int64_t sequence, Microseconds now) -> wire::QuotaTenantImage;
+    /// A majority of voters has acknowledged the image with this sequence or a newer one.
     auto confirmImage(std::int64_t sequence) -> void { reserve_.confirm(sequence); }
-    /// Whether a newer image is wanted, since much of the reserve is used.
+    /// Whether less than a quarter of the reserve of the last image remains.
     [[nodiscard]] auto wantsImage() const -> bool;
-    /// Whether requests wait for nothing else than a newer image.
-    [[nodiscard]] auto isBlockedByReserve() const -> bool { return blocked_ > 0; }
+    /// Whether requests wait only because the reserve is used up.
+    [[nodiscard]] auto isBlockedByReserve() const -> bool { return blockedRequests_ > 0; }
 
     [[nodiscard]] auto isLimited() const -> bool { return limited_; }
+    /// Whether no tokens are outstanding and none were spent within the window.
     [[nodiscard]] auto isIdle() const -> bool { return outstanding() == 0 && spent_.total() == 0; }
+    /// Requests per window, including the burst.
     [[nodiscard]] auto limit() const -> double { return limit_; }
+    /// The limit plus the configured overrun and slack.
     [[nodiscard]] auto bound() const -> double { return bound_; }
     [[nodiscard]] auto spentInWindow() const -> std::int64_t { return spent_.total(); }
-    [[nodiscard]] auto outstanding() const -> std::int64_t { return held_ + predecessors_; }
-    [[nodiscard]] auto refused() const -> std::int64_t { return refused_; }
-    auto noteRefused(std::int64_t requests) -> void { refused_ += requests; }
+    /// Tokens that nodes may still spend, including unclaimed ones of predecessors.
+    [[nodiscard]] auto outstanding() const -> std::int64_t { return heldByNodes_ + predecessors_; }
+    /// Waiting requests that were rejected in this term.
+    [[nodiscard]] auto rejected() const -> std::int64_t { return rejected_; }
+    auto recordRejected(std::int64_t requests) -> void { rejected_ += requests; }
 
-    /// Test-only faults.
+    /// For tests only. Null: no faults.
     const QuotaFaults* faults = nullptr;
 
   private:
+    /// The tokens that count against the bound.
     [[nodiscard]] auto total() const -> std::int64_t { return outstanding() + spent_.total(); }
-    [[nodiscard]] auto roomBelow(double bound) const -> std::int64_t;
+    /// How many more tokens may count until total() reaches `bound`.
+    [[nodiscard]] auto capacityBelow(double bound) const -> std::int64_t;
     [[nodiscard]] auto reserveNeeded(Microseconds now) -> std::int64_t;
     auto grant(std::int64_t tokens, Microseconds now) -> void;
     auto configureBucket(const Tenant& tenant, const QuotaBounds& bounds, Microseconds now) -> void;
 
     bool limited_ = false, hasBucket_ = false;
-    double limit_ = 0, bound_ = 0, grantBound_ = 0;  // grantBound_: less what is kept for further attempts
+    double limit_ = 0, bound_ = 0;
+    double grantBound_ = 0;  // bound_ less the share withheld for extra attempts
     Microseconds window_ = 0;
-    std::int64_t held_ = 0;          // by nodes, of this term
-    std::int64_t predecessors_ = 0;  // that no node has claimed
-    std::int64_t refused_ = 0;
-    std::int64_t blocked_ = 0;  // requests that wait since the last image, because the reserve was used up
+    std::int64_t heldByNodes_ = 0;   // outstanding tokens that nodes reported or received in this term
+    std::int64_t predecessors_ = 0;  // outstanding tokens of earlier terms that no node has claimed
+    std::int64_t rejected_ = 0;
+    std::int64_t blockedRequests_ = 0;  // that got no token since the last image, for lack of reserve
     std::int64_t announcedReserve_ = 0;
     SlidingWindowCounter spent_{QUOTA_LEDGER_STEP};
-    SlidingWindowCounter granted_{QUOTA_LEDGER_STEP};  // lately
+    SlidingWindowCounter granted_{QUOTA_LEDGER_STEP};  // within QUOTA_RESERVE_WINDOW
     TokenBucket bucket_;
     GrantReserve reserve_;
 };
--- a/src/quota/token_bucket.cpp
+++ b/src/quota/token_bucket.cpp
@@ -6,15 +6,15 @@
 
 auto TokenBucket::configure(double ratePerSecond, double capacity, Microseconds now) -> void {
     refill(now);
-    auto lacking = capacity_ - level_;
-    rate_ = ratePerSecond;
+    auto deficit = capacity_ - level_;
+    ratePerSecond_ = ratePerSecond;
     capacity_ = capacity;
-    level_ = capacity - lacking;
+    level_ = capacity - deficit;
 }
 
 auto TokenBucket::refill(Microseconds now) -> void {
     auto seconds = double(std::max<Microseconds>(now - refilledAt_, 0)) / double(SECOND);
-    level_ = std::min(capacity_, level_ + rate_ * seconds);
+    level_ = std::min(capacity_, level_ + ratePerSecond_ * seconds);
     refilledAt_ = std::max(refilledAt_, now);
 }
 
--- a/tests/quota/quota_bound_test.cpp
+++ b/tests/quota/quota_bound_test.cpp
@@ -1,4 +1,5 @@
-// The bound of the tenants' quotas under troubles of all kinds, against the plain count of what servers ran.
+// Checks the bound of the tenants' quotas while faults are injected. The bound is compared with a plain count
+// of the requests that servers ran, which shares no code with the quotas.
 #include <cstdint>
 #include <string>
 
@@ -10,19 +11,19 @@
 
 namespace duneturn {
 
-// Nodes that restart, freeze and are cut off; granters that don't know that they were succeeded; voters that
-// forget; messages lost, doubled, late; limits that change and tenants far beyond them.
-TEST(QuotaBound, holdsUnderAllTroubles) {
-    constexpr auto SEEDS = 200, LEAST_RAN = 500;
-    auto ran = std::int64_t(0);
+// Nodes restart, freeze and are partitioned; granters do not know that they were succeeded; voters lose their
+// memory; messages are lost, duplicated and delayed; limits change while tenants far exceed them.
+TEST(QuotaBound, noWindowExceedsTheBoundUnderFaults) {
+    constexpr auto SEEDS = 200, MIN_REQUESTS_PER_SEED = 500;
+    auto requestsRun = std::int64_t(0);
     for (auto seed = 1; seed <= SEEDS; seed++) {
-        auto settings = troubledSettings(std::uint64_t(seed));
-        auto outcome = playTroubledDay(settings);
+        auto settings = faultRunSettings(std::uint64_t(seed));
+        auto outcome = runWithFaults(settings);
         CHECK_EQ(std::string(), fmt::format("{}", fmt::join(outcome.boundViolations, "; ")));
         CHECK_EQ(std::string(), fmt::format("{}", fmt::join(outcome.invariantViolations, "; ")));
-        ran += outcome.ran;
+        requestsRun += outcome.requestsRun;
     }
-    CHECK(ran > SEEDS * LEAST_RAN);
+    CHECK(requestsRun > SEEDS * MIN_REQUESTS_PER_SEED);
 }
 
 }  // namespace duneturn
--- a/tests/quota/quota_broken_test.cpp
+++ b/tests/quota/quota_broken_test.cpp
@@ -1,4 +1,4 @@
-// Faults of the quotas, each of which the test of the bound must see.
+// Injects faults into the quota protocol itself and checks that the simulation's checks detect each of them.
 #include <cstdint>
 #include <string>
 #include <vector>
@@ -12,71 +12,74 @@
 namespace duneturn {
 namespace {
 
-struct Variant {
+struct FaultyVariant {
     std::string name;
     bool QuotaFaults::*fault;
-    std::vector<Trouble> kinds = {};  ///< Under which it is looked for; none: as in the test of the bound.
+    /// The kinds of faults that are injected into the runs. Empty: a random selection for each seed, with the
+    /// workload of QuotaBound; otherwise requests also hold their tokens for longer.
+    std::vector<InjectedFault> kinds = {};
 };
 
-/// Requests hold tokens for longer than unclaimed ones of a predecessor count.
-auto holdForLong(QuotaSimulationSettings& settings) -> void {
+/// Lets requests hold their tokens for longer than a granter counts unclaimed tokens of its predecessors.
+auto holdTokensForLong(QuotaSimulationSettings& settings) -> void {
     for (auto& tenant : settings.tenants) {
-        tenant.holding = 0.8;
-        tenant.together = 20 * SECOND;
+        tenant.batchedFraction = 0.8;
+        tenant.batchInterval = 20 * SECOND;
     }
 }
 
-/// The first seed whose day shows the fault; 0 if none does.
-auto firstSeedThatShows(const Variant& variant) -> int {
+/// The first seed whose run detects the fault; 0 if none does.
+auto firstDetectingSeed(const FaultyVariant& variant) -> int {
     constexpr auto SEEDS = 1000;
     for (auto seed = 1; seed <= SEEDS; seed++) {
-        auto settings = troubledSettings(std::uint64_t(seed));
-        settings.broken.*variant.fault = true;
-        if (!variant.kinds.empty()) holdForLong(settings);
-        auto day = playTroubledDay(settings, variant.kinds);
-        if (!day.boundViolations.empty() || !day.invariantViolations.empty()) return seed;
+        auto settings = faultRunSettings(std::uint64_t(seed));
+        settings.faults.*variant.fault = true;
+        if (!variant.kinds.empty()) holdTokensForLong(settings);
+        auto outcome = runWithFaults(settings, variant.kinds);
+        if (!outcome.boundViolations.empty() || !outcome.invariantViolations.empty()) return seed;
     }
     return 0;
 }
 
 }  // namespace
 
-TEST(BrokenQuota, eachFaultIsSeen) {
-    auto unseen = std::string();
-    for (auto& variant : std::vector<Variant>{
+TEST(BrokenQuota, everyProtocolFaultIsDetected) {
+    auto undetected = std::string();
+    for (auto& variant : std::vector<FaultyVariant>{
              {"spendWithoutLease", &QuotaFaults::spendWithoutLease},
-             {"takeLowerTerm", &QuotaFaults::takeLowerTerm},
-             {"forgetCarried", &QuotaFaults::forgetCarried, {Trouble::ElectAnother}},
-             {"forgetSpendsEarly", &QuotaFaults::forgetSpendsEarly},
+             {"acceptStaleGrants", &QuotaFaults::acceptStaleGrants},
+             {"omitCarriedTokens", &QuotaFaults::omitCarriedTokens, {InjectedFault::ElectAnother}},
+             {"expireSpendsEarly", &QuotaFaults::expireSpendsEarly},
              {"countReturnsTwice", &QuotaFaults::countReturnsTwice},
-             {"freeSilentAtOnce", &QuotaFaults::freeSilentAtOnce},
-             {"freeLapsed", &QuotaFaults::freeLapsed},
+             {"expireHoldersEarly", &QuotaFaults::expireHoldersEarly},
+             {"dropExpiredTokens", &QuotaFaults::dropExpiredTokens},
              {"ignoreReserve", &QuotaFaults::ignoreReserve},
              {"ignorePredecessors", &QuotaFaults::ignorePredecessors},
-             {"answerWithoutAuthority", &QuotaFaults::answerWithoutAuthority},
+             {"answerWithoutLease", &QuotaFaults::answerWithoutLease},
              {"ignorePromise", &QuotaFaults::ignorePromise},
-             {"rememberNothing", &QuotaFaults::rememberNothing,
-                 {Trouble::RestartVoter, Trouble::ElectAnother}},
+             {"claimMemoryAfterRestart", &QuotaFaults::claimMemoryAfterRestart,
+                 {InjectedFault::RestartVoter, InjectedFault::ElectAnother}},
          }) {
-        auto seed = firstSeedThatShows(variant);
+        auto seed = firstDetectingSeed(variant);
         fmt::print("  {}: seed {}\n", variant.name, seed);
-        if (!seed) unseen += " " + variant.name;
+        if (!seed) undetected += " " + variant.name;
     }
-    CHECK_EQ(std::string(), unseen);
+    CHECK_EQ(std::string(), undetected);
 }
 
-// A voter's promise must outlive its process, by the term on its disk.
-TEST(BrokenQuota, forgottenTermsAreSeen) {
+// A voter that loses its durable term in a restart breaks its promise and acknowledges images of a granter
+// that was succeeded.
+TEST(BrokenQuota, lossOfDurableTermsIsDetected) {
     constexpr auto SEEDS = 2000;
     auto seed = 1;
     for (; seed <= SEEDS; seed++) {
-        auto settings = troubledSettings(std::uint64_t(seed));
-        settings.forgetsTerms = true;
-        holdForLong(settings);
-        auto day = playTroubledDay(settings, {Trouble::RestartVoter, Trouble::SplitFromLeader});
-        if (!day.boundViolations.empty() || !day.invariantViolations.empty()) break;
+        auto settings = faultRunSettings(std::uint64_t(seed));
+        settings.losesDurableTerms = true;
+        holdTokensForLong(settings);
+        auto outcome = runWithFaults(settings, {InjectedFault::RestartVoter, InjectedFault::SplitFromLeader});
+        if (!outcome.boundViolations.empty() || !outcome.invariantViolations.empty()) break;
     }
-    fmt::print("  forgetsTerms: seed {}\n", seed);
+    fmt::print("  losesDurableTerms: seed {}\n", seed);
     CHECK(seed <= SEEDS);
 }
 
--- a/tests/quota/quota_fault_injection.hpp
+++ b/tests/quota/quota_fault_injection.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Days of a simulated world of quotas with troubles at random.
+// Runs of the quota simulation in which random faults are injected.
 #include <cstdint>
 #include <string>
 #include <vector>
@@ -8,29 +8,32 @@
 
 namespace duneturn {
 
-enum class Trouble {
+/// The kinds of faults and changes that are injected.
+enum class InjectedFault {
     RestartNode,
     RestartVoter,
     FreezeNode,
     FreezeLeader,
     IsolateNode,
     IsolateNodeForLong,
-    CutLinks,
+    PartitionLinks,
     ElectAnother,
     SplitFromLeader,
     ChangeTenant,
 };
-constexpr auto TROUBLES = 10;
+constexpr auto INJECTED_FAULT_KINDS = 10;
 
-struct TroubledDay {
+/// What a run found.
+struct FaultRunOutcome {
     std::vector<std::string> boundViolations, invariantViolations;
-    std::int64_t ran = 0;
+    std::int64_t requestsRun = 0;  ///< Requests that reached servers, over all tenants.
 };
 
-/// A world of a few nodes, some of whose tenants press beyond their limits.
-[[nodiscard]] auto troubledSettings(std::uint64_t seed) -> QuotaSimulationSettings;
-/// Plays a day with a trouble every second or so, of these kinds; without any named, of some at random.
-[[nodiscard]] auto playTroubledDay(const QuotaSimulationSettings& settings, std::vector<Trouble> kinds = {})
-    -> TroubledDay;
+/// Random settings: a few nodes and tenants, some of whose clients send more than the tenant's limit allows.
+[[nodiscard]] auto faultRunSettings(std::uint64_t seed) -> QuotaSimulationSettings;
+/// Runs a simulation for 60 s with a fault every few seconds or more often. `kinds`: the kinds that are
+/// injected; if empty, a random selection.
+[[nodiscard]] auto runWithFaults(
+    const QuotaSimulationSettings& settings, std::vector<InjectedFault> kinds = {}) -> FaultRunOutcome;
 
 }  // namespace duneturn
--- a/tests/quota/quota_network.hpp
+++ b/tests/quota/quota_network.hpp
@@ -1,5 +1,6 @@
 #pragma once
-// The network of a simulated world of quotas: messages are lost, doubled, delayed and overtake each other.
+// The simulated network of the quota tests: messages are lost, duplicated, delayed and reordered, and links
+// are partitioned.
 #include <cstddef>
 #include <cstdint>
 #include <map>
@@ -17,39 +18,44 @@
 using QuotaMessage = std::variant<wire::QuotaReport, wire::QuotaGrant, wire::QuotaImage,
     wire::QuotaImageReply, wire::QuotaImageRequest, wire::QuotaImageAnswer>;
 
+/// A message on its way between two nodes, which are identified by their index.
 struct QuotaDelivery {
     int from = 0, to = 0;
     QuotaMessage message;
 };
 
-/// The size of a message as it crosses the wire between nodes.
+/// The size in bytes of a message as it is sent between nodes.
 [[nodiscard]] auto serializedSize(const QuotaMessage& message) -> std::size_t;
 
+/// A network over virtual time. Messages of a node to itself arrive without delay or loss.
 class QuotaNetwork {
   public:
+    /// `random` must outlive the network.
     explicit QuotaNetwork(RandomSource& random) : random_(random) {}
 
     auto send(int from, int to, QuotaMessage message, Microseconds now) -> void;
-    /// What arrives until now, in the order of its arrival.
+    /// Removes and returns the messages that have arrived by `now`, in order of arrival.
     auto receive(Microseconds now) -> std::vector<QuotaDelivery>;
-    /// Holds a message back until a later time.
+    /// Delivers a received message again at `until`.
     auto postpone(QuotaDelivery delivery, Microseconds until) -> void;
-    auto cut(int one, int other, Microseconds until) -> void;
-    [[nodiscard]] auto isCut(int one, int other, Microseconds now) const -> bool;
-
-    double loss = 0, doubled = 0, longDelay = 0;
-    Microseconds leastDelay = 1 * MILLISECOND, mostDelay = 60 * MILLISECOND;
-    bool measures = false;
+    /// Partitions two nodes from each other until `until`, or until the end of a longer partition.
+    auto partition(int one, int other, Microseconds until) -> void;
+    [[nodiscard]] auto isPartitioned(int one, int other, Microseconds now) const -> bool;
+
+    double lossProbability = 0, duplicateProbability = 0;
+    double longDelayProbability = 0;  ///< Of a delay of up to 20 s.
+    Microseconds minDelay = 1 * MILLISECOND, maxDelay = 60 * MILLISECOND;
+    bool measuresTraffic = false;                                     ///< Fills the counters below.
     std::map<int, std::int64_t> bytesSent, bytesReceived;             // by node
-    std::map<std::size_t, std::int64_t> bytesByKind, messagesByKind;  // by the index in QuotaMessage
+    std::map<std::size_t, std::int64_t> bytesByType, messagesByType;  // by the index in QuotaMessage
 
   private:
     auto enqueue(int from, int to, const QuotaMessage& message, Microseconds now) -> void;
     [[nodiscard]] auto delay() -> Microseconds;
 
     RandomSource& random_;
-    std::multimap<Microseconds, QuotaDelivery> underWay_;
-    std::map<std::pair<int, int>, Microseconds> cutUntil_;
+    std::multimap<Microseconds, QuotaDelivery> inFlight_;           // by time of arrival
+    std::map<std::pair<int, int>, Microseconds> partitionedUntil_;  // by the lower and the higher node
 };
 
 }  // namespace duneturn
--- a/tests/quota/quota_parts_test.cpp
+++ b/tests/quota/quota_parts_test.cpp
@@ -1,4 +1,4 @@
-// The parts of the tenants' quotas alone.
+// Unit tests of the classes in src/quota.
 #include <cstdint>
 #include <string>
 #include <vector>
@@ -19,67 +19,70 @@
 constexpr auto TENANT = "acme";
 constexpr Microseconds BEGIN = 100 * SECOND;
 
-/// A table with one tenant of 10 requests a second; without a limit if `rate` is 0.
-auto table(double rate = 10) -> TenantTable {
+/// A table with one tenant. `rate`: its limit in requests per second; 0 for none.
+auto tenantTable(double rate = 10) -> TenantTable {
     auto document = rapidjson::Document();
     auto text = R"({"tenants":{"acme":{"burst":5,"ratePerS":)" + std::to_string(rate) + "}}}";
     document.Parse(text.c_str());
     return TenantTable(document);
 }
 
-/// One node and one granter without a network between them.
-struct Pair {
+/// One node and one granter, which exchange messages without a network. The node has received the term.
+struct NodeAndGranter {
     Counters counters;
     QuotaAccount account{7, counters};
-    wire::QuotaImage nothing;
-    QuotaLedger ledger{1, &nothing, 0, counters, BEGIN};
+    wire::QuotaImage emptyImage;
+    QuotaLedger ledger{1, &emptyImage, 0, counters, BEGIN};
     Microseconds now = BEGIN;
 
-    Pair() {
-        account.setTenants(table(), now);
-        ledger.setTenants(table(), now);
-        holdImage();
-        exchange();  // the account learns the term
+    NodeAndGranter() {
+        account.setTenants(tenantTable(), now);
+        ledger.setTenants(tenantTable(), now);
+        replicateImage();
+        reportAndApplyGrant();
     }
-    auto holdImage() -> void { ledger.confirmImage(ledger.image(now).sequence, now); }
-    auto answer() -> wire::QuotaGrant {
+    /// Makes an image that a majority acknowledges at once, which renews the granter's lease and reserve.
+    auto replicateImage() -> void { ledger.confirmImage(ledger.image(now).sequence, now); }
+    auto answerReport() -> wire::QuotaGrant {
         auto grant = ledger.take("n", account.report(now), now);
         grant.granter = "g";
         return grant;
     }
-    auto exchange() -> void { (void)account.take(answer(), now); }
+    auto reportAndApplyGrant() -> void { (void)account.take(answerReport(), now); }
+    /// Reserves a token, after a report if the node has none.
     auto reserve() -> QuotaReservation {
         auto reservation = QuotaReservation();
         if (account.reserve(TENANT, reservation, now) == QuotaDecision::Granted) return reservation;
-        exchange();
+        reportAndApplyGrant();
         CHECK(account.reserveWaiting(TENANT, reservation, now) == QuotaDecision::Granted);
         return reservation;
     }
-    [[nodiscard]] auto held() const -> std::int64_t { return account.outstanding(TENANT, now); }
+    [[nodiscard]] auto outstandingAtNode() const -> std::int64_t { return account.outstanding(TENANT, now); }
     [[nodiscard]] auto view() const -> QuotaView { return ledger.views(now).front(); }
 };
 
 }  // namespace
 
-TEST(QuotaParts, eventsCountAtLeastTheWindow) {
-    auto count = SlidingWindowCounter(50 * MILLISECOND);
-    count.add(3, 101 * MILLISECOND);
-    count.expire(SECOND, 1101 * MILLISECOND);
-    CHECK_EQ(std::int64_t(3), count.total());
-    count.expire(SECOND, 1151 * MILLISECOND);
-    CHECK_EQ(std::int64_t(0), count.total());
+TEST(QuotaParts, eventsAreCountedForAtLeastTheWindow) {
+    auto counter = SlidingWindowCounter(50 * MILLISECOND);
+    counter.add(3, 101 * MILLISECOND);
+    counter.expire(SECOND, 1101 * MILLISECOND);
+    CHECK_EQ(std::int64_t(3), counter.total());
+    counter.expire(SECOND, 1151 * MILLISECOND);
+    CHECK_EQ(std::int64_t(0), counter.total());
 }
 
 TEST(QuotaParts, agesAreRoundedDown) {
-    auto count = SlidingWindowCounter(50 * MILLISECOND);
-    count.add(1, 1000 * MILLISECOND);
-    count.add(2, 1500 * MILLISECOND);
-    CHECK(std::vector<std::int64_t>({0, 2, 0, 1}) == count.ages(250 * MILLISECOND, 1999 * MILLISECOND));
+    auto counter = SlidingWindowCounter(50 * MILLISECOND);
+    counter.add(1, 1000 * MILLISECOND);
+    counter.add(2, 1500 * MILLISECOND);
+    CHECK(std::vector<std::int64_t>({0, 2, 0, 1})
+        == counter.countsByAge(250 * MILLISECOND, 1999 * MILLISECOND));
 }
 
-TEST(QuotaParts, aReserveIsOfNoUseBeforeAMajorityHoldsIt) {
+TEST(QuotaParts, aReserveIsUnusableBeforeAMajorityAcknowledgesIt) {
     auto reserve = GrantReserve();
-    reserve.announce(1, 4);
+    reserve.addImage(1, 4);
     CHECK_EQ(std::int64_t(0), reserve.remaining());
     reserve.confirm(1);
     CHECK_EQ(std::int64_t(4), reserve.remaining());
@@ -87,15 +90,15 @@
     CHECK_EQ(std::int64_t(3), reserve.remaining());
 }
 
-TEST(QuotaParts, aSmallerReserveBindsAtOnce) {
+TEST(QuotaParts, aSmallerReserveTakesEffectBeforeItIsAcknowledged) {
     auto reserve = GrantReserve();
-    reserve.announce(1, 100);
-    reserve.announce(2, 4);
+    reserve.addImage(1, 100);
+    reserve.addImage(2, 4);
     reserve.confirm(1);
     CHECK_EQ(std::int64_t(4), reserve.remaining());
 }
 
-TEST(QuotaParts, aBucketRefillsToItsCapacity) {
+TEST(QuotaParts, aBucketRefillsUpToItsCapacity) {
     auto bucket = TokenBucket();
     bucket.configure(10, 20, BEGIN);
     bucket.charge(25);
@@ -106,62 +109,62 @@
     CHECK_EQ(std::int64_t(20), bucket.available());
 }
 
-TEST(QuotaParts, aTokenIsSpentOnce) {
-    auto pair = Pair();
-    auto reservation = pair.reserve();
-    CHECK(pair.account.spend(reservation, pair.now));
-    pair.exchange();
-    CHECK_EQ(std::int64_t(1), pair.view().spent);
-    CHECK_EQ(pair.held(), pair.view().outstanding);
-    CHECK(!pair.account.spend(QuotaReservation{TENANT, reservation.lease + 1}, pair.now));
+TEST(QuotaParts, aSpentTokenIsCountedOnceAndAVoidOneIsRejected) {
+    auto cluster = NodeAndGranter();
+    auto reservation = cluster.reserve();
+    CHECK(cluster.account.spend(reservation, cluster.now));
+    cluster.reportAndApplyGrant();
+    CHECK_EQ(std::int64_t(1), cluster.view().spent);
+    CHECK_EQ(cluster.outstandingAtNode(), cluster.view().outstanding);
+    CHECK(!cluster.account.spend(QuotaReservation{TENANT, reservation.leaseNumber + 1}, cluster.now));
 }
 
-TEST(QuotaParts, aReportThatComesTwiceChangesNothing) {
-    auto pair = Pair();
-    CHECK(pair.account.spend(pair.reserve(), pair.now));
-    auto report = pair.account.report(pair.now);
-    (void)pair.ledger.take("n", report, pair.now);
-    auto again = pair.ledger.take("n", report, pair.now);
+TEST(QuotaParts, aDuplicateReportIsIgnored) {
+    auto cluster = NodeAndGranter();
+    CHECK(cluster.account.spend(cluster.reserve(), cluster.now));
+    auto report = cluster.account.report(cluster.now);
+    (void)cluster.ledger.take("n", report, cluster.now);
+    auto again = cluster.ledger.take("n", report, cluster.now);
     CHECK_EQ(std::int64_t(0), again.sequence);
-    CHECK_EQ(std::int64_t(1), pair.view().spent);
+    CHECK_EQ(std::int64_t(1), cluster.view().spent);
 }
 
-TEST(QuotaParts, aTokenIsVoidAfterItsLease) {
-    auto pair = Pair();
-    auto reservation = pair.reserve();
-    pair.now += QUOTA_LEASE;
-    CHECK(!pair.account.spend(reservation, pair.now));
-    CHECK_EQ(std::int64_t(0), pair.account.outstanding(TENANT, pair.now));
+TEST(QuotaParts, aReservationIsVoidAfterTheLeaseExpires) {
+    auto cluster = NodeAndGranter();
+    auto reservation = cluster.reserve();
+    cluster.now += QUOTA_LEASE;
+    CHECK(!cluster.account.spend(reservation, cluster.now));
+    CHECK_EQ(std::int64_t(0), cluster.account.outstanding(TENANT, cluster.now));
 }
 
-TEST(QuotaParts, tokensOfASilentNodeCountForAWindow) {
-    auto pair = Pair();
-    (void)pair.reserve();
-    auto held = pair.held();
-    CHECK(held > 0);
-    pair.now += QUOTA_LEASE + QUOTA_LEASE_MARGIN;
-    pair.ledger.tick(pair.now);
-    CHECK_EQ(std::int64_t(0), pair.view().outstanding);
-    CHECK_EQ(held, pair.view().spent);
-    pair.now += 5100 * MILLISECOND;
-    CHECK_EQ(std::int64_t(0), pair.view().spent);
+TEST(QuotaParts, expiredTokensOfAnUnresponsiveNodeCountAsSpentForAWindow) {
+    auto cluster = NodeAndGranter();
+    (void)cluster.reserve();
+    auto outstanding = cluster.outstandingAtNode();
+    CHECK(outstanding > 0);
+    cluster.now += QUOTA_LEASE + QUOTA_LEASE_MARGIN;
+    cluster.ledger.tick(cluster.now);
+    CHECK_EQ(std::int64_t(0), cluster.view().outstanding);
+    CHECK_EQ(outstanding, cluster.view().spent);
+    cluster.now += 5100 * MILLISECOND;
+    CHECK_EQ(std::int64_t(0), cluster.view().spent);
 }
 
-TEST(QuotaParts, aNodeThatComesBackSettlesWhatLapsed) {
-    auto pair = Pair();
-    (void)pair.reserve();
-    pair.now += QUOTA_LEASE + QUOTA_LEASE_MARGIN;
-    pair.ledger.tick(pair.now);
-    pair.holdImage();
-    pair.exchange();
-    CHECK_EQ(std::int64_t(0), pair.view().spent);
-    CHECK_EQ(pair.held(), pair.view().outstanding);
+TEST(QuotaParts, aReturningNodeReconcilesItsExpiredTokens) {
+    auto cluster = NodeAndGranter();
+    (void)cluster.reserve();
+    cluster.now += QUOTA_LEASE + QUOTA_LEASE_MARGIN;
+    cluster.ledger.tick(cluster.now);
+    cluster.replicateImage();
+    cluster.reportAndApplyGrant();
+    CHECK_EQ(std::int64_t(0), cluster.view().spent);
+    CHECK_EQ(cluster.outstandingAtNode(), cluster.view().outstanding);
 }
 
-TEST(QuotaParts, aTenantWithoutALimitCostsNothing) {
+TEST(QuotaParts, aTenantWithoutALimitNeedsNoTokensAndNoReports) {
     auto counters = Counters();
     auto account = QuotaAccount(7, counters);
-    account.setTenants(table(0), BEGIN);
+    account.setTenants(tenantTable(0), BEGIN);
     auto reservation = QuotaReservation();
     CHECK(account.reserve(TENANT, reservation, BEGIN) == QuotaDecision::Granted);
     CHECK(reservation.tenant.empty());
@@ -169,19 +172,19 @@
     CHECK(!account.reportDue(BEGIN + 10 * SECOND));
 }
 
-TEST(QuotaParts, aNodeWithoutTokensIsSilent) {
-    auto pair = Pair();
-    CHECK(pair.account.spend(pair.reserve(), pair.now));
+TEST(QuotaParts, aNodeWithoutTokensSendsNoReports) {
+    auto cluster = NodeAndGranter();
+    CHECK(cluster.account.spend(cluster.reserve(), cluster.now));
     for (auto i = 0; i < 60; i++) {
-        pair.holdImage();
-        if (pair.account.reportDue(pair.now)) pair.exchange();
-        pair.now += QUOTA_REPORT_INTERVAL;
+        cluster.replicateImage();
+        if (cluster.account.reportDue(cluster.now)) cluster.reportAndApplyGrant();
+        cluster.now += QUOTA_REPORT_INTERVAL;
     }
-    CHECK_EQ(std::int64_t(0), pair.held());
-    CHECK(!pair.account.reportDue(pair.now + 10 * SECOND));
+    CHECK_EQ(std::int64_t(0), cluster.outstandingAtNode());
+    CHECK(!cluster.account.reportDue(cluster.now + 10 * SECOND));
 }
 
-TEST(QuotaParts, aVoterFollowsNoLowerTerm) {
+TEST(QuotaParts, aVoterRejectsImagesOfALowerTermThanItPromised) {
     auto replica = QuotaReplica(BEGIN);
     auto image = wire::QuotaImage();
     image.term = 3;
@@ -196,10 +199,10 @@
     CHECK(!replica.take(image, BEGIN + SECOND));
 }
 
-TEST(QuotaParts, aGranterThatKnowsNothingGrantsNothingUntilAllHasLapsed) {
-    auto pair = Pair();
-    auto ledger = QuotaLedger(2, nullptr, 0, pair.counters, pair.now);
-    ledger.setTenants(table(), pair.now);
+TEST(QuotaParts, aGranterWithoutAnImageGrantsNothingUntilEarlierTokensExpired) {
+    auto cluster = NodeAndGranter();
+    auto ledger = QuotaLedger(2, nullptr, 0, cluster.counters, cluster.now);
+    ledger.setTenants(tenantTable(), cluster.now);
     auto allowanceAt = [&](Microseconds now, std::int64_t sequence) {
         ledger.tick(now);
         ledger.confirmImage(ledger.image(now).sequence, now);
@@ -207,14 +210,14 @@
         report.life = 9;
         report.sequence = sequence;
         report.term = 2;
-        report.uses.emplace_back();
-        report.uses.back().tenant = TENANT;
-        report.uses.back().waiting = 1;
+        auto& usage = report.uses.emplace_back();
+        usage.tenant = TENANT;
+        usage.waiting = 1;
         return ledger.take("m", report, now).allowances.front();
     };
-    auto free = pair.now + QUOTA_PREDECESSOR_LAPSE + table().bounds().window;
-    CHECK(allowanceAt(free - 100 * MILLISECOND, 1).refused);
-    CHECK_EQ(std::int64_t(1), allowanceAt(free + 100 * MILLISECOND, 2).granted);
+    auto expiredAt = cluster.now + QUOTA_PREDECESSOR_EXPIRY + tenantTable().bounds().window;
+    CHECK(allowanceAt(expiredAt - 100 * MILLISECOND, 1).refused);
+    CHECK_EQ(std::int64_t(1), allowanceAt(expiredAt + 100 * MILLISECOND, 2).granted);
 }
 
 }  // namespace duneturn
--- a/tests/quota/quota_service_test.cpp
+++ b/tests/quota/quota_service_test.cpp
@@ -1,5 +1,5 @@
-// What the tenants' quotas let through: requests below the limit in a calm world, after a granter's loss, and
-// of tenants far beyond their limit.
+// Checks how many requests the tenants' quotas admit: below the limit, far above it, and after the loss of
+// the granter. No other faults occur.
 #include <cstddef>
 #include <cstdint>
 #include <vector>
@@ -14,104 +14,116 @@
 
 constexpr Microseconds WARM_UP = 5 * SECOND;
 
-/// Tenants of 10, 80 and 1 requests a second, each of whose clients send this part of it.
-auto calmSettings(ClientPlaces places, double usage) -> QuotaSimulationSettings {
+/// Tenants with limits of 10, 80 and 1 requests per second. `usage`: the demand as a fraction of the limit.
+auto faultFreeSettings(ClientPlacement placement, double usage) -> QuotaSimulationSettings {
     auto settings = QuotaSimulationSettings();
     settings.nodes = 72;
     settings.voters = 5;
     for (auto rate : {10.0, 80.0, 1.0}) {
-        auto tenant = WorldTenant();
+        auto tenant = TenantWorkload();
         tenant.name = fmt::format("t{}", rate);
         tenant.ratePerSecond = rate;
         tenant.burst = rate;
         tenant.demandPerSecond = rate * usage;
-        tenant.places = places;
+        tenant.placement = placement;
         settings.tenants.push_back(tenant);
     }
     return settings;
 }
 
-struct Share {
-    std::int64_t requests = 0, refused = 0;
-    double waitedMs = 0;  ///< On average.
-    [[nodiscard]] auto part() const -> double { return requests ? double(refused) / double(requests) : 0; }
+/// What became of the requests of a measured period.
+struct PeriodResults {
+    std::int64_t requests = 0, rejected = 0;
+    double averageWaitMs = 0;
+    [[nodiscard]] auto rejectedFraction() const -> double {
+        return requests ? double(rejected) / double(requests) : 0;
+    }
 };
 
-auto shareSince(const QuotaSimulation& world, std::size_t tenant, const WorldResults& before) -> Share {
-    auto& results = world.results(tenant);
-    auto share = Share{results.requests - before.requests, results.refused - before.refused, 0};
-    auto waited = double(results.waited - before.waited) / double(MILLISECOND);
-    if (share.requests) share.waitedMs = waited / double(share.requests);
-    return share;
+/// The results of one tenant since `before`.
+auto resultsSince(const QuotaSimulation& simulation, std::size_t tenant, const TenantResults& before)
+    -> PeriodResults {
+    auto& results = simulation.results(tenant);
+    auto period = PeriodResults{results.requests - before.requests, results.rejected - before.rejected, 0};
+    auto waitedMs = double(results.waited - before.waited) / double(MILLISECOND);
+    if (period.requests) period.averageWaitMs = waitedMs / double(period.requests);
+    return period;
 }
 
-auto snapshot(const QuotaSimulation& world) -> std::vector<WorldResults> {
-    auto all = std::vector<WorldResults>();
-    for (auto i = std::size_t(0); i < world.settings().tenants.size(); i++) all.push_back(world.results(i));
-    return all;
+auto snapshot(const QuotaSimulation& simulation) -> std::vector<TenantResults> {
+    auto results = std::vector<TenantResults>();
+    for (auto i = std::size_t(0); i < simulation.settings().tenants.size(); i++)
+        results.push_back(simulation.results(i));
+    return results;
 }
 
-/// Of all tenants together.
-auto allSince(const QuotaSimulation& world, const std::vector<WorldResults>& before) -> Share {
-    auto all = Share();
+/// The results of all tenants together since `before`.
+auto totalSince(const QuotaSimulation& simulation, const std::vector<TenantResults>& before)
+    -> PeriodResults {
+    auto total = PeriodResults();
     for (auto i = std::size_t(0); i < before.size(); i++) {
-        auto share = shareSince(world, i, before[i]);
-        all.requests += share.requests;
-        all.refused += share.refused;
+        auto period = resultsSince(simulation, i, before[i]);
+        total.requests += period.requests;
+        total.rejected += period.rejected;
     }
-    fmt::print("  {} requests, {} refused\n", all.requests, all.refused);
-    return all;
+    fmt::print("  {} requests, {} rejected\n", total.requests, total.rejected);
+    return total;
 }
 
-auto playCalm(ClientPlaces places, double usage) -> std::vector<Share> {
-    auto world = QuotaSimulation(calmSettings(places, usage));
-    world.runUntil(WARM_UP);
-    auto before = snapshot(world);
-    world.runUntil(WARM_UP + 40 * SECOND);
-    CHECK(world.boundViolations().empty());
-    CHECK(world.invariantViolations().empty());
-    auto shares = std::vector<Share>();
-    for (auto i = std::size_t(0); i < before.size(); i++) shares.push_back(shareSince(world, i, before[i]));
-    for (auto& share : shares)
-        fmt::print("  places {} usage {}: {} requests, {} refused, {:.1f} ms waited on average\n",
-            int(places), usage, share.requests, share.refused, share.waitedMs);
-    return shares;
+/// Runs a simulation for 40 s after the warm-up and returns the results by tenant.
+auto runWithoutFaults(ClientPlacement placement, double usage) -> std::vector<PeriodResults> {
+    auto simulation = QuotaSimulation(faultFreeSettings(placement, usage));
+    simulation.runUntil(WARM_UP);
+    auto before = snapshot(simulation);
+    simulation.runUntil(WARM_UP + 40 * SECOND);
+    CHECK(simulation.boundViolations().empty());
+    CHECK(simulation.invariantViolations().empty());
+    auto periods = std::vector<PeriodResults>();
+    for (auto i = std::size_t(0); i < before.size(); i++)
+        periods.push_back(resultsSince(simulation, i, before[i]));
+    for (auto& period : periods)
+        fmt::print("  placement {} usage {}: {} requests, {} rejected, {:.1f} ms average wait\n",
+            int(placement), usage, period.requests, period.rejected, period.averageWaitMs);
+    return periods;
 }
 
 }  // namespace
 
-TEST(QuotaService, littleIsRefusedBelowTheLimit) {
-    constexpr auto MOST_REFUSED = 0.005;
-    for (auto places : {ClientPlaces::AllNodes, ClientPlaces::OneNode, ClientPlaces::Moving})
-        for (auto& share : playCalm(places, 0.6)) CHECK(share.part() <= MOST_REFUSED);
+TEST(QuotaService, fewRequestsAreRejectedBelowTheLimit) {
+    constexpr auto MAX_REJECTED = 0.005;
+    for (auto placement : {ClientPlacement::AllNodes, ClientPlacement::OneNode, ClientPlacement::Moving})
+        for (auto& period : runWithoutFaults(placement, 0.6))
+            CHECK(period.rejectedFraction() <= MAX_REJECTED);
 }
 
-TEST(QuotaService, aTenantBeyondItsLimitGetsIt) {
-    constexpr auto LEAST_SERVED = 0.9, MOST_SERVED = 1.15;  // of its rate
-    for (auto places : {ClientPlaces::AllNodes, ClientPlaces::OneNode, ClientPlaces::Moving}) {
-        auto shares = playCalm(places, 12);
+TEST(QuotaService, anOverloadingTenantIsServedAtItsLimit) {
+    constexpr auto OVERLOAD_FACTOR = 12;
+    constexpr auto MIN_SERVED = 0.9, MAX_SERVED = 1.15;  // of the tenant's rate
+    for (auto placement : {ClientPlacement::AllNodes, ClientPlacement::OneNode, ClientPlacement::Moving}) {
+        auto periods = runWithoutFaults(placement, OVERLOAD_FACTOR);
         for (auto i = std::size_t(0); i < 2; i++) {
-            auto served = 12 * (1 - shares[i].part());
-            CHECK(served >= LEAST_SERVED);
-            CHECK(served <= MOST_SERVED);
+            auto served = OVERLOAD_FACTOR * (1 - periods[i].rejectedFraction());
+            CHECK(served >= MIN_SERVED);
+            CHECK(served <= MAX_SERVED);
         }
     }
 }
 
-TEST(QuotaService, goesOnAfterTheGranterIsLost) {
-    constexpr auto MOST_REFUSED = 0.005, MOST_REFUSED_MEANWHILE = 0.5;
-    auto world = QuotaSimulation(calmSettings(ClientPlaces::AllNodes, 0.6));
-    world.runUntil(20 * SECOND);
-    auto before = snapshot(world);
-    world.freeze(0, 70 * SECOND);
-    world.runUntil(21500 * MILLISECOND);
-    world.elect(1, 70 * SECOND);
-    world.runUntil(24 * SECOND);
-    CHECK(allSince(world, before).part() <= MOST_REFUSED_MEANWHILE);
-    before = snapshot(world);
-    world.runUntil(60 * SECOND);
-    CHECK(allSince(world, before).part() <= MOST_REFUSED);
-    CHECK(world.invariantViolations().empty());
+TEST(QuotaService, requestsAreAdmittedAfterTheGranterIsLost) {
+    constexpr auto MAX_REJECTED = 0.005, MAX_REJECTED_DURING_FAILOVER = 0.5;
+    constexpr auto END_OF_FREEZE = 70 * SECOND;
+    auto simulation = QuotaSimulation(faultFreeSettings(ClientPlacement::AllNodes, 0.6));
+    simulation.runUntil(20 * SECOND);
+    auto before = snapshot(simulation);
+    simulation.freeze(0, END_OF_FREEZE);
+    simulation.runUntil(21500 * MILLISECOND);
+    simulation.elect(1, END_OF_FREEZE);
+    simulation.runUntil(24 * SECOND);
+    CHECK(totalSince(simulation, before).rejectedFraction() <= MAX_REJECTED_DURING_FAILOVER);
+    before = snapshot(simulation);
+    simulation.runUntil(60 * SECOND);
+    CHECK(totalSince(simulation, before).rejectedFraction() <= MAX_REJECTED);
+    CHECK(simulation.invariantViolations().empty());
 }
 
 }  // namespace duneturn
--- a/tests/quota/quota_simulation.cpp
+++ b/tests/quota/quota_simulation.cpp
@@ -11,12 +11,13 @@
 namespace duneturn {
 namespace {
 
-constexpr Microseconds MOST_WAIT = 250 * MILLISECOND;  // of a request for a token
-constexpr Microseconds CONFIGURE_TIME = 1 * SECOND;    // until every node that runs has a configuration
-constexpr Microseconds GRANTER_LOST = 1 * SECOND;      // without an answer, another granter is asked
+constexpr Microseconds MAX_WAIT = 250 * MILLISECOND;       // of a request for a token
+constexpr Microseconds CONFIGURE_TIME = 1 * SECOND;        // until each running node has a configuration
+constexpr Microseconds GRANTER_LOST_TIMEOUT = 1 * SECOND;  // without an answer, the leader may be asked
+constexpr Microseconds CLOCK_START = 100 * SECOND;         // the lowest reading of a node's clock
 constexpr double CLOCK_DRIFT = 0.01;
 
-auto tableOf(const std::vector<WorldTenant>& tenants) -> std::shared_ptr<const TenantTable> {
+auto tableOf(const std::vector<TenantWorkload>& tenants) -> std::shared_ptr<const TenantTable> {
     auto members = std::string();
     for (auto& tenant : tenants)
         members += fmt::format(R"({}"{}":{{"ratePerS":{},"burst":{}}})", members.empty() ? "" : ",",
@@ -43,14 +44,15 @@
     }
     for (auto i = 0; i < settings_.voters; i++) {
         auto& voter = nodes_[std::size_t(i)];
+        // As if the voter had run for long enough to know that no earlier image exists.
         voter.replica = std::make_unique<QuotaReplica>(clock(voter) - 100 * SECOND);
-        voter.replica->broken = settings_.broken;
+        voter.replica->faults = settings_.faults;
     }
     elect(0, 0);
 }
 
 auto QuotaSimulation::clock(const Node& node) const -> Microseconds {
-    return 100 * SECOND + node.clockOffset + Microseconds(double(now_) * node.clockRate);
+    return CLOCK_START + node.clockOffset + Microseconds(double(now_) * node.clockRate);
 }
 
 auto QuotaSimulation::isMajority(std::size_t voters) const -> bool {
@@ -59,29 +61,29 @@
 
 auto QuotaSimulation::start(Node& node) -> void {
     node.account = std::make_unique<QuotaAccount>(std::int64_t(random_.next() >> 1), counters_);
-    node.account->broken = settings_.broken;
+    node.account->faults = settings_.faults;
     node.requests.clear();
     node.granter.reset();
     if (node.replica) {
         node.replica = std::make_unique<QuotaReplica>(clock(node));
-        node.replica->broken = settings_.broken;
+        node.replica->faults = settings_.faults;
     }
-    if (settings_.forgetsTerms) node.durableTerm = 0;
+    if (settings_.losesDurableTerms) node.durableTerm = 0;
     if (node.tenants) node.account->setTenants(*node.tenants, clock(node));
 }
 
 // ---- configuration
 
 auto QuotaSimulation::configure() -> void {
+    constexpr auto EXTRA_ATTEMPT_SHARE = 0.2;  // of the tolerance, which the granter withholds
     tenants_ = tableOf(settings_.tenants);
-    configuredAt_ = now_;
     auto bounds = tenants_->bounds();
     for (auto i = std::size_t(0); i < settings_.tenants.size(); i++) {
         auto& tenant = settings_.tenants[i];
         auto limit = tenant.ratePerSecond * double(bounds.window) / double(SECOND) + tenant.burst;
         auto tolerance = bounds.overrun * limit + bounds.slack;
         results_[i].bounds.emplace_back(now_, limit + tolerance);
-        results_[i].grantBounds.emplace_back(now_, limit + tolerance - 0.2 * tolerance);
+        results_[i].grantBounds.emplace_back(now_, limit + tolerance - EXTRA_ATTEMPT_SHARE * tolerance);
     }
 }
 
@@ -127,40 +129,41 @@
 
 auto QuotaSimulation::tickAccount(int index) -> void {
     auto& node = nodes_[std::size_t(index)];
-    for (auto& request : node.requests) serve(node, request);
-    std::erase_if(node.requests, [](auto& request) { return request.isAbandoned; });
-    auto measure = ProcessorTime(measures ? &accountMicroseconds : nullptr);
+    for (auto& request : node.requests) advance(node, request);
+    std::erase_if(node.requests, [](auto& request) { return request.isFinished; });
+    auto timer = ThreadCpuTimer(measuresCpuTime ? &accountMicroseconds : nullptr);
     auto& account = *node.account;
     if (!account.reportDue(clock(node))) return;
     auto report = account.report(clock(node));
     report.node = name(index);
-    auto isLost = clock(node) - account.answeredAt() > GRANTER_LOST && random_.chance(0.5);
-    auto granter = account.granter().empty() || isLost ? leader_ : std::stoi(account.granter().substr(1));
+    auto asksLeader = clock(node) - account.answeredAt() > GRANTER_LOST_TIMEOUT && random_.chance(0.5);
+    auto granter = account.granter().empty() || asksLeader ? leader_ : std::stoi(account.granter().substr(1));
     network_.send(index, granter, report, now_);
 }
 
-auto QuotaSimulation::clientNode(const WorldTenant& tenant) -> int {
+auto QuotaSimulation::clientNode(const TenantWorkload& tenant) -> int {
     constexpr auto STAY = 7 * SECOND;
     auto count = std::uint64_t(settings_.nodes);
-    if (tenant.places == ClientPlaces::OneNode) return settings_.nodes - 1;
-    if (tenant.places == ClientPlaces::Moving) return int(std::uint64_t(now_ / STAY) % count);
+    if (tenant.placement == ClientPlacement::OneNode) return settings_.nodes - 1;
+    if (tenant.placement == ClientPlacement::Moving) return int(std::uint64_t(now_ / STAY) % count);
     return int(random_.below(count));
 }
 
 auto QuotaSimulation::makeRequests() -> void {
+    constexpr auto MAX_PROBABILITY = 0.5;  // of one draw; more requests per step take several draws
     for (auto i = std::size_t(0); i < settings_.tenants.size(); i++) {
         auto& tenant = settings_.tenants[i];
         auto expected = tenant.demandPerSecond * double(settings_.step) / double(SECOND);
-        for (; expected > 0; expected -= 0.5)
-            if (random_.chance(std::min(expected, 0.5))) arriveAt(clientNode(tenant), i);
+        for (; expected > 0; expected -= MAX_PROBABILITY)
+            if (random_.chance(std::min(expected, MAX_PROBABILITY))) arriveAt(clientNode(tenant), i);
     }
 }
 
-auto QuotaSimulation::sendTime(const WorldTenant& tenant) -> Microseconds {
-    constexpr auto WORK = 30 * MILLISECOND;  // between admission and the first byte to a server
-    auto soon = now_ + Microseconds(random_.below(WORK));
-    if (!random_.chance(tenant.holding)) return soon;
-    return soon - soon % tenant.together + tenant.together;
+auto QuotaSimulation::sendTime(const TenantWorkload& tenant) -> Microseconds {
+    constexpr auto MAX_DELAY = 30 * MILLISECOND;  // between admission and the first byte to a server
+    auto soon = now_ + Microseconds(random_.below(MAX_DELAY));
+    if (!random_.chance(tenant.batchedFraction)) return soon;
+    return soon - soon % tenant.batchInterval + tenant.batchInterval;
 }
 
 auto QuotaSimulation::arriveAt(int index, std::size_t tenant) -> void {
@@ -171,57 +174,59 @@
     request.arrivedAt = now_;
     request.sendAt = sendTime(settings_.tenants[tenant]);
     results_[tenant].requests++;
-    auto measure = ProcessorTime(measures ? &accountMicroseconds : nullptr);
-    admit(node, request,
-        node.account->reserve(settings_.tenants[tenant].name, request.reservation, clock(node)));
-    if (!request.isAbandoned) node.requests.push_back(request);
+    auto timer = ThreadCpuTimer(measuresCpuTime ? &accountMicroseconds : nullptr);
+    applyDecision(
+        request, node.account->reserve(settings_.tenants[tenant].name, request.reservation, clock(node)));
+    if (!request.isFinished) node.requests.push_back(request);
 }
 
-auto QuotaSimulation::admit(Node& node, Request& request, QuotaDecision answer) -> void {
-    (void)node;
-    if (!request.waits) request.waitsSince = now_;
-    request.waits = answer == QuotaDecision::Wait;
-    if (answer == QuotaDecision::Granted) results_[request.tenant].waited += now_ - request.arrivedAt;
-    if (answer != QuotaDecision::Refused) return;
-    request.isAbandoned = true;
-    results_[request.tenant].refused++;
+auto QuotaSimulation::applyDecision(Request& request, QuotaDecision decision) -> void {
+    if (!request.isWaiting) request.waitsSince = now_;
+    request.isWaiting = decision == QuotaDecision::Wait;
+    if (decision == QuotaDecision::Granted) results_[request.tenant].waited += now_ - request.arrivedAt;
+    if (decision != QuotaDecision::Refused) return;
+    request.isFinished = true;
+    results_[request.tenant].rejected++;
 }
 
-auto QuotaSimulation::serve(Node& node, Request& request) -> void {
+// Retries a waiting request, or sends an admitted one when its time has come. A few requests end unsent.
+auto QuotaSimulation::advance(Node& node, Request& request) -> void {
+    constexpr auto CANCEL_PROBABILITY = 0.02;
     auto& account = *node.account;
     auto& tenant = settings_.tenants[request.tenant].name;
-    auto measure = ProcessorTime(measures ? &accountMicroseconds : nullptr);
-    if (request.waits) {
-        if (now_ - request.waitsSince > MOST_WAIT) {
+    auto timer = ThreadCpuTimer(measuresCpuTime ? &accountMicroseconds : nullptr);
+    if (request.isWaiting) {
+        if (now_ - request.waitsSince > MAX_WAIT) {
             account.stopWaiting(tenant);
-            return admit(node, request, QuotaDecision::Refused);
+            return applyDecision(request, QuotaDecision::Refused);
         }
-        return admit(node, request, account.reserveWaiting(tenant, request.reservation, clock(node)));
+        return applyDecision(request, account.reserveWaiting(tenant, request.reservation, clock(node)));
     }
     if (now_ < request.sendAt) return;
-    if (random_.chance(0.02)) {
+    if (random_.chance(CANCEL_PROBABILITY)) {
         account.release(request.reservation, clock(node));
-        request.isAbandoned = true;
+        request.isFinished = true;
         return;
     }
     if (!account.spend(request.reservation, clock(node)))
-        return admit(node, request, account.reserve(tenant, request.reservation, clock(node)));
+        return applyDecision(request, account.reserve(tenant, request.reservation, clock(node)));
     results_[request.tenant].spends.push_back(now_);
-    request.isAbandoned = true;
+    request.isFinished = true;
 }
 
-// ---- judgement
+// ---- checks
 
 namespace {
 
-/// The highest of the bounds that may be in force within a window: a lower limit binds later.
+/// The highest bound that may be in force at some time from `from` to `to`. After a limit was lowered, the
+/// previous bound stays allowed for BINDS_AFTER, since tokens granted under it may still be spent.
 auto allowedIn(const std::vector<std::pair<Microseconds, double>>& bounds, Microseconds from, Microseconds to)
     -> double {
     constexpr auto BINDS_AFTER = 15 * SECOND;
     auto allowed = 0.0;
     for (auto i = std::size_t(0); i < bounds.size(); i++) {
-        auto isOver = i + 1 < bounds.size() && bounds[i + 1].first + BINDS_AFTER < from;
-        if (!isOver && bounds[i].first <= to) allowed = std::max(allowed, bounds[i].second);
+        auto isReplaced = i + 1 < bounds.size() && bounds[i + 1].first + BINDS_AFTER < from;
+        if (!isReplaced && bounds[i].first <= to) allowed = std::max(allowed, bounds[i].second);
     }
     return allowed;
 }
@@ -230,7 +235,7 @@
 
 auto QuotaSimulation::boundViolations() const -> std::vector<std::string> {
     auto window = tenants_->bounds().window;
-    auto found = std::vector<std::string>();
+    auto violations = std::vector<std::string>();
     for (auto i = std::size_t(0); i < results_.size(); i++) {
         auto& spends = results_[i].spends;
         auto first = std::size_t(0);
@@ -239,12 +244,13 @@
             auto ran = last - first + 1;
             auto allowed = allowedIn(results_[i].bounds, spends[first], spends[last]);
             if (double(ran) <= allowed) continue;
-            found.push_back(fmt::format("seed {}: {} ran {} until {} us, allowed {}", settings_.seed,
-                settings_.tenants[i].name, ran, spends[last], allowed));
+            violations.push_back(
+                fmt::format("seed {}: tenant {} ran {} requests in the window that ends at {} us, allowed {}",
+                    settings_.seed, settings_.tenants[i].name, ran, spends[last], allowed));
             break;
         }
     }
-    return found;
+    return violations;
 }
 
 auto QuotaSimulation::checkInvariant() -> void {
@@ -257,9 +263,10 @@
         auto total = std::int64_t(spends.size() - begin);
         for (auto& node : nodes_) total += node.account->outstanding(settings_.tenants[i].name, clock(node));
         auto allowed = allowedIn(result.grantBounds, now_ - window, now_);
-        if (double(total) <= allowed || !invariant_.empty()) continue;
-        invariant_.push_back(fmt::format("seed {}: {} has {} spent and outstanding at {} us, allowed {}",
-            settings_.seed, settings_.tenants[i].name, total, now_, allowed));
+        if (double(total) <= allowed || !invariantViolations_.empty()) continue;
+        invariantViolations_.push_back(
+            fmt::format("seed {}: tenant {} has {} tokens spent and outstanding at {} us, allowed {}",
+                settings_.seed, settings_.tenants[i].name, total, now_, allowed));
     }
 }
 
--- a/tests/quota/quota_simulation.hpp
+++ b/tests/quota/quota_simulation.hpp
@@ -1,6 +1,7 @@
 #pragma once
-// A simulated world of quotas over virtual time: nodes with accounts, voters with replicas, granters that
-// succeed each other, and clients. Whether the bound held is judged by what servers received alone.
+// A simulation of the tenants' quotas over virtual time: nodes with accounts, voters with replicas, granters
+// that succeed each other, and clients. Whether the bound holds is checked against the requests that reached
+// servers, independently of the quotas' own counters.
 #include <cstdint>
 #include <deque>
 #include <map>
@@ -22,98 +23,116 @@
 
 namespace duneturn {
 
-/// Where a tenant's clients are.
-enum class ClientPlaces { AllNodes, OneNode, Moving };
+/// The nodes to which a tenant's clients send requests: all nodes at random, always the same node, or one
+/// node at a time, which changes every few seconds.
+enum class ClientPlacement { AllNodes, OneNode, Moving };
 
-struct WorldTenant {
+/// A tenant's limit and the requests of its clients.
+struct TenantWorkload {
     std::string name;
-    double ratePerSecond = 10, burst = 10;
-    double demandPerSecond = 6;  ///< What its clients send, all together.
-    ClientPlaces places = ClientPlaces::AllNodes;
-    /// The part of its requests that hold their tokens until a common moment, and are sent together then.
-    double holding = 0;
-    Microseconds together = 5500 * MILLISECOND;  ///< Between two such moments.
+    double ratePerSecond = 10, burst = 10;  ///< The limit.
+    double demandPerSecond = 6;             ///< Requests that all its clients send together.
+    ClientPlacement placement = ClientPlacement::AllNodes;
+    /// The fraction of the requests that reserve their tokens in advance and are sent together at the end of
+    /// an interval.
+    double batchedFraction = 0;
+    Microseconds batchInterval = 5500 * MILLISECOND;
 };
 
 struct QuotaSimulationSettings {
     std::uint64_t seed = 1;
-    int nodes = 8, voters = 3;
+    int nodes = 8;
+    int voters = 3;  ///< The first of the nodes.
     Microseconds step = 20 * MILLISECOND;
-    std::vector<WorldTenant> tenants;
+    std::vector<TenantWorkload> tenants;
     bool checksInvariant = true;
-    QuotaFaults broken;
-    bool forgetsTerms = false;  ///< Voters forget at a restart which term they promised.
+    QuotaFaults faults;              ///< Faults of the protocol, injected into all nodes.
+    bool losesDurableTerms = false;  ///< A restarted voter has lost the term that it promised to follow.
 };
 
 /// What became of a tenant's requests.
-struct WorldResults {
-    std::vector<Microseconds> spends;  ///< When they went to servers, in order.
-    std::int64_t requests = 0, refused = 0;
-    Microseconds waited = 0;                              ///< In all.
-    std::vector<std::pair<Microseconds, double>> bounds;  ///< Since when which bound of the rules is set,
-    std::vector<std::pair<Microseconds, double>> grantBounds;  ///< and which of the granter.
-    std::size_t windowBegin = 0;                               ///< The first spend of the last window.
+struct TenantResults {
+    std::vector<Microseconds> spends;  ///< When requests were sent to servers, in order.
+    std::int64_t requests = 0, rejected = 0;
+    Microseconds waited = 0;  ///< Total time that admitted requests waited for their tokens.
+    /// The bounds that were configured, with the time at which each came into force.
+    std::vector<std::pair<Microseconds, double>> bounds;
+    /// The same for the lower bounds that the granter keeps.
+    std::vector<std::pair<Microseconds, double>> grantBounds;
+    std::size_t windowBegin = 0;  ///< The index in `spends` of the first one within the last window.
 };
 
+/// Nodes are identified by their index. The first voter is elected leader, and thereby granter, at the start.
 class QuotaSimulation {
   public:
     explicit QuotaSimulation(QuotaSimulationSettings settings);
 
     auto runUntil(Microseconds end) -> void;
     [[nodiscard]] auto now() const -> Microseconds { return now_; }
-    [[nodiscard]] auto results(std::size_t tenant) const -> const WorldResults& { return results_[tenant]; }
+    /// `tenant`: the index in the settings' tenants, here and below.
+    [[nodiscard]] auto results(std::size_t tenant) const -> const TenantResults& { return results_[tenant]; }
     [[nodiscard]] auto network() -> QuotaNetwork& { return network_; }
     [[nodiscard]] auto random() -> RandomSource& { return random_; }
     [[nodiscard]] auto settings() const -> const QuotaSimulationSettings& { return settings_; }
 
-    // Troubles.
-    /// A node's process starts anew, and remembers nothing but the voter's term on its disk.
+    // Faults and changes.
+
+    /// Starts a new incarnation of a node, which keeps only the durable term of a voter.
     auto restart(int node) -> void;
+    /// Suspends a node. Messages to it are delivered when it resumes.
     auto freeze(int node, Microseconds until) -> void;
+    /// Partitions a node from all others.
     auto isolate(int node, Microseconds until) -> void;
-    /// A voter wins an election; its predecessor goes on until it learns of that.
+    /// Elects a voter if it reaches a majority; otherwise nothing happens. Its predecessor continues to grant
+    /// until it learns of the election.
     auto elect(int voter, Microseconds predecessorLearnsAt) -> void;
     [[nodiscard]] auto leader() const -> int { return leader_; }
     auto setDemand(std::size_t tenant, double perSecond) -> void {
         settings_.tenants[tenant].demandPerSecond = perSecond;
     }
+    /// Changes a tenant's limit. Each node applies the new configuration up to a second later.
     auto setRate(std::size_t tenant, double perSecond) -> void;
 
-    /// Windows in which a tenant ran more than the bound of the rules.
+    /// Describes for each tenant the first window in which it ran more requests than its bound allows.
     [[nodiscard]] auto boundViolations() const -> std::vector<std::string>;
-    /// When tokens that may be spent and those spent in the last window were more than the granter's bound.
-    [[nodiscard]] auto invariantViolations() const -> const std::vector<std::string>& { return invariant_; }
-    /// The processor's time that accounts and ledgers took, in microseconds.
+    /// Describes the first time at which outstanding tokens plus those spent in the last window exceeded the
+    /// granter's bound.
+    [[nodiscard]] auto invariantViolations() const -> const std::vector<std::string>& {
+        return invariantViolations_;
+    }
+    /// The CPU time that accounts and ledgers took while `measuresCpuTime` was set.
     double accountMicroseconds = 0, ledgerMicroseconds = 0;
-    bool measures = false;
+    bool measuresCpuTime = false;
 
   private:
     struct Request {
         std::size_t tenant = 0;
         Microseconds arrivedAt = 0, waitsSince = 0, sendAt = 0;
         QuotaReservation reservation;
-        bool waits = false, isAbandoned = false;
+        bool isWaiting = false, isFinished = false;
     };
     struct Granter {
         std::int64_t term = 0;
-        Microseconds endsAt = 0;  ///< It learns then that it was succeeded; 0: not known.
-        std::optional<QuotaLedger> ledger;
-        Microseconds askedAt = 0, promisedAt = 0;
+        Microseconds learnsOfSuccessorAt = 0;  ///< 0: it has no successor.
+        std::optional<QuotaLedger> ledger;     ///< None until the images of predecessors are collected.
+        Microseconds askedAt = 0, majorityPromisedAt = 0;
+        /// By voter, each with the time at which it arrived.
         std::map<int, std::pair<wire::QuotaImageAnswer, Microseconds>> promises;
-        std::map<int, std::int64_t> held;
-        std::deque<std::pair<std::int64_t, Microseconds>> sentImages;
+        std::map<int, std::int64_t> acknowledgedSequences;                ///< By voter.
+        std::deque<std::pair<std::int64_t, Microseconds>> pendingImages;  ///< Sequences and times of sending.
     };
     struct Node {
         std::unique_ptr<QuotaAccount> account;
-        std::unique_ptr<QuotaReplica> replica;  // voters only
-        std::unique_ptr<Granter> granter;       // of leaders
+        std::unique_ptr<QuotaReplica> replica;  // of voters only
+        std::unique_ptr<Granter> granter;       // of leaders only
         std::vector<Request> requests;
         std::int64_t durableTerm = 0;
-        Microseconds frozenUntil = 0, configuredAt = 0, lastReportAt = 0;
+        Microseconds frozenUntil = 0, configuredAt = 0;
         Microseconds clockOffset = 0;
         double clockRate = 1;
         std::shared_ptr<const TenantTable> tenants;
     };
+    /// The reading of the node's own clock.
     [[nodiscard]] auto clock(const Node& node) const -> Microseconds;
     [[nodiscard]] auto name(int node) const -> std::string { return "n" + std::to_string(node); }
     [[nodiscard]] auto isMajority(std::size_t voters) const -> bool;
@@ -129,18 +148,18 @@
     auto handle(int node, int from, const wire::QuotaImageRequest& request) -> void;
     auto handle(int node, int from, const wire::QuotaImageAnswer& answer) -> void;
     auto tickGranter(int node) -> void;
-    auto collect(int node) -> void;
+    auto collectImages(int node) -> void;
     auto activate(int node, const wire::QuotaImage* predecessors, Microseconds age) -> void;
     auto sendImage(int node) -> void;
-    auto noteHeld(Granter& granter) -> void;
+    auto confirmAcknowledgedImages(Granter& granter) -> void;
     auto tickAccount(int node) -> void;
-    [[nodiscard]] auto sendTime(const WorldTenant& tenant) -> Microseconds;
+    [[nodiscard]] auto sendTime(const TenantWorkload& tenant) -> Microseconds;
     auto arriveAt(int node, std::size_t tenant) -> void;
-    auto admit(Node& node, Request& request, QuotaDecision answer) -> void;
-    auto serve(Node& node, Request& request) -> void;
+    auto applyDecision(Request& request, QuotaDecision decision) -> void;
+    auto advance(Node& node, Request& request) -> void;
     auto makeRequests() -> void;
     auto checkInvariant() -> void;
-    [[nodiscard]] auto clientNode(const WorldTenant& tenant) -> int;
+    [[nodiscard]] auto clientNode(const TenantWorkload& tenant) -> int;
 
     QuotaSimulationSettings settings_;
     RandomSource random_;
@@ -148,12 +167,11 @@
     Counters counters_;
     Microseconds now_ = 1 * SECOND;
     std::vector<Node> nodes_;
-    std::vector<WorldResults> results_;
+    std::vector<TenantResults> results_;
     std::shared_ptr<const TenantTable> tenants_;
-    Microseconds configuredAt_ = 0;
     int leader_ = -1;
     std::int64_t term_ = 0;
-    std::vector<std::string> invariant_;
+    std::vector<std::string> invariantViolations_;
 };
 
 }  // namespace duneturn
--- a/tests/quota/quota_simulation_granter.cpp
+++ b/tests/quota/quota_simulation_granter.cpp
@@ -1,47 +1,51 @@
-// QuotaSimulation: granters and voters, and the troubles of nodes.
+// The part of QuotaSimulation that simulates granters, voters and the faults of nodes.
 #include <algorithm>
 #include <utility>
 
-#include "quota/thread_cpu_timer.hpp"
 #include "quota/quota_simulation.hpp"
+#include "quota/thread_cpu_timer.hpp"
 
 namespace duneturn {
 namespace {
 
 constexpr Microseconds ASK_INTERVAL = 100 * MILLISECOND;
-constexpr Microseconds REMEMBER_TIMEOUT = 1 * SECOND;
+/// How long a new granter waits, after a majority has promised to follow it, for a majority that knows all
+/// recent images. Then it starts without an image.
+constexpr Microseconds IMAGE_WAIT_TIMEOUT = 1 * SECOND;
 
 }  // namespace
 
-// ---- troubles
+// ---- faults
 
 auto QuotaSimulation::restart(int node) -> void {
-    auto& started = nodes_[std::size_t(node)];
-    started.frozenUntil = 0;
-    start(started);
+    auto& restarted = nodes_[std::size_t(node)];
+    restarted.frozenUntil = 0;
+    start(restarted);
 }
 
 auto QuotaSimulation::freeze(int node, Microseconds until) -> void {
-    auto& frozen = nodes_[std::size_t(node)].frozenUntil;
-    frozen = std::max(frozen, until);
+    auto& frozenUntil = nodes_[std::size_t(node)].frozenUntil;
+    frozenUntil = std::max(frozenUntil, until);
 }
 
 auto QuotaSimulation::isolate(int node, Microseconds until) -> void {
     for (auto i = 0; i < settings_.nodes; i++)
-        if (i != node) network_.cut(node, i, until);
+        if (i != node) network_.partition(node, i, until);
 }
 
 auto QuotaSimulation::elect(int voter, Microseconds predecessorLearnsAt) -> void {
-    auto supporters = std::size_t(0);
+    auto isReachable = [&](int other) {
+        return !network_.isPartitioned(voter, other, now_) && nodes_[std::size_t(other)].frozenUntil <= now_;
+    };
+    auto votes = std::size_t(0);
     for (auto i = 0; i < settings_.voters; i++)
-        if (!network_.isCut(voter, i, now_) && nodes_[std::size_t(i)].frozenUntil <= now_) supporters++;
-    if (!isMajority(supporters) || nodes_[std::size_t(voter)].frozenUntil > now_) return;
+        if (isReachable(i)) votes++;
+    if (!isMajority(votes) || nodes_[std::size_t(voter)].frozenUntil > now_) return;
     term_++;
     for (auto i = 0; i < settings_.voters; i++)
-        if (!network_.isCut(voter, i, now_) && nodes_[std::size_t(i)].frozenUntil <= now_)
-            nodes_[std::size_t(i)].durableTerm = term_;
+        if (isReachable(i)) nodes_[std::size_t(i)].durableTerm = term_;
     for (auto& node : nodes_)
-        if (node.granter) node.granter->endsAt = predecessorLearnsAt;
+        if (node.granter) node.granter->learnsOfSuccessorAt = predecessorLearnsAt;
     leader_ = voter;
     auto& granter = nodes_[std::size_t(voter)].granter;
     granter = std::make_unique<Granter>();
@@ -53,17 +57,18 @@
 auto QuotaSimulation::tickGranter(int index) -> void {
     auto& node = nodes_[std::size_t(index)];
     auto& granter = *node.granter;
-    if (granter.endsAt && now_ >= granter.endsAt && granter.term < term_) return node.granter.reset();
-    if (!granter.ledger) return collect(index);
-    auto measure = ProcessorTime(measures ? &ledgerMicroseconds : nullptr);
+    auto knowsSuccessor = granter.learnsOfSuccessorAt && now_ >= granter.learnsOfSuccessorAt;
+    if (knowsSuccessor && granter.term < term_) return node.granter.reset();
+    if (!granter.ledger) return collectImages(index);
+    auto timer = ThreadCpuTimer(measuresCpuTime ? &ledgerMicroseconds : nullptr);
     granter.ledger->tick(clock(node));
     if (granter.ledger->imageDue(clock(node))) sendImage(index);
 }
 
-auto QuotaSimulation::collect(int index) -> void {
-    auto& node = nodes_[std::size_t(index)];
-    auto& granter = *node.granter;
-    if (granter.promisedAt && now_ - granter.promisedAt >= REMEMBER_TIMEOUT)
+// Asks the voters for the images of earlier terms until a majority that knows them has answered.
+auto QuotaSimulation::collectImages(int index) -> void {
+    auto& granter = *nodes_[std::size_t(index)].granter;
+    if (granter.majorityPromisedAt && now_ - granter.majorityPromisedAt >= IMAGE_WAIT_TIMEOUT)
         return activate(index, nullptr, 0);
     if (granter.askedAt && now_ - granter.askedAt < ASK_INTERVAL) return;
     granter.askedAt = now_;
@@ -75,10 +80,10 @@
 auto QuotaSimulation::activate(int index, const wire::QuotaImage* predecessors, Microseconds age) -> void {
     auto& node = nodes_[std::size_t(index)];
     auto& granter = *node.granter;
-    auto nothing = wire::QuotaImage();
-    if (settings_.broken.ignorePredecessors) predecessors = &nothing;
+    auto emptyImage = wire::QuotaImage();
+    if (settings_.faults.ignorePredecessors) predecessors = &emptyImage;
     granter.ledger.emplace(granter.term, predecessors, age, counters_, clock(node));
-    granter.ledger->broken = settings_.broken;
+    granter.ledger->faults = settings_.faults;
     granter.ledger->setTenants(*node.tenants, clock(node));
     sendImage(index);
     for (auto i = 0; i < settings_.nodes; i++) {
@@ -94,18 +99,19 @@
     auto& node = nodes_[std::size_t(index)];
     auto& granter = *node.granter;
     auto image = granter.ledger->image(clock(node));
-    granter.sentImages.emplace_back(image.sequence, clock(node));
+    granter.pendingImages.emplace_back(image.sequence, clock(node));
     for (auto i = 0; i < settings_.voters; i++) network_.send(index, i, image, now_);
 }
 
-auto QuotaSimulation::noteHeld(Granter& granter) -> void {
-    while (!granter.sentImages.empty()) {
-        auto [sequence, sentAt] = granter.sentImages.front();
-        auto holders = std::count_if(granter.held.begin(), granter.held.end(),
-            [sequence = sequence](auto& entry) { return entry.second >= sequence; });
-        if (!isMajority(std::size_t(holders))) return;
+auto QuotaSimulation::confirmAcknowledgedImages(Granter& granter) -> void {
+    while (!granter.pendingImages.empty()) {
+        auto [sequence, sentAt] = granter.pendingImages.front();
+        auto acknowledgements =
+            std::count_if(granter.acknowledgedSequences.begin(), granter.acknowledgedSequences.end(),
+                [sequence = sequence](auto& entry) { return entry.second >= sequence; });
+        if (!isMajority(std::size_t(acknowledgements))) return;
         granter.ledger->confirmImage(sequence, sentAt);
-        granter.sentImages.pop_front();
+        granter.pendingImages.pop_front();
     }
 }
 
@@ -115,8 +121,8 @@
     auto& node = nodes_[std::size_t(index)];
     if (!node.granter || !node.granter->ledger) return;
     auto& ledger = *node.granter->ledger;
-    if (!ledger.hasGranterLease(clock(node)) && !settings_.broken.answerWithoutAuthority) return;
-    auto measure = ProcessorTime(measures ? &ledgerMicroseconds : nullptr);
+    if (!ledger.hasGranterLease(clock(node)) && !settings_.faults.answerWithoutLease) return;
+    auto timer = ThreadCpuTimer(measuresCpuTime ? &ledgerMicroseconds : nullptr);
     auto grant = ledger.take(report.node, report, clock(node));
     grant.granter = name(index);
     network_.send(index, from, grant, now_);
@@ -130,7 +136,7 @@
 
 auto QuotaSimulation::handle(int index, int from, const wire::QuotaImage& image) -> void {
     auto& node = nodes_[std::size_t(index)];
-    if (image.term < node.durableTerm && !settings_.broken.ignorePromise) return;
+    if (image.term < node.durableTerm && !settings_.faults.ignorePromise) return;
     if (!node.replica->take(image, clock(node))) return;
     auto reply = wire::QuotaImageReply();
     reply.term = image.term;
@@ -141,9 +147,9 @@
 auto QuotaSimulation::handle(int index, int from, const wire::QuotaImageReply& reply) -> void {
     auto& granter = nodes_[std::size_t(index)].granter;
     if (!granter || !granter->ledger || reply.term != granter->term) return;
-    auto& held = granter->held[from];
-    held = std::max(held, reply.sequence);
-    noteHeld(*granter);
+    auto& acknowledged = granter->acknowledgedSequences[from];
+    acknowledged = std::max(acknowledged, reply.sequence);
+    confirmAcknowledgedImages(*granter);
 }
 
 auto QuotaSimulation::handle(int index, int from, const wire::QuotaImageRequest& request) -> void {
@@ -160,19 +166,20 @@
     auto& granter = node.granter;
     if (!granter || granter->ledger || answer.term != granter->term) return;
     granter->promises[from] = {answer, clock(node)};
-    if (isMajority(granter->promises.size()) && !granter->promisedAt) granter->promisedAt = now_;
-    auto remembering = std::size_t(0);
+    if (isMajority(granter->promises.size()) && !granter->majorityPromisedAt)
+        granter->majorityPromisedAt = now_;
+    auto knowingVoters = std::size_t(0);
     auto newest = &granter->promises.begin()->second;
-    auto order = [](auto& promise) {
+    auto imageOrder = [](auto& promise) {
         return std::pair(promise->first.image.term, promise->first.image.sequence);
     };
     for (auto& [voter, promise] : granter->promises) {
         if (!promise.first.known) continue;
-        remembering++;
+        knowingVoters++;
         auto candidate = &promise;
-        if (order(candidate) > order(newest) || !newest->first.known) newest = candidate;
+        if (imageOrder(candidate) > imageOrder(newest) || !newest->first.known) newest = candidate;
     }
-    if (!isMajority(remembering)) return;
+    if (!isMajority(knowingVoters)) return;
     auto image = newest->first.image;
     activate(index, &image, newest->first.age + clock(node) - newest->second);
 }
--- a/tests/quota/thread_cpu_timer.hpp
+++ b/tests/quota/thread_cpu_timer.hpp
@@ -1,18 +1,19 @@
 #pragma once
-// The processor's time that a part of a test takes.
+// Measures the CPU time that parts of a test take.
 #include <ctime>
 
 namespace duneturn {
 
-/// Adds the time of this thread in a scope to a sum, in microseconds; nothing without a sum.
-class ProcessorTime {
+/// Adds the CPU time of the calling thread between construction and destruction to a sum, in microseconds.
+class ThreadCpuTimer {
   public:
-    explicit ProcessorTime(double* sum) : sum_(sum), begin_(sum ? threadTime() : 0) {}
-    ~ProcessorTime() {
+    /// `sum` must outlive the timer. Null: nothing is measured.
+    explicit ThreadCpuTimer(double* sum) : sum_(sum), begin_(sum ? threadTime() : 0) {}
+    ~ThreadCpuTimer() {
         if (sum_) *sum_ += threadTime() - begin_;
     }
-    ProcessorTime(const ProcessorTime&) = delete;
-    auto operator=(const ProcessorTime&) -> ProcessorTime& = delete;
+    ThreadCpuTimer(const ThreadCpuTimer&) = delete;
+    auto operator=(const ThreadCpuTimer&) -> ThreadCpuTimer& = delete;
 
   private:
     static auto threadTime() -> double {
