--- a/src/quota/quota_ledger.hpp
+++ b/src/quota/quota_ledger.hpp
@@ -46,12 +46,13 @@
 
     /// Applies the tenants of the current configuration.
     auto setTenants(const TenantTable& tenants, Microseconds now) -> void;
-    /// Answers a report. Each incarnation of a node holds its own tokens. The answer carries no sequence and
-    /// no allowances, and the ledger is unchanged, if the report is of another term, is not newer than an
-    /// earlier one of the same incarnation, or arrives without the granter's lease.
+    /// Answers a report of `node`. Each incarnation of a node holds its own tokens. The answer carries no
+    /// sequence and no allowances, and the ledger is unchanged, if the report is of another term, is not
+    /// newer than an earlier one of the same incarnation, or arrives without the granter's lease.
     [[nodiscard]] auto take(const std::string& node, const wire::QuotaReport& report, Microseconds now)
         -> wire::QuotaGrant;
-    /// Drops spent tokens that have left the window, and expires the tokens of unresponsive nodes.
+    /// Drops spent tokens that have left the window, and expires the tokens of unresponsive nodes and of
+    /// predecessors.
     auto tick(Microseconds now) -> void;
 
     /// Makes the next image for the voters. It accounts for all tokens granted so far and for a reserve; when
--- a/src/quota/tenant_ledger.hpp
+++ b/src/quota/tenant_ledger.hpp
@@ -16,7 +16,7 @@
 namespace duneturn {
 
 /// Enforces the limit of one tenant in two ways. A bound on outstanding plus spent tokens is never exceeded,
-/// whatever fails; it is the bound of an escrow, or bounded counter. A token bucket with a tighter rate
+/// whatever fails, as in an escrow or bounded counter. A token bucket, normally the tighter of the two,
 /// decides how many tokens are granted in normal operation.
 class TenantLedger {
   public:
@@ -107,7 +107,7 @@
     double limit_ = 0, bound_ = 0;
     double grantBound_ = 0;  // bound_ less the share withheld for extra attempts
     Microseconds window_ = 0;
-    std::int64_t heldByNodes_ = 0;   // outstanding tokens that nodes reported or received in this term
+    std::int64_t heldByNodes_ = 0;   // outstanding tokens that nodes claimed or were granted in this term
     std::int64_t predecessors_ = 0;  // outstanding tokens of earlier terms that no node has claimed
     std::int64_t rejected_ = 0;
     std::int64_t blockedRequests_ = 0;  // that got no token since the last image, for lack of reserve
