--- a/src/membership/cluster_bootstrap.cpp
+++ b/src/membership/cluster_bootstrap.cpp
@@ -12,12 +12,14 @@
 
 namespace duneturn {
 
-static constexpr Microseconds ROSTER_STABLE = 1 * SECOND;  // for which the conditions must have held
-static constexpr Microseconds BLANK_DISKS_STABLE =
-    800 * MILLISECOND;                         // for which the number of blank disks must not have changed
-static constexpr std::size_t MOST_VOTERS = 5;  // more would only slow each commit down
+/// How long the conditions for a bootstrap from the roster must hold first.
+static constexpr Microseconds ROSTER_STABLE_PERIOD = 1 * SECOND;
+/// How long the number of uninitialized disks must stay the same first, so that no disk is missed.
+static constexpr Microseconds DISK_COUNT_STABLE_PERIOD = 800 * MILLISECOND;
+/// More voters would only make each commit slower.
+static constexpr std::size_t MAX_INITIAL_VOTERS = 5;
 
-/// The initial voters with their disks, if each of them lives and has a blank disk.
+/// Returns the initial voters with their disks if each of them is alive with an uninitialized disk.
 static auto initialVoters(const NodeContext& context, Microseconds now)
     -> std::optional<std::vector<VoterIdentity>> {
     auto voters = std::vector<VoterIdentity>();
@@ -40,14 +42,14 @@
     auto alive = std::count_if(settings.roster.begin(), settings.roster.end(),
         [&](const std::string& name) { return context.members.isAlive(name, now); });
     if (!voters || std::size_t(alive) * 2 <= settings.roster.size()) return timer.reset();
-    if (!timer.heldFor(ROSTER_STABLE, now)) return;
+    if (!timer.heldFor(ROSTER_STABLE_PERIOD, now)) return;
     auto state = ReplicatedState();
     state.bootstrap(settings.roster, *voters);
     context.voter->bootstrap(state, 1, now);
 }
 
-/// The first of the seeds' nodes that has a disk; empty if there is none, or not all seeds are up.
-static auto founder(const NodeContext& context, Microseconds now) -> std::string {
+/// Returns the node of the first seed that has a disk; empty if there is none or a seed is not up.
+static auto bootstrapNode(const NodeContext& context, Microseconds now) -> std::string {
     auto first = std::string();
     for (auto& address : context.settings.seeds) {
         auto record = address == context.members.own().peer ? &context.members.own() : nullptr;
@@ -59,13 +61,14 @@
     return first;
 }
 
-/// Takes `number` disks in turn from each zone, beginning with `firstZone`.
+/// Chooses `count` disks by round robin over the zones, beginning with `firstZone`. There must be at least
+/// that many disks.
 static auto spreadOverZones(std::map<std::string, std::vector<VoterIdentity>>& zones,
-    const std::string& firstZone, std::size_t number) -> std::vector<VoterIdentity> {
+    const std::string& firstZone, std::size_t count) -> std::vector<VoterIdentity> {
     auto chosen = std::vector<VoterIdentity>();
-    for (auto turn = std::size_t(0); chosen.size() < number; turn++) {
+    for (auto round = std::size_t(0); chosen.size() < count; round++) {
         auto take = [&](const std::vector<VoterIdentity>& disks) {
-            if (turn < disks.size() && chosen.size() < number) chosen.push_back(disks[turn]);
+            if (round < disks.size() && chosen.size() < count) chosen.push_back(disks[round]);
         };
         take(zones[firstZone]);
         for (auto& [zone, disks] : zones)
@@ -77,7 +80,7 @@
 auto GossipBootstrap::tick(NodeContext& context, Microseconds now) -> void {
     auto& own = context.members.own();
     if (!context.settings.bootstrap || !context.voter->blank() || context.state.version > 0) return;
-    if (founder(context, now) != own.node) return;
+    if (bootstrapNode(context, now) != own.node) return;
     auto zones = std::map<std::string, std::vector<VoterIdentity>>();
     auto disks = std::size_t(1);
     zones[own.zone].push_back({own.node, own.disk});
@@ -88,14 +91,14 @@
         zones[record.zone].push_back({name, record.disk});
         disks++;
     }
-    if (disks != blankDisks_) {
-        blankDisks_ = disks;
-        countChangedAt_ = now;
+    if (disks != uninitializedDisks_) {
+        uninitializedDisks_ = disks;
+        diskCountChangedAt_ = now;
     }
-    if (now - countChangedAt_ < BLANK_DISKS_STABLE) return;
-    auto odd = disks % 2 ? disks : disks - 1;
+    if (now - diskCountChangedAt_ < DISK_COUNT_STABLE_PERIOD) return;
+    auto oddCount = disks % 2 ? disks : disks - 1;
     auto state = ReplicatedState();
-    state.bootstrap({}, spreadOverZones(zones, own.zone, std::min(MOST_VOTERS, odd)));
+    state.bootstrap({}, spreadOverZones(zones, own.zone, std::min(MAX_INITIAL_VOTERS, oddCount)));
     context.voter->bootstrap(state, 1, now);
 }
 
--- a/src/membership/cluster_bootstrap.hpp
+++ b/src/membership/cluster_bootstrap.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// The first start of a cluster: which blank disk begins the first epoch of the replicated log, and with which
-// voters.
+// The first start of a cluster with empty disks: decides which node begins the first epoch of the replicated
+// log, and with which voters.
 #include <cstddef>
 
 #include "base/time.hpp"
@@ -8,34 +8,38 @@
 
 namespace duneturn {
 
-/// How long a condition has held without a break.
+/// Measures how long a condition has held without interruption.
 class ConditionTimer {
   public:
-    /// The condition holds now: whether it has held for `duration` by now.
+    /// Reports that the condition holds at `now`. Returns whether it has held for at least `duration`.
     [[nodiscard]] auto heldFor(Microseconds duration, Microseconds now) -> bool {
         if (!since_) since_ = now;
         return now - since_ >= duration;
     }
+    /// Reports that the condition does not hold.
     auto reset() -> void { since_ = 0; }
 
   private:
-    Microseconds since_ = 0;
+    Microseconds since_ = 0;  // 0: the condition did not hold when it was last checked
 };
 
-/// Fixed roster: the first of the initial voters begins the first epoch when all initial voters live, on
-/// blank disks, and a majority of the roster lives. To be called only while nobody holds a state.
+/// Fixed roster: on the first of the initial voters, begins the first epoch once all initial voters are alive
+/// with uninitialized disks and a majority of the roster is alive. Must be called only while no known node
+/// holds a replicated state.
 auto bootstrapFromRoster(NodeContext& context, ConditionTimer& timer, Microseconds now) -> void;
 
-/// Membership by gossip, with the setting `bootstrap`: all processes of the first start are given the same
-/// seeds in the same order, and all of those are up; the first of them that has a disk begins the first
-/// epoch, so there is one founder only. A node that knows of a state never begins one.
+/// Gossip membership, with the setting `bootstrap`: begins the first epoch on the first seed that has a disk.
+/// All processes of the first start must be given the same seeds in the same order, and all seeds must be
+/// up, so that exactly one node bootstraps the cluster. A node that knows of an existing replicated state
+/// never begins one.
 class GossipBootstrap {
   public:
+    /// Begins the first epoch if the conditions for it hold.
     auto tick(NodeContext& context, Microseconds now) -> void;
 
   private:
-    std::size_t blankDisks_ = 0;       // as of the last tick
-    Microseconds countChangedAt_ = 0;  // when that number last changed
+    std::size_t uninitializedDisks_ = 0;   // counted on the last tick
+    Microseconds diskCountChangedAt_ = 0;  // when that count last changed
 };
 
 }  // namespace duneturn
--- a/src/membership/disaster_recovery.hpp
+++ b/src/membership/disaster_recovery.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// Beginning a new epoch after a majority of the voters' disks is lost, by the nodes themselves (fixed roster)
-// or by an operator (the last resort, both ways of membership).
+// Recovery after a majority of the voters' disks is lost: begins a new epoch of the replicated log, either
+// automatically (fixed roster) or on an operator's command (a last resort, for both membership protocols).
 #include <cstdint>
 
 #include "base/time.hpp"
@@ -10,20 +10,24 @@
 
 namespace duneturn {
 
-/// The number of an epoch is its count times this, plus a number of the disk that began it.
+/// An epoch's number is its ordinal times this stride, plus a hash of the disk that began it, so that epochs
+/// begun by two nodes at the same time differ (except for collisions of the hash).
 constexpr std::int64_t EPOCH_STRIDE = 1024;
 
-/// Fixed roster: begins a new epoch, from the newest state that a majority of the roster holds, when the
-/// disks of the present one can no longer form a majority and no leader is known. A voter's disk counts as
-/// lost only when its machine is there with another disk. Where a disk of the old epoch survives it is the
-/// one that begins the new one, and so leaves the old epoch in the same write: no majority of it, nor of a
-/// change of voters under way, can act again.
+/// Fixed roster: begins a new epoch from the newest state known to a majority of the roster, once the disks
+/// of the current epoch can no longer form a majority. Must be called only while no leader is known. `timer`
+/// measures how long the loss has been observed.
+///
+/// A voter's disk counts as lost only when its node is alive with a different disk. If a disk of the old
+/// epoch survives, its node begins the new epoch and thereby leaves the old epoch in the same write, so
+/// neither a majority of the old voters nor a majority of an unfinished voter change can act again.
 auto recoverFromRoster(NodeContext& context, ConditionTimer& timer, Microseconds now) -> void;
 
-/// The last resort, by an operator who names what this survivor holds: a new epoch from that state, whatever
-/// was acknowledged after it. Refused (status 409) while a majority could still come together.
-/// `majorityStands`: whether a majority is in touch with this node.
+/// Last resort on an operator's command: begins a new epoch from the state that this node holds. Changes that
+/// were acknowledged after that state are lost. `namedVersion` is the version that the operator believes this
+/// node to hold. `majorityReachable`: whether this node is in contact with a majority. Rejected with
+/// status 409 if the version differs or a majority could still form.
 [[nodiscard]] auto recoverFromSurvivor(
-    NodeContext& context, StateVersion named, bool majorityStands, Microseconds now) -> Outcome;
+    NodeContext& context, StateVersion namedVersion, bool majorityReachable, Microseconds now) -> Outcome;
 
 }  // namespace duneturn
--- a/src/membership/dissemination_tree.cpp
+++ b/src/membership/dissemination_tree.cpp
@@ -13,9 +13,10 @@
 
 namespace duneturn {
 
-static constexpr std::size_t CHILDREN_PER_NODE = 4;  // within a zone; bounds what one uplink has to carry
+/// Within a zone; bounds the load on one uplink.
+static constexpr std::size_t CHILDREN_PER_NODE = 4;
 
-/// The leader, or, while none is known, the node that rendezvous hashing names.
+/// Returns the leader, or the node of the highest rendezvous rank while no leader is known.
 static auto rootOf(const MembershipTable& members, const std::vector<std::string>& names, Microseconds now)
     -> std::string {
     auto root = members.leaderNode(now);
--- a/src/membership/gossip_membership.cpp
+++ b/src/membership/gossip_membership.cpp
@@ -16,13 +16,16 @@
 #include "membership/lease.hpp"
 #include "membership/voter_placement.hpp"
 
-// Sending and receiving heartbeats stand in gossip_sending.cpp and gossip_receiving.cpp.
+// Heartbeats are sent in gossip_sending.cpp and received in gossip_receiving.cpp.
 namespace duneturn {
 
-static constexpr Microseconds SCAN_INTERVAL = 50 * MILLISECOND;  // with hundreds of nodes a scan is costly
-static constexpr Microseconds STATE_REQUEST_INTERVAL = 300 * MILLISECOND;  // one answer may be a megabyte
-static constexpr Microseconds START_PERIOD = 3 * SECOND;  // in which a node that knows nobody hurries
-static constexpr int START_HURRY = 5;                     // by this factor
+/// Between two scans of all records; with hundreds of nodes a scan is costly.
+static constexpr Microseconds SCAN_INTERVAL = 50 * MILLISECOND;
+/// Between two requests for the replicated state; one answer may be a megabyte.
+static constexpr Microseconds STATE_REQUEST_INTERVAL = 300 * MILLISECOND;
+/// Time after its start in which a node that has not discovered any other sends heartbeats more often.
+static constexpr Microseconds STARTUP_PERIOD = 3 * SECOND;
+static constexpr int STARTUP_SPEEDUP = 5;
 
 // ---- own record
 
@@ -38,9 +41,8 @@
 
 auto GossipMembership::heartbeatInterval(Microseconds now) const -> Microseconds {
     auto interval = context_.timeouts.heartbeat;
-    // A node that has just started and found nobody yet asks again soon.
-    auto starting = now - context_.startedAt < START_PERIOD;
-    return starting && context_.members.aliveNodes(now).size() < 2 ? interval / START_HURRY : interval;
+    auto starting = now - context_.startedAt < STARTUP_PERIOD;
+    return starting && context_.members.aliveNodes(now).size() < 2 ? interval / STARTUP_SPEEDUP : interval;
 }
 
 auto GossipMembership::scanDue(Microseconds now) -> bool {
@@ -52,20 +54,21 @@
 auto GossipMembership::listingTimeout() const -> Microseconds {
     return std::numeric_limits<Microseconds>::max();
 }
-auto GossipMembership::serverLapsed(const wire::ServerListing& listing) -> void {
-    listing_.serverLapsed(listing.revision);
+auto GossipMembership::serverExpired(const wire::ServerListing& listing) -> void {
+    listing_.serverExpired(listing.revision);
 }
 
 auto GossipMembership::tick(Microseconds now, bool scanned) -> void {
     if (scanned) leader_ = context_.members.leaderNode(now);
     duty_.observe(!leader_.empty(), now);
     context_.members.own().settled = context_.state.version > 0;
-    // What the others must know at once: that this one leads, or does no more.
-    if (context_.voter && context_.voter->leads() != sentOwnRecord_.leader) context_.nextHeartbeatAt = now;
+    // Other nodes must learn at once that this node has become or ceased to be the leader.
+    if (context_.voter && context_.voter->leads() != lastSentOwnRecord_.leader)
+        context_.nextHeartbeatAt = now;
     if (nextStateRequestAt_ && now >= nextStateRequestAt_) pullState(now);
 }
 
-/// Asks the nearest node that has a newer state for it.
+/// Requests the state from the nearest node that holds a newer one.
 auto GossipMembership::pullState(Microseconds now) -> void {
     auto& own = context_.members.own();
     auto holder = static_cast<const wire::NodeRecord*>(nullptr);
@@ -102,17 +105,17 @@
         && majorityConfirms(context_, VotersCounted::SettledOnly, now);
 }
 
-auto GossipMembership::majorityStands(Microseconds now) const -> bool {
+auto GossipMembership::majorityReachable(Microseconds now) const -> bool {
     return majorityConfirms(context_, VotersCounted::All, now);
 }
 
-// A majority of the voters' disks is enough, and those hold what the log has committed.
+// A majority of the voters' disks suffices, and that majority holds every committed entry.
 auto GossipMembership::acknowledged(MajorityProof&, std::int64_t, Microseconds) -> bool { return true; }
 
-// An acknowledgement rests on the disks alone, so a newer state may be acted on at once.
+// Acknowledgements depend on the voters' disks alone, so a newer state may be acted on at once.
 auto GossipMembership::actsOnReceivedState() const -> bool { return true; }
 
-// A leader's voters take the state from the log.
+// The other voters receive the state from the leader through the log.
 auto GossipMembership::sendsStateTo(const wire::NodeRecord& record) const -> bool {
     auto leads = context_.voter && context_.voter->leads();
     return !leads || record.blank || !context_.isVoter(record);
@@ -124,18 +127,18 @@
     return duneturn::voteHandedOver(context_, now);
 }
 
-// ---- what the platform says
+// ---- the platform's listing
 
-auto GossipMembership::takeListing(std::int64_t id, const PlatformListing& listing, Microseconds now)
+auto GossipMembership::applyListing(std::int64_t id, const PlatformListing& listing, Microseconds now)
     -> void {
-    // A leader that was superseded meanwhile may hold a listing older than what the others have.
+    // A leader that has been superseded without noticing may hold an older listing than the other nodes.
     auto& voter = context_.voter;
     auto superseded = voter && voter->leads() && voter->term() < listing_.term();
     if (!hasSingletonDuty(now) || superseded) {
-        auto body = bodyOf({{"error", jsonQuote("another node does this duty now")}});
+        auto body = bodyOf({{"error", jsonQuote("another node now maintains the listing")}});
         return context_.port.done(id, {409, body});
     }
-    auto changed = listing_.take(listing, now);
+    auto changed = listing_.applyPlatformListing(listing, now);
     context_.counters.add("listings_taken_total");
     if (changed) context_.nextHeartbeatAt = now;
     auto names = std::set<std::string>();
@@ -143,9 +146,9 @@
     context_.port.done(id, {200, "{\"listed\":" + fmt::to_string(names.size()) + "}"});
 }
 
-auto GossipMembership::takeDrainMark(
+auto GossipMembership::applyDrainMark(
     std::int64_t id, const std::string& server, std::int64_t, Microseconds now) -> void {
-    auto revision = listing_.raise();
+    auto revision = listing_.assignNextNumber();
     auto& known = *context_.directory.find(server);
     if (known.listing.state == UP) {
         known.listing.state = LEAVING;
--- a/src/membership/gossip_receiving.cpp
+++ b/src/membership/gossip_receiving.cpp
@@ -1,4 +1,4 @@
-// GossipMembership: taking what another node sent.
+// GossipMembership: merging what other nodes have sent.
 #include <algorithm>
 #include <cstdint>
 #include <optional>
@@ -12,10 +12,12 @@
 
 namespace duneturn {
 
-static constexpr Microseconds STATE_PULL_DELAY =
-    100 * MILLISECOND;  // in which the tree mostly brings the state
-static constexpr Microseconds ANSWER_ALL_INTERVAL = 100 * MILLISECOND;  // to one node that asks for all
-static constexpr Microseconds RESUME_PERIOD = 1 * SECOND;  // in which what lay unread during a freeze is read
+/// Before a newer state is requested; within this time the dissemination tree usually delivers it.
+static constexpr Microseconds STATE_PULL_DELAY = 100 * MILLISECOND;
+/// Between two answers to the same node's requests for all that is known.
+static constexpr Microseconds FULL_SYNC_INTERVAL = 100 * MILLISECOND;
+/// Time after a freeze in which the messages that arrived during it are read.
+static constexpr Microseconds RESUME_PERIOD = 1 * SECOND;
 
 auto GossipMembership::handleHeartbeat(const wire::Envelope& envelope, Microseconds now) -> void {
     auto& heartbeat = envelope.heartbeat;
@@ -30,21 +32,21 @@
         neighbour->second.listingHeld = heartbeat.listingNumber;
     mergeLoads(heartbeat, from, now);
     auto newListing = listing_.merge(heartbeat, now);
-    auto origin = context_.members.others().find(from);
-    if (origin == context_.members.others().end()) return;
-    origin->second.lastDirectAt = now;
+    auto source = context_.members.others().find(from);
+    if (source == context_.members.others().end()) return;
+    source->second.lastDirectContactAt = now;
     answerRequests(envelope, now);
     if (newListing || leader_ != leaderBefore) context_.nextHeartbeatAt = now;
 }
 
-/// Sends what the other node asks for; it must be known.
+/// Sends what the other node asks for. That node must be known.
 auto GossipMembership::answerRequests(const wire::Envelope& envelope, Microseconds now) -> void {
     auto& heartbeat = envelope.heartbeat;
     auto& from = envelope.node;
     if (heartbeat.wantsAll) {
         auto& neighbour = neighbours_[from];
-        if (neighbour.askedAllAt && now - neighbour.askedAllAt < ANSWER_ALL_INTERVAL) return;
-        neighbour.askedAllAt = now;
+        if (neighbour.fullSyncAnsweredAt && now - neighbour.fullSyncAnsweredAt < FULL_SYNC_INTERVAL) return;
+        neighbour.fullSyncAnsweredAt = now;
         sendTo(from, Extent::Everything, now);
         return context_.statePublisher.answer(*context_.members.find(from));
     }
@@ -54,7 +56,7 @@
     sendTo(from, Extent::Changes, now);
 }
 
-auto GossipMembership::noteHeartbeat(
+auto GossipMembership::recordHeartbeat(
     KnownNode& known, std::int64_t heartbeat, const std::string& from, Microseconds now) -> void {
     if (!context_.members.isAlive(known, now)) {
         context_.counters.add("node_heard_again_total");
@@ -65,8 +67,8 @@
     known.receivedFrom = from;
 }
 
-/// Within one life a node's state does not go back.
-static auto raiseState(wire::NodeRecord& record, StateVersion state) -> void {
+/// Takes the later of two states of one incarnation: within an incarnation the state never goes back.
+static auto advanceState(wire::NodeRecord& record, StateVersion state) -> void {
     if (state <= versionOf(record)) return;
     record.epoch = state.epoch;
     record.stateVersion = state.version;
@@ -74,14 +76,14 @@
 
 auto GossipMembership::mergeRecord(const wire::NodeRecord& record, const std::string& from, Microseconds now)
     -> void {
-    if (!acceptable(record)) return;
+    if (!isAcceptable(record)) return;
     if (record.node == context_.members.own().node)
         return context_.refuteOwnRecord(record.boot, record.heartbeat, record.peer);
     auto& others = context_.members.others();
     auto entry = others.find(record.node);
     auto first = entry == others.end();
     if (first) {
-        if (others.size() >= MAX_KNOWN) return;
+        if (others.size() >= MAX_TABLE_ENTRIES) return;
         entry = others.emplace(record.node, KnownNode()).first;
         logEvent("node_discovered", "node={} peer={}", record.node, record.peer);
     }
@@ -97,24 +99,24 @@
     auto leaderMayChange = held.leader || record.leader;
     auto heldState = held.boot == record.boot ? versionOf(held) : StateVersion();
     held = record;
-    // It may have been passed on before the newest heartbeat counter came.
-    raiseState(held, heldState);
+    // The record may be older than a heartbeat pulse that has already reported a newer state.
+    advanceState(held, heldState);
     known.recordAt = now;
-    if (newer) noteHeartbeat(known, record.heartbeat, from, now);
-    // Of a node that was unknown it counts how long ago it was in touch with the other.
+    if (newer) recordHeartbeat(known, record.heartbeat, from, now);
+    // For a newly discovered node, the age that the relaying node reports counts.
     if (first) known.lastHeartbeatAt = now - std::max<Microseconds>(0, record.age);
     if (leaderMayChange) leader_ = context_.members.leaderNode(now);
     if (first || leaderMayChange) treeBuiltAt_ = 0;
-    noteState(record);
+    schedulePullIfBehind(record);
 }
 
-/// A gap in the news that the tree does not close by itself is closed by pulling the state.
-auto GossipMembership::noteState(const wire::NodeRecord& record) -> void {
+/// If the record shows a newer state, schedules a request for it in case the tree does not deliver it.
+auto GossipMembership::schedulePullIfBehind(const wire::NodeRecord& record) -> void {
     if (!nextStateRequestAt_ && versionOf(record) > versionOf(context_.state))
         nextStateRequestAt_ = context_.now + STATE_PULL_DELAY;
 }
 
-/// The state that the source of a message says it holds.
+/// Returns the state that the source of a message reports to hold; empty if the message does not contain it.
 auto GossipMembership::sourceState(const wire::Envelope& envelope) const -> std::optional<StateVersion> {
     auto& heartbeat = envelope.heartbeat;
     auto isSource = [&](const auto& item) { return item.node == envelope.node; };
@@ -141,20 +143,20 @@
         if (std::pair(heartbeatPulse.boot, heartbeatPulse.heartbeat) <= std::pair(held.boot, held.heartbeat))
             return;
         if (held.boot == heartbeatPulse.boot && held.version == heartbeatPulse.version) {
-            noteHeartbeat(entry->second, heartbeatPulse.heartbeat, from, now);
+            recordHeartbeat(entry->second, heartbeatPulse.heartbeat, from, now);
             if (heartbeatPulse.__isset.stateVersion)
-                raiseState(held, {held.epoch, heartbeatPulse.stateVersion});
-            else if (sourceState && sourceState->epoch == held.epoch) raiseState(held, *sourceState);
-            return noteState(held);
+                advanceState(held, {held.epoch, heartbeatPulse.stateVersion});
+            else if (sourceState && sourceState->epoch == held.epoch) advanceState(held, *sourceState);
+            return schedulePullIfBehind(held);
         }
     }
-    if (auto& missing = missingRecords_[from]; missing.size() < MAX_KNOWN)
+    if (auto& missing = missingRecords_[from]; missing.size() < MAX_TABLE_ENTRIES)
         missing.insert(heartbeatPulse.node);
 }
 
 auto GossipMembership::mergeLoads(const wire::Heartbeat& heartbeat, const std::string& from, Microseconds now)
     -> void {
-    // What lay unread while this process was stopped is older than it says.
+    // Reports that waited unread while this process was suspended are older than their age field says.
     if (context_.resumedAt && now - context_.resumedAt < RESUME_PERIOD) return;
     for (auto& load : heartbeat.loads) {
         auto server = context_.directory.find(load.server);
--- a/src/membership/gossip_sending.cpp
+++ b/src/membership/gossip_sending.cpp
@@ -1,4 +1,4 @@
-// GossipMembership: what is sent to whom.
+// GossipMembership: which nodes are sent heartbeats, and with what content.
 #include <algorithm>
 #include <cstddef>
 #include <cstdint>
@@ -13,38 +13,47 @@
 
 namespace duneturn {
 
-static constexpr Microseconds RESEND_ALL_INTERVAL = 15 * SECOND;  // what was sent may have been lost
-static constexpr Microseconds CLOCK_TOLERANCE = 1 * SECOND;  // a smaller shift of the calendar is no news
-static constexpr int LISTING_RETRY_HEARTBEATS = 3;    // a listing that is not confirmed by then is sent again
-static constexpr int NEIGHBOUR_KEPT_HEARTBEATS = 10;  // since something was last sent to it
+/// Interval at which all records are sent to a neighbour again, because earlier messages may have been lost.
+static constexpr Microseconds RESEND_ALL_INTERVAL = 15 * SECOND;
+/// A shift of the calendar clock by less than this is not disseminated.
+static constexpr Microseconds CLOCK_TOLERANCE = 1 * SECOND;
+/// A listing that is not confirmed within this many heartbeats is sent again.
+static constexpr int LISTING_RETRY_HEARTBEATS = 3;
+/// A neighbour that has been sent nothing for this many heartbeats is forgotten.
+static constexpr int NEIGHBOUR_KEPT_HEARTBEATS = 10;
+/// A parent that has not sent anything for 5/2 heartbeats counts as silent.
+static constexpr int SILENT_PARENT_HALF_HEARTBEATS = 5;
+/// How many addresses a node that knows no other node asks at a time.
+static constexpr std::size_t ISOLATED_REQUESTS = 3;
 
-/// What others act on; a change of it is sent as a new version of the record. The version of the replicated
-/// state, which changes at every node with each order, travels with the heartbeat counter instead.
-static auto actedOn(const wire::NodeRecord& record) {
+/// The fields that other nodes act on; a change of one makes a new version of the record. The version of the
+/// replicated state changes at every node with each order, so it is sent with the heartbeat counter instead.
+static auto significantFields(const wire::NodeRecord& record) {
     return std::tie(record.peer, record.clientAddress, record.operatorAddress, record.epoch, record.settled,
         record.disk, record.blank, record.term, record.leader, record.ready, record.stopping, record.boot);
 }
 
-/// Whether a budget differs by more than a quarter from what was sent.
-static auto differsMuch(std::int64_t value, std::int64_t sent) -> bool {
+/// Whether a retry budget differs by more than a quarter from the value sent last.
+static auto differsSignificantly(std::int64_t value, std::int64_t sent) -> bool {
     return std::abs(value - sent) * 4 > std::abs(sent) + 4;
 }
 
-auto GossipMembership::raiseOwnVersion(Microseconds now) -> void {
+auto GossipMembership::updateOwnVersion(Microseconds now) -> void {
     refreshOwnRecord();
     auto& own = context_.members.own();
     own.wall = context_.wall;
     auto clockOffset = context_.wall - now;
-    if (own.version && actedOn(own) == actedOn(sentOwnRecord_)
+    if (own.version && significantFields(own) == significantFields(lastSentOwnRecord_)
         && std::abs(clockOffset - sentClockOffset_) < CLOCK_TOLERANCE
-        && !differsMuch(own.credit, sentOwnRecord_.credit) && !differsMuch(own.want, sentOwnRecord_.want))
+        && !differsSignificantly(own.credit, lastSentOwnRecord_.credit)
+        && !differsSignificantly(own.want, lastSentOwnRecord_.want))
         return;
     own.version++;
-    if (own.leader != sentOwnRecord_.leader) {
+    if (own.leader != lastSentOwnRecord_.leader) {
         leader_ = context_.members.leaderNode(now);
         treeBuiltAt_ = 0;
     }
-    sentOwnRecord_ = own;
+    lastSentOwnRecord_ = own;
     sentClockOffset_ = clockOffset;
 }
 
@@ -56,7 +65,7 @@
     return tree_;
 }
 
-auto GossipMembership::followParent(Microseconds now) -> std::string {
+auto GossipMembership::updateParent(Microseconds now) -> std::string {
     auto parent = currentTree(now).parentOf(context_.members.own().node);
     if (parent != parent_) {
         parent_ = parent;
@@ -68,19 +77,20 @@
 auto GossipMembership::sendHeartbeats(Microseconds now) -> void {
     auto& own = context_.members.own();
     own.heartbeat++;
-    raiseOwnVersion(now);
-    auto parent = followParent(now);
+    updateOwnVersion(now);
+    auto parent = updateParent(now);
     auto neighbours = std::set<std::string>();
     for (auto& child : currentTree(now).childrenOf(own.node)) neighbours.insert(child);
     if (!parent.empty()) neighbours.insert(parent);
     for (auto& name : neighbours) sendTo(name, Extent::Changes, now);
     if (context_.voter) sendToVoters(neighbours, now);
-    seekContact(parent, now);
+    reestablishContact(parent, now);
     dropOldNeighbours(now);
     context_.counters.add("beats_sent_total");
 }
 
-/// Nodes with disks keep hearing of each other whatever the tree is: voters find each other's address so.
+/// Nodes with disks send to each other regardless of the tree, so that voters always know each other's
+/// address.
 auto GossipMembership::sendToVoters(const std::set<std::string>& alreadySent, Microseconds now) -> void {
     for (auto& [name, known] : context_.members.others()) {
         if (alreadySent.count(name) || known.record.disk.empty()) continue;
@@ -89,22 +99,23 @@
     }
 }
 
-/// A node that is out of touch asks the leader, and seeds and hints in turn, for all they know.
-auto GossipMembership::seekContact(const std::string& parent, Microseconds now) -> void {
+/// If no leader is known or the parent is silent, requests all that is known from the leader, and from the
+/// seeds, hints and known nodes in turn.
+auto GossipMembership::reestablishContact(const std::string& parent, Microseconds now) -> void {
     auto& members = context_.members;
     auto leader = members.leaderNode(now);
-    auto silent = false;
+    auto parentSilent = false;
     if (!parent.empty()) {
-        auto contactAt = std::max(members.others().at(parent).lastDirectAt, parentSince_);
-        silent = now - contactAt > context_.timeouts.heartbeat * 5 / 2;
+        auto contactAt = std::max(members.others().at(parent).lastDirectContactAt, parentSince_);
+        parentSilent = now - contactAt > context_.timeouts.heartbeat * SILENT_PARENT_HALF_HEARTBEATS / 2;
     }
-    if (!leader.empty() && !silent) return;
+    if (!leader.empty() && !parentSilent) return;
     auto addresses = contactAddresses();
-    auto number = members.aliveNodes(now).size() < 2 ? std::size_t(3) : std::size_t(1);
-    if (silent && !leader.empty() && leader != parent && leader != members.own().node)
-        askForAll(members.find(leader)->peer);
-    for (auto i = std::size_t(0); i < number && i < addresses.size(); i++)
-        askForAll(context_.nextInTurn(addresses));
+    auto requests = members.aliveNodes(now).size() < 2 ? ISOLATED_REQUESTS : std::size_t(1);
+    if (parentSilent && !leader.empty() && leader != parent && leader != members.own().node)
+        requestFullSync(members.find(leader)->peer);
+    for (auto i = std::size_t(0); i < requests && i < addresses.size(); i++)
+        requestFullSync(context_.nextInTurn(addresses));
 }
 
 auto GossipMembership::contactAddresses() const -> std::vector<std::string> {
@@ -116,7 +127,7 @@
     return addresses;
 }
 
-auto GossipMembership::askForAll(const std::string& address) -> void {
+auto GossipMembership::requestFullSync(const std::string& address) -> void {
     auto heartbeat = wire::Heartbeat();
     heartbeat.records.push_back(context_.members.own());
     heartbeat.wantsAll = true;
@@ -134,7 +145,7 @@
         missingRecords_, [&](auto& entry) { return context_.members.others().count(entry.first) == 0; });
 }
 
-// ---- one heartbeat
+// ---- the content of one heartbeat
 
 static auto isEmpty(const wire::Heartbeat& heartbeat) -> bool {
     return heartbeat.records.empty() && heartbeat.heartbeatPulses.empty() && heartbeat.wantedRecords.empty()
@@ -188,7 +199,7 @@
     return heartbeatPulse;
 }
 
-/// Adds the record or only its heartbeat counter, if the neighbour has not been sent it.
+/// Adds the record, or only its heartbeat counter, unless the neighbour has already been sent it.
 auto GossipMembership::addRecord(wire::Heartbeat& heartbeat, Neighbour& neighbour,
     const wire::NodeRecord& record, Microseconds now) const -> void {
     auto& sent = neighbour.records[record.node];
@@ -221,7 +232,7 @@
     auto everything = extent == Extent::Everything;
     heartbeat.listingNumber = number;
     if (number <= 0 || neighbour.listingHeld >= number) return;
-    // The parent is sent none before it has said what it holds: it is the one that has the news first.
+    // The parent receives listings first, so it is sent none before it has reported what it holds.
     if (neighbour.listingHeld < 0 && !everything && name == parent_) return;
     auto recentlySent =
         now - neighbour.listingSentAt < LISTING_RETRY_HEARTBEATS * context_.timeouts.heartbeat;
@@ -243,7 +254,7 @@
     neighbour.loadsSentAt = now;
 }
 
-/// Asks for the records of which the neighbour sent heartbeats without state.
+/// Requests the records of the nodes for which the neighbour sent only a heartbeat counter.
 auto GossipMembership::addMissingRecords(wire::Heartbeat& heartbeat, const std::string& name) -> void {
     auto missing = missingRecords_.find(name);
     if (missing == missingRecords_.end()) return;
--- a/src/membership/lease.cpp
+++ b/src/membership/lease.cpp
@@ -7,7 +7,9 @@
 
 namespace duneturn {
 
-static constexpr Microseconds PROOF_TIMEOUT = 1 * SECOND;  // a member that is lost must not hold up the rest
+/// A proof that is not complete by then starts over, so that a node that has failed since the first check
+/// does not block it.
+static constexpr Microseconds PROOF_TIMEOUT = 1 * SECOND;
 
 auto countsForLease(const NodeContext& context, const KnownNode& node, Microseconds now) -> bool {
     if (context.leaseEvidence == LeaseEvidence::RecentHeartbeat) return context.members.isAlive(node, now);
@@ -29,8 +31,8 @@
         || rosterConfirming * 2 > context.voting.roster.size();
 }
 
-/// Whether majorities of the voters and of the roster satisfy `holds`, which is given each record and since
-/// when that node has acknowledged this one's heartbeats.
+/// Whether a majority of the voters and a majority of the roster satisfy `holds`. It is called with each
+/// record and that node's KnownNode::acknowledgedSince.
 static auto majoritiesWhere(const NodeContext& context,
     const std::function<bool(const wire::NodeRecord&, Microseconds)>& holds, Microseconds now) -> bool {
     auto voters = std::size_t(0), roster = std::size_t(0);
@@ -44,7 +46,7 @@
     return voters * 2 > context.voting.voterDisks.size() && roster * 2 > context.voting.roster.size();
 }
 
-/// The first of the two looks: by now a majority holds it, in the lives that are noted.
+/// The first of the two checks: if majorities satisfy `holds`, records their incarnations in `proof`.
 static auto beginProof(const NodeContext& context, MajorityProof& proof,
     const std::function<bool(const wire::NodeRecord&)>& holds, Microseconds now) -> void {
     auto held = [&](const wire::NodeRecord& record, Microseconds) { return holds(record); };
--- a/src/membership/lease.hpp
+++ b/src/membership/lease.hpp
@@ -1,25 +1,28 @@
 #pragma once
-// Confirmation by majorities: whether this node may act on the replicated state it holds, and whether a
-// change is held so widely that it may be acknowledged.
+// Leases that are confirmed by majorities: whether this node may act on the replicated state that it holds,
+// and whether enough nodes hold a change for it to be acknowledged.
 //
-// Fixed roster. An order is acknowledged when a majority of the voters' disks and a majority of the roster
-// were seen holding it at one same moment (majorityHolds). A node acts on its state only while it was in
-// touch, within LEASE_DURATION, with a majority of the voters or of the roster, none of which knew a newer
-// state than it holds (majorityConfirms). That majority has a member in common with the one of the same kind
-// that held the order when it was acknowledged, and this member would have shown the newer state; so a node
-// within its lease holds every acknowledged order. Two conditions are needed for this:
+// Fixed roster. An operator order is acknowledged when a majority of the voters' disks and a majority of the
+// roster hold it at the same moment (majorityHolds). A node acts on its state only if it was, within
+// LEASE_DURATION, in contact with a majority of the voters or of the roster, and none of these nodes knew a
+// newer state than it holds (majorityConfirms). That majority intersects the majority of the same kind that
+// held the order when it was acknowledged, and the common member would have reported the newer state. A node
+// within its lease therefore holds every acknowledged order. This rests on two conditions:
 //
-//  - The age of a record is known by this node's clock alone: a record that acknowledges heartbeat h of this
-//    node was written after h was sent, whatever path it came (LeaseEvidence::AcknowledgedHeartbeat). The
-//    clock counts the time that the process was stopped, so a lease has expired when a process wakes up.
-//  - A node that has restarted without its memory does not vouch for what it forgot: it counts only once it
-//    is settled, that is, once it has itself been in touch with such a majority.
+//  - A node determines the age of a record by its own clock only. A record that acknowledges this node's
+//    heartbeat h was written after h was sent, whatever path the record took
+//    (LeaseEvidence::AcknowledgedHeartbeat). The clock includes the time during which the process was
+//    suspended, so a process that was suspended for longer than its lease resumes with an expired lease.
+//  - A node that restarted and lost its memory does not confirm anything on behalf of its earlier
+//    incarnation. It counts only once it is settled, that is, once it has itself been in contact with such a
+//    majority.
 //
-// Membership by gossip. Orders are acknowledged by the voters' disks alone, and heartbeats carry no
-// acknowledgements; the lease is then a bound on how long a node acts without hearing a majority of voters
-// (LeaseEvidence::RecentHeartbeat), and not a proof that it holds every acknowledged order.
+// Gossip membership. Orders are acknowledged by the voters' disks alone, and heartbeats carry no
+// acknowledgements. The lease then bounds how long a node acts without receiving heartbeats from a majority
+// of the voters (LeaseEvidence::RecentHeartbeat); it does not prove that the node holds every acknowledged
+// order.
 //
-// After leases in Gray, Cheriton, "Leases", SOSP 1989, with majorities in place of a single grantor.
+// After Gray, Cheriton, "Leases", SOSP 1989, with majorities in place of a single grantor.
 #include <functional>
 
 #include "base/time.hpp"
@@ -29,22 +32,24 @@
 
 namespace duneturn {
 
-/// Which voters count towards a majority.
+/// Which voters count towards a majority of the voters.
 enum class VotersCounted { All, SettledOnly };
 
-/// Whether the node's record is recent enough to count for a lease.
+/// Whether the other node's record is recent enough to count for this node's lease.
 [[nodiscard]] auto countsForLease(const NodeContext& context, const KnownNode& node, Microseconds now)
     -> bool;
 
-/// Whether a majority of the voters, or of the roster, was in touch within the lease and knew of no newer
-/// replicated state than is held here.
+/// Whether a majority of the voters, or a majority of the roster, counts for the lease and holds no newer
+/// replicated state than this node.
 [[nodiscard]] auto majorityConfirms(const NodeContext& context, VotersCounted voters, Microseconds now)
     -> bool;
 
-/// Whether a majority of the voters and a majority of the roster hold, at one same moment, what `holds`
-/// looks for. Each must be seen holding it by `proof.begun`, and again, in the same life, by a record that
-/// acknowledges a heartbeat sent since then: a single look would count a node that has restarted empty
-/// since. Called again and again with the same `proof` until it is true.
+/// Whether, at one and the same moment, a majority of the voters and a majority of the roster satisfy
+/// `holds`. Call repeatedly with the same `proof` until the result is true.
+///
+/// Each node is checked twice: its record must satisfy `holds` at `proof.begun`, and again in the same
+/// incarnation by a record that acknowledges a heartbeat sent since then. A single check would count a node
+/// that has meanwhile restarted without its memory.
 [[nodiscard]] auto majorityHolds(const NodeContext& context, MajorityProof& proof,
     const std::function<bool(const wire::NodeRecord&)>& holds, Microseconds now) -> bool;
 
--- a/src/membership/membership_protocol.hpp
+++ b/src/membership/membership_protocol.hpp
@@ -1,7 +1,7 @@
 #pragma once
-// How a node learns of the others and they of it. Two ways stand behind this interface: RosterMembership, a
-// fixed roster with acknowledged heartbeats, and GossipMembership, discovery from seeds. The tables, the
-// lease and the parts without policy are shared through NodeContext.
+// The interface of the two membership protocols, by which the nodes discover each other and detect failures:
+// RosterMembership, a fixed roster with acknowledged heartbeats, and GossipMembership, discovery from seeds.
+// Both work on the tables that are shared through NodeContext.
 #include <cstdint>
 #include <string>
 
@@ -14,8 +14,10 @@
 
 namespace duneturn {
 
+/// One node's side of a membership protocol.
 class MembershipProtocol {
   public:
+    /// `context` must outlive this object.
     explicit MembershipProtocol(NodeContext& context) : context_(context) {}
     virtual ~MembershipProtocol() = default;
     MembershipProtocol(const MembershipProtocol&) = delete;
@@ -23,73 +25,80 @@
 
     // ---- own record and heartbeats
 
-    /// Brings this node's record up to date.
+    /// Updates this node's own record from the voter and the replicated state.
     auto refreshOwnRecord() -> void;
-    /// Sends heartbeats to all that are due some.
+    /// Sends heartbeats to all nodes that are due to receive one.
     virtual auto sendHeartbeats(Microseconds now) -> void = 0;
-    /// How long after a heartbeat the next one is due.
+    /// The time until the next heartbeat is due.
     [[nodiscard]] virtual auto heartbeatInterval(Microseconds now) const -> Microseconds = 0;
+    /// Merges what another node sent, and answers its requests.
     virtual auto handleHeartbeat(const wire::Envelope& envelope, Microseconds now) -> void = 0;
 
     // ---- time
 
-    /// Whether this tick looks through all that is known; with hundreds of nodes, not each one does.
+    /// Whether this tick scans all known nodes and servers. With hundreds of nodes not every tick does.
     [[nodiscard]] virtual auto scanDue(Microseconds now) -> bool = 0;
-    /// How long a server that is up stays listed without confirmation.
+    /// How long a server in state UP stays listed without confirmation.
     [[nodiscard]] virtual auto listingTimeout() const -> Microseconds = 0;
-    virtual auto serverLapsed(const wire::ServerListing& listing) -> void = 0;
+    /// Called after the listing of a server has expired and was dropped.
+    virtual auto serverExpired(const wire::ServerListing& listing) -> void = 0;
+    /// `scanned`: whether this tick scans all known nodes and servers (scanDue).
     virtual auto tick(Microseconds now, bool scanned) -> void = 0;
-    /// On a node with a disk: which spare disks the leader offers.
+    /// Offers spare disks to the consensus module. Only for a node with a voter.
     virtual auto placeVoters(Microseconds now) -> void = 0;
-    /// On a node with a disk: begins a new epoch if that is this node's to do.
+    /// Begins a new epoch if this node is responsible for that. Only for a node with a voter.
     virtual auto beginEpochIfDue(Microseconds now) -> void = 0;
 
     // ---- replicated state
 
-    /// May this node act on the replicated state and the listing it holds? Asked at the moment of acting.
+    /// Whether this node may act on the replicated state and the listing that it holds. To be checked
+    /// immediately before acting.
     [[nodiscard]] virtual auto withinLease(Microseconds now) const -> bool = 0;
-    /// Whether this node may be given requests.
+    /// Whether clients may send requests to this node.
     [[nodiscard]] auto ready(Microseconds now) const -> bool;
-    /// Whether a majority is in touch with this node, whatever state it holds.
-    [[nodiscard]] virtual auto majorityStands(Microseconds now) const -> bool = 0;
-    /// Whether a change may be acknowledged, of which the log has committed `version`.
+    /// Whether this node is in contact with a majority.
+    [[nodiscard]] virtual auto majorityReachable(Microseconds now) const -> bool = 0;
+    /// Whether a change may be acknowledged whose version of the state the log has committed.
     [[nodiscard]] virtual auto acknowledged(MajorityProof& proof, std::int64_t version, Microseconds now)
         -> bool = 0;
-    /// Whether a voter may act on a newer state of its epoch that another node sent, before its log has it.
+    /// Whether a voter may act on a newer state of its own epoch that another node sent, before its log
+    /// contains the entries that lead to it.
     [[nodiscard]] virtual auto actsOnReceivedState() const -> bool = 0;
-    /// Whether the others must learn at once which state this node has taken, before the next heartbeat.
+    /// Whether this node reports a newly adopted state at once instead of with its next regular heartbeat.
     [[nodiscard]] virtual auto announcesStateAtOnce() const -> bool = 0;
-    /// Whether a new state is sent down the tree to the node with this record.
+    /// Whether a new state is sent to this child in the dissemination tree.
     [[nodiscard]] virtual auto sendsStateTo(const wire::NodeRecord& record) const -> bool = 0;
-    /// The leader as last looked up; empty if none was known or the way of membership keeps none.
+    /// The leader as last looked up; empty if none was known or the protocol does not keep it.
     [[nodiscard]] virtual auto lastLeader() const -> std::string = 0;
-    /// Whether a planned stop needs to wait no longer for this disk's vote to pass to another.
+    /// Whether a planned stop need not wait any longer for this disk's vote to be transferred.
     [[nodiscard]] virtual auto voteHandedOver(Microseconds now) const -> bool = 0;
+    /// Whether this node performs the singleton duties now (singleton_duty.hpp).
     [[nodiscard]] auto hasSingletonDuty(Microseconds now) const -> bool {
         return duty_.isHeld(context_, hasListing(), now);
     }
 
-    // ---- what the platform says; answered through NodePort::done
+    // ---- requests of the platform; answered through NodePort::done
 
-    /// The platform's whole listing.
-    virtual auto takeListing(std::int64_t id, const PlatformListing& listing, Microseconds now) -> void = 0;
-    /// One server drains, known and said with the number `revision` (0: the platform numbers nothing).
-    virtual auto takeDrainMark(
+    /// Applies a complete listing.
+    virtual auto applyListing(std::int64_t id, const PlatformListing& listing, Microseconds now) -> void = 0;
+    /// Marks a server as draining. It must be in the directory. `revision`: the platform's number of this
+    /// mark; 0 if the platform does not number what it sends.
+    virtual auto applyDrainMark(
         std::int64_t id, const std::string& server, std::int64_t revision, Microseconds now) -> void = 0;
-    /// Answers what can be answered by now.
+    /// Answers the pending requests of the platform that are complete or have timed out.
     virtual auto answerPlatform(Microseconds now) -> void = 0;
 
   protected:
-    /// Puts into the own record what depends on the way of membership.
+    /// Sets the fields of the own record that depend on the protocol.
     virtual auto completeOwnRecord() -> void = 0;
-    /// Whether a listing is held to which the singleton duty's holder has given a number.
+    /// Whether this node holds a numbered listing.
     [[nodiscard]] virtual auto hasListing() const -> bool = 0;
 
     NodeContext& context_;
     SingletonDuty duty_;
 };
 
-/// How soon a node sends an operator's order again, by the way of membership.
+/// Returns the retry intervals for operator orders, which depend on the membership protocol.
 [[nodiscard]] auto orderRetry(const Settings& settings) -> OrderRetry;
 
 }  // namespace duneturn
--- a/src/membership/membership_table.cpp
+++ b/src/membership/membership_table.cpp
@@ -15,7 +15,7 @@
 auto versionOf(const wire::NodeRecord& record) -> StateVersion { return {record.epoch, record.stateVersion}; }
 auto versionOf(const ReplicatedState& state) -> StateVersion { return {state.epoch, state.version}; }
 
-auto acceptable(const wire::NodeRecord& record) -> bool {
+auto isAcceptable(const wire::NodeRecord& record) -> bool {
     return !record.node.empty() && record.node.size() <= MAX_NAME_BYTES
         && record.peer.size() <= MAX_ADDRESS_BYTES;
 }
--- a/src/membership/membership_table.hpp
+++ b/src/membership/membership_table.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// The records of all nodes known here, this node's own among them. A record carries the node's incarnation
-// (`boot`) and the counter of its heartbeats; the greater pair supersedes the smaller (SWIM: Das, Gupta,
+// The records of all known nodes, including this node's own record. A record carries the node's incarnation
+// number (`boot`) and its heartbeat counter; the greater pair supersedes the smaller (SWIM: Das, Gupta,
 // Motivala, DSN 2002, 4.2).
 #include <cstddef>
 #include <cstdint>
@@ -14,26 +14,29 @@
 
 namespace duneturn {
 
-/// The largest number of nodes and of servers that are kept, whatever peers send.
-constexpr std::size_t MAX_KNOWN = 4096;
-/// The longest name of a node or server, and the longest peer address, that are accepted, in bytes.
+/// Limit on the number of nodes, and on the number of servers, that are kept; it bounds the memory that
+/// received messages can make a node use.
+constexpr std::size_t MAX_TABLE_ENTRIES = 4096;
+/// The longest accepted name of a node or server.
 constexpr std::size_t MAX_NAME_BYTES = 256;
+/// The longest accepted peer address.
 constexpr std::size_t MAX_ADDRESS_BYTES = 64;
 
 /// What is known of another node.
 struct KnownNode {
     wire::NodeRecord record;
-    Microseconds lastHeartbeatAt = 0;  // when the newest heartbeat of the node came, by any path
-    /// Fixed roster: when that heartbeat of ours was sent which the node had received by then.
+    Microseconds lastHeartbeatAt = 0;  // when its newest heartbeat was received, by any path
+    /// Fixed roster: when this node sent the newest of its heartbeats that the other node has acknowledged.
+    /// The other node's record is not older than that. 0 if it has acknowledged none.
     Microseconds acknowledgedSince = 0;
-    // Membership by gossip:
-    Microseconds firstSeenAt = 0;   // when this life of the node was first known
-    Microseconds recordAt = 0;      // when the record itself came
-    Microseconds lastDirectAt = 0;  // when the node last sent something to this one
-    std::string receivedFrom;       // who passed on its newest heartbeat
+    // Gossip membership:
+    Microseconds firstSeenAt = 0;          // when this incarnation was first known
+    Microseconds recordAt = 0;             // when the record itself was received
+    Microseconds lastDirectContactAt = 0;  // when the node itself last sent a heartbeat
+    std::string receivedFrom;              // the node that relayed its newest heartbeat
 };
 
-/// The position of a replicated state; the greater one is the newer.
+/// The epoch and version of a replicated state; the greater value is the newer state.
 struct StateVersion {
     std::int64_t epoch = 0, version = 0;
     auto operator<=>(const StateVersion&) const = default;  // NOLINT(modernize-use-nullptr): false alarm
@@ -41,11 +44,13 @@
 [[nodiscard]] auto versionOf(const wire::NodeRecord& record) -> StateVersion;
 [[nodiscard]] auto versionOf(const ReplicatedState& state) -> StateVersion;
 
-/// Whether a record that a peer sent may be taken: its name and address are of acceptable length.
-[[nodiscard]] auto acceptable(const wire::NodeRecord& record) -> bool;
+/// Whether a received record's name and address have an acceptable length.
+[[nodiscard]] auto isAcceptable(const wire::NodeRecord& record) -> bool;
 
+/// The records of this node and of all others known to it.
 class MembershipTable {
   public:
+    /// `aliveTimeout`: time without a heartbeat after which a node counts as failed.
     explicit MembershipTable(Microseconds aliveTimeout) : aliveTimeout_(aliveTimeout) {}
 
     /// This node's record.
@@ -55,20 +60,21 @@
     auto others() -> std::map<std::string, KnownNode>& { return others_; }
     [[nodiscard]] auto others() const -> const std::map<std::string, KnownNode>& { return others_; }
 
-    /// The record of a node, which may be this one; null if it is unknown.
+    /// The record of a node, which may be this node; null if it is unknown.
     [[nodiscard]] auto find(const std::string& name) const -> const wire::NodeRecord*;
-    /// The other node that has this disk, of several the first by name; null if there is none.
+    /// The other node that has this disk, or the first by name if there are several; null if there is none.
     [[nodiscard]] auto withDisk(const std::string& disk) const -> const KnownNode*;
     [[nodiscard]] auto isAlive(const KnownNode& node, Microseconds now) const -> bool {
         return now - node.lastHeartbeatAt < aliveTimeout_;
     }
     [[nodiscard]] auto isAlive(const std::string& name, Microseconds now) const -> bool;
-    /// The names of the nodes that live, this one among them, in order.
+    /// The sorted names of the nodes that are alive, including this node.
     [[nodiscard]] auto aliveNodes(Microseconds now) const -> std::vector<std::string>;
-    /// The node that leads, of several the one of the highest epoch and term; empty if none is known.
+    /// The leader among the nodes that are alive: if several claim leadership, the one of the highest epoch
+    /// and term. Empty if none is known.
     [[nodiscard]] auto leaderNode(Microseconds now) const -> std::string;
     [[nodiscard]] auto aliveTimeout() const -> Microseconds { return aliveTimeout_; }
-    /// Drops the records of nodes that were silent for DROP_TIMEOUT.
+    /// Drops the records of nodes without a heartbeat for DROP_TIMEOUT.
     auto dropSilent(Microseconds now) -> void;
 
   private:
--- a/src/membership/node.cpp
+++ b/src/membership/node.cpp
@@ -22,16 +22,20 @@
 #include "membership/roster_membership.hpp"
 #include "membership/voter_placement.hpp"
 
-// Messages are handled in node_messages.cpp.
+// Messages and the ports of the voter and of orders are handled in node_messages.cpp.
 namespace duneturn {
 
-static constexpr std::size_t MAX_PEER_HINTS = 64;  // far more than are asked before a leader is found
-static constexpr Microseconds TRANSFER_RETRY = 2 * SECOND;  // of a stopping leader, to transfer leadership
-static constexpr Microseconds HINTS_INTERVAL = 2 * SECOND;  // between two looks at whether the peers changed
+/// Far more addresses than a node tries before it finds the leader.
+static constexpr std::size_t MAX_PEER_HINTS = 64;
+/// Interval at which a stopping leader repeats its attempt to transfer leadership.
+static constexpr Microseconds TRANSFER_RETRY = 2 * SECOND;
+/// Interval between checks whether the saved peer addresses must be updated.
+static constexpr Microseconds PEER_HINTS_INTERVAL = 2 * SECOND;
 static constexpr Microseconds PROBE_INTERVAL = 500 * MILLISECOND;
-static constexpr int WATCHERS_PER_SERVER = 2;  // nodes that probe a server
+/// Number of nodes that probe each server.
+static constexpr int WATCHERS_PER_SERVER = 2;
 
-/// The numbers of orders begin elsewhere in each life.
+/// Returns the first request number of the order client, which differs between incarnations.
 static auto firstOrderNumber(std::int64_t boot, std::uint64_t seed) -> std::int64_t {
     return std::int64_t(hash64(fmt::to_string(boot), seed) >> 2);
 }
@@ -75,8 +79,8 @@
 
 // ---- time
 
-/// A gap in its own time shows a process that it was stopped.
-auto Node::noticeFreeze(Microseconds now) -> void {
+/// A large gap between two readings of the clock shows that the process was suspended.
+auto Node::detectFreeze(Microseconds now) -> void {
     if (context_.now && now - context_.now > FREEZE_GAP) {
         context_.resumedAt = now;
         context_.counters.add("woke_total");
@@ -85,12 +89,12 @@
 }
 
 auto Node::wasFrozenSince(Microseconds arrived, Microseconds now) const -> bool {
-    if (context_.now && now - context_.now > FREEZE_GAP) return true;  // and it has not been noticed yet
+    if (context_.now && now - context_.now > FREEZE_GAP) return true;  // detectFreeze has not run since
     return context_.resumedAt && context_.resumedAt + RESUME_GRACE > arrived;
 }
 
 auto Node::tick(Microseconds now, Microseconds wall) -> void {
-    noticeFreeze(now);
+    detectFreeze(now);
     context_.wall = wall;
     if (!context_.startedAt) context_.startedAt = now;
     if (context_.voter) context_.voter->tick(now);
@@ -98,11 +102,11 @@
     protocol_->refreshOwnRecord();
     sendDueHeartbeats(now);
     auto scan = protocol_->scanDue(now);
-    if (scan) dropSilentAndLapsed(now);
+    if (scan) dropSilentAndExpired(now);
     protocol_->tick(now, scan);
     savePeerHints(now);
     context_.members.own().ready = ready(now);
-    noteLease(now);
+    reportLeaseChange(now);
     probeServers(now);
     protocol_->answerPlatform(now);
     orderClient_.tick(context_.members.own().boot, now);
@@ -114,8 +118,8 @@
 auto Node::retryTransfer(Microseconds now) -> void {
     auto& voter = context_.voter;
     if (!context_.members.own().stopping || !voter || !voter->leads()) return;
-    if (now - transferTriedAt_ < TRANSFER_RETRY) return;
-    transferTriedAt_ = now;
+    if (now - transferAttemptedAt_ < TRANSFER_RETRY) return;
+    transferAttemptedAt_ = now;
     voter->transferLeadership(now);
 }
 
@@ -125,16 +129,16 @@
     protocol_->sendHeartbeats(now);
 }
 
-auto Node::dropSilentAndLapsed(Microseconds now) -> void {
+auto Node::dropSilentAndExpired(Microseconds now) -> void {
     context_.members.dropSilent(now);
-    for (auto& listing : context_.directory.dropLapsed(protocol_->listingTimeout(), now)) {
+    for (auto& listing : context_.directory.dropExpired(protocol_->listingTimeout(), now)) {
         context_.counters.add("listings_lapsed_total");
-        protocol_->serverLapsed(listing);
+        protocol_->serverExpired(listing);
     }
 }
 
 auto Node::savePeerHints(Microseconds now) -> void {
-    if (!context_.voter || now - hintsCheckedAt_ <= HINTS_INTERVAL) return;
+    if (!context_.voter || now - hintsCheckedAt_ <= PEER_HINTS_INTERVAL) return;
     hintsCheckedAt_ = now;
     auto addresses = std::vector<std::string>();
     for (auto& [name, known] : context_.members.others()) addresses.push_back(known.record.peer);
@@ -143,7 +147,7 @@
     context_.port.savePeerHints(addresses);
 }
 
-auto Node::noteLease(Microseconds now) -> void {
+auto Node::reportLeaseChange(Microseconds now) -> void {
     auto within = withinLease(now);
     if (within == wasWithinLease_) return;
     wasWithinLease_ = within;
@@ -153,7 +157,7 @@
     context_.counters.add(within ? "fresh_gained_total" : "fresh_lost_total");
 }
 
-/// Each server is probed by the nodes that rendezvous hashing names for it.
+/// Rendezvous hashing selects the nodes that probe a server.
 auto Node::probeServers(Microseconds now) -> void {
     if (!context_.settings.probes || now < nextProbeAt_) return;
     nextProbeAt_ = now + PROBE_INTERVAL;
@@ -161,16 +165,16 @@
     for (auto& [server, known] : context_.directory.servers()) {
         if (known.listing.state == GONE || known.listing.address.empty()) continue;
         auto ownRank = rendezvousRank(server, context_.members.own().node);
-        auto before = std::count_if(names.begin(), names.end(),
+        auto higherRanked = std::count_if(names.begin(), names.end(),
             [&, &key = server](auto& name) { return rendezvousRank(key, name) > ownRank; });
-        if (before < WATCHERS_PER_SERVER) context_.port.probe(server, known.listing.address);
+        if (higherRanked < WATCHERS_PER_SERVER) context_.port.probe(server, known.listing.address);
     }
 }
 
 auto Node::tickVoter(Microseconds now, Microseconds wall) -> void {
     auto& voter = *context_.voter;
     protocol_->placeVoters(now);
-    voter.setBlankVoters(blankVoterDisks(context_, now));
+    voter.setBlankVoters(uninitializedVoterDisks(context_, now));
     scheduler_.tick(context_, wall, now);
     protocol_->beginEpochIfDue(now);
     orderService_.tick(voter, context_.wall, now);
@@ -190,12 +194,12 @@
 
 auto Node::leave(Microseconds now) -> void {
     context_.members.own().stopping = true;
-    transferTriedAt_ = now;
+    transferAttemptedAt_ = now;
     if (context_.voter) context_.voter->transferLeadership(now);
     protocol_->sendHeartbeats(now);
 }
 
-// ---- orders of operators
+// ---- operator orders
 
 auto Node::order(std::int64_t id, const std::string& operation, const std::string& key,
     const std::string& body, Microseconds now) -> void {
@@ -213,8 +217,8 @@
 }
 
 auto Node::rescue(std::int64_t epoch, std::int64_t version, Microseconds now) -> Outcome {
-    auto majorityStands = !leaderNode(now).empty() || protocol_->majorityStands(now);
-    return recoverFromSurvivor(context_, {epoch, version}, majorityStands, now);
+    auto majorityReachable = !leaderNode(now).empty() || protocol_->majorityReachable(now);
+    return recoverFromSurvivor(context_, {epoch, version}, majorityReachable, now);
 }
 
 // ---- the platform
@@ -222,11 +226,11 @@
 auto Node::list(std::int64_t id, const std::string& body, Microseconds now) -> void {
     auto listing = parsePlatformListing(body);
     if (!listing) return context_.port.done(id, listing.error());
-    protocol_->takeListing(id, *listing, now);
+    protocol_->applyListing(id, *listing, now);
 }
 
 auto Node::mark(std::int64_t id, const std::string& server, std::int64_t revision, Microseconds now) -> void {
-    if (context_.directory.find(server)) return protocol_->takeDrainMark(id, server, revision, now);
+    if (context_.directory.find(server)) return protocol_->applyDrainMark(id, server, revision, now);
     context_.port.done(id, {404, errorBody({{"/server", "not listed: " + server}})});
 }
 
@@ -237,7 +241,7 @@
     context_.directory.probeFinished(server, context_.members.own().node, result, load, now);
 }
 
-// ---- what an operator reads
+// ---- views for operators
 
 auto Node::beliefs(Microseconds now) const -> std::string { return beliefsText(context_, *protocol_, now); }
 auto Node::status(Microseconds now) const -> std::string { return statusText(context_, *protocol_, now); }
--- a/src/membership/node.hpp
+++ b/src/membership/node.hpp
@@ -1,18 +1,20 @@
 #pragma once
-// One process of the fleet as the others see it: its record, what it knows of nodes and servers, the
-// replicated state held here, and operators' orders on their way. Node assembles the parts of this folder and
-// dispatches messages, time and writes to them.
+// One member of the fleet: its own record, the membership table, the directory of servers, the replicated
+// state that it holds and the operator orders that it forwards. Node assembles the parts of this folder and
+// dispatches messages, timer ticks and completed disk writes to them.
 //
-//   node_context.hpp         what the parts share        lease.hpp                confirmation by majorities
-//   membership_table.hpp     records of all nodes        server_directory.hpp     servers and their load
-//   membership_protocol.hpp  the interface of the two ways of membership:
+//   node_context.hpp         data shared by the parts
+//   membership_table.hpp     records of all nodes
+//   server_directory.hpp     servers and their load
+//   lease.hpp                confirmation by majorities
+//   membership_protocol.hpp  interface of the two membership protocols:
 //     roster_membership.hpp    fixed roster, acknowledged heartbeats
-//     gossip_membership.hpp    discovery from seeds; gossip_listing.hpp
-//   state_publisher.hpp, state_receiver.hpp   the replicated state on its way between nodes
-//   cluster_bootstrap.hpp, disaster_recovery.hpp, voter_placement.hpp    who votes
-//   operation_scheduler.hpp, singleton_duty.hpp                          what one node does for all
-//   quota_service.hpp        tenants' quotas, counted as one over all nodes
-//   operator_views.hpp       what operators read
+//     gossip_membership.hpp    discovery from seeds; uses gossip_listing.hpp
+//   state_publisher.hpp, state_receiver.hpp    dissemination of the replicated state
+//   cluster_bootstrap.hpp, disaster_recovery.hpp, voter_placement.hpp    choice of the voters
+//   operation_scheduler.hpp, singleton_duty.hpp    tasks that one node performs for the fleet
+//   quota_service.hpp        tenants' quotas across all nodes
+//   operator_views.hpp       JSON documents for operators
 #include <cstdint>
 #include <functional>
 #include <map>
@@ -38,60 +40,72 @@
 
 namespace duneturn {
 
+/// A node without sockets, disk or clock of its own: NodePort connects it to its environment, and each call
+/// passes the current time.
 class Node : public VoterPort, public OrderServicePort, public OrderClientPort {
   public:
-    /// `boot`: the incarnation number, higher than that of any earlier life of this node.
+    /// `boot`: the incarnation number; it must be higher than that of every earlier incarnation of this node.
+    /// `port` and `counters` must outlive this object.
     Node(const Settings& settings, NodePort& port, Counters& counters, std::int64_t boot, std::uint64_t seed);
     ~Node() override;
 
-    /// Makes this node a voter: what its disk holds, and the identity to take if that is nothing.
+    /// Makes this node a core node, which may become a voter. `disk`: what its disk holds; `newDiskId`: the
+    /// identity for an uninitialized disk.
     auto startCore(DiskState disk, const std::string& newDiskId, Microseconds now) -> void;
-    /// Addresses kept by an earlier life; tried beside the seeds.
+    /// Adds peer addresses that an earlier incarnation saved; they are tried in addition to the seeds.
     auto addPeerHints(const std::vector<std::string>& addresses) -> void;
-    /// `wall`: calendar time.
+    /// Performs all periodic work. `wall`: the calendar time.
     auto tick(Microseconds now, Microseconds wall) -> void;
+    /// Handles a message from another node.
     auto handle(const wire::Envelope& envelope, Microseconds now) -> void;
+    /// Reports that the disk write with the number `seq` has finished; `ok`: it is durable.
     auto diskDone(std::int64_t seq, bool ok, Microseconds now) -> void;
-    /// What a probe brought; `refused`: the server said itself that nobody is there.
+    /// Reports the result of a probe. `ok`: the server answered with `load`; `refused`: the server's host
+    /// refused the connection.
     auto probeFinished(const std::string& server, bool ok, bool refused, const wire::ServerLoad& load,
         Microseconds now) -> void;
 
-    /// May this node act on the replicated state and the listing it holds? Asked at the moment of acting.
+    /// Whether this node may act on the replicated state and the listing that it holds. To be checked
+    /// immediately before acting.
     [[nodiscard]] auto withinLease(Microseconds now) const -> bool { return protocol_->withinLease(now); }
-    /// Whether this node may be given requests.
+    /// Whether clients may send requests to this node.
     [[nodiscard]] auto ready(Microseconds now) const -> bool { return protocol_->ready(now); }
-    /// Whether this process was stopped for long at or after `arrived`, or so shortly before it that what
-    /// arrived by then may have lain unread meanwhile.
+    /// Whether this process was suspended for longer than FREEZE_GAP at or after `arrived`, or so shortly
+    /// before that a request read at `arrived` may have waited unread during the suspension.
     [[nodiscard]] auto wasFrozenSince(Microseconds arrived, Microseconds now) const -> bool;
-    /// Begins a planned stop: leadership is transferred, others send no more here, and a voter's
-    /// place passes to a spare disk.
+    /// Begins a planned stop: transfers leadership, asks the other nodes to send no more requests, and lets
+    /// a spare disk replace this node's voter.
     auto leave(Microseconds now) -> void;
-    /// Whether a planned stop may end as far as the replicated log is concerned: this disk does
-    /// not vote any more, or there is no spare disk that could take its place.
+    /// Whether the replicated log permits this node to stop: its disk does not vote any more, or there is no
+    /// spare disk that could replace it.
     [[nodiscard]] auto voteHandedOver(Microseconds now) const -> bool {
         return protocol_->voteHandedOver(now);
     }
-    /// Does this node do the fleet's single duties now (singleton_duty.hpp)?
+    /// Whether this node performs the singleton duties now (singleton_duty.hpp).
     [[nodiscard]] auto hasSingletonDuty(Microseconds now) const -> bool {
         return protocol_->hasSingletonDuty(now);
     }
 
-    /// An operator's order or read; answered through NodePort::done.
+    /// Forwards an operator's order to the leader; answered through NodePort::done with `id`. `key`: the
+    /// idempotency key.
     auto order(std::int64_t id, const std::string& operation, const std::string& key, const std::string& body,
         Microseconds now) -> void;
+    /// Reads the replicated state with linearizable consistency; answered through NodePort::done.
     auto read(std::int64_t id, const StateQuery& query, Microseconds now) -> void;
     auto read(std::int64_t id, Microseconds now) -> void { read(id, StateQuery::document(), now); }
-    /// The caller of an order or a read is gone.
+    /// Reports that the caller of an order or a read has disconnected.
     auto cancelOrder(std::int64_t id) -> void;
-    /// The last resort when disks and nodes have lost their majorities (disaster_recovery.hpp).
+    /// Begins a new epoch from the state held here, whose epoch and version the operator names. A last resort
+    /// when neither disks nor nodes can form a majority (disaster_recovery.hpp).
     auto rescue(std::int64_t epoch, std::int64_t version, Microseconds now) -> Outcome;
-    /// The newest replicated state held here or received.
+    /// The newest replicated state that this node holds or has received.
     [[nodiscard]] auto newestKnownState() const -> const ReplicatedState& {
         return context_.newestKnownState();
     }
-    /// The platform's whole listing, and one server marked as leaving; answered through NodePort::done. The
-    /// platform numbers what it says (`revision`), so that what is held up on its way undoes nothing newer.
+    /// Applies the platform's complete listing (JSON); answered through NodePort::done. The platform numbers
+    /// its listings and marks (`revision`), so that one that was delayed does not undo a newer one.
     auto list(std::int64_t id, const std::string& body, Microseconds now) -> void;
+    /// Marks one server as draining; answered through NodePort::done.
     auto mark(std::int64_t id, const std::string& server, std::int64_t revision, Microseconds now) -> void;
 
     [[nodiscard]] auto replicatedState() const -> const ReplicatedState& { return context_.state; }
@@ -115,20 +129,21 @@
     [[nodiscard]] auto leaderNode(Microseconds now) const -> std::string {
         return context_.members.leaderNode(now);
     }
-    /// Gives a part of this node's retry budget to another node.
+    /// Transfers a part of this node's retry budget to another node.
     auto grantCredit(const std::string& node, std::int64_t credit, Microseconds now) -> void;
-    /// This node's retry budget and its want of more, for its record.
+    /// Publishes this node's retry budget, and how much more it wants, in its record.
     auto setCredit(std::int64_t credit, std::int64_t want) -> void;
-    /// A grant that another node gave to this one, taken once.
+    /// Called with the amount of each retry credit that another node has granted; once per grant.
     std::function<void(std::int64_t)> onCreditGrant;
+    /// Called after this node has adopted a newer replicated state.
     std::function<void()> onStateChange;
 
     /// The tokens of tenants' quotas that this node may spend.
     auto quota() -> QuotaAccount& { return quota_.account(); }
-    /// The granter of tokens has answered.
+    /// Called when the quota granter has answered.
     std::function<void(Microseconds now)> onQuotaAnswer;
 
-    // What an operator reads, as JSON (operator_views.hpp).
+    // Views for operators, as JSON (operator_views.hpp).
     [[nodiscard]] auto beliefs(Microseconds now) const -> std::string;
     [[nodiscard]] auto where(const std::string& region, const std::string& zone, Microseconds now) const
         -> std::string;
@@ -149,30 +164,30 @@
     // OrderClientPort.
     auto findLeader(Microseconds now) -> std::string override;
     auto lastLeader() -> std::string override;
-    auto sendOrder(const std::string& node, wire::OrderRequest& ask, Microseconds now) -> void override;
+    auto sendOrder(const std::string& node, wire::OrderRequest& request, Microseconds now) -> void override;
     auto orderDone(std::int64_t id, const Outcome& outcome) -> void override;
 
   private:
-    auto noticeFreeze(Microseconds now) -> void;
+    auto detectFreeze(Microseconds now) -> void;
     // The steps of a tick, in their order.
     auto retryTransfer(Microseconds now) -> void;
     auto sendDueHeartbeats(Microseconds now) -> void;
-    auto dropSilentAndLapsed(Microseconds now) -> void;
+    auto dropSilentAndExpired(Microseconds now) -> void;
     auto savePeerHints(Microseconds now) -> void;
-    auto noteLease(Microseconds now) -> void;
+    auto reportLeaseChange(Microseconds now) -> void;
     auto probeServers(Microseconds now) -> void;
     auto tickVoter(Microseconds now, Microseconds wall) -> void;
     auto publishCounters(Microseconds now) -> void;
 
-    /// Whether `state` was newer than the one held here, and was taken.
-    auto takeNewerState(const ReplicatedState& state) -> bool;
-    /// Passes a state on that was just taken.
+    /// Adopts `state` if it is newer than the one held. Returns whether it was adopted.
+    auto adoptIfNewer(const ReplicatedState& state) -> bool;
+    /// Disseminates the state that was just adopted and notifies the parts that depend on it.
     auto announceState() -> void;
     auto adoptReceived(const ReplicatedState& state, const wire::StateChange* change) -> void;
     auto handleStateRequest(const wire::ReplicatedStateRequest& request, const std::string& from) -> void;
     auto handleCreditGrant(const wire::CreditGrant& grant, const std::string& from) -> void;
-    auto sendStateDown() -> void;
-    auto serveOrder(const wire::OrderRequest& ask, Microseconds now) -> void;
+    auto sendStateToChildren() -> void;
+    auto serveOrder(const wire::OrderRequest& request, Microseconds now) -> void;
 
     NodeContext context_;
     std::unique_ptr<MembershipProtocol> protocol_;
@@ -181,12 +196,13 @@
     OrderClient orderClient_;
     OperationScheduler scheduler_;
     QuotaService quota_;
-    std::map<std::string, std::int64_t> grantsTaken_;  // the last one's number, by node
-    std::int64_t grantsGiven_ = 0;
+    std::map<std::string, std::int64_t>
+        lastGrantNumbers_;  // number of the last credit grant, by granting node
+    std::int64_t grantsSent_ = 0;
     std::vector<std::string> savedHints_;
     Microseconds hintsCheckedAt_ = 0;
     Microseconds nextProbeAt_ = 0;
-    Microseconds transferTriedAt_ = 0;
+    Microseconds transferAttemptedAt_ = 0;
     bool wasWithinLease_ = false;
 
   public:
--- a/src/membership/node_context.hpp
+++ b/src/membership/node_context.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// What the parts of one node share: settings, tables, the replicated state held here, the voter, the time.
+// The data that the parts of one node share: settings, tables, the replicated state, the voter, the time.
 #include <cstddef>
 #include <cstdint>
 #include <memory>
@@ -22,54 +22,57 @@
 
 namespace duneturn {
 
-/// Deliberate faults that the tests' oracles must see; none is set outside tests.
+/// Deliberate faults, to show that the oracles of the tests detect them. None is set outside tests.
 struct MembershipFaults {
-    bool noLease = false;          // acts on what it holds without any confirmation
-    bool ackEarly = false;         // acknowledges before the majorities hold a change
-    bool acceptOldState = false;   // lets an older replicated state replace a newer one
-    bool lateUp = false;           // takes a listing that a newer one has superseded
-    bool wholeStatesOnly = false;  // sends the state whole, as programs before StateChange do
-    bool applyAnyBase = false;     // applies steps of the state to another version than they rest on
-    bool ignoreDigest = false;     // takes what steps lead to without comparing its digest
-    bool oldBoot = false;          // keeps an incarnation number that peers have already seen
+    bool noLease = false;          // acts on the held state without confirmation by a majority
+    bool ackEarly = false;         // acknowledges a change before majorities hold it
+    bool acceptOldState = false;   // replaces a replicated state by an older one
+    bool lateUp = false;           // applies a listing that a newer one has superseded
+    bool wholeStatesOnly = false;  // always sends the complete state, as versions before StateChange do
+    bool applyAnyBase = false;     // applies steps to another version than their base
+    bool ignoreDigest = false;     // accepts the result of steps without comparing its digest
+    bool oldBoot = false;          // reuses an incarnation number that peers have already seen
 };
 
-/// The members whose majorities count, by the replicated state held here.
+/// The members whose majorities count, according to the replicated state held.
 struct VotingMembers {
     std::set<std::string> voterDisks;
-    std::set<std::string> roster;  // names of nodes; empty with membership by gossip
+    std::set<std::string> roster;  // names of nodes; empty with gossip membership
 };
 
-/// What shows that another node's record was recent, for a lease.
+/// What shows that another node's record is recent enough to count for a lease.
 enum class LeaseEvidence {
     AcknowledgedHeartbeat,  // it acknowledges a heartbeat that this node sent within LEASE_DURATION
-    RecentHeartbeat,        // its newest heartbeat came here within the alive timeout
+    RecentHeartbeat,        // its newest heartbeat was received within the alive timeout
 };
 
+/// Shared by reference; the parts of a node keep references to it.
 struct NodeContext {
-    NodeContext(const NodeContext&) = delete;  // its parts refer to it
+    NodeContext(const NodeContext&) = delete;
     auto operator=(const NodeContext&) -> NodeContext& = delete;
     NodeContext(const Settings& nodeSettings, NodePort& nodePort, Counters& nodeCounters, std::int64_t boot,
         std::uint64_t seed);
 
-    /// An envelope from this node, empty.
+    /// Returns an envelope from this node without a message.
     [[nodiscard]] auto envelope() const -> wire::Envelope;
+    /// Builds the dissemination tree from the membership table.
     [[nodiscard]] auto tree(Microseconds now) const -> DisseminationTree;
-    /// The newest replicated state held here or received.
+    /// The newest replicated state that this node holds or has received.
     [[nodiscard]] auto newestKnownState() const -> const ReplicatedState&;
     [[nodiscard]] auto isVoter(const wire::NodeRecord& record) const -> bool {
         return voting.voterDisks.count(record.disk) > 0;
     }
-    /// Asks for a state newer than `held`.
+    /// Requests from a peer address a state that is newer than `held`.
     auto requestState(const std::string& address, StateVersion held) -> void;
-    /// Takes a newer replicated state.
+    /// Replaces the replicated state and updates what is derived from it.
     auto setState(const ReplicatedState& newer) -> void;
-    /// The next of the seeds and hints, or of `addresses`, in turn; the list must not be empty.
+    /// Returns the next of `addresses` by round robin. The list must not be empty.
     auto nextInTurn(const std::vector<std::string>& addresses) -> const std::string&;
-    /// A record of this node's life `boot` at heartbeat `heartbeat` came from elsewhere. If that is newer
-    /// than this life, an earlier life had a clock that has since been set back, or another node has the
-    /// same name: this life takes a higher number, or its records would not be taken. `peer`: that record's
-    /// address.
+    /// Handles a record under this node's own name that another node sent. If its incarnation and heartbeat
+    /// are newer than this node's, either the clock has been set back since an earlier incarnation, or
+    /// another node has the same name. This node then takes a higher incarnation number, because the others
+    /// would otherwise reject its records (SWIM's refutation). `peer`: the address in that record; empty if
+    /// it is not known.
     auto refuteOwnRecord(std::int64_t boot, std::int64_t heartbeat, const std::string& peer) -> void;
 
     Settings settings;
@@ -82,7 +85,7 @@
     MembershipTable members;
     ServerDirectory directory;
     ReplicatedState state;
-    /// A voter's: a newer state than its disk holds, kept for a new epoch only.
+    /// On a voter: a received state that is newer than what its disk holds. Used only to begin a new epoch.
     ReplicatedState receivedState;
     VotingMembers voting;
     StatePublisher statePublisher;
@@ -90,9 +93,9 @@
     Microseconds now = 0;
     Microseconds wall = 0;  // calendar time as of the last tick
     Microseconds startedAt = 0;
-    Microseconds resumedAt = 0;  // when this process noticed that it had been stopped; 0 if never
+    Microseconds resumedAt = 0;  // when this process last detected that it had been suspended; 0 if never
     Microseconds nextHeartbeatAt = 0;
-    std::vector<std::string> peerHints;  // the seeds, and addresses kept by an earlier life
+    std::vector<std::string> peerHints;  // the seeds, and addresses saved by an earlier incarnation
     MembershipFaults faults;
 
   private:
--- a/src/membership/node_messages.cpp
+++ b/src/membership/node_messages.cpp
@@ -1,4 +1,4 @@
-// Node: what comes from other nodes and from the voter, and what goes to them.
+// Node: messages from and to other nodes, and the ports of the voter and of the order service and client.
 #include <algorithm>
 #include <cstdint>
 #include <string>
@@ -10,17 +10,18 @@
 
 namespace duneturn {
 
-static constexpr Microseconds NEW_STATE_HEARTBEAT = 20 * MILLISECOND;  // others soon learn what is held here
+/// Maximum delay of the heartbeat that reports a newly adopted state to the other nodes.
+static constexpr Microseconds NEW_STATE_HEARTBEAT = 20 * MILLISECOND;
 
 auto Node::handle(const wire::Envelope& envelope, Microseconds now) -> void {
-    noticeFreeze(now);
+    detectFreeze(now);
     if (envelope.wire < WIRE - 1 || envelope.wire > WIRE + 1) {
         context_.counters.add("wire_version_dropped_total");
         return;
     }
     auto& has = envelope.__isset;
     if (has.heartbeat) protocol_->handleHeartbeat(envelope, now);
-    if (has.replicatedState) stateReceiver_.handleWhole(envelope.replicatedState, now);
+    if (has.replicatedState) stateReceiver_.handleFullState(envelope.replicatedState, now);
     if (has.stateChange) stateReceiver_.handleChange(envelope.stateChange, envelope.node, now);
     if (has.replicatedStateRequest) handleStateRequest(envelope.replicatedStateRequest, envelope.node);
     if (has.orderRequest) serveOrder(envelope.orderRequest, now);
@@ -34,28 +35,28 @@
 }
 
 auto Node::diskDone(std::int64_t seq, bool ok, Microseconds now) -> void {
-    noticeFreeze(now);
+    detectFreeze(now);
     if (context_.voter) context_.voter->diskDone(seq, ok, now);
     protocol_->refreshOwnRecord();
     orderService_.tick(*context_.voter, context_.wall, now);
 }
 
-// ---- the replicated state
+// ---- replicated state
 
 auto Node::handleStateRequest(const wire::ReplicatedStateRequest& request, const std::string& from) -> void {
     if (auto record = context_.members.find(from)) context_.statePublisher.answer(record->peer, request);
 }
 
-auto Node::sendStateDown() -> void {
+auto Node::sendStateToChildren() -> void {
     auto children = context_.tree(context_.now).childrenOf(context_.members.own().node);
-    context_.statePublisher.keepOnly(children);
+    context_.statePublisher.retainOnly(children);
     for (auto& child : children) {
         auto record = context_.members.find(child);
         if (record && protocol_->sendsStateTo(*record)) context_.statePublisher.push(*record);
     }
 }
 
-auto Node::takeNewerState(const ReplicatedState& state) -> bool {
+auto Node::adoptIfNewer(const ReplicatedState& state) -> bool {
     if (versionOf(state) <= versionOf(context_.state) && !context_.faults.acceptOldState) return false;
     context_.setState(state);
     protocol_->refreshOwnRecord();
@@ -65,20 +66,20 @@
 auto Node::announceState() -> void {
     quota_.stateChanged();
     if (onStateChange) onStateChange();
-    sendStateDown();
+    sendStateToChildren();
     if (protocol_->announcesStateAtOnce())
         context_.nextHeartbeatAt = std::min(context_.nextHeartbeatAt, context_.now + NEW_STATE_HEARTBEAT);
 }
 
 auto Node::adoptReceived(const ReplicatedState& state, const wire::StateChange* change) -> void {
-    if (!takeNewerState(state)) return;
-    if (change) context_.statePublisher.noteSteps(*change);
+    if (!adoptIfNewer(state)) return;
+    if (change) context_.statePublisher.recordSteps(*change);
     announceState();
 }
 
 auto Node::voterApplied(const ReplicatedState& state, const AppliedEntry& applied) -> void {
-    if (takeNewerState(state)) {
-        if (applied.entry) context_.statePublisher.noteEntry(*applied.entry);
+    if (adoptIfNewer(state)) {
+        if (applied.entry) context_.statePublisher.recordEntry(*applied.entry);
         announceState();
     }
     orderService_.applied(applied.key, state.version, applied.outcome);
@@ -95,12 +96,12 @@
 
 // ---- orders
 
-auto Node::serveOrder(const wire::OrderRequest& ask, Microseconds now) -> void {
-    auto from = Requester{ask.back, ask.boot, ask.id};
+auto Node::serveOrder(const wire::OrderRequest& request, Microseconds now) -> void {
+    auto from = Requester{request.back, request.boot, request.id};
     auto& voter = context_.voter;
     if (!voter) answer(from, order_answer::notLeader());
-    else if (ask.readback) orderService_.read(*voter, from, StateQuery::parse(ask.body), now);
-    else orderService_.order(*voter, from, ask.body, context_.wall, now);
+    else if (request.readback) orderService_.read(*voter, from, StateQuery::parse(request.body), now);
+    else orderService_.order(*voter, from, request.body, context_.wall, now);
 }
 
 auto Node::answer(const Requester& to, const Outcome& outcome) -> void {
@@ -122,14 +123,14 @@
 auto Node::findLeader(Microseconds now) -> std::string { return leaderNode(now); }
 auto Node::lastLeader() -> std::string { return protocol_->lastLeader(); }
 
-auto Node::sendOrder(const std::string& node, wire::OrderRequest& ask, Microseconds now) -> void {
+auto Node::sendOrder(const std::string& node, wire::OrderRequest& request, Microseconds now) -> void {
     auto& own = context_.members.own();
-    ask.back = own.peer;
-    if (node == own.node) return serveOrder(ask, now);
+    request.back = own.peer;
+    if (node == own.node) return serveOrder(request, now);
     auto record = context_.members.find(node);
     if (!record) return;
     auto envelope = context_.envelope();
-    envelope.__set_orderRequest(ask);
+    envelope.__set_orderRequest(request);
     context_.port.send(record->peer, envelope);
 }
 
@@ -143,7 +144,7 @@
     auto grant = wire::CreditGrant();
     grant.node = context_.members.own().node;
     grant.boot = record->boot;
-    grant.seq = ++grantsGiven_ + context_.members.own().boot;
+    grant.seq = ++grantsSent_ + context_.members.own().boot;
     grant.credit = credit;
     auto envelope = context_.envelope();
     envelope.__set_creditGrant(grant);
@@ -152,7 +153,7 @@
 
 auto Node::handleCreditGrant(const wire::CreditGrant& grant, const std::string& from) -> void {
     if (grant.boot != context_.members.own().boot) return;
-    auto& taken = grantsTaken_[from];
+    auto& taken = lastGrantNumbers_[from];
     if (grant.seq <= taken) return;
     taken = grant.seq;
     if (onCreditGrant) onCreditGrant(grant.credit);
--- a/src/membership/node_port.hpp
+++ b/src/membership/node_port.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// What a node asks of its surroundings: the process with its sockets and disk, or a simulator.
+// What a node requires of its environment, which is a process with sockets and a disk, or a simulator.
 #include <cstdint>
 #include <string>
 #include <vector>
@@ -10,17 +10,19 @@
 
 namespace duneturn {
 
+/// Implemented by the environment of a node.
 struct NodePort {
     virtual ~NodePort() = default;
-    /// Sends to a peer address; may be lost.
+    /// Sends a message to a peer address. It may be lost.
     virtual auto send(const std::string& address, const wire::Envelope& envelope) -> void = 0;
-    /// Writes the voter's state; answered through Node::diskDone.
+    /// Writes to the voter's disk; completion is reported through Node::diskDone.
     virtual auto disk(const DiskWrite& write) -> void = 0;
-    /// The outcome of an operator's or the platform's request of this node.
+    /// Delivers the outcome of a request that an operator or the platform made at this node.
     virtual auto done(std::int64_t id, const Outcome& outcome) -> void = 0;
-    /// Keeps the peers' addresses beside the store, as hints for a start after a total loss.
+    /// Saves the addresses of the peers beside the store. They serve as hints when this node starts after all
+    /// nodes were down.
     virtual auto savePeerHints(const std::vector<std::string>& addresses) -> void = 0;
-    /// Asks a watched server for its load; answered through Node::probeFinished.
+    /// Requests the load of a server; answered through Node::probeFinished.
     virtual auto probe(const std::string& server, const std::string& address) -> void = 0;
 };
 
--- a/src/membership/operation_scheduler.cpp
+++ b/src/membership/operation_scheduler.cpp
@@ -11,9 +11,10 @@
 
 namespace duneturn {
 
-static constexpr Microseconds PROPOSAL_INTERVAL = 500 * MILLISECOND;  // time for the last one to be committed
+/// Between two proposals, so that the previous one can be committed first.
+static constexpr Microseconds PROPOSAL_INTERVAL = 500 * MILLISECOND;
 
-/// The median of the calendar clocks of the nodes that live, this one's among them.
+/// Returns the median of the calendar clocks of the nodes that are alive, including this node.
 static auto medianClock(const NodeContext& context, Microseconds wall, Microseconds now) -> Microseconds {
     auto clocks = std::vector<Microseconds>{wall};
     for (auto& [name, known] : context.members.others())
--- a/src/membership/operation_scheduler.hpp
+++ b/src/membership/operation_scheduler.hpp
@@ -1,15 +1,16 @@
 #pragma once
-// Begins planned operations when they are due. The due time is compared with the median of the living nodes'
-// calendar clocks, so that one clock that jumped begins nothing. That an operation begins once only is
-// settled in the replicated log, by the operation's own state.
+// Begins planned operations when they are due. The due time is compared with the median of the calendar
+// clocks of the nodes that are alive, so a single clock that has jumped does not begin an operation. The
+// state of the operation in the replicated log ensures that it begins only once.
 #include "base/time.hpp"
 #include "membership/node_context.hpp"
 
 namespace duneturn {
 
+/// Runs on every node with a voter; only the leader acts.
 class OperationScheduler {
   public:
-    /// On a leader: proposes the first operation that is due. `wall`: this node's calendar time.
+    /// On the leader, proposes the first operation that is due. `wall`: this node's calendar time.
     auto tick(NodeContext& context, Microseconds wall, Microseconds now) -> void;
 
   private:
--- a/src/membership/operator_views.cpp
+++ b/src/membership/operator_views.cpp
@@ -21,7 +21,7 @@
     return text;
 }
 
-/// A node's record; `age`: since its newest heartbeat, `acknowledgedSince`: as of KnownNode.
+/// `age`: time since the node's newest heartbeat; `acknowledgedSince`: see KnownNode.
 static auto nodeText(const NodeContext& context, const wire::NodeRecord& record, Microseconds age,
     Microseconds acknowledgedSince, Microseconds now) -> std::string {
     return bodyOf({{"node", jsonQuote(record.node)}, {"boot", fmt::to_string(record.boot)},
@@ -49,8 +49,9 @@
     return bodyOf({{"server", jsonQuote(name)}, {"address", jsonQuote(listing.address)},
         {"region", jsonQuote(listing.region)}, {"district", jsonQuote(listing.zone)},
         {"pool", jsonQuote(listing.serviceName)}, {"weights", jsonQuote(listing.weights)},
-        {"state", jsonQuote(stateName(listing.state))}, {"generation", fmt::to_string(listing.revision)},
-        {"toldUs", fmt::to_string(now - server.listedAt)}, {"occupancy", loadText(server, now)}});
+        {"state", jsonQuote(serverStateName(listing.state))},
+        {"generation", fmt::to_string(listing.revision)}, {"toldUs", fmt::to_string(now - server.listedAt)},
+        {"occupancy", loadText(server, now)}});
 }
 
 auto beliefsText(const NodeContext& context, const MembershipProtocol& protocol, Microseconds now)
@@ -115,8 +116,8 @@
 
 }  // namespace
 
-/// The nodes that take clients, unordered. One that is late is named only while there is no other: a client
-/// that is directed to a node that is gone loses a try.
+/// Returns the nodes that accept clients, unordered. Nodes whose heartbeats are late are included only if
+/// there is no other node, because a client that is directed to a failed node wastes an attempt.
 static auto nodesForClients(const NodeContext& context, const std::string& region, const std::string& zone,
     Microseconds now) -> std::vector<NearNode> {
     auto nodes = std::vector<NearNode>();
@@ -140,7 +141,7 @@
     Microseconds now) -> std::string {
     auto place = region.empty() ? context.members.own().region : region;
     auto nodes = nodesForClients(context, place, zone, now);
-    // Clients are spread over the nodes at the same distance, anew each second.
+    // Clients are spread over the nodes at the same distance; the order changes every second.
     auto key = place + "/" + zone + fmt::to_string(now / SECOND);
     std::sort(nodes.begin(), nodes.end(), [&](const NearNode& left, const NearNode& right) {
         if (left.distance != right.distance) return left.distance < right.distance;
--- a/src/membership/operator_views.hpp
+++ b/src/membership/operator_views.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// What an operator reads of a node, as JSON. Read-only; the names of the members are part of the interface.
+// JSON documents that show a node's state to operators. The JSON keys are part of the public interface.
 #include <string>
 
 #include "base/time.hpp"
@@ -8,15 +8,16 @@
 
 namespace duneturn {
 
-/// All that this node believes of nodes, servers and the dissemination tree.
+/// This node's view of all nodes, servers and the dissemination tree.
 [[nodiscard]] auto beliefsText(
     const NodeContext& context, const MembershipProtocol& protocol, Microseconds now) -> std::string;
-/// The node's state in brief.
+/// A summary of the node's state.
 [[nodiscard]] auto statusText(
     const NodeContext& context, const MembershipProtocol& protocol, Microseconds now) -> std::string;
 /// The planned operations and the evacuated zones.
 [[nodiscard]] auto planText(const NodeContext& context) -> std::string;
-/// Where clients near this place should go, nearest first; an empty region is this node's own.
+/// The nodes that clients in this region and zone should use, nearest first. An empty region stands for this
+/// node's own.
 [[nodiscard]] auto nearestNodesText(const NodeContext& context, const std::string& region,
     const std::string& zone, Microseconds now) -> std::string;
 
--- a/src/membership/quota_granter.cpp
+++ b/src/membership/quota_granter.cpp
@@ -1,4 +1,4 @@
-// QuotaGranter: how a leader becomes the granter, and its ledger's images on the other voters.
+// QuotaGranter: how a leader becomes the granter, and how images of its ledger are replicated to the voters.
 #include "membership/quota_service.hpp"
 
 #include <algorithm>
@@ -10,10 +10,13 @@
 namespace duneturn {
 namespace {
 
-constexpr Microseconds ASK_INTERVAL = 100 * MILLISECOND;  // between two questions to the other voters
-/// How long the voters that have forgotten may keep the granter waiting for those that remember.
-constexpr Microseconds REMEMBER_TIMEOUT = 1 * SECOND;
-constexpr auto EPOCH_SHIFT = 32;  // of the epoch above the voters' term
+/// Between two requests to the voters for what predecessors granted.
+constexpr Microseconds IMAGE_REQUEST_INTERVAL = 100 * MILLISECOND;
+/// After a majority has promised: how long the granter waits for answers of voters that still know what their
+/// predecessors granted.
+constexpr Microseconds MEMORY_WAIT_TIMEOUT = 1 * SECOND;
+/// In a quota term, the position of the epoch above the voters' term.
+constexpr auto EPOCH_SHIFT = 32;
 
 }  // namespace
 
@@ -39,11 +42,11 @@
     if (term != term_) beginTerm(term);
     if (!term_) return;
     if (!ledger_ && !context_.state.configVersion()) {
-        auto nothing = wire::QuotaImage();  // there was never a limit
-        return activate(&nothing, 0);
+        auto emptyImage = wire::QuotaImage();  // no limit has ever been configured
+        return activate(&emptyImage, 0);
     }
     if (!hasLimits_) return;
-    if (!ledger_) return collect();
+    if (!ledger_) return collectPromises();
     ledger_->tick(context_.now);
     if (ledger_->imageDue(context_.now)) sendImage();
 }
@@ -60,11 +63,11 @@
 
 // ---- succession
 
-// Asks for what predecessors granted, until a majority has promised to follow none of them any more.
-auto QuotaGranter::collect() -> void {
+// Repeats the request for images until a majority has promised to accept no predecessor any more.
+auto QuotaGranter::collectPromises() -> void {
     auto now = context_.now;
-    if (promisedAt_ && now - promisedAt_ >= REMEMBER_TIMEOUT) return activateWithoutMemory();
-    if (askedAt_ && now - askedAt_ < ASK_INTERVAL) return;
+    if (promisedAt_ && now - promisedAt_ >= MEMORY_WAIT_TIMEOUT) return activateWithoutImage();
+    if (askedAt_ && now - askedAt_ < IMAGE_REQUEST_INTERVAL) return;
     askedAt_ = now;
     auto request = wire::QuotaImageRequest();
     request.term = term_;
@@ -75,7 +78,8 @@
     if (replica().promise(term_, window(), own, now)) handleImageAnswer(own, context_.members.own().node);
 }
 
-// A promise is only in memory; the voter's term, which a request may not run ahead of, is on its disk.
+// Promises are kept in memory only. A request is therefore accepted only up to the voter's term, which is on
+// its disk.
 auto QuotaGranter::handleImageRequest(const wire::QuotaImageRequest& request, const std::string& from)
     -> void {
     if (!votes() || request.term > voterTerm()) return;
@@ -86,36 +90,36 @@
     send_(from, envelope);
 }
 
-// A majority of those that remember has one in common with any majority that held a predecessor's image.
+// A majority of voters that know what was granted intersects every majority that held a predecessor's image.
 auto QuotaGranter::handleImageAnswer(const wire::QuotaImageAnswer& answer, const std::string& from) -> void {
     if (!term_ || ledger_ || answer.term != term_) return;
     promises_[diskOf(from)] = {answer, context_.now};
     auto promised = std::set<std::string>();
-    auto remembering = std::set<std::string>();
+    auto withMemory = std::set<std::string>();
     auto newest = static_cast<const Promise*>(nullptr);
-    auto order = [](const Promise& promise) {
+    auto position = [](const Promise& promise) {
         return std::pair(promise.answer.image.term, promise.answer.image.sequence);
     };
     for (auto& [disk, promise] : promises_) {
         promised.insert(disk);
         if (!promise.answer.known) continue;
-        remembering.insert(disk);
-        if (!newest || order(promise) > order(*newest)) newest = &promise;
+        withMemory.insert(disk);
+        if (!newest || position(promise) > position(*newest)) newest = &promise;
     }
     if (!promisedAt_ && isMajority(promised)) promisedAt_ = context_.now;
-    if (!newest || !isMajority(remembering)) {
-        if (haveAllPromised()) activateWithoutMemory();
+    if (!newest || !isMajority(withMemory)) {
+        if (haveAllPromised()) activateWithoutImage();
         return;
     }
-    activate(&newest->answer.image, newest->answer.age + context_.now - newest->at);
+    activate(&newest->answer.image, newest->answer.age + context_.now - newest->receivedAt);
 }
 
-// Any image that a majority held was acknowledged by one of the voters that promised: before that one's
-// start, or before it received the image that it has.
-auto QuotaGranter::activateWithoutMemory() -> void {
+// Every image that a majority held was acknowledged by at least one of the voters that promised, either
+// before that voter started or before it received the image that it holds now.
+auto QuotaGranter::activateWithoutImage() -> void {
     auto age = std::numeric_limits<Microseconds>::max();
     for (auto& [disk, promise] : promises_)
-        age = std::min(age, promise.answer.age + context_.now - promise.at);
+        age = std::min(age, promise.answer.age + context_.now - promise.receivedAt);
     activate(nullptr, age);
 }
 
@@ -129,7 +133,7 @@
     announce();
 }
 
-// All nodes learn who grants now, and bring along what they hold.
+// Informs all nodes who the granter is, so that they report the tokens that they hold.
 auto QuotaGranter::announce() -> void {
     auto grant = wire::QuotaGrant();
     grant.term = term_;
@@ -152,7 +156,7 @@
     auto envelope = context_.envelope();
     envelope.__set_quotaImage(image);
     sendToVoters(envelope);
-    noteHeld();
+    confirmHeldImages();
 }
 
 auto QuotaGranter::handleImage(const wire::QuotaImage& image, const std::string& from) -> void {
@@ -169,11 +173,12 @@
     if (!ledger_ || reply.term != term_) return;
     auto& held = heldSequences_[diskOf(from)];
     held = std::max(held, reply.sequence);
-    noteHeld();
+    confirmHeldImages();
 }
 
-// The newest image that a majority holds, or a newer one in its place.
-auto QuotaGranter::noteHeld() -> void {
+// Removes the images that a majority holds, or for which it holds newer ones, and confirms them to the
+// ledger.
+auto QuotaGranter::confirmHeldImages() -> void {
     while (!sentImages_.empty()) {
         auto oldest = sentImages_.front();
         auto holders = std::set<std::string>();
@@ -210,7 +215,7 @@
     return voter && !voter->blank() && voters().isVoter(voter->disk());
 }
 
-// A voter's name is that of its place, which may pass to another node's disk.
+// Voters are identified by disk, because a voter may be replaced by the disk of another node.
 auto QuotaGranter::diskOf(const std::string& node) const -> std::string {
     if (node == context_.members.own().node) return context_.voter->disk();
     auto record = context_.members.find(node);
@@ -235,7 +240,7 @@
     return context_.state.configuration()->tenants().bounds().window;
 }
 
-// A disk that has not voted before was sent no images, and remembers nothing of that time.
+// A disk that has only become a voter was sent no images before, so its memory begins now.
 auto QuotaGranter::replica() -> QuotaReplica& {
     if (!replica_) replica_.emplace(context_.now);
     return *replica_;
--- a/src/membership/quota_service.cpp
+++ b/src/membership/quota_service.cpp
@@ -10,13 +10,13 @@
 namespace duneturn {
 namespace {
 
-/// Without an answer for so long, reports go by way of another node as well.
-constexpr Microseconds RELAY_AFTER = 300 * MILLISECOND;
-/// Without an answer for so long, the leader that others know of is asked in the granter's place.
-constexpr Microseconds GRANTER_LOST = 1 * SECOND;
+/// Time without an answer after which reports are also sent through another node.
+constexpr Microseconds RELAY_TIMEOUT = 300 * MILLISECOND;
+/// Time without an answer after which reports go to the known leader instead of the last granter.
+constexpr Microseconds GRANTER_LOST_TIMEOUT = 1 * SECOND;
 
-/// A number that no other process has.
-auto lifeOf(const NodeContext& context, std::uint64_t seed) -> std::int64_t {
+/// Returns a number that identifies this process.
+auto processNumber(const NodeContext& context, std::uint64_t seed) -> std::int64_t {
     auto& own = context.members.own();
     return std::int64_t(hash64(fmt::format("{} {}", own.node, own.boot), seed) >> 1);
 }
@@ -25,7 +25,7 @@
 
 QuotaService::QuotaService(NodeContext& context, std::uint64_t seed)
     : context_(context),
-      account_(lifeOf(context, seed), context.counters),
+      account_(processNumber(context, seed), context.counters),
       granter_(context, [this](auto& node, auto& envelope) { sendTo(node, envelope); }) {}
 
 auto QuotaService::stateChanged() -> void {
@@ -62,34 +62,35 @@
     auto report = account_.report(now);
     report.node = context_.members.own().node;
     report.granter = granter;
-    auto isLate = unansweredSince_ && now - unansweredSince_ > RELAY_AFTER;
+    auto isLate = unansweredSince_ && now - unansweredSince_ > RELAY_TIMEOUT;
     if (!unansweredSince_) unansweredSince_ = now;
     auto envelope = context_.envelope();
     envelope.__set_quotaReport(report);
     sendTo(granter, envelope);
-    if (auto relay = isLate ? relayTo(granter) : ""; !relay.empty()) {
+    if (auto relay = isLate ? nextRelay(granter) : ""; !relay.empty()) {
         context_.counters.add("quota_reports_relayed_total");
         sendTo(relay, envelope);
     }
 }
 
-// A granter that has been silent may have been succeeded; the leader that others know of may be behind too.
+// A granter that does not answer may have been replaced. The known leader may be outdated as well, so it is
+// preferred only then.
 auto QuotaService::granterNode() const -> std::string {
     auto leader = context_.members.leaderNode(context_.now);
     auto& granter = account_.granter();
-    auto isLost = unansweredSince_ && context_.now - unansweredSince_ > GRANTER_LOST;
+    auto isLost = unansweredSince_ && context_.now - unansweredSince_ > GRANTER_LOST_TIMEOUT;
     return granter.empty() || (isLost && !leader.empty()) ? leader : granter;
 }
 
-// Another node that may reach the granter; each time the next one.
-auto QuotaService::relayTo(const std::string& granter) -> std::string {
+// Returns a node that may be able to reach the granter, by round robin; empty if there is none.
+auto QuotaService::nextRelay(const std::string& granter) -> std::string {
     auto others = std::vector<std::string>();
     for (auto& [name, known] : context_.members.others())
         if (name != granter && context_.members.isAlive(known, context_.now)) others.push_back(name);
-    return others.empty() ? "" : others[relays_++ % others.size()];
+    return others.empty() ? "" : others[relayTurn_++ % others.size()];
 }
 
-// A report for another node is passed on once, by the node that it was first sent to.
+// A report that is addressed to another node is relayed once, by the node that its author sent it to.
 auto QuotaService::handleReport(const wire::QuotaReport& report, const std::string& from) -> void {
     if (report.granter == context_.members.own().node) return granter_.handleReport(report, from);
     if (from != report.node) return;
@@ -115,7 +116,7 @@
     if (auto record = context_.members.find(node)) context_.port.send(record->peer, envelope);
 }
 
-// ---- what operators see
+// ---- view for operators
 
 auto QuotaService::viewJson() const -> std::string {
     auto tenants = std::string();
@@ -126,13 +127,13 @@
                     {"bound", fmt::to_string(view.bound)}, {"spent", fmt::to_string(view.spent)},
                     {"outstanding", fmt::to_string(view.outstanding)},
                     {"refused", fmt::to_string(view.refused)}});
-    auto held = std::string();
+    auto heldTokens = std::string();
     if (configuration_)
         for (auto& [name, tenant] : configuration_->tenants().all())
             if (auto tokens = account_.available(name, context_.now))
-                held += (held.empty() ? "" : ",") + fmt::format("{}:{}", jsonQuote(name), tokens);
+                heldTokens += (heldTokens.empty() ? "" : ",") + fmt::format("{}:{}", jsonQuote(name), tokens);
     return bodyOf({{"granter", jsonQuote(account_.granter())}, {"term", fmt::to_string(account_.term())},
-        {"held", "{" + held + "}"}, {"tenants", "[" + tenants + "]"}});
+        {"held", "{" + heldTokens + "}"}, {"tenants", "[" + tenants + "]"}});
 }
 
 }  // namespace duneturn
--- a/src/membership/roster_membership.cpp
+++ b/src/membership/roster_membership.cpp
@@ -21,10 +21,14 @@
 
 namespace duneturn {
 
-static constexpr std::size_t HEARTBEATS_REMEMBERED = 64;  // at 0.2 s each, more than six leases
-static constexpr std::size_t RANDOM_PEERS = 3;            // beside the tree, in case the tree has gaps
-static constexpr Microseconds STATE_REQUEST_INTERVAL = 50 * MILLISECOND;  // one round trip between regions
-static constexpr Microseconds MARK_TIMEOUT = 3 * SECOND;  // the platform gives its mark to another node then
+/// Sent heartbeats whose times are kept; at 0.2 s each, more than six leases.
+static constexpr std::size_t MAX_SENT_HEARTBEATS = 64;
+/// Peers that receive heartbeats in addition to the neighbours in the tree, in case the tree has gaps.
+static constexpr std::size_t EXTRA_PEERS = 3;
+/// Between two requests for the replicated state; one round trip between regions.
+static constexpr Microseconds STATE_REQUEST_INTERVAL = 50 * MILLISECOND;
+/// A mark that is not confirmed by then is rejected, and the platform sends it to another node.
+static constexpr Microseconds MARK_TIMEOUT = 3 * SECOND;
 
 // ---- own record and heartbeats
 
@@ -45,12 +49,12 @@
     auto& own = context_.members.own();
     own.heartbeat++;
     heartbeatSentAt_[own.heartbeat] = now;
-    while (heartbeatSentAt_.size() > HEARTBEATS_REMEMBERED) heartbeatSentAt_.erase(heartbeatSentAt_.begin());
+    while (heartbeatSentAt_.size() > MAX_SENT_HEARTBEATS) heartbeatSentAt_.erase(heartbeatSentAt_.begin());
     refreshOwnRecord();
     own.wall = context_.wall;
     own.acks.clear();
     for (auto& [name, known] : context_.members.others()) {
-        if (now - known.lastHeartbeatAt >= FORGET_TIMEOUT) continue;
+        if (now - known.lastHeartbeatAt >= STOP_RELAYING_TIMEOUT) continue;
         auto ack = wire::HeartbeatAck();
         ack.node = name;
         ack.boot = known.record.boot;
@@ -66,12 +70,12 @@
     for (auto& child : tree.childrenOf(own)) names.insert(child);
     if (receivers == Receivers::Children) return names;
     if (auto parent = tree.parentOf(own); !parent.empty()) names.insert(parent);
-    // The few that rendezvous hashing names for this node.
+    // Rendezvous hashing selects the extra peers of this node.
     auto others = context_.members.aliveNodes(now);
     others.erase(std::remove(others.begin(), others.end(), own), others.end());
     std::sort(others.begin(), others.end(),
         [&](auto& left, auto& right) { return rendezvousRank(own, left) > rendezvousRank(own, right); });
-    for (auto i = std::size_t(0); i < others.size() && i < RANDOM_PEERS; i++) names.insert(others[i]);
+    for (auto i = std::size_t(0); i < others.size() && i < EXTRA_PEERS; i++) names.insert(others[i]);
     for (auto& [name, known] : context_.members.others())
         if (context_.isVoter(known.record)) names.insert(name);
     return names;
@@ -81,7 +85,7 @@
     auto heartbeat = wire::Heartbeat();
     heartbeat.records.push_back(context_.members.own());
     for (auto& [name, known] : context_.members.others())
-        if (now - known.lastHeartbeatAt < FORGET_TIMEOUT) heartbeat.records.push_back(known.record);
+        if (now - known.lastHeartbeatAt < STOP_RELAYING_TIMEOUT) heartbeat.records.push_back(known.record);
     for (auto& [name, server] : context_.directory.servers()) {
         heartbeat.listings.push_back(agedListing(server, now));
         if (hasUsableLoad(server, now)) heartbeat.loads.push_back(agedLoad(server, now));
@@ -100,7 +104,8 @@
         if (auto record = context_.members.find(name); record && name != own.node)
             context_.port.send(record->peer, envelope);
     if (receivers == Receivers::All && !context_.peerHints.empty()) {
-        // One seed a round joins the parts of a fleet that was cut, whoever lives there now.
+        // One seed or hint per round reconnects the parts of a partitioned fleet, even if the nodes at these
+        // addresses have been replaced meanwhile.
         auto& seed = context_.nextInTurn(context_.peerHints);
         if (seed != own.peer) context_.port.send(seed, envelope);
     }
@@ -120,7 +125,7 @@
     mergeHeartbeat(envelope.heartbeat, envelope.node, now);
     auto parent = tree.parentOf(own);
     auto fromParent = !parent.empty() && parent == envelope.node;
-    // News from above goes on down at once, not at the next heartbeat.
+    // What the parent sent is forwarded to the children at once, not only with the next heartbeat.
     if (fromParent && !tree.childrenOf(own).empty()) send(Receivers::Children, now);
 }
 
@@ -130,20 +135,20 @@
     auto newest = held;
     auto holder = std::string();  // the address of the node that holds the newest state
     for (auto& record : heartbeat.records) {
-        if (!acceptable(record) || !mergeRecord(record, now)) continue;
+        if (!isAcceptable(record) || !mergeRecord(record, now)) continue;
         if (versionOf(record) <= newest) continue;
         newest = versionOf(record);
         holder = record.peer;
     }
     for (auto& listing : heartbeat.listings) mergeListing(listing, now);
     mergeLoads(heartbeat, from, now);
-    // A gap in the news is closed by pulling the state from the node that is known to hold it.
+    // If a record shows a newer state than is held, the state is requested from that node.
     if (holder.empty() || now < nextStateRequestAt_) return;
     nextStateRequestAt_ = now + STATE_REQUEST_INTERVAL;
     context_.requestState(holder, held);
 }
 
-/// True if the record is newer than the one held, and was taken.
+/// Returns whether the record was newer than the one held and was stored.
 auto RosterMembership::mergeRecord(const wire::NodeRecord& record, Microseconds now) -> bool {
     if (record.node == context_.members.own().node) {
         context_.refuteOwnRecord(record.boot, record.heartbeat, record.peer);
@@ -152,7 +157,7 @@
     auto& others = context_.members.others();
     auto entry = others.find(record.node);
     if (entry == others.end()) {
-        if (others.size() > MAX_KNOWN) return false;
+        if (others.size() > MAX_TABLE_ENTRIES) return false;
         entry = others.emplace(record.node, KnownNode()).first;
         logEvent("node_discovered", "node={} peer={}", record.node, record.peer);
     }
@@ -166,7 +171,7 @@
     known.lastHeartbeatAt = now;
     known.recordAt = now;
     mergeAcknowledgements(known);
-    mergeMarks(record, now);
+    mergeDrainMarks(record, now);
     return true;
 }
 
@@ -180,7 +185,7 @@
     }
 }
 
-auto RosterMembership::mergeMarks(const wire::NodeRecord& record, Microseconds now) -> void {
+auto RosterMembership::mergeDrainMarks(const wire::NodeRecord& record, Microseconds now) -> void {
     for (auto& mark : record.marks) {
         auto& server = context_.directory.servers()[mark.server];
         auto& listing = server.listing;
@@ -197,35 +202,35 @@
     auto& servers = context_.directory.servers();
     auto entry = servers.find(listing.server);
     if (entry == servers.end()) {
-        if (servers.size() > MAX_KNOWN) return;
+        if (servers.size() > MAX_TABLE_ENTRIES) return;
         entry = servers.emplace(listing.server, KnownServer()).first;
         entry->second.firstSeenAt = now;
     }
     auto& server = entry->second;
     auto& held = server.listing;
-    // Of the same revision, leaving wins: the mark may have come ahead of the listing.
+    // For equal revisions LEAVING takes precedence: the mark may have arrived before the listing.
     if (listing.revision < held.revision) return;
     if (listing.revision == held.revision && held.state > listing.state) return;
     if (listing.revision == held.revision && held.state == listing.state && !held.address.empty()) {
         server.listedAt = std::max(server.listedAt, now - listing.age);
         return;
     }
-    noteIncarnation(server, listing.inc, now);
+    resetOnNewIncarnation(server, listing.inc, now);
     held = listing;
     server.listedAt = now - listing.age;
     server.coldUntil = listing.cold > 0 ? now + listing.cold : 0;
-    listingTakenAt_ = std::max(listingTakenAt_, server.listedAt);
+    listingIssuedAt_ = std::max(listingIssuedAt_, server.listedAt);
 }
 
 auto RosterMembership::mergeLoads(const wire::Heartbeat& heartbeat, const std::string& from, Microseconds now)
     -> void {
-    // What lay unread while this process was stopped is older than it says. What the other node wrote after
-    // receiving a heartbeat of this node since is not.
-    auto origin = context_.members.others().find(from);
+    // Reports that waited unread while this process was suspended are older than their age field says. The
+    // age is reliable again once that node has acknowledged a heartbeat that this node sent after resuming.
+    auto source = context_.members.others().find(from);
     auto resumedAt = context_.resumedAt;
-    auto datable = !resumedAt
-        || (origin != context_.members.others().end() && origin->second.acknowledgedSince >= resumedAt);
-    if (!datable) return;
+    auto agesReliable = !resumedAt
+        || (source != context_.members.others().end() && source->second.acknowledgedSince >= resumedAt);
+    if (!agesReliable) return;
     for (auto& load : heartbeat.loads) {
         auto server = context_.directory.find(load.server);
         if (!server || load.age < 0 || now - load.age <= server->loadReadAt) continue;
@@ -238,14 +243,14 @@
 
 auto RosterMembership::scanDue(Microseconds) -> bool { return true; }
 auto RosterMembership::listingTimeout() const -> Microseconds { return LISTING_TIMEOUT; }
-auto RosterMembership::serverLapsed(const wire::ServerListing&) -> void {}
+auto RosterMembership::serverExpired(const wire::ServerListing&) -> void {}
 
 auto RosterMembership::tick(Microseconds now, bool) -> void {
     auto& own = context_.members.own();
     if (own.settled || context_.state.version == 0) return;
     if (!majorityConfirms(context_, VotersCounted::All, now)) return;
-    auto vouchedFor = majorityConfirms(context_, VotersCounted::SettledOnly, now);
-    if (!vouchedFor && listingTakenAt_ <= context_.startedAt) return;
+    auto confirmedBySettled = majorityConfirms(context_, VotersCounted::SettledOnly, now);
+    if (!confirmedBySettled && listingIssuedAt_ <= context_.startedAt) return;
     own.settled = true;
     logEvent("node_settled", "epoch={} version={}", context_.state.epoch, context_.state.version);
 }
@@ -272,7 +277,7 @@
         && majorityConfirms(context_, VotersCounted::SettledOnly, now);
 }
 
-auto RosterMembership::majorityStands(Microseconds now) const -> bool { return withinLease(now); }
+auto RosterMembership::majorityReachable(Microseconds now) const -> bool { return withinLease(now); }
 
 auto RosterMembership::acknowledged(MajorityProof& proof, std::int64_t version, Microseconds now) -> bool {
     auto needed = StateVersion{context_.state.epoch, version};
@@ -285,60 +290,61 @@
 auto RosterMembership::lastLeader() const -> std::string { return ""; }
 auto RosterMembership::voteHandedOver(Microseconds) const -> bool { return true; }
 
-// ---- what the platform says
+// ---- requests of the platform
 
-/// The number of what the platform says: its own, or the next one if it numbers nothing; -1 if something
-/// newer is known, so that this was held up on its way.
+/// Returns the revision of a listing or mark from the platform: the platform's own number, or the next one if
+/// the platform does not number them. Returns -1 if a newer revision is known, because this one was delayed.
 auto RosterMembership::nextRevision(std::int64_t platformRevision) const -> std::int64_t {
-    auto top = context_.directory.topRevision();
+    auto top = context_.directory.highestRevision();
     if (!platformRevision || context_.faults.lateUp) return top + 1;
     return platformRevision > top ? platformRevision : -1;
 }
 
-auto RosterMembership::refuseSuperseded(std::int64_t id) -> void {
-    auto body = bodyOf({{"error", jsonQuote("a newer listing or mark is known")},
-        {"revision", fmt::to_string(context_.directory.topRevision())}});
+auto RosterMembership::rejectSuperseded(std::int64_t id) -> void {
+    auto body = bodyOf({{"error", jsonQuote("superseded by a newer listing or drain mark")},
+        {"revision", fmt::to_string(context_.directory.highestRevision())}});
     context_.port.done(id, {409, body});
 }
 
-static auto markOf(const std::string& server, std::int64_t revision) -> wire::DrainMark {
+static auto drainMark(const std::string& server, std::int64_t revision) -> wire::DrainMark {
     auto mark = wire::DrainMark();
     mark.server = server;
     mark.revision = revision;
     return mark;
 }
 
-/// True if the server drains from here on.
-auto RosterMembership::takeEntry(const PlatformListing::Entry& entry, std::int64_t revision, Microseconds now)
-    -> bool {
+/// Returns whether the server begins to drain with this entry.
+auto RosterMembership::applyEntry(
+    const PlatformListing::Entry& entry, std::int64_t revision, Microseconds now) -> bool {
     auto& server = context_.directory.servers()[entry.listing.server];
     auto wasLeaving = server.listing.state == LEAVING;
-    noteIncarnation(server, entry.listing.inc, now);
+    resetOnNewIncarnation(server, entry.listing.inc, now);
     server.listing = entry.listing;
     server.listing.revision = revision;
     server.listedAt = now;
-    server.coldUntil = entry.coldMicroseconds >= 0 ? now + entry.coldMicroseconds : 0;
+    server.coldUntil = entry.slowStartMicroseconds >= 0 ? now + entry.slowStartMicroseconds : 0;
     return server.listing.state == LEAVING && !wasLeaving;
 }
 
-auto RosterMembership::takeListing(std::int64_t id, const PlatformListing& listing, Microseconds now)
+auto RosterMembership::applyListing(std::int64_t id, const PlatformListing& listing, Microseconds now)
     -> void {
     auto revision = nextRevision(listing.revision);
-    if (revision < 0) return refuseSuperseded(id);
+    if (revision < 0) return rejectSuperseded(id);
     auto listed = std::set<std::string>();
     auto pending = PendingMarks{id, {}, now + MARK_TIMEOUT, {}};
     for (auto& entry : listing.servers) {
         listed.insert(entry.listing.server);
-        if (takeEntry(entry, revision, now)) pending.marks.push_back(markOf(entry.listing.server, revision));
+        if (applyEntry(entry, revision, now))
+            pending.marks.push_back(drainMark(entry.listing.server, revision));
     }
     for (auto& [name, server] : context_.directory.servers()) {
         if (listed.count(name) || server.listing.state != UP) continue;
-        pending.marks.push_back(markOf(name, revision));
+        pending.marks.push_back(drainMark(name, revision));
         server.listing.state = LEAVING;
         server.listing.revision = revision;
         server.listedAt = now;
     }
-    listingTakenAt_ = now;
+    listingIssuedAt_ = now;
     context_.counters.add("listings_taken_total");
     refreshOwnRecord();
     context_.nextHeartbeatAt = now;
@@ -349,10 +355,10 @@
     context_.port.done(id, {200, "{\"listed\":" + fmt::to_string(listed.size()) + "}"});
 }
 
-auto RosterMembership::takeDrainMark(
+auto RosterMembership::applyDrainMark(
     std::int64_t id, const std::string& server, std::int64_t platformRevision, Microseconds now) -> void {
     auto revision = nextRevision(platformRevision);
-    if (revision < 0) return refuseSuperseded(id);
+    if (revision < 0) return rejectSuperseded(id);
     auto& known = *context_.directory.find(server);
     if (known.listing.state == UP) {
         known.listing.state = LEAVING;
@@ -363,7 +369,7 @@
     refreshOwnRecord();
     context_.nextHeartbeatAt = now;
     context_.counters.add("marks_taken_total");
-    pendingMarks_.push_back({id, {markOf(server, revision)}, now + MARK_TIMEOUT, {}});
+    pendingMarks_.push_back({id, {drainMark(server, revision)}, now + MARK_TIMEOUT, {}});
 }
 
 auto RosterMembership::majoritiesHold(PendingMarks& pending, Microseconds now) const -> bool {
@@ -381,13 +387,14 @@
     for (auto i = std::size_t(0); i < pendingMarks_.size();) {
         auto& pending = pendingMarks_[i];
         auto held = majoritiesHold(pending, now);
-        if (!held && now < pending.due) {
+        if (!held && now < pending.deadline) {
             i++;
             continue;
         }
         auto id = pending.id;
         pendingMarks_.erase(pendingMarks_.begin() + std::ptrdiff_t(i));
-        auto unconfirmed = Fault{"/", "a majority has not confirmed this; tell it to another node"};
+        auto unconfirmed =
+            Fault{"/", "not confirmed by a majority in time; repeat the request at another node"};
         context_.port.done(
             id, held ? Outcome{200, "{\"held\":true}"} : Outcome{503, errorBody({unconfirmed})});
     }
--- a/src/membership/server_directory.cpp
+++ b/src/membership/server_directory.cpp
@@ -25,8 +25,10 @@
         "pool":{"type":"string"},"weights":{"type":"string"},"slots":{"type":"integer","minimum":1,"maximum":10000},
         "state":{"type":"string","enum":["up","leaving"]},"incarnation":{"type":"integer"},
         "coldUs":{"type":"integer","minimum":0}}}}}})";
-static constexpr std::int64_t DEFAULT_SLOTS = 8;  // of a server whose listing names none
-static constexpr int FAILED_PROBES_TO_DARK = 2;   // one probe may be lost without fault of the server
+/// For servers whose listing does not give a number of slots.
+static constexpr std::int64_t DEFAULT_SLOTS = 8;
+/// Unanswered probes after which a server counts as unresponsive; a single probe may be lost on its way.
+static constexpr int FAILED_PROBES_TO_UNRESPONSIVE = 2;
 
 static auto faultsOf(const rapidjson::Document& document) -> std::vector<Fault> {
     auto faults = checkSchema(document, LISTING_SCHEMA);
@@ -52,7 +54,7 @@
     listing.slots = std::int32_t(jsonInteger(server, "slots", DEFAULT_SLOTS));
     listing.state = jsonString(server, "state", "up") == "up" ? UP : LEAVING;
     listing.inc = jsonInteger(server, "incarnation");
-    if (server.HasMember("coldUs")) entry.coldMicroseconds = jsonInteger(server, "coldUs");
+    if (server.HasMember("coldUs")) entry.slowStartMicroseconds = jsonInteger(server, "coldUs");
     return entry;
 }
 
@@ -77,7 +79,7 @@
         servers_.begin(), servers_.end(), [](auto& entry) { return entry.second.listing.state == UP; });
 }
 
-auto ServerDirectory::topRevision() const -> std::int64_t {
+auto ServerDirectory::highestRevision() const -> std::int64_t {
     auto top = std::int64_t(0);
     for (auto& [name, server] : servers_) top = std::max(top, server.listing.revision);
     return top;
@@ -89,21 +91,21 @@
     if (!known) return;
     auto answered = result == ProbeResult::Answered;
     known->failedProbes = answered ? 0 : known->failedProbes + 1;
-    if (result == ProbeResult::Silent && known->failedProbes < FAILED_PROBES_TO_DARK) return;
-    auto dark = !answered;
-    if (known->loadReadAt && known->load.dark != dark) {
-        if (dark) logEvent("server_dark", "server={}", server);
+    if (result == ProbeResult::Silent && known->failedProbes < FAILED_PROBES_TO_UNRESPONSIVE) return;
+    auto unresponsive = !answered;
+    if (known->loadReadAt && known->load.dark != unresponsive) {
+        if (unresponsive) logEvent("server_dark", "server={}", server);
         else logEvent("server_back", "server={}", server);
     }
     if (answered && known->loadReadAt && known->load.boot != load.boot) known->firstSeenAt = now;
     if (answered) known->load = load;
     known->load.server = server;
-    known->load.dark = dark;
+    known->load.dark = unresponsive;
     known->load.watcher = watcher;
     known->loadReadAt = now;
 }
 
-auto ServerDirectory::dropLapsed(Microseconds upTimeout, Microseconds now)
+auto ServerDirectory::dropExpired(Microseconds upTimeout, Microseconds now)
     -> std::vector<wire::ServerListing> {
     auto dropped = std::vector<wire::ServerListing>();
     for (auto it = servers_.begin(); it != servers_.end();) {
@@ -120,7 +122,7 @@
     return dropped;
 }
 
-auto noteIncarnation(KnownServer& server, std::int64_t incarnation, Microseconds now) -> void {
+auto resetOnNewIncarnation(KnownServer& server, std::int64_t incarnation, Microseconds now) -> void {
     auto& listing = server.listing;
     if (!listing.server.empty() && listing.inc == incarnation && listing.state != GONE) return;
     server.firstSeenAt = now;
@@ -144,7 +146,7 @@
     return server.loadReadAt && now - server.loadReadAt < LOAD_MAX_AGE;
 }
 
-auto stateName(int state) -> std::string_view {
+auto serverStateName(int state) -> std::string_view {
     if (state == UP) return "up";
     return state == LEAVING ? "leaving" : "gone";
 }
--- a/src/membership/server_directory.hpp
+++ b/src/membership/server_directory.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// The servers that the platform lists, whether each may be given requests or drains, and their newest load
-// reports. Soft state: it is disseminated between nodes and lapses, and is never logged.
+// The servers that the platform lists, whether each accepts requests or is draining, and their newest load
+// reports. This is soft state: nodes disseminate it, it expires, and it is never written to the log.
 #include <cstdint>
 #include <map>
 #include <string>
@@ -15,65 +15,72 @@
 
 namespace duneturn {
 
-/// A server's state in its listing, as sent; never renumbered.
-enum State { UP = 0, LEAVING = 1, GONE = 2 };
+/// A server's state in its listing. The values are sent to other nodes and must never be renumbered.
+enum ServerState { UP = 0, LEAVING = 1, GONE = 2 };
 
-/// What is known of a server.
+/// The listing and the load of a server.
 struct KnownServer {
     wire::ServerListing listing;
-    Microseconds listedAt = 0;     // when the platform last listed it, as far as known here
-    Microseconds firstSeenAt = 0;  // when this life of it was first known
+    Microseconds listedAt = 0;     // when the platform last listed it, as far as this node knows
+    Microseconds firstSeenAt = 0;  // when this incarnation of it was first known
     wire::ServerLoad load;
-    Microseconds loadReadAt = 0;      // when the load was read at the server; 0 if never
-    int failedProbes = 0;             // one after another, by this node
-    Microseconds coldUntil = 0;       // as the platform said, on the clock of this node; 0 if it did not
-    Microseconds loadReceivedAt = 0;  // gossip: when the load came here
-    std::string loadReceivedFrom;     // gossip: who passed the load on
+    Microseconds loadReadAt = 0;  // when the load was read at the server; 0 if never
+    int failedProbes = 0;         // consecutive failures of this node's own probes
+    Microseconds coldUntil = 0;   // end of its slow start by this node's clock; 0 if the platform set none
+    Microseconds loadReceivedAt = 0;  // gossip: when this node received the load
+    std::string loadReceivedFrom;     // gossip: the node that relayed the load
 };
 
-/// What a probe of a server brought.
+/// The result of probing a server. Refused: the host refused the connection. Silent: there was no answer.
 enum class ProbeResult { Answered, Refused, Silent };
 
-/// A whole listing as the platform sends it.
+/// A complete listing as the platform sends it.
 struct PlatformListing {
-    std::int64_t revision = 0;  // the platform's number of it; 0 if it numbers nothing
+    std::int64_t revision = 0;  // the platform's number; 0 if it does not number its listings
     struct Entry {
         wire::ServerListing listing;
-        std::int64_t coldMicroseconds = -1;  // how long the server stays cold; -1 if that is not said
+        std::int64_t slowStartMicroseconds = -1;  // remaining slow start; -1 if not given
     };
     std::vector<Entry> servers;
 };
-/// Reads a listing's JSON; or the answer to the platform (status 400 or 422) that says what is wrong.
+/// Parses a listing from JSON. On failure returns the answer for the platform: status 400 for malformed JSON,
+/// 422 for a violation of the schema.
 [[nodiscard]] auto parsePlatformListing(const std::string& body) -> tl::expected<PlatformListing, Outcome>;
 
+/// The servers known to this node, by name.
 class ServerDirectory {
   public:
     auto servers() -> std::map<std::string, KnownServer>& { return servers_; }
     [[nodiscard]] auto servers() const -> const std::map<std::string, KnownServer>& { return servers_; }
+    /// Null if the server is unknown.
     auto find(const std::string& server) -> KnownServer*;
+    /// Whether any server is listed as UP.
     [[nodiscard]] auto anyUp() const -> bool;
-    /// The highest revision of a listing or drain mark that is known.
-    [[nodiscard]] auto topRevision() const -> std::int64_t;
+    /// The highest known revision of a listing or drain mark.
+    [[nodiscard]] auto highestRevision() const -> std::int64_t;
 
-    /// Takes what this node's own probe brought; `load` counts if it was answered.
+    /// Records the result of this node's own probe. `watcher`: the name of this node; `load` is used only if
+    /// the probe was answered.
     auto probeFinished(const std::string& server, const std::string& watcher, ProbeResult result,
         const wire::ServerLoad& load, Microseconds now) -> void;
     /// Drops the servers that the platform has not listed for `upTimeout`, or for DRAIN_MARK_TIMEOUT if they
-    /// drain. Returns the listings dropped.
-    [[nodiscard]] auto dropLapsed(Microseconds upTimeout, Microseconds now)
+    /// are draining. Returns the dropped listings.
+    [[nodiscard]] auto dropExpired(Microseconds upTimeout, Microseconds now)
         -> std::vector<wire::ServerListing>;
 
   private:
     std::map<std::string, KnownServer> servers_;
 };
 
-/// The server's listing is about to become one of incarnation `incarnation`: if that is another life than the
-/// one known, what is known of the earlier life does not count any more.
-auto noteIncarnation(KnownServer& server, std::int64_t incarnation, Microseconds now) -> void;
-/// The listing and the load as passed on to another node, with their ages.
+/// Must be called before the server's listing is replaced by one of `incarnation`. If that differs from the
+/// known incarnation, discards what is known of the earlier one.
+auto resetOnNewIncarnation(KnownServer& server, std::int64_t incarnation, Microseconds now) -> void;
+/// Returns the listing or the load with its age at `now`, to be sent to another node.
 [[nodiscard]] auto agedListing(const KnownServer& server, Microseconds now) -> wire::ServerListing;
 [[nodiscard]] auto agedLoad(const KnownServer& server, Microseconds now) -> wire::ServerLoad;
+/// Whether the load report is recent enough to be used.
 [[nodiscard]] auto hasUsableLoad(const KnownServer& server, Microseconds now) -> bool;
-[[nodiscard]] auto stateName(int state) -> std::string_view;
+/// The name of a ServerState as operators see it.
+[[nodiscard]] auto serverStateName(int state) -> std::string_view;
 
 }  // namespace duneturn
--- a/src/membership/singleton_duty.cpp
+++ b/src/membership/singleton_duty.cpp
@@ -4,10 +4,12 @@
 
 namespace duneturn {
 
-static constexpr Microseconds LEADER_LOST_TIMEOUT = 2 * SECOND;  // an election takes about a second
-static constexpr Microseconds FIRST_LEADER_TIMEOUT =
-    200 * MILLISECOND;                                  // after a start of all at once, nobody has a listing
-static constexpr Microseconds QUORUM_AGE = 1 * SECOND;  // a leader confirmed longer ago may be deposed
+/// Time without a known leader after which the root takes over; an election takes about a second.
+static constexpr Microseconds LEADER_LOST_TIMEOUT = 2 * SECOND;
+/// The same before any leader was known. It is short because no node has a listing when all start at once.
+static constexpr Microseconds FIRST_LEADER_TIMEOUT = 200 * MILLISECOND;
+/// A leader that a majority confirmed longer ago than this may have been deposed.
+static constexpr Microseconds MAX_QUORUM_AGE = 1 * SECOND;
 
 auto SingletonDuty::observe(bool leaderKnown, Microseconds now) -> void {
     if (leaderKnown || !leaderSeenAt_) leaderSeenAt_ = now;
@@ -16,10 +18,10 @@
 
 auto SingletonDuty::isHeld(const NodeContext& context, bool hasListing, Microseconds now) const -> bool {
     auto& voter = context.voter;
-    if (voter && voter->leads()) return now - voter->quorumAt() < QUORUM_AGE;
+    if (voter && voter->leads()) return now - voter->quorumAt() < MAX_QUORUM_AGE;
     auto leaderKnown = !context.members.leaderNode(now).empty();
-    // After a start of all at once there is no leader yet and nobody has a listing: each voter that has none
-    // fetches it, and the root of what is known by then doesn't wait for the election.
+    // When all nodes start at once there is no leader yet and no node has a listing. Each core node without a
+    // listing then fetches it, and the root of the tree does not wait for the election either.
     if (voter && !leaderEverSeen_ && !hasListing && !leaderKnown) return true;
     auto timeout = leaderEverSeen_ ? LEADER_LOST_TIMEOUT : FIRST_LEADER_TIMEOUT;
     if (leaderKnown || !leaderSeenAt_ || now - leaderSeenAt_ < timeout) return false;
--- a/src/membership/state_history.cpp
+++ b/src/membership/state_history.cpp
@@ -28,9 +28,9 @@
 
 auto StateHistory::since(StateVersion base) const -> std::optional<std::vector<wire::StateStep>> {
     if (base.epoch != base_.epoch || base.version < base_.version) return std::nullopt;
-    auto known = std::size_t(base.version - base_.version);
-    if (known >= steps_.size()) return std::nullopt;
-    return std::vector(steps_.begin() + std::ptrdiff_t(known), steps_.end());
+    auto skipped = std::size_t(base.version - base_.version);
+    if (skipped >= steps_.size()) return std::nullopt;
+    return std::vector(steps_.begin() + std::ptrdiff_t(skipped), steps_.end());
 }
 
 }  // namespace duneturn
--- a/src/membership/state_history.hpp
+++ b/src/membership/state_history.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// The steps that made the newest versions of the replicated state, kept so that a node which holds a recent
-// version is sent these and not the whole state.
+// The steps that led to the newest versions of the replicated state. They are kept so that a node that holds
+// a recent version can be sent the steps instead of the complete state.
 #include <cstddef>
 #include <cstdint>
 #include <deque>
@@ -12,23 +12,25 @@
 
 namespace duneturn {
 
-/// The newest steps of one epoch, without a gap. Older ones are dropped beyond MAX_STEPS and MAX_BYTES.
+/// The newest steps of one epoch, without gaps. The oldest are dropped beyond MAX_STEPS or MAX_BYTES.
 class StateHistory {
   public:
     static constexpr std::size_t MAX_STEPS = 1024;
-    /// Of the bodies. The whole state of a large configuration, compressed, is about as long.
+    /// Limit on the total size of the bodies; about the compressed size of the complete state with a large
+    /// configuration.
     static constexpr std::size_t MAX_BYTES = std::size_t(128) << 10;
 
-    /// Adds the step that made `step.version` in `epoch`. One that does not follow the newest one, or is of
-    /// another epoch, takes the place of all that was kept; one that is not newer is passed over.
+    /// Adds the step that produced `step.version` in `epoch`. A step that does not follow the newest one, or
+    /// is of another epoch, replaces the whole history. A step that is not newer is ignored.
     auto record(std::int64_t epoch, const wire::StateStep& step) -> void;
-    /// The steps from `base` up to the newest version; none if they are not all kept, or there are none.
+    /// Returns the steps from `base` to the newest version; empty if some of them have been dropped or there
+    /// are none.
     [[nodiscard]] auto since(StateVersion base) const -> std::optional<std::vector<wire::StateStep>>;
 
   private:
     auto restart(StateVersion base) -> void;
 
-    StateVersion base_;  // the version before the first step
+    StateVersion base_;  // the version that the first step builds on
     std::deque<wire::StateStep> steps_;
     std::size_t bytes_ = 0;
 };
--- a/src/membership/state_publisher.cpp
+++ b/src/membership/state_publisher.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-/// Steps of so few bytes are shorter than any whole state.
+/// Steps of at most this size are always sent as steps: any complete state is longer.
 constexpr std::size_t SHORT_STEPS_BYTES = 1024;
 
 auto bodyBytes(const std::vector<wire::StateStep>& steps) -> std::size_t {
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-auto StatePublisher::noteEntry(const wire::Entry& entry) -> void {
+auto StatePublisher::recordEntry(const wire::Entry& entry) -> void {
     auto step = wire::StateStep();
     step.version = context_.state.version;
     step.kind = entry.kind;
@@ -36,7 +36,7 @@
     history_.record(context_.state.epoch, step);
 }
 
-auto StatePublisher::noteSteps(const wire::StateChange& change) -> void {
+auto StatePublisher::recordSteps(const wire::StateChange& change) -> void {
     for (auto& step : change.steps) history_.record(change.epoch, step);
 }
 
@@ -57,15 +57,15 @@
     if (held < versionOf(context_.state)) send(address, held, request.readsChanges);
 }
 
-auto StatePublisher::keepOnly(const std::vector<std::string>& nodes) -> void {
+auto StatePublisher::retainOnly(const std::vector<std::string>& nodes) -> void {
     std::erase_if(sent_,
         [&](auto& entry) { return std::find(nodes.begin(), nodes.end(), entry.first) == nodes.end(); });
 }
 
 auto StatePublisher::send(const std::string& address, StateVersion held, bool readsChanges) -> void {
-    auto mayChange = readsChanges && !context_.faults.wholeStatesOnly;
-    auto change = mayChange ? changeSince(held) : std::nullopt;
-    if (!change) return sendWhole(address, readsChanges);
+    auto sendsSteps = readsChanges && !context_.faults.wholeStatesOnly;
+    auto change = sendsSteps ? changeSince(held) : std::nullopt;
+    if (!change) return sendFullState(address, readsChanges);
     auto message = context_.envelope();
     message.__set_stateChange(*change);
     context_.port.send(address, message);
@@ -85,35 +85,35 @@
     return change;
 }
 
-auto StatePublisher::sendWhole(const std::string& address, bool readsCompressed) -> void {
-    auto whole = wire::ReplicatedState();
-    whole.epoch = context_.state.epoch;
-    whole.version = context_.state.version;
-    if (readsCompressed) whole.__set_compressed(compressedDocument());
-    if (whole.compressed.empty()) whole.document = context_.state.text();
+auto StatePublisher::sendFullState(const std::string& address, bool readsCompressed) -> void {
+    auto state = wire::ReplicatedState();
+    state.epoch = context_.state.epoch;
+    state.version = context_.state.version;
+    if (readsCompressed) state.__set_compressed(compressedDocument());
+    if (state.compressed.empty()) state.document = context_.state.text();
     auto message = context_.envelope();
-    message.__set_replicatedState(whole);
+    message.__set_replicatedState(state);
     context_.port.send(address, message);
     context_.counters.add("whole_states_sent_total");
 }
 
-auto StatePublisher::followState() -> void {
-    if (workedOutFor_ == versionOf(context_.state)) return;
-    workedOutFor_ = versionOf(context_.state);
+auto StatePublisher::dropOutdatedCache() -> void {
+    if (cachedVersion_ == versionOf(context_.state)) return;
+    cachedVersion_ = versionOf(context_.state);
     compressedDocument_.clear();
     digest_.reset();
 }
 
-/// Empty if zlib fails.
+/// Returns an empty string if zlib fails.
 auto StatePublisher::compressedDocument() -> const std::string& {
-    followState();
+    dropOutdatedCache();
     if (compressedDocument_.empty())
         compressedDocument_ = deflateBytes(context_.state.text()).value_or(std::string());
     return compressedDocument_;
 }
 
 auto StatePublisher::digest() -> std::int64_t {
-    followState();
+    dropOutdatedCache();
     if (!digest_) digest_ = std::int64_t(stateDigest(context_.state));
     return *digest_;
 }
--- a/src/membership/state_publisher.hpp
+++ b/src/membership/state_publisher.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// Sends the replicated state that a node holds: as the steps from the receiver's version on where they are
-// kept and shorter, otherwise whole.
+// Sends the replicated state that a node holds to others: as the steps since the receiver's version if those
+// are kept and shorter, otherwise as the complete state.
 #include <cstddef>
 #include <cstdint>
 #include <map>
@@ -16,28 +16,29 @@
 
 struct NodeContext;
 
+/// The sending side of the dissemination of the replicated state.
 class StatePublisher {
   public:
-    /// `context` outlives this object.
+    /// `context` must outlive this object.
     explicit StatePublisher(NodeContext& context) : context_(context) {}
 
-    /// Notes the entry that made the state's version. To be called before the state is sent.
-    auto noteEntry(const wire::Entry& entry) -> void;
-    /// The same, of steps that another node sent.
-    auto noteSteps(const wire::StateChange& change) -> void;
+    /// Records the log entry that produced the version held. Must be called before that version is sent.
+    auto recordEntry(const wire::Entry& entry) -> void;
+    /// Records the steps of a change that another node sent. Must be called before that version is sent.
+    auto recordSteps(const wire::StateChange& change) -> void;
 
-    /// Sends a state that was just taken to a node of which `record` is known, from the version on that it
-    /// holds or has been sent. If a message is lost the receiver sees a gap and asks.
+    /// Sends a newly adopted state to the node with this record, starting from the version that it holds or
+    /// has been sent. If a message is lost, the receiver detects the gap and requests the missing steps.
     auto push(const wire::NodeRecord& record) -> void;
-    /// Sends what is newer than its record says to a node that asks for all.
+    /// Answers a node that asked for all that is known: sends what is newer than its record.
     auto answer(const wire::NodeRecord& record) -> void;
-    /// Answers a node that says which version it holds.
+    /// Answers a request that states which version the requesting node holds.
     auto answer(const std::string& address, const wire::ReplicatedStateRequest& request) -> void;
-    /// Forgets what nodes other than these were sent.
-    auto keepOnly(const std::vector<std::string>& nodes) -> void;
+    /// Forgets what was sent to nodes other than these.
+    auto retainOnly(const std::vector<std::string>& nodes) -> void;
 
   private:
-    /// The life of a node, and the version that it was sent last.
+    /// The incarnation of a node and the version that it was sent last.
     struct Sent {
         std::int64_t boot = 0;
         StateVersion version;
@@ -46,17 +47,17 @@
     /// Sends what is newer than `held`.
     auto send(const std::string& address, StateVersion held, bool readsChanges) -> void;
     auto changeSince(StateVersion held) -> std::optional<wire::StateChange>;
-    auto sendWhole(const std::string& address, bool readsCompressed) -> void;
+    auto sendFullState(const std::string& address, bool readsCompressed) -> void;
     auto compressedDocument() -> const std::string&;
     auto digest() -> std::int64_t;
-    /// Drops what was worked out for an earlier version.
-    auto followState() -> void;
+    /// Drops the cached document and digest if they belong to an earlier version.
+    auto dropOutdatedCache() -> void;
 
     NodeContext& context_;
     StateHistory history_;
     std::map<std::string, Sent> sent_;  // by node
-    // Worked out once for each version.
-    StateVersion workedOutFor_;
+    // Computed once per version.
+    StateVersion cachedVersion_;
     std::string compressedDocument_;
     std::optional<std::int64_t> digest_;
 };
--- a/src/membership/state_receiver.cpp
+++ b/src/membership/state_receiver.cpp
@@ -22,13 +22,13 @@
 
 namespace {
 
-/// The longest document that is taken, decompressed.
+/// The longest accepted document, decompressed.
 constexpr std::size_t MAX_DOCUMENT_BYTES = std::size_t(32) << 20;
-/// Between two requests for the whole state because steps did not fit: if they never do, the whole state
-/// comes no more often than that.
-constexpr Microseconds WHOLE_REQUEST_INTERVAL = 1 * SECOND;
+/// Between two requests for the complete state because steps did not fit. It limits how often the complete
+/// state is sent if the steps never fit.
+constexpr Microseconds FULL_STATE_REQUEST_INTERVAL = 1 * SECOND;
 
-/// The state in the message; nothing if it is malformed.
+/// Returns the state in the message; empty if it is malformed.
 auto stateOf(const wire::ReplicatedState& message) -> std::optional<ReplicatedState> {
     auto state = ReplicatedState();
     if (message.compressed.empty()) {
@@ -41,7 +41,7 @@
     return state;
 }
 
-/// Whether the step fits and makes the version that it names.
+/// Applies a step. Returns whether it could be applied and produced the version that it states.
 auto applyStep(ReplicatedState& state, const wire::StateStep& step) -> bool {
     auto entry = wire::Entry();
     entry.kind = step.kind;
@@ -55,24 +55,25 @@
 
 }  // namespace
 
-// ---- whole
+// ---- complete state
 
-/// A voter leaves its cluster for a later epoch as soon as it may, so it is reminded by each message of one.
-auto StateReceiver::isNews(StateVersion version) const -> bool {
+/// Whether a state of this version must be handled. A voter handles every message of a later epoch, even a
+/// repeated one, because it leaves its cluster only once it is permitted to.
+auto StateReceiver::isNewer(StateVersion version) const -> bool {
     if (context_.faults.acceptOldState) return true;
     if (isVoter() && version.epoch > context_.voter->epoch()) return true;
     return version > versionOf(held());
 }
 
-auto StateReceiver::handleWhole(const wire::ReplicatedState& message, Microseconds now) -> void {
-    if (!isNews({message.epoch, message.version})) return context_.counters.add("word_old_dropped_total");
+auto StateReceiver::handleFullState(const wire::ReplicatedState& message, Microseconds now) -> void {
+    if (!isNewer({message.epoch, message.version})) return context_.counters.add("word_old_dropped_total");
     auto state = stateOf(message);
     if (!state) return context_.counters.add("word_malformed_total");
-    if (isVoter()) takeAsVoter(*state, nullptr, now);
+    if (isVoter()) receiveAsVoter(*state, nullptr, now);
     else adopt_(*state, nullptr);
 }
 
-// ---- as steps
+// ---- steps
 
 auto StateReceiver::handleChange(const wire::StateChange& message, const std::string& from, Microseconds now)
     -> void {
@@ -80,9 +81,9 @@
     auto version = StateVersion{message.epoch, message.steps.back().version};
     if (version <= versionOf(held())) return context_.counters.add("word_old_dropped_total");
     auto state = apply(message);
-    if (!state) return askForMissing(state.error(), from, now);
+    if (!state) return requestMissing(state.error(), from, now);
     context_.counters.add("state_changes_taken_total");
-    if (isVoter()) takeAsVoter(*state, &message, now);
+    if (isVoter()) receiveAsVoter(*state, &message, now);
     else adopt_(*state, &message);
 }
 
@@ -103,16 +104,16 @@
     return state;
 }
 
-/// A gap is closed from the version held here on. Where steps do not fit, the node that sent them is asked
-/// for its whole state, as if none were held here.
-auto StateReceiver::askForMissing(ChangeFault fault, const std::string& from, Microseconds now) -> void {
+/// After a gap, requests what is newer than the version held. If the steps did not fit, requests the complete
+/// state from their source, as if this node held none.
+auto StateReceiver::requestMissing(ChangeFault fault, const std::string& from, Microseconds now) -> void {
     auto source = context_.members.find(from);
     auto isGap = fault == ChangeFault::Gap;
     context_.counters.add(isGap ? "state_change_gaps_total" : "state_change_misfits_total");
     if (!source) return;
     if (isGap) return context_.requestState(source->peer, versionOf(held()));
     if (now < nextWholeRequestAt_) return;
-    nextWholeRequestAt_ = now + WHOLE_REQUEST_INTERVAL;
+    nextWholeRequestAt_ = now + FULL_STATE_REQUEST_INTERVAL;
     logEvent("state_change_misfit", "from={} version={} digest_differs={}", from, context_.state.version,
         fault == ChangeFault::DigestDiffers);
     context_.requestState(source->peer, {});
@@ -120,23 +121,23 @@
 
 // ---- on a voter
 
-/// A voter takes its state from its own disk only: what it says it holds must last.
-auto StateReceiver::takeAsVoter(
+/// A voter's own state comes from its disk only, because what it reports to hold must be durable.
+auto StateReceiver::receiveAsVoter(
     const ReplicatedState& state, const wire::StateChange* change, Microseconds now) -> void {
     auto& voter = *context_.voter;
     if (versionOf(state) > versionOf(context_.receivedState)) context_.receivedState = state;
     if (protocol_.actsOnReceivedState() && state.epoch == voter.epoch())
-        return actBeforeLog(state, change, now);
+        return adoptBeforeLog(state, change, now);
     if (state.epoch <= voter.epoch()) return;
-    // Two nodes may begin an epoch at once: a disk that voted in one of those stays with it. A later one was
-    // begun after a majority of these voters was seen to be lost.
+    // Two nodes may begin an epoch at the same time; a disk that voted in one of these epochs stays with it.
+    // An epoch of a higher ordinal was begun after a majority of these voters was found to be lost.
     auto laterEpoch = state.epoch / EPOCH_STRIDE > voter.epoch() / EPOCH_STRIDE;
     voter.leaveCluster(laterEpoch, now);
 }
 
-/// Acts on a newer state of the voter's own epoch before its log has it, and retires the disk if the state
-/// names the voters without it.
-auto StateReceiver::actBeforeLog(
+/// Adopts a newer state of the voter's own epoch before its log contains it. Retires the disk if the state
+/// does not list it among the voters.
+auto StateReceiver::adoptBeforeLog(
     const ReplicatedState& state, const wire::StateChange* change, Microseconds now) -> void {
     auto& voter = *context_.voter;
     if (state.version <= context_.state.version) return;
--- a/src/membership/voter_placement.cpp
+++ b/src/membership/voter_placement.cpp
@@ -10,8 +10,9 @@
 
 namespace duneturn {
 
-static constexpr Microseconds SPARE_KNOWN_FOR = 500 * MILLISECOND;  // a spare that has only just started may
-                                                                    // be one that is still restarting
+/// How long a spare disk must have been known before it is offered; one that has only just appeared may
+/// belong to a node that is still restarting.
+static constexpr Microseconds MIN_SPARE_AGE = 500 * MILLISECOND;
 
 auto rosterSpareDisks(const NodeContext& context, Microseconds now)
     -> std::vector<std::pair<std::string, std::string>> {
@@ -23,7 +24,7 @@
     return spares;
 }
 
-auto blankVoterDisks(const NodeContext& context, Microseconds now) -> std::vector<std::string> {
+auto uninitializedVoterDisks(const NodeContext& context, Microseconds now) -> std::vector<std::string> {
     auto disks = std::vector<std::string>();
     for (auto& [name, known] : context.members.others())
         if (context.members.isAlive(known, now) && known.record.blank && context.isVoter(known.record))
@@ -44,35 +45,36 @@
 
 namespace {
 
-enum class VoterHealth { Well, Lost, Stopping };
+enum class VoterHealth { Healthy, Lost, Stopping };
 
-/// A voter as its leader judges it.
-struct JudgedVoter {
-    VoterHealth health = VoterHealth::Well;
-    const wire::NodeRecord* record = nullptr;  // of the node that has the disk, if it is known
+/// The health of a voter from the leader's point of view.
+struct AssessedVoter {
+    VoterHealth health = VoterHealth::Healthy;
+    const wire::NodeRecord* record = nullptr;  // of the node that has the disk; null if unknown
 };
 
-auto judge(const NodeContext& context, const VoterIdentity& identity, Microseconds now) -> JudgedVoter {
+auto assess(const NodeContext& context, const VoterIdentity& identity, Microseconds now) -> AssessedVoter {
     auto& own = context.members.own();
     auto& voter = *context.voter;
     auto isOwn = identity.disk == own.disk;
     auto lastContactAt = std::max(voter.lastContact(identity.disk), voter.leadSince());
-    auto judged = JudgedVoter{VoterHealth::Well, isOwn ? &own : nullptr};
+    auto assessed = AssessedVoter{VoterHealth::Healthy, isOwn ? &own : nullptr};
     for (auto& [name, known] : context.members.others())
         if (known.record.disk == identity.disk) {
             lastContactAt = std::max(lastContactAt, known.lastHeartbeatAt);
-            judged.record = &known.record;
+            assessed.record = &known.record;
         }
-    if (isOwn) return judged;
-    // Its machine is there with another disk: the old one does not come back.
-    auto machine = context.members.find(identity.node);
-    auto swapped =
-        machine && context.members.isAlive(identity.node, now) && !judged.record && !machine->disk.empty();
-    if (swapped || now - lastContactAt >= VOTER_LOST_TIMEOUT) judged.health = VoterHealth::Lost;
-    else if (judged.record && judged.record->stopping) judged.health = VoterHealth::Stopping;
-    return judged;
+    if (isOwn) return assessed;
+    // If the node is alive with another disk, the old disk will not return.
+    auto node = context.members.find(identity.node);
+    auto diskReplaced =
+        node && context.members.isAlive(identity.node, now) && !assessed.record && !node->disk.empty();
+    if (diskReplaced || now - lastContactAt >= VOTER_LOST_TIMEOUT) assessed.health = VoterHealth::Lost;
+    else if (assessed.record && assessed.record->stopping) assessed.health = VoterHealth::Stopping;
+    return assessed;
 }
 
+/// Returns the other nodes whose disks could replace a voter.
 auto candidates(const NodeContext& context, Microseconds now) -> std::vector<const KnownNode*> {
     auto& voter = *context.voter;
     auto voters = voter.voters();
@@ -81,7 +83,7 @@
         auto& record = known.record;
         auto votes = std::any_of(voters.begin(), voters.end(),
             [&](const VoterIdentity& identity) { return identity.disk == record.disk; });
-        if (context.members.isAlive(known, now) && now - known.firstSeenAt >= SPARE_KNOWN_FOR
+        if (context.members.isAlive(known, now) && now - known.firstSeenAt >= MIN_SPARE_AGE
             && !record.disk.empty() && !record.stopping && (record.blank || record.term <= voter.term())
             && !votes)
             spares.push_back(&known);
@@ -97,10 +99,10 @@
     auto votersInZone = std::map<std::string, int>();
     auto toReplace = std::vector<std::string>(), stopping = std::vector<std::string>();
     for (auto& identity : context.voter->voters()) {
-        auto judged = judge(context, identity, now);
-        if (judged.health == VoterHealth::Lost) toReplace.push_back(identity.node);
-        else if (judged.health == VoterHealth::Stopping) stopping.push_back(identity.node);
-        else if (judged.record) votersInZone[judged.record->zone]++;
+        auto assessed = assess(context, identity, now);
+        if (assessed.health == VoterHealth::Lost) toReplace.push_back(identity.node);
+        else if (assessed.health == VoterHealth::Stopping) stopping.push_back(identity.node);
+        else if (assessed.record) votersInZone[assessed.record->zone]++;
     }
     toReplace.insert(toReplace.end(), stopping.begin(), stopping.end());
     auto offers = std::vector<std::pair<std::string, std::string>>();
--- a/tests/membership/gossip_bootstrap_test.cpp
+++ b/tests/membership/gossip_bootstrap_test.cpp
@@ -1,4 +1,4 @@
-// The first start of a fleet with membership by gossip, and starts of parts of it.
+// The first start of a fleet with gossip membership, restarts of the whole fleet, and nodes that join it.
 #include <algorithm>
 #include <cstdint>
 #include <map>
@@ -10,110 +10,109 @@
 
 namespace duneturn {
 
-TEST(GossipMembership, founds) {
-    auto q = MutedLog();
+TEST(GossipMembership, emptyDisksBootstrapOneCluster) {
+    auto muted = MutedLog();
     for (auto seed = 1u; seed < 6; seed++) {
-        auto f = Fleet(seed);
-        f.bootstrap();
-        for (auto& b : f.nodes) CHECK(!b->n->withinLease(f.t));
-        CHECK(f.until(3 * SECOND, [&] { return f.leader() != nullptr; }));
-        CHECK_EQ(std::size_t(3), f.voters().size());
-        auto a = f.t;
-        CHECK(f.config());
-        CHECK(f.t - a < SECOND);
-        CHECK(f.until(SECOND, [&] {
-            return std::all_of(
-                f.nodes.begin(), f.nodes.end(), [&](auto& b) { return b->n->withinLease(f.t); });
-        }));
-        for (auto& b : f.nodes) CHECK_EQ(std::size_t(12), b->n->aliveNodes(f.t).size());
-        CHECK_EQ(std::int64_t(0), f.probes);
-        auto begun = std::int64_t(0);
-        for (auto& b : f.nodes) begun += b->ct.get("reigns_begun_total");
-        CHECK_EQ(std::int64_t(1), begun);
+        auto fleet = Fleet(seed);
+        fleet.bootstrap();
+        for (auto& node : fleet.nodes) CHECK(!node->n->withinLease(fleet.t));
+        CHECK(fleet.until(3 * SECOND, [&] { return fleet.leader() != nullptr; }));
+        CHECK_EQ(std::size_t(3), fleet.voterDisks().size());
+        auto orderedAt = fleet.t;
+        CHECK(fleet.putConfiguration());
+        CHECK(fleet.t - orderedAt < SECOND);
+        CHECK(fleet.until(SECOND, [&] { return fleet.allWithinLease(); }));
+        for (auto& node : fleet.nodes) CHECK_EQ(std::size_t(12), node->n->aliveNodes(fleet.t).size());
+        CHECK_EQ(std::int64_t(0), fleet.probes);
+        auto epochsBegun = std::int64_t(0);
+        for (auto& node : fleet.nodes) epochsBegun += node->counters.get("reigns_begun_total");
+        CHECK_EQ(std::int64_t(1), epochsBegun);
     }
 }
 
-TEST(GossipMembership, foundsFiveOfSix) {
-    auto q = MutedLog();
-    auto f = Fleet(3);
-    f.bootstrap(6);
-    CHECK(f.until(3 * SECOND, [&] { return f.leader() != nullptr; }));
-    CHECK_EQ(std::size_t(5), f.voters().size());
-    auto in = std::map<std::string, int>();
-    for (auto& b : f.nodes)
-        if (f.seated(*b)) in[b->st.zone]++;
-    CHECK_EQ(std::size_t(3), in.size());
-    for (auto& [d, n] : in) CHECK(n <= 2);
+TEST(GossipMembership, fiveOfSixDisksVoteSpreadOverTheZones) {
+    auto muted = MutedLog();
+    auto fleet = Fleet(3);
+    fleet.bootstrap(6);
+    CHECK(fleet.until(3 * SECOND, [&] { return fleet.leader() != nullptr; }));
+    CHECK_EQ(std::size_t(5), fleet.voterDisks().size());
+    auto votersInZone = std::map<std::string, int>();
+    for (auto& node : fleet.nodes)
+        if (fleet.isVoter(*node)) votersInZone[node->st.zone]++;
+    CHECK_EQ(std::size_t(3), votersInZone.size());
+    for (auto& [zone, voters] : votersInZone) CHECK(voters <= 2);
 }
 
-TEST(GossipMembership, foundsOnlyAtTheFirstStart) {
-    auto q = MutedLog();
-    auto f = Fleet(4);
-    f.bootstrap();
-    for (auto& b : f.nodes) {
-        f.stop(*b);
-        f.restart(*b);
+// Without the setting `bootstrap`, which only the first start has, no node begins an epoch.
+TEST(GossipMembership, restartWithoutBootstrapBeginsNoEpoch) {
+    auto muted = MutedLog();
+    auto fleet = Fleet(4);
+    fleet.bootstrap();
+    for (auto& node : fleet.nodes) {
+        fleet.stop(*node);
+        fleet.restart(*node);
     }
-    CHECK(!f.until(10 * SECOND, [&] { return f.leader() != nullptr; }));
+    CHECK(!fleet.until(10 * SECOND, [&] { return fleet.leader() != nullptr; }));
 }
 
-TEST(GossipMembership, allLosePower) {
-    auto q = MutedLog();
+TEST(GossipMembership, fleetRecoversAfterAllNodesLosePower) {
+    auto muted = MutedLog();
     for (auto seed = 60u; seed < 66; seed++) {
-        auto f = Fleet(seed);
-        f.startCluster();
-        CHECK(f.ordered("z", 4 * SECOND));
-        for (auto& b : f.nodes) f.stop(*b);
-        f.run(500 * MILLISECOND);
-        for (auto& b : f.nodes) {
-            // The seeds that the later settings name may be dead; cores keep a book.
-            if (seed % 2) b->st.seeds = {b->core ? "10.1.0.99:7720" : "10.1.0.1:7720"};
-            f.restart(*b);
+        auto fleet = Fleet(seed);
+        fleet.startCluster();
+        CHECK(fleet.orderUntilAcknowledged("z", 4 * SECOND));
+        for (auto& node : fleet.nodes) fleet.stop(*node);
+        fleet.run(500 * MILLISECOND);
+        for (auto& node : fleet.nodes) {
+            // The seeds of the later start may be gone; core nodes have saved the addresses of their peers.
+            if (seed % 2) node->st.seeds = {node->core ? "10.1.0.99:7720" : "10.1.0.1:7720"};
+            fleet.restart(*node);
         }
-        for (auto i = 0u; i < 3; i++) CHECK(f.nodes[i]->n->withinLease(f.t));
-        CHECK(f.until(5 * SECOND, [&] { return f.leader() && f.everywhere("z"); }));
-        CHECK(f.ordered("y", 4 * SECOND));
-        for (auto& b : f.nodes) CHECK(b->n->withinLease(f.t));
-        f.run(2 * SECOND);
-        for (auto& b : f.nodes) CHECK_EQ(std::size_t(12), b->n->aliveNodes(f.t).size());
+        for (auto i = 0u; i < 3; i++) CHECK(fleet.nodes[i]->n->withinLease(fleet.t));
+        CHECK(fleet.until(5 * SECOND, [&] { return fleet.leader() && fleet.evacuatedEverywhere("z"); }));
+        CHECK(fleet.orderUntilAcknowledged("y", 4 * SECOND));
+        for (auto& node : fleet.nodes) CHECK(node->n->withinLease(fleet.t));
+        fleet.run(2 * SECOND);
+        for (auto& node : fleet.nodes) CHECK_EQ(std::size_t(12), node->n->aliveNodes(fleet.t).size());
     }
 }
 
-TEST(GossipMembership, newcomerJoins) {
-    auto q = MutedLog();
-    auto f = Fleet(70);
-    f.startCluster();
-    CHECK_EQ(200, f.list(*f.leader(), {"s1", "s2"}));
-    auto& n = f.add("sindh", "khi-hall", false, false);
-    f.start(n);
-    CHECK(f.until(SECOND, [&] { return n.n->ready(f.t); }));
-    CHECK(f.until(2 * SECOND, [&] {
-        return std::all_of(
-            f.nodes.begin(), f.nodes.end(), [&](auto& b) { return b->n->alive(n.st.node, f.t); });
+TEST(GossipMembership, newNodeJoinsAndRemovedNodeIsDetected) {
+    auto muted = MutedLog();
+    auto fleet = Fleet(70);
+    fleet.startCluster();
+    CHECK_EQ(200, fleet.list(*fleet.leader(), {"s1", "s2"}));
+    auto& newNode = fleet.add("sindh", "khi-hall", false, false);
+    fleet.start(newNode);
+    CHECK(fleet.until(SECOND, [&] { return newNode.n->ready(fleet.t); }));
+    CHECK(fleet.until(2 * SECOND, [&] {
+        return std::all_of(fleet.nodes.begin(), fleet.nodes.end(),
+            [&](auto& node) { return node->n->alive(newNode.st.node, fleet.t); });
     }));
-    f.run(3 * SECOND);
-    for (auto& b : f.nodes) CHECK_EQ(std::size_t(13), b->n->aliveNodes(f.t).size());
-    f.stop(n);
-    n.removed = true;
-    f.run(4 * SECOND);
-    for (auto& b : f.nodes)
-        if (b->up) CHECK_EQ(std::size_t(12), b->n->aliveNodes(f.t).size());
+    fleet.run(3 * SECOND);
+    for (auto& node : fleet.nodes) CHECK_EQ(std::size_t(13), node->n->aliveNodes(fleet.t).size());
+    fleet.stop(newNode);
+    newNode.removed = true;
+    fleet.run(4 * SECOND);
+    for (auto& node : fleet.nodes)
+        if (node->up) CHECK_EQ(std::size_t(12), node->n->aliveNodes(fleet.t).size());
 }
 
-TEST(GossipMembership, settings) {
+TEST(GossipMembership, settingsOfTheMembershipProtocolAreValidated) {
     auto base =
         std::map<std::string, std::string>{{"node", "a"}, {"peer", "127.0.0.1:1"}, {"sender", "127.0.0.1:2"},
             {"operator", "127.0.0.1:3"}, {"seeds", "127.0.0.1:1"}, {"district", "d"}, {"region", "r"}};
-    auto s = readSettings("", base);
-    CHECK(s && !s->gossip && !s->bootstrap && !s->serveOn && s->probes && !s->heartbeat);
-    auto with = [&](std::map<std::string, std::string> m) {
-        m.insert(base.begin(), base.end());
-        return readSettings("", m);
+    auto settings = readSettings("", base);
+    CHECK(settings && !settings->gossip && !settings->bootstrap && !settings->serveOn && settings->probes
+        && !settings->heartbeat);
+    auto with = [&](std::map<std::string, std::string> values) {
+        values.insert(base.begin(), base.end());
+        return readSettings("", values);
     };
-    s = with({{"membership", "learnt"}, {"bootstrap", "true"}, {"outOfTouch", "serve"}, {"probes", "false"},
-        {"beatUs", "300000"}});
-    CHECK(s && s->gossip && s->bootstrap && s->serveOn && !s->probes);
-    CHECK_EQ(Microseconds(300000), s->heartbeat);
+    settings = with({{"membership", "learnt"}, {"bootstrap", "true"}, {"outOfTouch", "serve"},
+        {"probes", "false"}, {"beatUs", "300000"}});
+    CHECK(settings && settings->gossip && settings->bootstrap && settings->serveOn && !settings->probes);
+    CHECK_EQ(Microseconds(300000), settings->heartbeat);
     CHECK(!with({{"outOfTouch", "serve"}}));
     CHECK(!with({{"bootstrap", "true"}}));
     CHECK(!with({{"membership", "learnt"}, {"roster", "a"}}));
--- a/tests/membership/quota_voters_test.cpp
+++ b/tests/membership/quota_voters_test.cpp
@@ -1,4 +1,4 @@
-// The quotas' granter among voters whose places pass to other nodes.
+// The quota granter after voters have been replaced by disks of other nodes.
 #include <string>
 
 #include <fmt/format.h>
@@ -23,10 +23,10 @@
     CHECK(fleet.until(3 * SECOND, [&] { return fleet.ok(id); }));
 }
 
-/// Whether a request that asks now gets a token, which it spends.
-auto isGranted(Fleet& fleet, FleetNode& box) -> bool {
+/// Requests a token for one request and spends it. Returns whether the token was granted.
+auto isGranted(Fleet& fleet, FleetNode& node) -> bool {
     auto reservation = QuotaReservation();
-    auto& account = box.n->quota();
+    auto& account = node.n->quota();
     auto answer = account.reserve(TENANT, reservation, fleet.t);
     if (answer == QuotaAnswer::Wait) account.stopWaiting(TENANT);
     return answer == QuotaAnswer::Granted && account.spend(reservation, fleet.t);
@@ -34,22 +34,22 @@
 
 }  // namespace
 
-TEST(QuotaVoters, tokensAreGrantedOnceAVotersPlaceHasPassedToAnotherNode) {
-    auto quiet = MutedLog();
-    for (auto k = 0U; k < 3; k++) {
-        auto fleet = Fleet(40 + k);
+TEST(QuotaVoters, tokensAreGrantedAfterAVoterWasReplacedByAnotherNode) {
+    auto muted = MutedLog();
+    for (auto index = 0U; index < 3; index++) {
+        auto fleet = Fleet(40 + index);
         fleet.startCluster();
         putTenants(fleet);
         auto& client = *fleet.nodes.back();
         CHECK(fleet.until(12 * SECOND, [&] { return isGranted(fleet, client); }));
-        auto& gone = *fleet.nodes[k];
-        fleet.stop(gone);
-        gone.removed = true;
-        auto& successor = fleet.add(gone.st.region, gone.st.zone, true, false);
+        auto& removed = *fleet.nodes[index];
+        fleet.stop(removed);
+        removed.removed = true;
+        auto& successor = fleet.add(removed.st.region, removed.st.zone, true, false);
         fleet.start(successor);
-        CHECK(fleet.until(5 * SECOND, [&] { return fleet.seated(successor); }));
-        fleet.stop(*fleet.nodes[(k + 1) % 3]);
-        fleet.run(4 * SECOND);  // by then nothing is left that was granted before
+        CHECK(fleet.until(5 * SECOND, [&] { return fleet.isVoter(successor); }));
+        fleet.stop(*fleet.nodes[(index + 1) % 3]);
+        fleet.run(4 * SECOND);  // by then all earlier grants have expired
         CHECK(fleet.until(16 * SECOND, [&] { return isGranted(fleet, client); }));
     }
 }
--- a/tests/membership/tenant_distribution_test.cpp
+++ b/tests/membership/tenant_distribution_test.cpp
@@ -1,4 +1,4 @@
-// Keys that an operator withdraws, on their way to every node of a fleet.
+// Dissemination of the withdrawal of tenants' keys to all nodes of a fleet.
 #include <algorithm>
 #include <cstdint>
 #include <cstdlib>
@@ -19,13 +19,14 @@
 /// A fleet in which a configuration with tenants is in force; the last tenant's keys change.
 struct TenantFleet : Fleet {
     int tenants;
-    int revision = 1;  // of the last tenant's keys
+    int revision = 1;  // the number of the last tenant's older valid key
 
     TenantFleet(std::uint64_t seed, int nodes, int tenantCount) : Fleet(seed), tenants(tenantCount) {
         startCluster(3, nodes);
         put();
         CHECK(until(2 * SECOND, [&] { return inForceEverywhere(); }));
     }
+    /// Orders the configuration with the present keys.
     auto put() -> void {
         auto& state = leader()->n->replicatedState();
         auto base = state.configVersion();
@@ -34,14 +35,14 @@
             replaceRequest(base, tenantConfiguration(tenants, revision, base + 1)), t);
         CHECK(until(3 * SECOND, [&] { return ok(id); }));
     }
-    /// Replaces the older of the last tenant's two keys.
+    /// Withdraws the older of the last tenant's two keys and adds a new one.
     auto withdraw() -> void {
         revision++;
         put();
     }
-    /// Whether a node takes the newest keys and none that was withdrawn.
-    auto inForceAt(FleetNode& box) -> bool {
-        auto configuration = box.n->replicatedState().configuration();
+    /// Whether a node accepts the two valid keys and not the key that was withdrawn last.
+    auto inForceAt(FleetNode& node) -> bool {
+        auto configuration = node.n->replicatedState().configuration();
         auto& table = configuration->tenants();
         auto last = tenants - 1;
         return table.findByKey(testKey(last, revision + 1)) && table.findByKey(testKey(last, revision))
@@ -49,39 +50,39 @@
     }
     auto inForceEverywhere() -> bool {
         return std::all_of(
-            nodes.begin(), nodes.end(), [&](auto& box) { return !box->up || inForceAt(*box); });
+            nodes.begin(), nodes.end(), [&](auto& node) { return !node->up || inForceAt(*node); });
     }
     auto count(const char* counter) -> std::int64_t {
         auto sum = std::int64_t(0);
-        for (auto& box : nodes) sum += box->ct.get(counter);
+        for (auto& node : nodes) sum += node->counters.get(counter);
         return sum;
     }
 };
 
 }  // namespace
 
-TEST(TenantDistribution, withdrawnKeyIsGoneAtEveryNodeWithinASecond) {
-    auto quiet = MutedLog();
+TEST(TenantDistribution, withdrawnKeyIsRejectedByAllNodesWithinASecond) {
+    auto muted = MutedLog();
     auto fleet = TenantFleet(61, 72, 76);
-    auto wholeBefore = fleet.count("whole_states_sent_total");
-    fleet.weigh = true;
+    auto fullStatesBefore = fleet.count("whole_states_sent_total");
+    fleet.countBytes = true;
     fleet.run(SECOND);
-    auto atRest = fleet.all;
-    fleet.all = 0;
-    auto before = fleet.t;
+    auto bytesAtRest = fleet.bytesSent;
+    fleet.bytesSent = 0;
+    auto withdrawnAt = fleet.t;
     fleet.withdraw();
-    CHECK(fleet.until(SECOND - (fleet.t - before), [&] { return fleet.inForceEverywhere(); }));
-    auto took = fleet.t - before;
-    fleet.run(SECOND - took);
-    auto bytes = (fleet.all - atRest) / std::int64_t(fleet.nodes.size());
-    if (getenv("DT_SHOW")) fmt::print("{} bytes a node, everywhere after {} us\n", bytes, took);
-    CHECK(bytes > 100);  // counted at all
+    CHECK(fleet.until(SECOND - (fleet.t - withdrawnAt), [&] { return fleet.inForceEverywhere(); }));
+    auto duration = fleet.t - withdrawnAt;
+    fleet.run(SECOND - duration);
+    auto bytes = (fleet.bytesSent - bytesAtRest) / std::int64_t(fleet.nodes.size());
+    if (getenv("DT_SHOW")) fmt::print("{} bytes a node, everywhere after {} us\n", bytes, duration);
+    CHECK(bytes > 100);  // shows that bytes are counted at all
     CHECK(bytes < 10'000);
-    CHECK_EQ(wholeBefore, fleet.count("whole_states_sent_total"));
+    CHECK_EQ(fullStatesBefore, fleet.count("whole_states_sent_total"));
 }
 
-TEST(TenantDistribution, nodeThatWasCutOffLearnsOfWithdrawnKeys) {
-    auto quiet = MutedLog();
+TEST(TenantDistribution, nodeRejectsWithdrawnKeysAfterAPartition) {
+    auto muted = MutedLog();
     auto fleet = TenantFleet(62, 12, 20);
     auto& node = *fleet.nodes.back();
     fleet.lone(node, true);
@@ -92,14 +93,15 @@
     CHECK(fleet.until(3 * SECOND, [&] { return fleet.inForceEverywhere(); }));
 }
 
-// Its store holds older keys; it learns of the newest ones before it counts as in touch.
-TEST(TenantDistribution, restartedVoterTakesNoWithdrawnKeyFromItsStore) {
-    auto quiet = MutedLog();
+// The store of a restarted voter holds older keys. It must adopt the newest ones, and must not return to
+// those of its store afterwards.
+TEST(TenantDistribution, restartedVoterDoesNotRestoreWithdrawnKeysFromItsStore) {
+    auto muted = MutedLog();
     for (auto seed = 63u; seed < 67; seed++) {
         auto fleet = TenantFleet(seed, 12, 20);
         auto leader = fleet.leader();
         auto node = std::find_if(fleet.nodes.begin(), fleet.nodes.end(),
-            [&](auto& box) { return box->core && box.get() != leader; });
+            [&](auto& node) { return node->core && node.get() != leader; });
         fleet.stop(**node);
         for (auto i = 0; i < 3; i++) fleet.withdraw();
         fleet.run(3 * SECOND);
@@ -110,9 +112,9 @@
     }
 }
 
-// Until it knows a configuration it has none, rather than one without tenants or with older ones.
-TEST(TenantDistribution, nodeWithoutADiskStartsWithoutKeysAndThenHasTheNewest) {
-    auto quiet = MutedLog();
+// A node without a disk must start without any configuration, not with one that has no tenants or older keys.
+TEST(TenantDistribution, nodeWithoutADiskStartsWithoutKeysAndAdoptsTheNewest) {
+    auto muted = MutedLog();
     auto fleet = TenantFleet(67, 12, 20);
     auto& node = *fleet.nodes.back();
     fleet.stop(node);
@@ -125,30 +127,30 @@
     CHECK(fleet.inForceAt(node));
 }
 
-TEST(TenantDistribution, viewsAndCountersHoldNoKey) {
-    auto quiet = MutedLog();
+TEST(TenantDistribution, viewsAndCountersDoNotShowKeys) {
+    auto muted = MutedLog();
     auto fleet = TenantFleet(68, 12, 20);
     fleet.withdraw();
     fleet.run(SECOND);
     auto& node = *fleet.leader()->n;
-    auto views = node.status(fleet.t) + node.beliefs(fleet.t) + fleet.leader()->ct.text();
+    auto views = node.status(fleet.t) + node.beliefs(fleet.t) + fleet.leader()->counters.text();
     CHECK(views.find("configGeneration") != std::string::npos);
     for (auto tenant = 0; tenant < fleet.tenants; tenant++)
         for (auto revision = 1; revision <= fleet.revision + 1; revision++)
             CHECK(views.find(testKey(tenant, revision)) == std::string::npos);
 }
 
-TEST(TenantDistribution, lostMessagesDelayNoWithdrawalForLong) {
-    auto quiet = MutedLog();
+TEST(TenantDistribution, lostMessagesDelayWithdrawalsOnlyBriefly) {
+    auto muted = MutedLog();
     for (auto seed = 70u; seed < 76; seed++) {
         auto fleet = TenantFleet(seed, 12, 20);
-        fleet.loss = .3;
+        fleet.lossRate = .3;
         fleet.run(SECOND);
-        fleet.loss = 0;
+        fleet.lossRate = 0;
         fleet.withdraw();
-        fleet.loss = .3;
+        fleet.lossRate = .3;
         fleet.run(2 * SECOND);
-        fleet.loss = 0;
+        fleet.lossRate = 0;
         CHECK(fleet.until(2 * SECOND, [&] { return fleet.inForceEverywhere(); }));
     }
 }
