--- a/src/membership/node.hpp
+++ b/src/membership/node.hpp
@@ -59,7 +59,7 @@
     /// Handles a message from another node.
     auto handle(const wire::Envelope& envelope, Microseconds now) -> void;
     /// Reports that the disk write with the number `seq` has finished; `ok`: it is durable.
-    auto diskDone(std::int64_t seq, bool ok, Microseconds now) -> void;
+    auto onDiskWriteDone(std::int64_t seq, bool ok, Microseconds now) -> void;
     /// Reports the result of a probe. `ok`: the server answered with `load`; `refused`: the server's host
     /// refused the connection.
     auto probeFinished(const std::string& server, bool ok, bool refused, const wire::ServerLoad& load,
--- a/src/membership/node_port.hpp
+++ b/src/membership/node_port.hpp
@@ -15,7 +15,7 @@
     virtual ~NodePort() = default;
     /// Sends a message to a peer address. It may be lost.
     virtual auto send(const std::string& address, const wire::Envelope& envelope) -> void = 0;
-    /// Writes to the voter's disk; completion is reported through Node::diskDone.
+    /// Writes to the voter's disk; completion is reported through Node::onDiskWriteDone.
     virtual auto disk(const DiskWrite& write) -> void = 0;
     /// Delivers the outcome of a request that an operator or the platform made at this node.
     virtual auto done(std::int64_t id, const Outcome& outcome) -> void = 0;
--- a/tests/membership/fleet_fixture.hpp
+++ b/tests/membership/fleet_fixture.hpp
@@ -340,7 +340,7 @@
             auto write = node.pendingWrites.front().second;
             node.pendingWrites.pop_front();
             diskApply(node.diskState, write);
-            node.n->diskDone(write.seq, true, t);
+            node.n->onDiskWriteDone(write.seq, true, t);
         }
         if ((t / MILLISECOND + Microseconds(index) * 2) % 20 == 0)
             node.n->tick(t, 1'700'000'000 * SECOND + t);
--- a/tests/membership/node_fixture.hpp
+++ b/tests/membership/node_fixture.hpp
@@ -109,7 +109,7 @@
     auto completeWrites() -> void {
         auto writes = std::move(pendingWrites);
         pendingWrites.clear();
-        for (auto& write : writes) n->diskDone(write.seq, true, now);
+        for (auto& write : writes) n->onDiskWriteDone(write.seq, true, now);
     }
     /// Each probed server answers that it is idle and has been up for an hour.
     auto answerProbes() -> void {
