--- a/src/membership/node_messages.cpp
+++ b/src/membership/node_messages.cpp
@@ -77,7 +77,7 @@
     announceState();
 }
 
-auto Node::voterApplied(const ReplicatedState& state, const AppliedEntry& applied) -> void {
+auto Node::onStateApplied(const ReplicatedState& state, const AppliedEntry& applied) -> void {
     if (adoptIfNewer(state)) {
         if (applied.entry) context_.statePublisher.recordEntry(*applied.entry);
         announceState();
