--- a/src/membership/quota_service.cpp
+++ b/src/membership/quota_service.cpp
@@ -127,13 +127,14 @@
                     {"bound", fmt::to_string(view.bound)}, {"spent", fmt::to_string(view.spent)},
                     {"outstanding", fmt::to_string(view.outstanding)},
                     {"refused", fmt::to_string(view.refused)}});
-    auto heldTokens = std::string();
+    auto reservedTokens = std::string();
     if (configuration_)
         for (auto& [name, tenant] : configuration_->tenants().all())
             if (auto tokens = account_.available(name, context_.now))
-                heldTokens += (heldTokens.empty() ? "" : ",") + fmt::format("{}:{}", jsonQuote(name), tokens);
+                reservedTokens +=
+                    (reservedTokens.empty() ? "" : ",") + fmt::format("{}:{}", jsonQuote(name), tokens);
     return bodyOf({{"granter", jsonQuote(account_.granter())}, {"term", fmt::to_string(account_.term())},
-        {"held", "{" + heldTokens + "}"}, {"tenants", "[" + tenants + "]"}});
+        {"held", "{" + reservedTokens + "}"}, {"tenants", "[" + tenants + "]"}});
 }
 
 }  // namespace duneturn
