--- a/tests/membership/gossip_voters_test.cpp
+++ b/tests/membership/gossip_voters_test.cpp
@@ -48,7 +48,7 @@
         auto sendToReplica(const std::string&, wire::Envelope&) -> void override {}
         auto writeToDisk(const DiskWrite&) -> void override {}
         auto onStateApplied(const ReplicatedState&, const AppliedEntry&) -> void override {}
-        auto voterRead(std::int64_t, bool) -> void override {}
+        auto onReadDone(std::int64_t, bool) -> void override {}
     } port;
     auto counters = Counters();
     auto voter = Voter(port, counters, 1);
