--- a/tests/membership/fleet_fixture.hpp
+++ b/tests/membership/fleet_fixture.hpp
@@ -339,7 +339,7 @@
         while (!node.pendingWrites.empty() && node.pendingWrites.front().first <= t) {
             auto write = node.pendingWrites.front().second;
             node.pendingWrites.pop_front();
-            diskApply(node.diskState, write);
+            applyDiskWrite(node.diskState, write);
             node.n->onDiskWriteDone(write.seq, true, t);
         }
         if ((t / MILLISECOND + Microseconds(index) * 2) % 20 == 0)
