--- a/src/membership/singleton_duty.cpp
+++ b/src/membership/singleton_duty.cpp
@@ -18,7 +18,7 @@
 
 auto SingletonDuty::isHeld(const NodeContext& context, bool hasListing, Microseconds now) const -> bool {
     auto& voter = context.voter;
-    if (voter && voter->leads()) return now - voter->quorumAt() < MAX_QUORUM_AGE;
+    if (voter && voter->leads()) return now - voter->lastQuorumContact() < MAX_QUORUM_AGE;
     auto leaderKnown = !context.members.leaderNode(now).empty();
     // When all nodes start at once there is no leader yet and no node has a listing. Each core node without a
     // listing then fetches it, and the root of the tree does not wait for the election either.
--- a/tests/membership/fleet_fixture.hpp
+++ b/tests/membership/fleet_fixture.hpp
@@ -216,7 +216,7 @@
         auto newest = static_cast<FleetNode*>(nullptr);
         for (auto& node : nodes)
             if (node->up && node->frozen <= t && node->n->voter() && node->n->voter()->ready()
-                && t - node->n->voter()->quorumAt() < SECOND
+                && t - node->n->voter()->lastQuorumContact() < SECOND
                 && (!newest || node->n->ownRecord().term > newest->n->ownRecord().term))
                 newest = node.get();
         return newest;
