--- a/src/membership/voter_placement.cpp
+++ b/src/membership/voter_placement.cpp
@@ -57,7 +57,7 @@
     auto& own = context.members.own();
     auto& voter = *context.voter;
     auto isOwn = identity.disk == own.disk;
-    auto lastContactAt = std::max(voter.lastContact(identity.disk), voter.leadSince());
+    auto lastContactAt = std::max(voter.lastContact(identity.disk), voter.leaderSince());
     auto assessed = AssessedVoter{VoterHealth::Healthy, isOwn ? &own : nullptr};
     for (auto& [name, known] : context.members.others())
         if (known.record.disk == identity.disk) {
