--- a/src/membership/node.cpp
+++ b/src/membership/node.cpp
@@ -174,7 +174,7 @@
 auto Node::tickVoter(Microseconds now, Microseconds wall) -> void {
     auto& voter = *context_.voter;
     protocol_->placeVoters(now);
-    voter.setBlankVoters(uninitializedVoterDisks(context_, now));
+    voter.setUninitializedVoters(uninitializedVoterDisks(context_, now));
     scheduler_.tick(context_, wall, now);
     protocol_->beginEpochIfDue(now);
     orderService_.tick(voter, context_.wall, now);
