--- a/tests/membership/node_fixture.hpp
+++ b/tests/membership/node_fixture.hpp
@@ -67,7 +67,7 @@
     auto sendHead(std::int64_t request, int, const Headers& headers) -> void override {
         heads[request] = headers;
     }
-    auto sendPart(std::int64_t, const std::string&) -> void override {}
+    auto sendStreamBytes(std::int64_t, const std::string&) -> void override {}
     auto endStream(std::int64_t request, bool complete) -> void override {
         (complete ? whole : cut).insert(request);
     }
