--- a/src/membership/node.hpp
+++ b/src/membership/node.hpp
@@ -165,7 +165,7 @@
     auto findLeader(Microseconds now) -> std::string override;
     auto lastLeader() -> std::string override;
     auto sendOrder(const std::string& node, wire::OrderRequest& request, Microseconds now) -> void override;
-    auto orderDone(std::int64_t id, const Outcome& outcome) -> void override;
+    auto onOrderDone(std::int64_t id, const Outcome& outcome) -> void override;
 
   private:
     auto detectFreeze(Microseconds now) -> void;
--- a/src/membership/node_messages.cpp
+++ b/src/membership/node_messages.cpp
@@ -134,7 +134,7 @@
     context_.port.send(record->peer, envelope);
 }
 
-auto Node::orderDone(std::int64_t id, const Outcome& outcome) -> void { context_.port.done(id, outcome); }
+auto Node::onOrderDone(std::int64_t id, const Outcome& outcome) -> void { context_.port.done(id, outcome); }
 
 // ---- retry budget
 
