--- a/src/membership/roster_membership.cpp
+++ b/src/membership/roster_membership.cpp
@@ -296,7 +296,7 @@
 /// the platform does not number them. Returns -1 if a newer revision is known, because this one was delayed.
 auto RosterMembership::nextRevision(std::int64_t platformRevision) const -> std::int64_t {
     auto top = context_.directory.highestRevision();
-    if (!platformRevision || context_.faults.lateUp) return top + 1;
+    if (!platformRevision || context_.faults.acceptSupersededListing) return top + 1;
     return platformRevision > top ? platformRevision : -1;
 }
 
