--- a/src/membership/node_context.hpp
+++ b/src/membership/node_context.hpp
@@ -25,7 +25,7 @@
 /// Deliberate faults, to show that the oracles of the tests detect them. None is set outside tests.
 struct MembershipFaults {
     bool noLease = false;                  // acts on the held state without confirmation by a majority
-    bool ackEarly = false;                 // acknowledges a change before majorities hold it
+    bool ackBeforeMajorities = false;      // acknowledges a change before majorities hold it
     bool acceptOldState = false;           // replaces a replicated state by an older one
     bool acceptSupersededListing = false;  // applies a listing that a newer one has superseded
     bool wholeStatesOnly = false;  // always sends the complete state, as versions before StateChange do
