--- a/src/membership/node_context.hpp
+++ b/src/membership/node_context.hpp
@@ -28,10 +28,10 @@
     bool ackBeforeMajorities = false;      // acknowledges a change before majorities hold it
     bool acceptOldState = false;           // replaces a replicated state by an older one
     bool acceptSupersededListing = false;  // applies a listing that a newer one has superseded
-    bool wholeStatesOnly = false;  // always sends the complete state, as versions before StateChange do
-    bool applyAnyBase = false;     // applies steps to another version than their base
-    bool ignoreDigest = false;     // accepts the result of steps without comparing its digest
-    bool oldBoot = false;          // reuses an incarnation number that peers have already seen
+    bool wholeStatesOnly = false;   // always sends the complete state, as versions before StateChange do
+    bool applyAnyBase = false;      // applies steps to another version than their base
+    bool ignoreDigest = false;      // accepts the result of steps without comparing its digest
+    bool reuseIncarnation = false;  // reuses an incarnation number that peers have already seen
 };
 
 /// The members whose majorities count, according to the replicated state held.
