--- a/src/membership/node_context.hpp
+++ b/src/membership/node_context.hpp
@@ -24,7 +24,7 @@
 
 /// Deliberate faults, to show that the oracles of the tests detect them. None is set outside tests.
 struct MembershipFaults {
-    bool noLease = false;                  // acts on the held state without confirmation by a majority
+    bool ignoreLease = false;              // acts on the held state without confirmation by a majority
     bool ackBeforeMajorities = false;      // acknowledges a change before majorities hold it
     bool acceptOldState = false;           // replaces a replicated state by an older one
     bool acceptSupersededListing = false;  // applies a listing that a newer one has superseded
