--- a/src/membership/gossip_listing.cpp
+++ b/src/membership/gossip_listing.cpp
@@ -51,16 +51,16 @@
     listing.revision = server.listing.revision;
     listing.age = server.listing.age;
     listing.cold = server.listing.cold;
-    auto coldUntil = entry.slowStartMicroseconds > 0 ? now + entry.slowStartMicroseconds : 0;
-    auto heldColdUntil = server.coldUntil > now ? server.coldUntil : 0;
-    auto same = listing == server.listing && std::abs(coldUntil - heldColdUntil) < SLOW_START_TOLERANCE;
+    auto slowStartUntil = entry.slowStartMicroseconds > 0 ? now + entry.slowStartMicroseconds : 0;
+    auto heldColdUntil = server.slowStartUntil > now ? server.slowStartUntil : 0;
+    auto same = listing == server.listing && std::abs(slowStartUntil - heldColdUntil) < SLOW_START_TOLERANCE;
     server.listedAt = now;
     if (same && !server.listing.server.empty()) return;
     resetOnNewIncarnation(server, listing.inc, now);
     if (!assignedNumber) assignedNumber = assignNextNumber();
     server.listing = listing;
     server.listing.revision = assignedNumber;
-    server.coldUntil = coldUntil;
+    server.slowStartUntil = slowStartUntil;
 }
 
 auto GossipListing::applyPlatformListing(const PlatformListing& listing, Microseconds now) -> bool {
@@ -88,7 +88,7 @@
     resetOnNewIncarnation(server, listing.inc, now);
     server.listing = listing;
     server.listedAt = now - std::max<Microseconds>(0, listing.age);
-    server.coldUntil = listing.cold > 0 ? now + listing.cold : 0;
+    server.slowStartUntil = listing.cold > 0 ? now + listing.cold : 0;
 }
 
 auto GossipListing::merge(const wire::Heartbeat& heartbeat, Microseconds now) -> bool {
--- a/src/membership/roster_membership.cpp
+++ b/src/membership/roster_membership.cpp
@@ -218,7 +218,7 @@
     resetOnNewIncarnation(server, listing.inc, now);
     held = listing;
     server.listedAt = now - listing.age;
-    server.coldUntil = listing.cold > 0 ? now + listing.cold : 0;
+    server.slowStartUntil = listing.cold > 0 ? now + listing.cold : 0;
     listingIssuedAt_ = std::max(listingIssuedAt_, server.listedAt);
 }
 
@@ -322,7 +322,7 @@
     server.listing = entry.listing;
     server.listing.revision = revision;
     server.listedAt = now;
-    server.coldUntil = entry.slowStartMicroseconds >= 0 ? now + entry.slowStartMicroseconds : 0;
+    server.slowStartUntil = entry.slowStartMicroseconds >= 0 ? now + entry.slowStartMicroseconds : 0;
     return server.listing.state == LEAVING && !wasLeaving;
 }
 
--- a/tests/membership/gossip_listing_test.cpp
+++ b/tests/membership/gossip_listing_test.cpp
@@ -103,7 +103,7 @@
     CHECK(fleet.until(400 * MILLISECOND,
         [&] { return fleet.listedEverywhere("s1", UP) && fleet.listedEverywhere("s2", UP); }));
     for (auto& node : fleet.nodes) {
-        auto slowStartLeft = node->n->servers().at("s1").coldUntil - fleet.t;
+        auto slowStartLeft = node->n->servers().at("s1").slowStartUntil - fleet.t;
         CHECK(slowStartLeft > 4 * SECOND && slowStartLeft <= 5 * SECOND + 300 * MILLISECOND);
     }
     // The listing does not expire without confirmation, because the platform may be unreachable.
