--- a/src/membership/cluster_bootstrap.cpp
+++ b/src/membership/cluster_bootstrap.cpp
@@ -67,12 +67,12 @@
     const std::string& firstZone, std::size_t count) -> std::vector<VoterIdentity> {
     auto chosen = std::vector<VoterIdentity>();
     for (auto round = std::size_t(0); chosen.size() < count; round++) {
-        auto take = [&](const std::vector<VoterIdentity>& disks) {
+        auto choose = [&](const std::vector<VoterIdentity>& disks) {
             if (round < disks.size() && chosen.size() < count) chosen.push_back(disks[round]);
         };
-        take(zones[firstZone]);
+        choose(zones[firstZone]);
         for (auto& [zone, disks] : zones)
-            if (zone != firstZone) take(disks);
+            if (zone != firstZone) choose(disks);
     }
     return chosen;
 }
--- a/src/membership/membership_protocol.hpp
+++ b/src/membership/membership_protocol.hpp
@@ -44,9 +44,9 @@
     virtual auto serverExpired(const wire::ServerListing& listing) -> void = 0;
     /// `scanned`: whether this tick scans all known nodes and servers (scanDue).
     virtual auto tick(Microseconds now, bool scanned) -> void = 0;
-    /// Offers spare disks to the consensus module. Only for a node with a voter.
+    /// Offers spare disks to the consensus module. Only for core nodes.
     virtual auto placeVoters(Microseconds now) -> void = 0;
-    /// Begins a new epoch if this node is responsible for that. Only for a node with a voter.
+    /// Begins a new epoch if this node is responsible for that. Only for core nodes.
     virtual auto beginEpochIfDue(Microseconds now) -> void = 0;
 
     // ---- replicated state
--- a/src/membership/operation_scheduler.hpp
+++ b/src/membership/operation_scheduler.hpp
@@ -7,7 +7,7 @@
 
 namespace duneturn {
 
-/// Runs on every node with a voter; only the leader acts.
+/// Runs on every core node; only the leader acts.
 class OperationScheduler {
   public:
     /// On the leader, proposes the first operation that is due. `wall`: this node's calendar time.
--- a/src/membership/quota_granter.cpp
+++ b/src/membership/quota_granter.cpp
@@ -74,8 +74,9 @@
     auto envelope = context_.envelope();
     envelope.__set_quotaImageRequest(request);
     sendToVoters(envelope);
-    auto own = wire::QuotaImageAnswer();
-    if (replica().promise(term_, window(), own, now)) handleImageAnswer(own, context_.members.own().node);
+    auto ownAnswer = wire::QuotaImageAnswer();
+    if (replica().promise(term_, window(), ownAnswer, now))
+        handleImageAnswer(ownAnswer, context_.members.own().node);
 }
 
 // Promises are kept in memory only. A request is therefore accepted only up to the voter's term, which is on
@@ -115,7 +116,8 @@
 }
 
 // Every image that a majority held was acknowledged by at least one of the voters that promised, either
-// before that voter started or before it received the image that it holds now.
+// before that voter started or before it received the image that it holds now. What predecessors granted is
+// therefore at least as old as the youngest of these events.
 auto QuotaGranter::activateWithoutImage() -> void {
     auto age = std::numeric_limits<Microseconds>::max();
     for (auto& [disk, promise] : promises_)
@@ -215,7 +217,8 @@
     return voter && !voter->blank() && voters().isVoter(voter->disk());
 }
 
-// Voters are identified by disk, because a voter may be replaced by the disk of another node.
+// Voters are identified by disk: the node name in a voter's identity stays the same when the disk of another
+// node replaces it.
 auto QuotaGranter::diskOf(const std::string& node) const -> std::string {
     if (node == context_.members.own().node) return context_.voter->disk();
     auto record = context_.members.find(node);
--- a/src/membership/quota_service.cpp
+++ b/src/membership/quota_service.cpp
@@ -62,12 +62,12 @@
     auto report = account_.report(now);
     report.node = context_.members.own().node;
     report.granter = granter;
-    auto isLate = unansweredSince_ && now - unansweredSince_ > RELAY_TIMEOUT;
+    auto isOverdue = unansweredSince_ && now - unansweredSince_ > RELAY_TIMEOUT;
     if (!unansweredSince_) unansweredSince_ = now;
     auto envelope = context_.envelope();
     envelope.__set_quotaReport(report);
     sendTo(granter, envelope);
-    if (auto relay = isLate ? nextRelay(granter) : ""; !relay.empty()) {
+    if (auto relay = isOverdue ? nextRelay(granter) : ""; !relay.empty()) {
         context_.counters.add("quota_reports_relayed_total");
         sendTo(relay, envelope);
     }
@@ -127,14 +127,14 @@
                     {"bound", fmt::to_string(view.bound)}, {"spent", fmt::to_string(view.spent)},
                     {"outstanding", fmt::to_string(view.outstanding)},
                     {"refused", fmt::to_string(view.refused)}});
-    auto reservedTokens = std::string();
+    auto availableTokens = std::string();
     if (configuration_)
         for (auto& [name, tenant] : configuration_->tenants().all())
             if (auto tokens = account_.available(name, context_.now))
-                reservedTokens +=
-                    (reservedTokens.empty() ? "" : ",") + fmt::format("{}:{}", jsonQuote(name), tokens);
+                availableTokens +=
+                    (availableTokens.empty() ? "" : ",") + fmt::format("{}:{}", jsonQuote(name), tokens);
     return bodyOf({{"granter", jsonQuote(account_.granter())}, {"term", fmt::to_string(account_.term())},
-        {"held", "{" + reservedTokens + "}"}, {"tenants", "[" + tenants + "]"}});
+        {"held", "{" + availableTokens + "}"}, {"tenants", "[" + tenants + "]"}});
 }
 
 }  // namespace duneturn
--- a/src/membership/server_directory.hpp
+++ b/src/membership/server_directory.hpp
@@ -26,8 +26,8 @@
     wire::ServerLoad load;
     Microseconds loadReadAt = 0;  // when the load was read at the server; 0 if never
     int failedProbes = 0;         // consecutive failures of this node's own probes
-    Microseconds slowStartUntil =
-        0;  // end of its slow start by this node's clock; 0 if the platform set none
+    /// End of its slow start by the clock of this node; 0 if the platform set none.
+    Microseconds slowStartUntil = 0;
     Microseconds loadReceivedAt = 0;  // gossip: when this node received the load
     std::string loadReceivedFrom;     // gossip: the node that relayed the load
 };
--- a/src/membership/state_receiver.cpp
+++ b/src/membership/state_receiver.cpp
@@ -59,14 +59,15 @@
 
 /// Whether a state of this version must be handled. A voter handles every message of a later epoch, even a
 /// repeated one, because it leaves its cluster only once it is permitted to.
-auto StateReceiver::isNewer(StateVersion version) const -> bool {
+auto StateReceiver::shouldHandle(StateVersion version) const -> bool {
     if (context_.faults.acceptOldState) return true;
     if (isVoter() && version.epoch > context_.voter->epoch()) return true;
     return version > versionOf(held());
 }
 
 auto StateReceiver::handleFullState(const wire::ReplicatedState& message, Microseconds now) -> void {
-    if (!isNewer({message.epoch, message.version})) return context_.counters.add("word_old_dropped_total");
+    if (!shouldHandle({message.epoch, message.version}))
+        return context_.counters.add("word_old_dropped_total");
     auto state = stateOf(message);
     if (!state) return context_.counters.add("word_malformed_total");
     if (isVoter()) receiveAsVoter(*state, nullptr, now);
@@ -112,8 +113,8 @@
     context_.counters.add(isGap ? "state_change_gaps_total" : "state_change_misfits_total");
     if (!source) return;
     if (isGap) return context_.requestState(source->peer, versionOf(held()));
-    if (now < nextWholeRequestAt_) return;
-    nextWholeRequestAt_ = now + FULL_STATE_REQUEST_INTERVAL;
+    if (now < nextFullRequestAt_) return;
+    nextFullRequestAt_ = now + FULL_STATE_REQUEST_INTERVAL;
     logEvent("state_change_misfit", "from={} version={} digest_differs={}", from, context_.state.version,
         fault == ChangeFault::DigestDiffers);
     context_.requestState(source->peer, {});
@@ -121,7 +122,8 @@
 
 // ---- on a voter
 
-/// A voter's own state comes from its disk only, because what it reports to hold must be durable.
+/// A voter's state normally comes from its own disk only, because what it reports to hold must be durable.
+/// The exception is a protocol that lets it act on a received state of its own epoch (adoptBeforeLog).
 auto StateReceiver::receiveAsVoter(
     const ReplicatedState& state, const wire::StateChange* change, Microseconds now) -> void {
     auto& voter = *context_.voter;
--- a/src/membership/state_receiver.hpp
+++ b/src/membership/state_receiver.hpp
@@ -43,7 +43,7 @@
     [[nodiscard]] auto held() const -> const ReplicatedState& {
         return isVoter() ? context_.newestKnownState() : context_.state;
     }
-    [[nodiscard]] auto isNewer(StateVersion version) const -> bool;
+    [[nodiscard]] auto shouldHandle(StateVersion version) const -> bool;
     auto receiveAsVoter(const ReplicatedState& state, const wire::StateChange* change, Microseconds now)
         -> void;
     auto adoptBeforeLog(const ReplicatedState& state, const wire::StateChange* change, Microseconds now)
@@ -56,7 +56,7 @@
     NodeContext& context_;
     MembershipProtocol& protocol_;
     Adopt adopt_;
-    Microseconds nextWholeRequestAt_ = 0;
+    Microseconds nextFullRequestAt_ = 0;
 };
 
 }  // namespace duneturn
