--- a/src/routing/dispatch.cpp
+++ b/src/routing/dispatch.cpp
@@ -94,7 +94,7 @@
 }
 
 // Why the newest configuration no longer lets the request be sent, if it does not.
-auto Edge::rebindToNewest(Request& request) -> std::optional<Refusal> {
+auto Edge::rebindToNewest(Request& request) -> std::optional<RequestRejection> {
     auto tenant = request.tenant.name;
     auto refusal = rebind(request, routes_, dialect_, broken);
     if (request.tenant.name != tenant)
@@ -104,10 +104,10 @@
 }
 
 // Why the request may not be sent, whatever the server.
-auto Edge::whyNoAttempt(Request& request) -> std::optional<Refusal> {
+auto Edge::whyNoAttempt(Request& request) -> std::optional<RequestRejection> {
     if (auto refusal = rebindToNewest(request)) return refusal;
     auto why = migration_.objection(request, request.attempts.tracker.earlier(), AttemptGrant::Granted);
-    return why.empty() ? std::nullopt : std::optional(Refusal{503, why});
+    return why.empty() ? std::nullopt : std::optional(RequestRejection{503, why});
 }
 
 // Why the server that was chosen may not be sent to after all.
--- a/src/routing/edge.hpp
+++ b/src/routing/edge.hpp
@@ -140,11 +140,13 @@
     // Admission (admission.cpp).
     auto beginRequest(const std::string& method, const std::string& path, const Headers& headers,
         Microseconds now) -> Request&;
-    [[nodiscard]] auto whyRefused(const Headers& headers, Microseconds now) const -> std::optional<Refusal>;
-    [[nodiscard]] auto bindAtFirst(Request& request, const Headers& headers) -> std::optional<Refusal>;
+    [[nodiscard]] auto whyRefused(const Headers& headers, Microseconds now) const
+        -> std::optional<RequestRejection>;
+    [[nodiscard]] auto bindAtFirst(Request& request, const Headers& headers)
+        -> std::optional<RequestRejection>;
     auto readRequest(Request& request, const Headers& headers, const std::string& body, Microseconds begunAt)
         -> void;
-    auto readResumption(Request& request, Microseconds now) -> std::optional<Refusal>;
+    auto readResumption(Request& request, Microseconds now) -> std::optional<RequestRejection>;
     auto noteAcceptance(Request& request, Microseconds now) -> void;
     auto proceed(Request& request, Microseconds now) -> void;
     auto serveQuotaWaiters(Microseconds now) -> void;
@@ -158,8 +160,8 @@
     auto reserveEngine(Request& request, ServerStatistics& statistics, const ServiceRule& rule) -> void;
     auto release(Request& request) -> void;
     auto promptRead(Request& request) -> void;
-    [[nodiscard]] auto rebindToNewest(Request& request) -> std::optional<Refusal>;
-    [[nodiscard]] auto whyNoAttempt(Request& request) -> std::optional<Refusal>;
+    [[nodiscard]] auto rebindToNewest(Request& request) -> std::optional<RequestRejection>;
+    [[nodiscard]] auto whyNoAttempt(Request& request) -> std::optional<RequestRejection>;
     [[nodiscard]] auto whyNotToServer(const Request& request, bool reused, Microseconds now) -> std::string;
     auto giveUpAttempt(Request& request, const std::string& why, Microseconds now) -> void;
     auto holdBack(Request& request, const std::string& why, Microseconds now) -> void;
