--- a/src/routing/retry.cpp
+++ b/src/routing/retry.cpp
@@ -56,7 +56,7 @@
     abandonAttempt(request, execution, why, now);
     // What the newest configuration allows is what counts, not what it allowed at first.
     if (auto refusal = rebindToNewest(request)) {
-        auto status = refusal->status == KEY_REFUSED ? KEY_REFUSED : 502;
+        auto status = refusal->status == KEY_REJECTED_STATUS ? KEY_REJECTED_STATUS : 502;
         return fail(request, status, why + "; " + refusal->why, now);
     }
     if (auto objection = migration_.objection(request, known, grant); !objection.empty())
