--- a/src/routing/edge.hpp
+++ b/src/routing/edge.hpp
@@ -230,7 +230,7 @@
     QuotaAdmission quota_;
     ServerSelection selection_;
     Migration migration_;
-    PrefixHistory beginnings_;
+    PrefixHistory prefixHistory_;
     DecisionLog decisions_;
     bool draining_ = false, rejectingNewRequests_ = false;
     Microseconds evacuatedAt_ = 0;    // when this node's own zone was evacuated; -1 until the next tick
