--- a/src/routing/response_relay.cpp
+++ b/src/routing/response_relay.cpp
@@ -17,7 +17,7 @@
 constexpr auto FULL_FOR = 150 * MILLISECOND;         // a server that said that it was full
 constexpr auto SLOW_FIRST_BYTE = 200 * MILLISECOND;  // a shorter time to the first byte is never slow
 constexpr auto SLOW_FACTOR = 5;                      // times the median of its like
-// Factors of a server's fitness.
+// Factors of a server's healthScore.
 constexpr auto SLOW = 0.9;
 constexpr auto DECLINED = 0.8;
 constexpr auto SERVER_ERROR = 0.7;
--- a/src/routing/retry.cpp
+++ b/src/routing/retry.cpp
@@ -16,7 +16,7 @@
 constexpr auto MAX_REFUSALS = 3;                       // connections refused of one request, at no cost
 constexpr auto SILENCE_LOOKED_AT = 150 * MILLISECOND;  // shorter silences are not looked at
 constexpr auto SILENCE_INTERVAL = 50 * MILLISECOND;    // from one look at a silent server to the next
-// Factors of a server's fitness.
+// Factors of a server's healthScore.
 constexpr auto LOST = 0.4;
 constexpr auto CRAWLING = 0.5;
 
