--- a/src/routing/response_relay.cpp
+++ b/src/routing/response_relay.cpp
@@ -78,7 +78,7 @@
     if (taken <= SLOW_FIRST_BYTE || isNotExecuted(status, headers)) return;
     auto median = statistics_.median(request.route.service, &ServerStatistics::firstByteTime);
     if (median > 0 && statistics.firstByteTime > SLOW_FACTOR * median)
-        statistics.ejection.lowerFitness(SLOW, now);
+        statistics.ejection.lowerHealthScore(SLOW, now);
 }
 
 auto Edge::onResponseHead(std::int64_t id, int attempt, int status, const Headers& headers, Microseconds now)
@@ -118,7 +118,7 @@
 }
 
 auto Edge::onWrongIdentity(Request& request, Microseconds now) -> void {
-    statistics_.of(request.attempts.server).ejection.lowerFitness(WRONG_IDENTITY, now);
+    statistics_.of(request.attempts.server).ejection.lowerHealthScore(WRONG_IDENTITY, now);
     counters_.add("wrong_exchange_total");
     retryElsewhere(request, AttemptEvent::WrongIdentity, "the server sent another exchange's reply", now);
 }
@@ -187,7 +187,7 @@
     auto last = request.relayed.lastEventId;
     if (verdict == EventVerdict::Uncountable)
         return fail(request, 502, fmt::format("the event after {} came as {}", last, event.id), now);
-    statistics_.of(request.attempts.server).ejection.lowerFitness(UNSOUND_EVENT, now);
+    statistics_.of(request.attempts.server).ejection.lowerHealthScore(UNSOUND_EVENT, now);
     counters_.add(verdict == EventVerdict::OutOfOrder ? "events_out_of_line_total" : "events_unsound_total");
     if (dialect_.clientNamesRequests && !request.relayed.headSent)
         return retryElsewhere(request, AttemptEvent::MalformedAnswer, "its first event is unsound", now);
@@ -263,7 +263,7 @@
     counters_.add("server_denied_total");
     auto& statistics = statistics_.of(request.attempts.server);
     if (!dialect_.clientNamesRequests) {
-        statistics.ejection.lowerFitness(DECLINED, now);
+        statistics.ejection.lowerHealthScore(DECLINED, now);
     } else if (status == MISDIRECTED) {
         // Its address is another server's by now; it may be listed for a while yet.
         if (auto server = node_.servers().find(request.attempts.server); server != node_.servers().end())
@@ -282,7 +282,7 @@
     if (request.relayed.headSent) return fmt::format("the resumed stream was not one (status {})", status);
     if (request.route.stream && status == 200 && !dialect_.passHeaders) return "not a stream";
     auto& ejection = statistics_.of(request.attempts.server).ejection;
-    if (status >= 500) ejection.lowerFitness(SERVER_ERROR, now);
+    if (status >= 500) ejection.lowerHealthScore(SERVER_ERROR, now);
     else ejection.raiseFitness(now);
     if (!dialect_.clientNamesRequests) return "";
     auto isRepeatable = request.retryRights().repeatable;
--- a/src/routing/retry.cpp
+++ b/src/routing/retry.cpp
@@ -112,7 +112,7 @@
     if (attempts.tracker.written())
         return onConnectionLost(id, attempt, "the connection broke while sending", now);
     auto& statistics = statistics_.of(attempts.server);
-    statistics.ejection.lowerFitness(LOST, now);
+    statistics.ejection.lowerHealthScore(LOST, now);
     statistics.ejection.eject(now);
     statistics.lastFailureAt = now;
     statistics.prefixCache.clear();
@@ -132,7 +132,7 @@
     auto request = currentAttempt(id, attempt);
     if (!request) return;
     auto& statistics = statistics_.of(request->attempts.server);
-    statistics.ejection.lowerFitness(LOST, now);
+    statistics.ejection.lowerHealthScore(LOST, now);
     auto isUnanswered = statistics.unansweredSince > statistics.lastReceivedAt;
     if (isUnanswered || now - statistics.lastReceivedAt > SECOND) statistics.ejection.eject(now);
     statistics.lastFailureAt = now;
@@ -143,7 +143,7 @@
 // Silence is a loss.
 auto Edge::checkSilence(Request& request, Microseconds now) -> void {
     if (now - request.attempts.lastActivityAt < request.route.idleTimeout) return;
-    statistics_.of(request.attempts.server).ejection.lowerFitness(LOST, now);
+    statistics_.of(request.attempts.server).ejection.lowerHealthScore(LOST, now);
     counters_.add("stalls_total");
     retryElsewhere(
         request, AttemptEvent::Silence, fmt::format("silent for {} us", request.route.idleTimeout), now);
@@ -166,7 +166,7 @@
     if (!mayMove || silence < migration_.silenceLimit(request)) return;
     attempts.nextStallCheckAt = now + SILENCE_INTERVAL;
     if (!couldMove(request, AttemptEvent::Silence, now)) return;
-    statistics_.of(attempts.server).ejection.lowerFitness(LOST, now);
+    statistics_.of(attempts.server).ejection.lowerHealthScore(LOST, now);
     counters_.add("stalls_total");
     retryElsewhere(request, AttemptEvent::Silence, fmt::format("silent for {} us", silence), now);
 }
@@ -179,7 +179,7 @@
     statistics.recordEventGap(gap);
     auto why = migration_.crawls(request, gap);
     if (!why) return;
-    statistics.ejection.lowerFitness(CRAWLING, now);
+    statistics.ejection.lowerHealthScore(CRAWLING, now);
     if (!budget_.allows(request, now) || rebindToNewest(request)) return;
     if (now >= request.limits.deadline) return;
     if (!migration_.objection(request, Execution::MayHaveRun, AttemptGrant::Further).empty()) return;
