--- a/src/routing/request.hpp
+++ b/src/routing/request.hpp
@@ -84,7 +84,7 @@
 };
 
 /// A place in a service's queue.
-struct QueuePlace {
+struct QueueEntry {
     std::string service;     ///< Empty: it holds no place.
     Microseconds until = 0;  ///< When it has waited long enough.
 };
@@ -112,7 +112,7 @@
     RequestAttempts attempts;
     RelayedStream relayed;
     RequestLimits limits;
-    QueuePlace queuePlace;
+    QueueEntry queuePlace;
     QuotaClaim quota;
     std::vector<std::string> trace;  ///< What was decided of it, for operators.
     std::unique_ptr<RequestMachine> machine;
