--- a/src/routing/request.hpp
+++ b/src/routing/request.hpp
@@ -112,7 +112,7 @@
     RequestAttempts attempts;
     RelayedStream relayed;
     RequestLimits limits;
-    QueueEntry queuePlace;
+    QueueEntry queueEntry;
     QuotaClaim quota;
     std::vector<std::string> trace;  ///< What was decided of it, for operators.
     std::unique_ptr<RequestMachine> machine;
