--- a/src/routing/dispatch.cpp
+++ b/src/routing/dispatch.cpp
@@ -67,7 +67,7 @@
     auto& received = request.received;
     request.attempts.unreadTokens = unreadPromptTokens(statistics, received, PrefixAssumption::AsRecorded);
     statistics.unreadTokens += double(request.attempts.unreadTokens);
-    statistics.heldTokens += double(received.ownTokens());
+    statistics.reservedTokens += double(received.ownTokens());
     statistics_.ofService(request.route.service).recordOwnTokens(received.ownTokens());
     auto capacity = rule.memoryTokens ? rule.memoryTokens : UNSTATED_MEMORY_TOKENS;
     for (auto& [part, tokens] : received.promptParts) statistics.prefixCache.add(part, tokens, capacity);
@@ -80,8 +80,8 @@
     request.attempts.countedInflight = false;
     auto& statistics = statistics_.of(request.attempts.server);
     statistics.inflight--;
-    auto held = std::max(0.0, statistics.heldTokens - double(request.received.ownTokens()));
-    statistics.heldTokens = statistics.inflight ? held : 0;
+    auto held = std::max(0.0, statistics.reservedTokens - double(request.received.ownTokens()));
+    statistics.reservedTokens = statistics.inflight ? held : 0;
 }
 
 // The server has read the prompt, or never will.
