--- a/src/routing/dispatch.cpp
+++ b/src/routing/dispatch.cpp
@@ -65,8 +65,9 @@
 // What a request takes of an engine: its prompt is to be read, its tokens fill the memory.
 auto Edge::reserveEngine(Request& request, ServerStatistics& statistics, const ServiceRule& rule) -> void {
     auto& received = request.received;
-    request.attempts.unreadTokens = unreadPromptTokens(statistics, received, PrefixAssumption::AsRecorded);
-    statistics.unreadTokens += double(request.attempts.unreadTokens);
+    request.attempts.pendingPromptTokens =
+        unreadPromptTokens(statistics, received, PrefixAssumption::AsRecorded);
+    statistics.pendingPromptTokens += double(request.attempts.pendingPromptTokens);
     statistics.reservedTokens += double(received.ownTokens());
     statistics_.ofService(request.route.service).recordOwnTokens(received.ownTokens());
     auto capacity = rule.memoryTokens ? rule.memoryTokens : UNSTATED_MEMORY_TOKENS;
@@ -86,10 +87,10 @@
 
 // The server has read the prompt, or never will.
 auto Edge::promptRead(Request& request) -> void {
-    auto& unread = request.attempts.unreadTokens;
+    auto& unread = request.attempts.pendingPromptTokens;
     if (!unread) return;
     auto& statistics = statistics_.of(request.attempts.server);
-    statistics.unreadTokens = std::max(0.0, statistics.unreadTokens - double(unread));
+    statistics.pendingPromptTokens = std::max(0.0, statistics.pendingPromptTokens - double(unread));
     unread = 0;
 }
 
--- a/src/routing/migration.cpp
+++ b/src/routing/migration.cpp
@@ -91,7 +91,8 @@
     if (!route.firstByteTarget) return route.idleTimeout;
     auto usual = std::max({0.7 * double(route.firstByteTarget),
         4 * statistics_.median(route.service, &ServerStatistics::firstByteTime), double(200 * MILLISECOND)});
-    return Microseconds(usual + 2 * double(request.attempts.unreadTokens) / PROMPT_TOKENS_PER_MICROSECOND);
+    return Microseconds(
+        usual + 2 * double(request.attempts.pendingPromptTokens) / PROMPT_TOKENS_PER_MICROSECOND);
 }
 
 auto Migration::crawls(Request& request, Microseconds gap) const -> std::optional<std::string> {
--- a/src/routing/request.hpp
+++ b/src/routing/request.hpp
@@ -47,9 +47,9 @@
     Microseconds lastActivityAt = 0;    ///< When its server last sent something, or begun to be written to.
     Microseconds nextStallCheckAt = 0;  ///< Until then its silence is not looked at again.
     bool countedInflight = false;       ///< It counts among its server's attempts under way.
-    std::int64_t unreadTokens = 0;      ///< Of the prompt, that its server has not read yet.
-    bool onReusedConnection = false;    ///< Its connection carried another request before.
-    double eventGap = 0;                ///< Smoothed time between its events, in microseconds.
+    std::int64_t pendingPromptTokens = 0;  ///< Of the prompt, that its server has not read yet.
+    bool onReusedConnection = false;       ///< Its connection carried another request before.
+    double eventGap = 0;                   ///< Smoothed time between its events, in microseconds.
     int eventGapSamples = 0;
     int headReadOf = 0;      ///< The attempt whose head was read.
     AttemptTracker tracker;  ///< What is known of it and of those before it.
