--- a/src/routing/dispatch.cpp
+++ b/src/routing/dispatch.cpp
@@ -66,7 +66,7 @@
 auto Edge::reserveEngine(Request& request, ServerStatistics& statistics, const ServiceRule& rule) -> void {
     auto& received = request.received;
     request.attempts.pendingPromptTokens =
-        unreadPromptTokens(statistics, received, PrefixAssumption::AsRecorded);
+        uncachedPromptTokens(statistics, received, PrefixAssumption::AsRecorded);
     statistics.pendingPromptTokens += double(request.attempts.pendingPromptTokens);
     statistics.reservedTokens += double(received.ownTokens());
     statistics_.ofService(request.route.service).recordOwnTokens(received.ownTokens());
