--- a/src/routing/completion.cpp
+++ b/src/routing/completion.cpp
@@ -76,7 +76,7 @@
 auto Edge::finish(Request& request, const std::string& how, Microseconds now) -> void {
     auto& attempts = request.attempts;
     if (attempts.countedInflight && attempts.tracker.written())
-        statistics_.ofService(request.route.service).recordHoldTime(now - attempts.chosenAt);
+        statistics_.ofService(request.route.service).recordRequestDuration(now - attempts.chosenAt);
     release(request);
     backlog_.leave(request);
     quota_.release(request, now);
