--- a/src/routing/dispatch.cpp
+++ b/src/routing/dispatch.cpp
@@ -68,8 +68,8 @@
     request.attempts.pendingPromptTokens =
         uncachedPromptTokens(statistics, received, PrefixAssumption::AsRecorded);
     statistics.pendingPromptTokens += double(request.attempts.pendingPromptTokens);
-    statistics.reservedTokens += double(received.ownTokens());
-    statistics_.ofService(request.route.service).recordOwnTokens(received.ownTokens());
+    statistics.reservedTokens += double(received.unsharedTokens());
+    statistics_.ofService(request.route.service).recordOwnTokens(received.unsharedTokens());
     auto capacity = rule.memoryTokens ? rule.memoryTokens : UNSTATED_MEMORY_TOKENS;
     for (auto& [part, tokens] : received.promptParts) statistics.prefixCache.add(part, tokens, capacity);
 }
@@ -81,7 +81,7 @@
     request.attempts.countedInflight = false;
     auto& statistics = statistics_.of(request.attempts.server);
     statistics.inflight--;
-    auto held = std::max(0.0, statistics.reservedTokens - double(request.received.ownTokens()));
+    auto held = std::max(0.0, statistics.reservedTokens - double(request.received.unsharedTokens()));
     statistics.reservedTokens = statistics.inflight ? held : 0;
 }
 
--- a/src/routing/request.hpp
+++ b/src/routing/request.hpp
@@ -34,7 +34,7 @@
     std::uint64_t prefixKey = 0;  ///< Of the prompt's shared beginning; 0: none is known.
     std::int64_t promptTokens = 0, outputTokens = 0, sharedTokens = 0;
     /// The tokens that only this request needs.
-    [[nodiscard]] auto ownTokens() const -> std::int64_t {
+    [[nodiscard]] auto unsharedTokens() const -> std::int64_t {
         return std::max<std::int64_t>(0, promptTokens - sharedTokens) + outputTokens;
     }
 };
