--- a/src/routing/dispatch.cpp
+++ b/src/routing/dispatch.cpp
@@ -70,7 +70,7 @@
     statistics.pendingPromptTokens += double(request.attempts.pendingPromptTokens);
     statistics.reservedTokens += double(received.unsharedTokens());
     statistics_.ofService(request.route.service).recordOwnTokens(received.unsharedTokens());
-    auto capacity = rule.memoryTokens ? rule.memoryTokens : UNSTATED_MEMORY_TOKENS;
+    auto capacity = rule.kvCacheTokens ? rule.kvCacheTokens : UNSTATED_MEMORY_TOKENS;
     for (auto& [part, tokens] : received.promptParts) statistics.prefixCache.add(part, tokens, capacity);
 }
 
