--- a/src/routing/migration.hpp
+++ b/src/routing/migration.hpp
@@ -57,7 +57,7 @@
     [[nodiscard]] auto crawls(Request& request, Microseconds gap) const -> std::optional<std::string>;
 
   private:
-    [[nodiscard]] auto eventTokens(const Request& request, const ServerSentEvent& event) const -> int;
+    [[nodiscard]] auto tokensPerEvent(const Request& request, const ServerSentEvent& event) const -> int;
 
     const RouteTable& routes_;
     const Dialect& dialect_;
