--- a/src/routing/dispatch.cpp
+++ b/src/routing/dispatch.cpp
@@ -54,7 +54,7 @@
     attempts.countedInflight = true;
     auto& server = node_.servers().at(name);
     if (auto rule = serviceRule(request)) {
-        slowStart_.admits(name, server, *rule, now, BucketUse::Take);
+        slowStart_.admits(name, server, *rule, now, BucketUse::Consume);
         if (rule->isEngine) reserveEngine(request, statistics, *rule);
     }
     turn(request, counters_, PhaseEvent::Send);
@@ -121,7 +121,7 @@
     if (reused && !mayReuseConnection(request)) return "it may not go on a used connection any more";
     auto rule = serviceRule(request);
     auto isHeldUp = now - request.attempts.chosenAt > HELD_UP;
-    if (rule && isHeldUp && !slowStart_.admits(server->first, server->second, *rule, now, BucketUse::Take))
+    if (rule && isHeldUp && !slowStart_.admits(server->first, server->second, *rule, now, BucketUse::Consume))
         return "it is cold, and this send was held up";
     return "";
 }
