--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -51,7 +51,7 @@
     if (auto refusal = readResumption(request, now)) return refuse(*refusal);
     auto& limits = request.limits;
     limits.immovable = limits.sequenceTokens > request.route.maxSequenceTokens || !request.relayed.countable;
-    noteAcceptance(request, now);
+    traceAcceptance(request, now);
     counters_.add("accepted_total");
     auto answer = quota_.ask(request, now);
     if (answer == QuotaAnswer::Refused) return refuse({429, BEYOND_QUOTA});
@@ -122,7 +122,7 @@
     return bind(request, routes_);
 }
 
-auto Edge::noteAcceptance(Request& request, Microseconds now) -> void {
+auto Edge::traceAcceptance(Request& request, Microseconds now) -> void {
     auto& limits = request.limits;
     auto& tenant = request.tenant;
     note(request,
