--- a/src/routing/edge.hpp
+++ b/src/routing/edge.hpp
@@ -138,7 +138,7 @@
     enum class EventVerdict { Sound, OutOfOrder, Unsound, Uncountable };
 
     // Admission (admission.cpp).
-    auto beginRequest(const std::string& method, const std::string& path, const Headers& headers,
+    auto createRequest(const std::string& method, const std::string& path, const Headers& headers,
         Microseconds now) -> Request&;
     [[nodiscard]] auto checkAdmission(const Headers& headers, Microseconds now) const
         -> std::optional<RequestRejection>;
