--- a/src/routing/response_relay.cpp
+++ b/src/routing/response_relay.cpp
@@ -214,7 +214,7 @@
             fmt::format(
                 "+{} us past the maximum sequence length: migrations 0", now - request->received.acceptedAt));
     port_.sendPart(id, event.raw);
-    if (dialect_.doneEvent && event.done()) completeStream(*request, now);
+    if (dialect_.streamEndsWithDoneEvent && event.done()) completeStream(*request, now);
     else if (request->relayed.lastEventId > 0) moveIfCrawling(*request, gap, now);
 }
 
@@ -229,7 +229,7 @@
 auto Edge::onStreamEnd(std::int64_t id, int attempt, Microseconds now) -> void {
     auto request = currentAttempt(id, attempt);
     if (!request) return;
-    if (dialect_.doneEvent)
+    if (dialect_.streamEndsWithDoneEvent)
         return onConnectionLost(id, attempt, "the stream ended without its completion mark", now);
     headRead(*request, 200, {});
     sendHeadOnce(*request);
