--- a/src/routing/completion.cpp
+++ b/src/routing/completion.cpp
@@ -45,7 +45,7 @@
 
 // Ends a stream visibly incomplete.
 auto Edge::cutStream(Request& request, const std::string& why) -> void {
-    if (!dialect_.passHeaders)
+    if (!dialect_.passThroughHeaders)
         port_.sendPart(request.id,
             fmt::format("event: failed\ndata: {}\n\n",
                 bodyOf({{"error", jsonQuote(why)},
--- a/src/routing/response_relay.cpp
+++ b/src/routing/response_relay.cpp
@@ -110,7 +110,7 @@
             return false;
         }
     }
-    if (!relayed.headSent && dialect_.passHeaders) {
+    if (!relayed.headSent && dialect_.passThroughHeaders) {
         relayed.status = status;
         relayed.headers = endToEndHeaders(headers);
     }
@@ -134,7 +134,7 @@
     if (relayed.headSent) return;
     relayed.headSent = true;
     if (!request.limits.resumedByClient) relayed.weights = request.attempts.weights;
-    if (dialect_.passHeaders) return port_.sendHead(request.id, relayed.status, relayed.headers);
+    if (dialect_.passThroughHeaders) return port_.sendHead(request.id, relayed.status, relayed.headers);
     port_.sendHead(request.id, 200,
         {{"Content-Type", "text/event-stream"}, {dialect_.request, request.received.name},
             {dialect_.weights, relayed.weights}});
@@ -280,7 +280,7 @@
 // Why a whole answer cannot be passed on as it is; empty if it can. Judges the server by it.
 auto Edge::whyUnsuitable(Request& request, int status, Microseconds now) -> std::string {
     if (request.relayed.headSent) return fmt::format("the resumed stream was not one (status {})", status);
-    if (request.route.stream && status == 200 && !dialect_.passHeaders) return "not a stream";
+    if (request.route.stream && status == 200 && !dialect_.passThroughHeaders) return "not a stream";
     auto& ejection = statistics_.of(request.attempts.server).ejection;
     if (status >= 500) ejection.lowerHealthScore(SERVER_ERROR, now);
     else ejection.raiseHealthScore(now);
@@ -297,7 +297,7 @@
 auto Edge::relayResponse(
     Request& request, int status, const Headers& headers, const std::string& body, Microseconds now) -> void {
     auto passed = Headers{{dialect_.request, request.received.name}};
-    if (dialect_.passHeaders) {
+    if (dialect_.passThroughHeaders) {
         passed = endToEndHeaders(headers);
     } else {
         for (auto name : {"Content-Type", "Retry-After", "Cache-Control", "ETag"})
