--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -106,7 +106,7 @@
             return RequestRejection{400, "the header " + dialect_.request + " is missing or too long"};
     if (rejectingNewRequests_ || (draining_ && !dialect_.clientNamesRequests))
         return RequestRejection{503, "this node is stopping"};
-    if (broken.noServe) return RequestRejection{503, "broken"};
+    if (broken.rejectEverything) return RequestRejection{503, "broken"};
     if (!node_.withinLease(now))
         return RequestRejection{503, "this node has not heard a majority within its lease"};
     auto isEvacuated = evacuatedAt_ > 0 && now - evacuatedAt_ > EVACUATION_GRACE;
