--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -105,7 +105,7 @@
     if (dialect_.clientNamesRequests)
         if (auto name = header(headers, dialect_.request); name.empty() || name.size() > MAX_NAME)
             return RequestRejection{400, "the header " + dialect_.request + " is missing or too long"};
-    if (rejectingNewRequests_ || (draining_ && !dialect_.clientNamesRequests))
+    if (rejectingNew_ || (draining_ && !dialect_.clientNamesRequests))
         return RequestRejection{503, "this node is stopping"};
     if (broken.rejectEverything) return RequestRejection{503, "broken"};
     if (!node_.withinLease(now))
