--- a/src/routing/migration.cpp
+++ b/src/routing/migration.cpp
@@ -11,7 +11,7 @@
 namespace duneturn {
 namespace {
 
-constexpr auto PACE_SMOOTHING = Smoothing{0.8, 0.2};
+constexpr auto PACE_SMOOTHING = ExponentialSmoothing{0.8, 0.2};
 constexpr auto PACE_SAMPLES = 8;                               // events before an attempt's pace is judged
 constexpr auto SLOWEST_SOUND_GAP = double(100 * MILLISECOND);  // a pace that nobody is moved for
 constexpr auto CRAWL_FACTOR = 5;                               // times the median of its like
