--- a/src/routing/backlog.hpp
+++ b/src/routing/backlog.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// The queues of requests that wait for a server with room, one for each service.
+// The queues of requests that wait for a server with capacity, one for each service.
 #include <cstddef>
 #include <cstdint>
 #include <map>
@@ -18,8 +18,9 @@
 
 namespace duneturn {
 
-/// Counts the places taken; the requests themselves stay where they are. The more urgent go first
-/// (Request::isMoreUrgentThan), and of the same urgency the one with the nearer deadline.
+/// Counts the queued requests of each service. The requests stay in the map of their Edge, which must outlive
+/// the backlog; Request::queueEntry marks the queued ones. The more urgent request is dispatched first
+/// (Request::isMoreUrgentThan), and among equally urgent ones the one with the earlier deadline.
 class Backlog {
   public:
     Backlog(std::map<std::int64_t, Request>& requests, const Node& node, const RouteTable& routes,
@@ -35,18 +36,19 @@
 
     [[nodiscard]] auto isEmpty(const std::string& service) const -> bool;
     [[nodiscard]] auto isFull(const Route& route) const -> bool;
-    /// Whether a request would wait longer than it may, as far as that can be said.
+    /// Whether a request is expected to wait beyond its deadline or its route's queue timeout. False where
+    /// nothing is known about the service's servers or the duration of its requests.
     [[nodiscard]] auto wouldWaitTooLong(const Request& request, Microseconds now) -> bool;
-    /// The least urgent of the waiting requests that are less urgent than `request`, and of those the one
-    /// with the latest deadline; null if there is none.
-    [[nodiscard]] auto lessUrgent(const Request& request) -> Request*;
-    /// Takes a place; gives how many wait before it.
+    /// The least urgent of the queued requests that are less urgent than `request`, among equals the one
+    /// with the latest deadline; null if no queued request is less urgent.
+    [[nodiscard]] auto leastUrgentBelow(const Request& request) -> Request*;
+    /// Queues a request. Returns how many requests of its service were queued before.
     auto enter(Request& request, Microseconds now) -> std::size_t;
-    /// Gives the place back, if the request has one.
+    /// Removes a request from its queue, if it is queued.
     auto leave(Request& request) -> void;
-    /// All waiting requests in the order in which they are served.
-    [[nodiscard]] auto inOrder() -> std::vector<Request*>;
-    /// Places taken, for judging leaks.
+    /// All queued requests in the order in which they are to be dispatched.
+    [[nodiscard]] auto inDispatchOrder() -> std::vector<Request*>;
+    /// The number of queue entries of all services; tests check that none leaks.
     [[nodiscard]] auto count() const -> std::size_t;
 
   private:
@@ -57,7 +59,7 @@
     ServerStatisticsTable& statistics_;
     const FleetSize& fleet_;
     const EdgeFaults& faults_;
-    std::map<std::string, std::size_t> places_;  // taken, by service
+    std::map<std::string, std::size_t> queueLengths_;  // by service
 };
 
 }  // namespace duneturn
--- a/src/routing/candidate_filters.cpp
+++ b/src/routing/candidate_filters.cpp
@@ -6,8 +6,9 @@
 namespace duneturn {
 namespace {
 
-// After a break what may not be repeated waits longer before it tries a server again.
-constexpr auto UNREPEATABLE_CAUTION = 2 * SECOND;
+// How much longer an ejected server is avoided by requests that may not be repeated, so that a repeatable
+// request tries the server first.
+constexpr auto NON_REPEATABLE_DELAY = 2 * SECOND;
 
 }  // namespace
 
@@ -28,7 +29,7 @@
 auto isInHomeRegion(const KnownServer& server, const Request& request, const EdgeFaults& faults) -> bool {
     auto& homes = request.route.homes;
     return faults.ignoreHomeRegion || std::any_of(homes.begin(), homes.end(), [&](auto& home) {
-        return server.listing.region == homeRegion(home, request.received.region);
+        return server.listing.region == resolveHomeRegion(home, request.received.region);
     });
 }
 
@@ -42,37 +43,39 @@
 
 auto isInAllowedRegion(const KnownServer& server, const Request& request, const Dialect& dialect) -> bool {
     auto& route = request.route;
-    if (!route.homes.empty() || (dialect.clientNamesRequests && route.spillRegions.empty())) return true;
+    if (!route.homes.empty() || (dialect.clientNamesRequests && route.spilloverRegions.empty())) return true;
     auto& region = server.listing.region;
     return region == request.received.region
-        || std::find(route.spillRegions.begin(), route.spillRegions.end(), region)
-        != route.spillRegions.end();
+        || std::find(route.spilloverRegions.begin(), route.spilloverRegions.end(), region)
+        != route.spilloverRegions.end();
 }
 
-auto isFit(const Candidate& candidate, const ServerStatistics& statistics, const Route& route,
-    const ServiceRule* rule, double leastFitness, Microseconds now) -> bool {
+auto isHealthy(const Candidate& candidate, const ServerStatistics& statistics, const Route& route,
+    const ServiceRule* rule, double minHealthScore, Microseconds now) -> bool {
     auto& ejection = statistics.ejection;
     if (rule && statistics.isSilent(now)) return false;
-    // After a break, one request at a time; one that may run again comes first.
-    auto caution = route.mayRunAgain() ? 0 : UNREPEATABLE_CAUTION;
-    if (rule && ejection.wasEjected() && (statistics.inflight > 0 || now < ejection.ejectedUntil() + caution))
+    // After an ejection the server takes one request at a time until it has answered one.
+    auto extraDelay = route.mayRunAgain() ? 0 : NON_REPEATABLE_DELAY;
+    if (rule && ejection.wasEjected()
+        && (statistics.inflight > 0 || now < ejection.ejectedUntil() + extraDelay))
         return false;
     auto& server = *candidate.server;
-    auto isDark = server.loadReadAt && now - server.loadReadAt < LOAD_MAX_AGE && server.load.dark;
-    return !isDark && ejection.healthScore(now) >= leastFitness;
+    auto isUnresponsive = server.loadReadAt && now - server.loadReadAt < LOAD_MAX_AGE && server.load.dark;
+    return !isUnresponsive && ejection.healthScore(now) >= minHealthScore;
 }
 
-auto hasRoom(const Candidate& candidate, const ServerStatistics& statistics, const ServiceRule& rule,
+auto hasCapacity(const Candidate& candidate, const ServerStatistics& statistics, const ServiceRule& rule,
     int slots, std::size_t connectionShare, double threshold) -> bool {
-    // An engine's own queue may hold a few; a plain server's holds one.
+    // An inference engine may queue an eighth of its slots, at least two requests; a plain server queues one.
     auto capacity = slots + (rule.isEngine ? std::max(2, slots / 8) : 1);
-    auto own = std::size_t(statistics.inflight);
-    auto connections = candidate.occupancy < 0.5 ? 2 * connectionShare : connectionShare;
-    if (rule.maxConnections > 0 && own >= connections) return false;
+    auto connections = std::size_t(statistics.inflight);
+    // A server that is less than half full has connections to spare, so each node may use twice its share.
+    auto maxConnections = candidate.occupancy < 0.5 ? 2 * connectionShare : connectionShare;
+    if (rule.maxConnections > 0 && connections >= maxConnections) return false;
     return candidate.occupancy * slots < threshold * capacity;
 }
 
-auto isAmong(const std::vector<std::string>& servers, const Candidate& candidate) -> bool {
+auto containsServer(const std::vector<std::string>& servers, const Candidate& candidate) -> bool {
     return std::find(servers.begin(), servers.end(), *candidate.name) != servers.end();
 }
 
--- a/src/routing/candidate_filters.hpp
+++ b/src/routing/candidate_filters.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// The filters that narrow the servers a request may go to: one function for each decision, over what
-// that decision needs.
+// Filters that narrow the servers eligible for a request. Each is a function of exactly the inputs that its
+// decision needs.
 #include <string>
 #include <vector>
 
@@ -14,44 +14,48 @@
 
 namespace duneturn {
 
-/// A server that a request may go to.
+/// A server that is considered for a request. The pointers refer to the entry of Node::servers().
 struct Candidate {
     const std::string* name = nullptr;
     const KnownServer* server = nullptr;
-    double occupancy = 0;  ///< Requests it is known to hold, as a part of its slots.
+    double occupancy = 0;  ///< Requests it is known to run or queue, divided by its slots.
 };
 
-// Rules. They are asked when a server is chosen, and again just before the first byte.
+// Eligibility rules. They hold whatever the load, and are checked when a server is selected and again just
+// before the first byte of the request is sent.
 
-/// Of the route's service.
+/// Whether the server belongs to the route's service.
 [[nodiscard]] auto isOfService(const KnownServer& server, const Route& route) -> bool;
-/// Listed with an address, not draining, and not known to be another one's address by now.
+/// Whether the server is listed with an address and not draining, and its address is not known to be in use
+/// by another server. `statistics` may be null.
 [[nodiscard]] auto isListed(
     const KnownServer& server, const ServerStatistics* statistics, const EdgeFaults& faults) -> bool;
-/// Not in a zone that an operator evacuated.
+/// Whether the server is outside the zones that an operator evacuated.
 [[nodiscard]] auto isOutsideEvacuatedZones(const KnownServer& server, const ReplicatedState& state) -> bool;
-/// In one of the route's home regions. They are never left.
+/// Whether the server is in one of the route's home regions, which a request never leaves. Precondition: the
+/// route has home regions.
 [[nodiscard]] auto isInHomeRegion(const KnownServer& server, const Request& request, const EdgeFaults& faults)
     -> bool;
-/// Of the weights version of which a stream's events were relayed. On a wire where clients name requests
-/// a server whose version the list does not name passes, and is judged by its answer's head.
+/// Whether the server runs the weights version that produced the events relayed so far. Where clients name
+/// requests, a server listed without a version passes; the head of its answer is checked instead.
 [[nodiscard]] auto hasStreamWeights(const KnownServer& server, const Request& request, const Dialect& dialect,
     const EdgeFaults& faults) -> bool;
-/// In the client's region, or in one that takes its overflow.
+/// Whether the server is in the client's region or in one of the route's spillover regions.
 [[nodiscard]] auto isInAllowedRegion(
     const KnownServer& server, const Request& request, const Dialect& dialect) -> bool;
 
-// Judgements of the moment.
+// Health and capacity checks, which depend on the server's current state.
 
-/// Not ejected as an outlier, not silent, and fit enough. `rule`: null if the configuration says nothing
-/// of the service.
-[[nodiscard]] auto isFit(const Candidate& candidate, const ServerStatistics& statistics, const Route& route,
-    const ServiceRule* rule, double leastFitness, Microseconds now) -> bool;
-/// Whether a service's server has room in its slots and in its connections, of which this node's share is
-/// `connectionShare`. `threshold`: the part of the slots that may be filled.
-[[nodiscard]] auto hasRoom(const Candidate& candidate, const ServerStatistics& statistics,
+/// Whether the server is not ejected as an outlier, not unresponsive, and has at least `minHealthScore`.
+/// `rule` is null if the service has no rule; then only reported loads and the health score are checked.
+[[nodiscard]] auto isHealthy(const Candidate& candidate, const ServerStatistics& statistics,
+    const Route& route, const ServiceRule* rule, double minHealthScore, Microseconds now) -> bool;
+/// Whether the server has a free slot and this node may open another connection to it. `connectionShare`:
+/// this node's share of the server's connections. `threshold`: the fraction of the slots that may be filled.
+[[nodiscard]] auto hasCapacity(const Candidate& candidate, const ServerStatistics& statistics,
     const ServiceRule& rule, int slots, std::size_t connectionShare, double threshold) -> bool;
-/// Whether a list of servers names this one.
-[[nodiscard]] auto isAmong(const std::vector<std::string>& servers, const Candidate& candidate) -> bool;
+/// Whether a list of server names contains the candidate.
+[[nodiscard]] auto containsServer(const std::vector<std::string>& servers, const Candidate& candidate)
+    -> bool;
 
 }  // namespace duneturn
--- a/src/routing/decision_log.cpp
+++ b/src/routing/decision_log.cpp
@@ -11,7 +11,7 @@
 namespace duneturn {
 namespace {
 
-constexpr auto MAX_DECISIONS = std::size_t(1024);  // the older half goes when there are more
+constexpr auto MAX_DECISIONS = std::size_t(1024);  // beyond it the older half is removed
 
 auto phaseName(Phase phase) -> const char* {
     switch (phase) {
@@ -67,7 +67,7 @@
 }
 
 auto DecisionLog::find(const std::string& name) const -> std::string {
-    // The newest, since clients may use a name again.
+    // The newest one, since clients may reuse names.
     auto found = std::find_if(decisions_.rbegin(), decisions_.rend(),
         [&](auto& decision) { return isNamed(name, decision.requestName, decision.requestId); });
     return found == decisions_.rend() ? "" : found->json;
--- a/src/routing/decision_log.hpp
+++ b/src/routing/decision_log.hpp
@@ -1,5 +1,6 @@
 #pragma once
-// What operators are shown of requests: those under way, and the decisions about those that ended lately.
+// The operators' view of requests: the active ones, and the routing decisions about those that ended
+// recently.
 #include <cstdint>
 #include <map>
 #include <string>
@@ -10,25 +11,25 @@
 
 namespace duneturn {
 
-/// Whether a request's text has the steps that were decided.
+/// Whether the JSON of a request includes the steps of its trace.
 enum class TraceDetail { WithoutSteps, WithSteps };
 
-/// A request under way, as JSON.
+/// One active request, as JSON.
 [[nodiscard]] auto requestJson(const Request& request, TraceDetail detail, Microseconds now) -> std::string;
-/// All requests under way, as JSON.
+/// All active requests, as JSON without the steps of their traces.
 [[nodiscard]] auto requestsJson(const std::map<std::int64_t, Request>& requests, Microseconds now)
     -> std::string;
-/// Whether an operator's `name` means this request: its whole name, or the number at its end.
+/// Whether `name` identifies a request: it is the request's name or its numeric id.
 [[nodiscard]] auto isNamed(const std::string& name, const std::string& requestName, std::int64_t id) -> bool;
 
-/// The decisions about requests that ended, the last thousand at most.
+/// The traces of recently ended requests, at most 1024 of them.
 class DecisionLog {
   public:
-    /// Keeps what was decided of a request that ended `how`.
+    /// Records the trace of a request that has ended. `how`: its outcome.
     auto record(const Request& request, const std::string& how) -> void;
-    /// The decisions of a request that ended, as JSON; empty if it is not known.
+    /// The record of the newest ended request of this name or id, as JSON; empty if there is none.
     [[nodiscard]] auto find(const std::string& name) const -> std::string;
-    /// The decisions behind number `after`, as JSON.
+    /// All records with a sequence number above `after`, as JSON.
     [[nodiscard]] auto since(std::int64_t after) const -> std::string;
 
   private:
@@ -36,7 +37,7 @@
         std::int64_t number, requestId;
         std::string requestName, json;
     };
-    std::vector<Decision> decisions_;  // the oldest first
+    std::vector<Decision> decisions_;  // oldest first
     std::int64_t lastNumber_ = 0;
 };
 
--- a/src/routing/headers.cpp
+++ b/src/routing/headers.cpp
@@ -11,19 +11,19 @@
 namespace duneturn {
 namespace {
 
-constexpr auto MAX_DIGITS = std::size_t(18);  // of a number that fits into 64 bits in any case
+constexpr auto MAX_DIGITS = std::size_t(18);  // every number of 18 digits fits into 64 bits
 
-// What concerns one connection only.
-auto concernsConnection(std::string_view name) -> bool {
+// Whether a header is hop-by-hop: it applies to one connection only, and must not be forwarded.
+auto isHopByHop(std::string_view name) -> bool {
     constexpr auto PROXY = std::string_view("proxy-");
-    for (auto own : {"connection", "keep-alive", "transfer-encoding", "content-length", "te", "trailer",
+    for (auto hopByHop : {"connection", "keep-alive", "transfer-encoding", "content-length", "te", "trailer",
              "upgrade", "expect"})
-        if (equalsIgnoreCase(name, own)) return true;
+        if (equalsIgnoreCase(name, hopByHop)) return true;
     return name.size() > PROXY.size() && equalsIgnoreCase(name.substr(0, PROXY.size()), PROXY);
 }
 
-// The names in a value of Connection.
-auto addListedNames(const std::string& value, std::vector<std::string>& names) -> void {
+// Appends the header names listed in a value of the Connection header.
+auto appendListedNames(const std::string& value, std::vector<std::string>& names) -> void {
     for (auto from = std::size_t(0); from <= value.size();) {
         auto end = std::min(value.find(',', from), value.size());
         auto begin = value.find_first_not_of(" \t", from);
@@ -55,16 +55,16 @@
 }
 
 auto endToEndHeaders(const Headers& headers) -> Headers {
-    auto listed = std::vector<std::string>();  // by Connection itself
+    auto listed = std::vector<std::string>();  // in Connection headers
     for (auto& [name, value] : headers)
-        if (equalsIgnoreCase(name, "connection")) addListedNames(value, listed);
-    auto passed = Headers();
+        if (equalsIgnoreCase(name, "connection")) appendListedNames(value, listed);
+    auto forwarded = Headers();
     for (auto& entry : headers) {
         auto isListed = std::any_of(
             listed.begin(), listed.end(), [&](auto& name) { return equalsIgnoreCase(name, entry.first); });
-        if (!concernsConnection(entry.first) && !isListed) passed.push_back(entry);
+        if (!isHopByHop(entry.first) && !isListed) forwarded.push_back(entry);
     }
-    return passed;
+    return forwarded;
 }
 
 auto parseNumber(const std::string& text) -> std::int64_t {
--- a/src/routing/headers.hpp
+++ b/src/routing/headers.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Headers of HTTP messages and the numbers in them.
+// Helpers for HTTP headers and the numbers in their values.
 #include <cstdint>
 #include <optional>
 #include <string>
@@ -11,15 +11,15 @@
 namespace duneturn {
 
 [[nodiscard]] auto toLower(std::string_view text) -> std::string;
-/// The value of the first header of this name, whatever its case; empty if there is none.
+/// The value of the first header of this name, ignoring case; empty if there is none.
 [[nodiscard]] auto header(const Headers& headers, std::string_view name) -> std::string;
-/// Whether two names of headers are the same.
+/// Whether two header names are equal, ignoring case.
 [[nodiscard]] auto equalsIgnoreCase(std::string_view left, std::string_view right) -> bool;
-/// The headers less those that concern one connection only, and those that Connection names.
+/// The end-to-end headers: all but the hop-by-hop headers and those that the Connection header lists.
 [[nodiscard]] auto endToEndHeaders(const Headers& headers) -> Headers;
-/// A whole number of at most 18 digits; -1 if the text is none.
+/// Parses a non-negative integer of at most 18 digits; -1 if the text is malformed.
 [[nodiscard]] auto parseNumber(const std::string& text) -> std::int64_t;
-/// Whole numbers separated by commas; nothing if one is none.
+/// Parses non-negative integers separated by commas; nothing if the text is malformed.
 [[nodiscard]] auto parseNumbers(const std::string& text) -> std::optional<std::vector<std::int64_t>>;
 
 }  // namespace duneturn
--- a/src/routing/prefix_cache.cpp
+++ b/src/routing/prefix_cache.cpp
@@ -3,15 +3,15 @@
 namespace duneturn {
 namespace {
 
-// Bounds the bookkeeping of one server, whatever its memory.
+// Bounds the memory that this node uses per server, however large the server's KV cache is.
 constexpr std::size_t MAX_PARTS = 8192;
 
 }  // namespace
 
 auto PrefixCache::add(std::uint64_t part, std::int64_t tokens, std::int64_t capacity) -> void {
-    if (auto known = positions_.find(part); known != positions_.end()) {
-        totalTokens_ -= known->second->tokens;
-        parts_.erase(known->second);
+    if (auto existing = positions_.find(part); existing != positions_.end()) {
+        totalTokens_ -= existing->second->tokens;
+        parts_.erase(existing->second);
     }
     parts_.push_front({part, tokens});
     positions_[part] = parts_.begin();
--- a/src/routing/prefix_cache.hpp
+++ b/src/routing/prefix_cache.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Which leading parts of prompts a server's cache is believed to hold.
+// An estimate of the prompt parts that one server's KV cache holds.
 #include <cstddef>
 #include <cstdint>
 #include <list>
@@ -7,15 +7,16 @@
 
 namespace duneturn {
 
-/// The parts of prompts that one server was sent lately, as far as its memory goes: the least recently
-/// sent give way first. Serves the rule that a long shared beginning goes where it was read before.
+/// The prompt parts sent to one server, evicted in least recently used order once they exceed the capacity of
+/// its KV cache. Selection uses it to send a long shared prefix to a server that has already processed it.
 class PrefixCache {
   public:
-    /// Whether the server is believed to hold this part.
+    /// Whether the server's cache is expected to hold the part with this hash.
     [[nodiscard]] auto has(std::uint64_t part) const -> bool { return positions_.count(part) > 0; }
-    /// The server was sent a part of so many tokens; `capacity` is its memory in tokens.
+    /// Records a part that was sent to the server. `tokens`: its size; `capacity`: of the KV cache, in
+    /// tokens.
     auto add(std::uint64_t part, std::int64_t tokens, std::int64_t capacity) -> void;
-    /// The server may have lost its memory.
+    /// Forgets all parts, since the server may have restarted with an empty cache.
     auto clear() -> void;
 
   private:
@@ -23,7 +24,7 @@
         std::uint64_t hash;
         std::int64_t tokens;
     };
-    std::list<Part> parts_;  // the most recently sent first
+    std::list<Part> parts_;  // most recently sent first
     std::unordered_map<std::uint64_t, std::list<Part>::iterator> positions_;
     std::int64_t totalTokens_ = 0;
 };
--- a/src/routing/prompt_prefix.cpp
+++ b/src/routing/prompt_prefix.cpp
@@ -10,11 +10,11 @@
 namespace {
 
 constexpr auto MAX_PARTS = std::size_t(256);
-constexpr auto MAX_KNOWN_BEGINNINGS = std::size_t(16384);
-constexpr auto BEGINNING_STEP = std::size_t(512);  // bytes
-constexpr auto PART_SEED = 3;                      // each use of hash64 has a seed of its own
-constexpr auto BEGINNING_SEED = 1;
-constexpr auto KEY_MULTIPLIER = std::uint64_t(0x9e3779b97f4a7c15);  // of Fibonacci hashing
+constexpr auto MAX_KNOWN_PREFIXES = std::size_t(16384);
+constexpr auto PREFIX_STEP_BYTES = std::size_t(512);
+constexpr auto PART_SEED = 3;  // each use of hash64 has a seed of its own
+constexpr auto PREFIX_SEED = 1;
+constexpr auto KEY_MULTIPLIER = std::uint64_t(0x9e3779b97f4a7c15);  // of Fibonacci hashing (Knuth)
 
 }  // namespace
 
@@ -39,14 +39,14 @@
         prompt.prefixKey = (prompt.prefixKey * KEY_MULTIPLIER) ^ prompt.parts[i].first;
         prompt.sharedTokens += prompt.parts[i].second;
     }
-    prompt.prefixKey |= 1;  // 0 stands for none
+    prompt.prefixKey |= 1;  // 0 means that there is no key
     return prompt;
 }
 
-auto PrefixHistory::keyOf(std::string_view body) -> std::uint64_t {
+auto PrefixHistory::longestKnownPrefix(std::string_view body) -> std::uint64_t {
     auto key = std::uint64_t(0);
-    for (auto length = BEGINNING_STEP; length <= body.size(); length += BEGINNING_STEP) {
-        auto hash = hash64(body.substr(0, length), BEGINNING_SEED) | 1;
+    for (auto length = PREFIX_STEP_BYTES; length <= body.size(); length += PREFIX_STEP_BYTES) {
+        auto hash = hash64(body.substr(0, length), PREFIX_SEED) | 1;
         if (known_.count(hash)) {
             key = hash;
         } else {
@@ -54,7 +54,7 @@
             order_.push_back(hash);
         }
     }
-    while (order_.size() > MAX_KNOWN_BEGINNINGS) {
+    while (order_.size() > MAX_KNOWN_PREFIXES) {
         known_.erase(order_.front());
         order_.pop_front();
     }
--- a/src/routing/quota_admission.hpp
+++ b/src/routing/quota_admission.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// A request's token of its tenant's quota: taken when it is admitted, spent with its first byte to a server,
-// returned if nothing was sent.
+// Quota tokens of requests. A request reserves a token of its tenant's quota when it is admitted, spends it
+// when its first byte is sent to a server, and returns it if it ends before that.
 #include <cstdint>
 #include <deque>
 #include <functional>
@@ -15,36 +15,40 @@
 
 namespace duneturn {
 
-/// What becomes of a request that waited for a token.
-enum class QuotaVerdict {
-    Admitted,    ///< It has a token.
-    Refused,     ///< Its tenant is beyond its limit.
-    Unanswered,  ///< The granter did not answer in time.
+/// How a request's wait for a quota token ended.
+enum class QuotaWaitOutcome {
+    Admitted,  ///< It has a token.
+    Rejected,  ///< Its tenant's quota is exceeded.
+    TimedOut,  ///< The quota granter did not answer in time.
 };
 
-/// The requests of one node that need tokens. A request counts once, however many attempts it makes.
+/// Reserves and spends quota tokens for the requests of one node. A request needs one token, however many
+/// attempts it makes. `requests` and `node` must outlive this object.
 class QuotaAdmission {
   public:
     QuotaAdmission(std::map<std::int64_t, Request>& requests, Node& node, Counters& counters)
         : requests_(requests), node_(node), counters_(counters) {}
 
-    /// A request was accepted. If it has to wait, it is among those of `serveWaiting` from now on.
-    [[nodiscard]] auto ask(Request& request, Microseconds now) -> QuotaDecision;
-    /// Goes through the waiting requests, in the order in which they came; `settle` is called for each
-    /// that waits no longer.
-    auto serveWaiting(const std::function<void(Request&, QuotaVerdict)>& settle, Microseconds now) -> void;
-    /// The request is about to be sent. False if its token is void and there is no other.
+    /// Reserves a token for a new request; Granted without a token if the request has no tenant. On Wait, the
+    /// outcome follows by `serveWaiting`.
+    [[nodiscard]] auto reserve(Request& request, Microseconds now) -> QuotaDecision;
+    /// Retries the waiting requests in the order of their arrival, and calls `onWaitEnded` for each that has
+    /// a token, was rejected or has waited too long.
+    auto serveWaiting(const std::function<void(Request&, QuotaWaitOutcome)>& onWaitEnded, Microseconds now)
+        -> void;
+    /// Spends the request's token; called just before its first byte is sent. False if the token has expired
+    /// and no other is available at once: the request must not be sent.
     [[nodiscard]] auto spend(Request& request, Microseconds now) -> bool;
-    /// The request has ended.
+    /// Returns the token of a request that ended without having been sent, or ends its wait.
     auto release(Request& request, Microseconds now) -> void;
 
   private:
-    auto reserveNow(Request& request, Microseconds now) -> bool;
+    auto reserveAndSpend(Request& request, Microseconds now) -> bool;
 
     std::map<std::int64_t, Request>& requests_;
     Node& node_;
     Counters& counters_;
-    std::deque<std::int64_t> waiting_;
+    std::deque<std::int64_t> waiting_;  // ids of requests in the order of arrival; some may have ended
 };
 
 }  // namespace duneturn
--- a/src/routing/request_rejection.hpp
+++ b/src/routing/request_rejection.hpp
@@ -1,12 +1,13 @@
 #pragma once
-// Why a request is not served, in the terms of HTTP.
+// The reason for which a request is not served.
 #include <string>
 
 namespace duneturn {
 
+/// A rejection as it is reported to the client.
 struct RequestRejection {
-    int status = 503;
-    std::string why;  ///< For the client; never holds a key.
+    int status = 503;  ///< Of HTTP.
+    std::string why;   ///< Reason for the client; never contains an API key.
 };
 
 }  // namespace duneturn
--- a/src/routing/route_binding.cpp
+++ b/src/routing/route_binding.cpp
@@ -15,42 +15,43 @@
 namespace {
 
 constexpr auto SHARE_SEED = 11;  // each use of hash64 has a seed of its own
-constexpr auto UNROUTED = "its mapping is no longer configured";
-constexpr auto NO_KEY = "one header with a key that is in force is needed";
-constexpr auto NO_COMMON_HOME = "its mapping and its tenant have no home region in common";
+constexpr auto ROUTE_REMOVED = "the request's route is no longer configured";
+constexpr auto KEY_REQUIRED = "exactly one API key header with a valid key is required";
+constexpr auto NO_COMMON_HOME = "the route and the tenant have no home region in common";
 
-// Why nothing of a configuration binds a request.
-enum class BindingFault { NoConfiguration, NoRoute, KeyRefused, NoCommonHome };
+// Why a configuration does not allow a request.
+enum class BindingFault { NoConfiguration, NoRoute, KeyRejected, NoCommonHome };
 
-// What a configuration says of a request.
+// The route and the tenant of a request; the tenant is null for a request without a valid key.
 struct Binding {
     Route route;
     const Tenant* tenant = nullptr;
 };
 
-// The service that a request's name draws, by the services' shares.
-auto drawnService(const std::string& name, const Route& route) -> std::string {
-    auto sum = std::int64_t(0);
-    for (auto& [service, share] : route.serviceShares) sum += share;
-    auto at = std::int64_t(hash64(name, SHARE_SEED) % std::uint64_t(std::max<std::int64_t>(1, sum)));
+// Chooses one of a route's services by the hash of the request's name, in proportion to the services' shares.
+// So each attempt of a request goes to the same service, at every node.
+auto chooseService(const std::string& name, const Route& route) -> std::string {
+    auto total = std::int64_t(0);
+    for (auto& [service, share] : route.serviceShares) total += share;
+    auto position = std::int64_t(hash64(name, SHARE_SEED) % std::uint64_t(std::max<std::int64_t>(1, total)));
     for (auto& [service, share] : route.serviceShares) {
-        if (at < share) return service;
-        at -= share;
+        if (position < share) return service;
+        position -= share;
     }
     return route.service;
 }
 
-// The route as it holds for this request: the service that its name draws of several, and the model that it
-// asks for.
+// Returns the route specialized for one request: with the service chosen by its name, and with the limits of
+// the model that it asks for.
 auto routeFor(const ReceivedRequest& request, const Route& route, const RouteTable& routes) -> Route {
-    auto own = route;
-    if (!own.serviceShares.empty()) own.service = drawnService(request.name, route);
-    if (request.model.empty() || !own.stream) return own;
-    own.model = request.model;
-    auto model = routes.models.find(own.model);
-    own.migrationLimit = model == routes.models.end() ? 0 : model->second.migrationLimit;
-    if (model != routes.models.end()) own.maxSequenceTokens = model->second.maxSequenceTokens;
-    return own;
+    auto specialized = route;
+    if (!specialized.serviceShares.empty()) specialized.service = chooseService(request.name, route);
+    if (request.model.empty() || !specialized.stream) return specialized;
+    specialized.model = request.model;
+    auto model = routes.models.find(specialized.model);
+    specialized.migrationLimit = model == routes.models.end() ? 0 : model->second.migrationLimit;
+    if (model != routes.models.end()) specialized.maxSequenceTokens = model->second.maxSequenceTokens;
+    return specialized;
 }
 
 auto findBinding(const Request& request, const RouteTable& routes) -> tl::expected<Binding, BindingFault> {
@@ -62,41 +63,43 @@
     auto binding =
         Binding{routeFor(received, route, routes), request.tenant.key.findTenant(routes.tenants())};
     if (!binding.tenant && !route.isPublic && routes.tenants().needsKeys())
-        return tl::unexpected(BindingFault::KeyRefused);
-    if (binding.tenant && !narrowHomes(binding.route, binding.tenant->homes, received.region))
+        return tl::unexpected(BindingFault::KeyRejected);
+    if (binding.tenant && !restrictHomeRegions(binding.route, binding.tenant->homes, received.region))
         return tl::unexpected(BindingFault::NoCommonHome);
     return binding;
 }
 
-auto refusalAtFirst(BindingFault fault) -> RequestRejection {
+auto rejectionOfNewRequest(BindingFault fault) -> RequestRejection {
     switch (fault) {
-    case BindingFault::NoConfiguration: return {503, "no configuration yet"};
-    case BindingFault::NoRoute: return {404, "no mapping for this path"};
-    case BindingFault::KeyRefused: return {KEY_REJECTED_STATUS, NO_KEY};
+    case BindingFault::NoConfiguration: return {503, "this node has no configuration yet"};
+    case BindingFault::NoRoute: return {404, "no route for this path"};
+    case BindingFault::KeyRejected: return {KEY_REJECTED_STATUS, KEY_REQUIRED};
     case BindingFault::NoCommonHome: return {503, NO_COMMON_HOME};
     }
     return {};
 }
 
-// What may have run is not refused as if it had not.
-auto refusalUnderWay(BindingFault fault, const Request& request) -> RequestRejection {
+// Returns the rejection of an active request. One that a server may have executed gets a 502, since it must
+// not look like a request that was rejected before anything ran.
+auto rejectionOfActiveRequest(BindingFault fault, const Request& request) -> RequestRejection {
     auto mayHaveRun = request.attempts.tracker.mayHaveRun();
     switch (fault) {
-    case BindingFault::KeyRefused: return {mayHaveRun ? 502 : KEY_REJECTED_STATUS, NO_KEY};
+    case BindingFault::KeyRejected: return {mayHaveRun ? 502 : KEY_REJECTED_STATUS, KEY_REQUIRED};
     case BindingFault::NoCommonHome: return {503, NO_COMMON_HOME};
-    default: return {503, UNROUTED};
+    default: return {503, ROUTE_REMOVED};
     }
 }
 
-auto isAnother(const Route& route, const Route& bound) -> bool {
+// Whether two routes differ in what a request that was sent under one of them must keep.
+auto isDifferentRoute(const Route& route, const Route& bound) -> bool {
     return route.name != bound.name || route.model != bound.model || route.stream != bound.stream;
 }
 
 auto nameOf(const Tenant* tenant) -> std::string { return tenant ? tenant->name : ""; }
 
-auto take(Request& request, Binding binding, const RouteTable& routes) -> void {
+auto applyBinding(Request& request, Binding binding, const RouteTable& routes) -> void {
     request.route = std::move(binding.route);
-    request.tenant.take(binding.tenant);
+    request.tenant.assign(binding.tenant);
     request.limits.routesRevision = routes.revision;
 }
 
@@ -104,8 +107,8 @@
 
 auto bind(Request& request, const RouteTable& routes) -> std::optional<RequestRejection> {
     auto binding = findBinding(request, routes);
-    if (!binding) return refusalAtFirst(binding.error());
-    take(request, std::move(*binding), routes);
+    if (!binding) return rejectionOfNewRequest(binding.error());
+    applyBinding(request, std::move(*binding), routes);
     return std::nullopt;
 }
 
@@ -114,13 +117,13 @@
     if (request.limits.routesRevision == routes.revision || faults.keepFirstConfiguration)
         return std::nullopt;
     auto binding = findBinding(request, routes);
-    if (!binding) return refusalUnderWay(binding.error(), request);
-    auto hasBegun = request.attempts.tracker.mayHaveRun() || request.attempts.sent > 0;
-    if ((hasBegun || !dialect.clientNamesRequests) && isAnother(binding->route, request.route))
-        return RequestRejection{503, UNROUTED};
-    if (hasBegun && nameOf(binding->tenant) != request.tenant.name)
-        return RequestRejection{503, "its key now belongs to another tenant"};
-    take(request, std::move(*binding), routes);
+    if (!binding) return rejectionOfActiveRequest(binding.error(), request);
+    auto wasSent = request.attempts.tracker.mayHaveRun() || request.attempts.sent > 0;
+    if ((wasSent || !dialect.clientNamesRequests) && isDifferentRoute(binding->route, request.route))
+        return RequestRejection{503, ROUTE_REMOVED};
+    if (wasSent && nameOf(binding->tenant) != request.tenant.name)
+        return RequestRejection{503, "the API key now belongs to another tenant"};
+    applyBinding(request, std::move(*binding), routes);
     request.limits.migrationDisabled =
         request.limits.migrationDisabled || request.limits.sequenceTokens > request.route.maxSequenceTokens;
     return std::nullopt;
--- a/src/routing/route_binding.hpp
+++ b/src/routing/route_binding.hpp
@@ -1,6 +1,5 @@
 #pragma once
-// The route and the tenant that bind one request: what the request itself decides of them, and newer
-// configurations.
+// Binds a request to its route and its tenant when it arrives, and again when the configuration changes.
 #include <optional>
 
 #include "routing/dialect.hpp"
@@ -11,16 +10,16 @@
 
 namespace duneturn {
 
-constexpr auto KEY_REJECTED_STATUS =
-    401;  // the status of a request whose key is missing, unclear or not in force
+/// HTTP status for a request whose API key is missing, ambiguous or unknown.
+constexpr auto KEY_REJECTED_STATUS = 401;
 
-/// Binds a request that has just come in; its method, host, path, model and key are known. Why it is refused,
-/// if it is.
+/// Binds a new request to its route and tenant. Precondition: its method, host, path, model and key are set.
+/// Returns the rejection if the configuration does not allow the request.
 [[nodiscard]] auto bind(Request& request, const RouteTable& routes) -> std::optional<RequestRejection>;
 
-/// Binds a request under way to the newest configuration: what that says of its method, path and key is what
-/// counts, in all but the deadline. Why it may not be sent any more, if it may not: what has begun goes on
-/// under no other route and no other tenant.
+/// Binds an active request to the newest configuration, which then decides about its method, path and key;
+/// the deadline stays. Returns the rejection if the request may not be sent any more. A request that was sent
+/// before must keep its route and its tenant, or is rejected.
 [[nodiscard]] auto rebind(Request& request, const RouteTable& routes, const Dialect& dialect,
     const EdgeFaults& faults) -> std::optional<RequestRejection>;
 
--- a/src/routing/route_table.cpp
+++ b/src/routing/route_table.cpp
@@ -13,27 +13,32 @@
 namespace duneturn {
 namespace {
 
-constexpr auto LEAST_FITNESS = 0.3;           // below it a server is used only where no fitter one is left
-constexpr auto CLIENTS_REGION = "@near";      // as a home: wherever the client is
-constexpr auto URGENT = 5;                    // from this urgency on a request may fill a server
-constexpr auto LESS_URGENT_THRESHOLD = 0.85;  // less urgent work leaves a little room for what is more urgent
-constexpr auto QUEUE_SHARE =
-    5;  // whoever waits longer than this part of the target is better refused at once
-
-// A member that is an object; an empty one if there is none.
+// A server with a lower health score is used only where no healthier one is left.
+constexpr auto MIN_HEALTH_SCORE = 0.3;
+// Names the client's region in a list of home regions.
+constexpr auto CLIENT_REGION = "@near";
+// Requests of at least this urgency may fill a server; less urgent ones leave some capacity for them.
+constexpr auto MIN_URGENCY_TO_FILL = 5;
+constexpr auto LESS_URGENT_OCCUPANCY_LIMIT = 0.85;
+// The queue timeout defaults to a fifth of the first-byte latency target: a request that waits longer would
+// miss its target, so it is better rejected at once.
+constexpr auto QUEUE_TIMEOUT_DIVISOR = 5;
+
+// Returns a member that is an object, or an empty object if there is none.
 auto section(const rapidjson::Value& value, const char* name) -> const rapidjson::Value& {
-    static const auto none = rapidjson::Value(rapidjson::kObjectType);
-    return value.IsObject() && value.HasMember(name) ? value[name] : none;
+    static const auto emptyObject = rapidjson::Value(rapidjson::kObjectType);
+    return value.IsObject() && value.HasMember(name) ? value[name] : emptyObject;
 }
 
-auto readFigures(const rapidjson::Value& config, RouteTable& table) -> void {
+// Reads the settings that apply to all routes.
+auto readGlobalSettings(const rapidjson::Value& config, RouteTable& table) -> void {
     auto& budget = section(config, "budget");
     table.budgetShare = jsonNumber(budget, "share", table.budgetShare);
     table.budgetCap = jsonInteger(budget, "cap", table.budgetCap);
     table.budgetSlack = jsonNumber(budget, "slack", table.budgetSlack);
-    auto& ramp = section(config, "ramp");
-    table.slowStartDuration = jsonInteger(ramp, "overUs", table.slowStartDuration);
-    table.slowStartInitialSlots = int(jsonInteger(ramp, "first", table.slowStartInitialSlots));
+    auto& slowStart = section(config, "ramp");
+    table.slowStartDuration = jsonInteger(slowStart, "overUs", table.slowStartDuration);
+    table.slowStartInitialSlots = int(jsonInteger(slowStart, "first", table.slowStartInitialSlots));
     auto& cold = section(config, "cold");
     table.coldOverrun = jsonNumber(cold, "overrun", table.coldOverrun);
     table.coldSlack = jsonNumber(cold, "slack", table.coldSlack);
@@ -60,8 +65,8 @@
     }
 }
 
-// Which requests a route takes, and where they may go.
-auto readPlaces(const rapidjson::Value& value, Route& route) -> void {
+// Reads which requests a route matches, and which services and regions may serve them.
+auto readMatchAndTargets(const rapidjson::Value& value, Route& route) -> void {
     route.name = jsonString(value, "name");
     route.host = toLower(jsonString(value, "host"));
     route.method = jsonString(value, "method", "POST");
@@ -76,11 +81,12 @@
     route.model = jsonString(value, "model");
     route.homes = jsonStrings(value, "homes");
     if (auto home = jsonString(value, "home"); !home.empty()) route.homes.push_back(home);
-    route.spillRegions = jsonStrings(value, "spill");
-    route.spillOccupancy = jsonNumber(value, "spillAt", route.spillOccupancy);
+    route.spilloverRegions = jsonStrings(value, "spill");
+    route.spilloverOccupancy = jsonNumber(value, "spillAt", route.spilloverOccupancy);
 }
 
-// What may be done with a route's requests, and for how long.
+// Reads a route's retry permissions, timeouts, latency targets and queue settings. Models must have been
+// read.
 auto readLimits(const rapidjson::Value& value, const RouteTable& table, Route& route) -> void {
     route.isPublic = jsonBool(value, "public");
     route.stream = jsonBool(value, "stream");
@@ -94,7 +100,8 @@
     route.idleTimeoutConfigured = value.HasMember("idleUs");
     route.idleTimeout = jsonInteger(value, "idleUs", route.idleTimeout);
     auto target = route.firstByteTarget;
-    auto queueTimeout = target ? std::min(route.queueTimeout, target / QUEUE_SHARE) : route.queueTimeout;
+    auto queueTimeout =
+        target ? std::min(route.queueTimeout, target / QUEUE_TIMEOUT_DIVISOR) : route.queueTimeout;
     route.queueTimeout = jsonInteger(value, "queueUs", queueTimeout);
     route.queueCapacity = std::size_t(jsonInteger(value, "queue", std::int64_t(route.queueCapacity)));
     route.affinityBytes = std::size_t(jsonInteger(value, "affinity"));
@@ -104,18 +111,19 @@
     }
 }
 
-// The stages that narrow a route's servers.
+// Returns the stages by which servers are selected for a route.
 auto selectionSteps(const Route& route) -> std::vector<SelectionStep> {
     auto steps = std::vector<SelectionStep>{
         {SelectionStage::Service}, {SelectionStage::Listed}, {SelectionStage::Evacuated}};
     if (!route.homes.empty()) steps.push_back({SelectionStage::Home});
     steps.push_back({SelectionStage::Weights});
     steps.push_back({SelectionStage::Untried});
-    steps.push_back({SelectionStage::Fit, LEAST_FITNESS});
-    steps.push_back({SelectionStage::Ramp});
-    steps.push_back({SelectionStage::Room, route.urgency >= URGENT ? 1.0 : LESS_URGENT_THRESHOLD});
-    // Several homes are weighed as regions are; a single one leaves nothing to weigh.
-    if (route.homes.size() != 1) steps.push_back({SelectionStage::Near, route.spillOccupancy});
+    steps.push_back({SelectionStage::Healthy, MIN_HEALTH_SCORE});
+    steps.push_back({SelectionStage::SlowStart});
+    steps.push_back(
+        {SelectionStage::Capacity, route.urgency >= MIN_URGENCY_TO_FILL ? 1.0 : LESS_URGENT_OCCUPANCY_LIMIT});
+    // With a single home region there is no choice between regions.
+    if (route.homes.size() != 1) steps.push_back({SelectionStage::Region, route.spilloverOccupancy});
     steps.push_back({SelectionStage::Pick, double(route.affinityBytes > 0)});
     return steps;
 }
@@ -124,7 +132,7 @@
     auto& host = table.hosts[route.host];
     auto& paths = route.pathIsPrefix ? host.prefix : host.exact;
     paths[route.path].push_back(int(table.routes.size()));
-    if (route.pathIsPrefix) host.lengths.insert(route.path.size());
+    if (route.pathIsPrefix) host.prefixLengths.insert(route.path.size());
     table.routes.push_back(std::move(route));
 }
 
@@ -135,9 +143,9 @@
     return levels;
 }
 
-// A host without its port.
+// Removes the port from a host.
 auto withoutPort(std::string_view host) -> std::string_view {
-    if (host.empty() || host.back() == ']') return host;  // the colons of an address in brackets are no port
+    if (host.empty() || host.back() == ']') return host;  // an IPv6 address without a port
     return host.substr(0, host.rfind(':'));
 }
 
@@ -149,14 +157,14 @@
     table.configuration = std::move(configuration);
     table.configVersion = configVersion;
     auto& config = table.configuration->json();
-    readFigures(config, table);
+    readGlobalSettings(config, table);
     readServices(config, table);
     readModels(config, table);
     if (!config.HasMember("mappings")) return table;
     table.routes.reserve(config["mappings"].Size());
     for (auto& value : config["mappings"].GetArray()) {
         auto route = Route();
-        readPlaces(value, route);
+        readMatchAndTargets(value, route);
         readLimits(value, table, route);
         route.steps = selectionSteps(route);
         addRoute(table, std::move(route));
@@ -165,56 +173,58 @@
     return table;
 }
 
-auto homeRegion(const std::string& home, const std::string& clientRegion) -> const std::string& {
-    return home == CLIENTS_REGION ? clientRegion : home;
+auto resolveHomeRegion(const std::string& home, const std::string& clientRegion) -> const std::string& {
+    return home == CLIENT_REGION ? clientRegion : home;
 }
 
-auto narrowHomes(Route& route, const std::vector<std::string>& homes, const std::string& clientRegion)
+auto restrictHomeRegions(Route& route, const std::vector<std::string>& homes, const std::string& clientRegion)
     -> bool {
     if (homes.empty()) return true;
     auto isHomeOfRoute = [&](const std::string& region) {
         return route.homes.empty() || std::any_of(route.homes.begin(), route.homes.end(), [&](auto& home) {
-            return homeRegion(home, clientRegion) == region;
+            return resolveHomeRegion(home, clientRegion) == region;
         });
     };
     auto regions = std::vector<std::string>();
     for (auto& home : homes)
-        if (auto& region = homeRegion(home, clientRegion); isHomeOfRoute(region)) regions.push_back(region);
+        if (auto& region = resolveHomeRegion(home, clientRegion); isHomeOfRoute(region))
+            regions.push_back(region);
     if (regions.empty()) return false;
     route.homes = std::move(regions);
     route.steps = selectionSteps(route);
     return true;
 }
 
-// Of one host and path the route of this very method counts first, then the first named.
+// Among the routes of one host and path, one of exactly this method precedes one of any method, and the one
+// configured first precedes the others.
 auto RouteTable::matchMethod(
     const Table<std::vector<int>>& paths, std::string_view method, std::string_view path) const -> int {
     auto found = paths.find(path);
     if (found == paths.end()) return -1;
-    auto ofAnyMethod = -1;
+    auto anyMethodIndex = -1;
     for (auto index : found->second) {
-        auto& own = routes[std::size_t(index)].method;
-        if (own == method) return index;
-        if (own == "*" && ofAnyMethod < 0) ofAnyMethod = index;
+        auto& routeMethod = routes[std::size_t(index)].method;
+        if (routeMethod == method) return index;
+        if (routeMethod == "*" && anyMethodIndex < 0) anyMethodIndex = index;
     }
-    return ofAnyMethod;
+    return anyMethodIndex;
 }
 
 auto RouteTable::matchHost(const std::string& host, std::string_view method, std::string_view path) const
     -> int {
     auto found = hosts.find(host);
     if (found == hosts.end()) return -1;
-    auto takesAnyMethod = [&](int index) { return routes[std::size_t(index)].method == "*"; };
+    auto matchesAnyMethod = [&](int index) { return routes[std::size_t(index)].method == "*"; };
     auto best = matchMethod(found->second.exact, method, path);
-    for (auto length : found->second.lengths) {
+    for (auto length : found->second.prefixLengths) {
         if (length > path.size()) continue;
         if (best >= 0 && length < path.size()) break;
         auto index = matchMethod(found->second.prefix, method, path.substr(0, length));
         if (index < 0) continue;
-        // A prefix as long as the path itself rivals the exact path: this very method counts first, then
-        // the first named.
-        auto areAlike = best >= 0 && takesAnyMethod(best) == takesAnyMethod(index);
-        if (best < 0 || (areAlike ? index < best : takesAnyMethod(best))) best = index;
+        // A prefix that covers the whole path has the same precedence as the exact path: as in matchMethod,
+        // exactly this method comes first, then the route configured first.
+        auto methodsTie = best >= 0 && matchesAnyMethod(best) == matchesAnyMethod(index);
+        if (best < 0 || (methodsTie ? index < best : matchesAnyMethod(best))) best = index;
         break;
     }
     return best;
--- a/src/routing/route_table.hpp
+++ b/src/routing/route_table.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// The configuration's routes, compiled: which route a request has, and what that route allows.
+// The routes of a configuration in compiled form: which route matches a request, and what the route allows.
 #include <cstddef>
 #include <cstdint>
 #include <functional>
@@ -21,96 +21,101 @@
 
 namespace duneturn {
 
-/// The stages by which a route's servers are narrowed, in order; the last picks one. Each leaves a line
-/// that says what it did.
+/// The stages of server selection, in the order in which they narrow the candidates; the last one selects a
+/// server. Each stage adds to the explanation of the selection what it left.
 enum class SelectionStage {
-    Service,    ///< Of the route's service.
-    Listed,     ///< Listed with an address, and not draining.
-    Evacuated,  ///< Not in an evacuated zone.
-    Home,       ///< In one of the home regions.
-    Weights,    ///< Of the weights version that a stream began with.
-    Untried,    ///< Not tried before by this request, nor rejected by it.
-    Fit,        ///< Not ejected as an outlier.
-    Ramp,       ///< Admitted by slow start.
-    Room,       ///< With room for another request.
-    Near,       ///< In the client's region, or in one that takes its overflow.
-    Pick,       ///< The one that is chosen.
+    Service,    ///< Keeps the servers of the route's service.
+    Listed,     ///< Keeps servers that are listed with an address and not draining.
+    Evacuated,  ///< Removes servers in evacuated zones.
+    Home,       ///< Keeps servers in the home regions.
+    Weights,    ///< Keeps servers of the weights version with which a stream began.
+    Untried,    ///< Removes servers that rejected the request; prefers those not tried by it.
+    Healthy,    ///< Prefers servers that are not ejected as outliers.
+    SlowStart,  ///< Keeps servers that slow start admits another request to.
+    Capacity,   ///< Keeps servers with capacity for another request.
+    Region,     ///< Prefers the client's region to those of its spillover.
+    Pick,       ///< Selects one of the remaining servers.
 };
-/// A stage with its threshold: a healthScore (Fit), an occupancy (Room, Near), or whether prompts' beginnings
-/// are hashed to servers (Pick).
+/// A stage with its threshold: the lowest health score (Healthy), the highest occupancy (Capacity, Region),
+/// or above 0 if requests with the same prompt prefix go to the same servers (Pick).
 struct SelectionStep {
     SelectionStage stage = SelectionStage::Service;
     double threshold = 0;
 };
 
-/// What the configuration says of a service's servers. 0: nothing.
+/// The configuration of a service's servers. 0 means that the configuration states nothing.
 struct ServiceRule {
-    int maxConnections = 0;          ///< That one server accepts, of all nodes.
-    int slots = 0;                   ///< Requests that one server runs at once.
+    int maxConnections = 0;          ///< Connections that one server accepts, from all nodes together.
+    int slots = 0;                   ///< Requests that one server runs concurrently.
     int tokensPerEvent = 0;          ///< Tokens in one event of a stream.
-    Microseconds coldDuration = 0;   ///< How long a server that has just started is cold.
-    double coldRate = 0;             ///< Requests a second that a cold server bears, of all nodes.
-    std::int64_t kvCacheTokens = 0;  ///< Tokens that one server's memory holds.
-    bool isEngine = false;           ///< The servers run a model, and queue by themselves.
+    Microseconds coldDuration = 0;   ///< How long a server is cold after its start.
+    double coldRate = 0;             ///< Requests per second to a cold server, from all nodes together.
+    std::int64_t kvCacheTokens = 0;  ///< Capacity of one server's KV cache.
+    bool isEngine = false;           ///< The servers are inference engines, which queue requests themselves.
 };
 
-/// What the configuration says of a model; see docs/source-design.md.
+/// The configuration of a model; see docs/source-design.md.
 struct ModelRule {
-    int migrationLimit = 0;                 ///< Migrations of one request. None unless configured.
-    std::int64_t maxSequenceTokens = 4096;  ///< Past it a request does not migrate.
+    int migrationLimit = 0;                 ///< Migrations of one request; 0: it never migrates.
+    std::int64_t maxSequenceTokens = 4096;  ///< A request with a longer sequence does not migrate.
 };
 
-/// One route: which requests it takes, and how they are served.
+/// One route: which requests it matches, and how they are served.
 struct Route {
     std::string name, host, method, path, service, model;
-    /// Services by their shares of the requests, instead of the one service.
+    /// Several services with their shares of the requests; if not empty, `service` is chosen among them.
     std::vector<std::pair<std::string, std::int64_t>> serviceShares;
-    std::vector<std::string> homes;  ///< Regions whose servers alone may be used; "@near": the client's.
-    std::vector<std::string> spillRegions;  ///< Regions that take what the client's region has no room for.
-    double spillOccupancy = 0.9;            ///< From which on the client's region counts as full.
+    /// Home regions: only their servers may be used. "@near" stands for the client's region.
+    std::vector<std::string> homes;
+    std::vector<std::string> spilloverRegions;  ///< Used when the client's region is at capacity.
+    double spilloverOccupancy = 0.9;            ///< Occupancy from which a region counts as at capacity.
     bool pathIsPrefix = false;
-    bool isPublic = false;    ///< Requests need no key.
-    bool stream = false;      ///< The answer is an event stream.
-    bool resumable = false;   ///< A stream may go on at another server.
-    bool repeatable = false;  ///< A request may run more than once.
+    bool isPublic = false;    ///< Requests need no API key.
+    bool stream = false;      ///< The response is an event stream.
+    bool resumable = false;   ///< A stream may continue at another server.
+    bool repeatable = false;  ///< A request may be executed more than once.
     int maxAttempts = 1;
-    int urgency = 5;  ///< 0 to 9, of which 9 goes first.
+    int urgency = 5;  ///< 0 (least urgent) to 9 (most urgent).
     int migrationLimit = 0;
     std::int64_t maxSequenceTokens = 4096;
-    Microseconds timeout = 30 * SECOND;      ///< Of a whole request.
-    Microseconds idleTimeout = 5 * SECOND;   ///< Silence after which a server counts as lost.
-    bool idleTimeoutConfigured = false;      ///< Else it is our own default.
-    Microseconds queueTimeout = 2 * SECOND;  ///< For which a request waits for a server.
-    std::size_t queueCapacity = 64;          ///< Requests that wait at one node.
-    Microseconds firstByteTarget = 0;        ///< For the answer's beginning; 0: none is set.
-    Microseconds eventGapTarget = 0;         ///< For the time between events; 0: none is set.
-    std::size_t affinityBytes = 0;           ///< Of a body that may be a shared beginning; 0: none.
+    Microseconds timeout = 30 * SECOND;      ///< Of the request as a whole.
+    Microseconds idleTimeout = 5 * SECOND;   ///< A server silent for longer counts as lost.
+    bool idleTimeoutConfigured = false;      ///< False if idleTimeout is the default.
+    Microseconds queueTimeout = 2 * SECOND;  ///< How long a request waits for a server.
+    std::size_t queueCapacity = 64;          ///< Requests queued at one node.
+    Microseconds firstByteTarget = 0;        ///< Latency target for the first byte; 0: none.
+    Microseconds eventGapTarget = 0;         ///< Latency target for the gap between events; 0: none.
+    std::size_t affinityBytes = 0;  ///< Leading bytes of a body that may be a shared prefix; 0: none.
     std::vector<SelectionStep> steps;
-    /// Whether a request may run again though it may have run.
+    /// Whether a request may be executed again although a server may have executed it.
     [[nodiscard]] auto mayRunAgain() const -> bool { return stream ? resumable : repeatable; }
 };
 
-/// The routes of one configuration, with the figures that hold for all of them.
+/// The compiled routes of one configuration, with the settings that apply to all of them.
 struct RouteTable {
     std::int64_t configVersion = 0, epoch = 0;
-    std::int64_t revision = 0;  ///< Of this table at this node; rises with each that is compiled.
+    std::int64_t revision = 0;  ///< Number of this table at this node; increases with each compilation.
     std::shared_ptr<const Configuration> configuration = Configuration::empty();  ///< Never null.
     UrgencyLevels urgencyLevels;
     std::vector<Route> routes;
     std::map<std::string, ServiceRule> services;
     std::map<std::string, ModelRule> models;
-    /// Spare attempts of each service over all nodes; below 0: one budget of budgetCap for all services.
+    /// Retries that each service may have in reserve over all nodes; negative: all services share one budget
+    /// of budgetCap.
     double budgetSlack = -1;
-    double budgetShare = 0.2;     ///< Further attempts that each first one earns.
-    std::int64_t budgetCap = 50;  ///< Attempts that a node may save up.
-    double coldOverrun = 1.5;     ///< A cold server bears its rate times this,
-    double coldSlack = 5;         ///< and so many requests more.
+    double budgetShare = 0.2;     ///< Retries earned by each first attempt.
+    std::int64_t budgetCap = 50;  ///< Retries that a node may save up.
+    /// A cold server may get coldRate x coldOverrun requests per second, plus coldSlack requests.
+    double coldOverrun = 1.5;
+    double coldSlack = 5;
     Microseconds slowStartDuration = 20 * SECOND;
-    int slowStartInitialSlots = 2;  ///< Slots of a server at its ramp's beginning, of all nodes.
+    /// Slots of a server that all nodes together may use at the beginning of slow start.
+    int slowStartInitialSlots = 2;
 
     [[nodiscard]] auto tenants() const -> const TenantTable& { return configuration->tenants(); }
-    /// The index of a request's route, -1 if there is none: of its host, else of any; the longest path;
-    /// this very method first.
+    /// Returns the index of the route that matches a request, or -1. Routes of the request's host precede
+    /// those of any host, then longer paths precede shorter ones, then routes of exactly this method precede
+    /// those of any method.
     [[nodiscard]] auto match(std::string_view method, std::string_view host, std::string_view path) const
         -> int;
 
@@ -122,7 +127,7 @@
     using Table = std::unordered_map<std::string, Value, Hash, std::equal_to<>>;
     struct Host {
         Table<std::vector<int>> exact, prefix;
-        std::set<std::size_t, std::greater<>> lengths;  // of the prefixes
+        std::set<std::size_t, std::greater<>> prefixLengths;  // longest first
     };
     Table<Host> hosts;  ///< By name in lower case; "" for routes of any host.
 
@@ -133,19 +138,20 @@
         const std::string& host, std::string_view method, std::string_view path) const -> int;
 };
 
-/// The routes of a configuration that validateConfiguration found sound.
+/// Compiles a configuration. Precondition: validateConfiguration found no fault in it.
 [[nodiscard]] auto compileRoutes(
     std::shared_ptr<const Configuration> configuration, std::int64_t configVersion) -> RouteTable;
 
-/// The region that a home names: its own name, or where the client is.
-[[nodiscard]] auto homeRegion(const std::string& home, const std::string& clientRegion) -> const std::string&;
-/// Narrows a route to those of its homes that are among `homes`, if there are any of these. False if no
-/// region is left.
-[[nodiscard]] auto narrowHomes(
+/// The region that an entry of a list of home regions stands for; "@near" stands for the client's region.
+[[nodiscard]] auto resolveHomeRegion(const std::string& home, const std::string& clientRegion)
+    -> const std::string&;
+/// Restricts a route's home regions to those that are among `homes`; an empty list restricts nothing. Returns
+/// false if no region is left.
+[[nodiscard]] auto restrictHomeRegions(
     Route& route, const std::vector<std::string>& homes, const std::string& clientRegion) -> bool;
 
-/// What a configuration says of a service. Where clients name requests a service without a rule has an
-/// empty one; elsewhere null.
+/// The rule of a service. For a service that is not configured, the result is an empty rule where clients
+/// name requests, and null elsewhere.
 [[nodiscard]] auto serviceRuleOf(const RouteTable& routes, const Dialect& dialect, const std::string& service)
     -> const ServiceRule*;
 
--- a/src/routing/scoring.hpp
+++ b/src/routing/scoring.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// How well a server would serve a request: the predicted time to the answer's first byte.
+// Predicts how soon a server would answer a request, by which candidates are compared.
 #include <cstdint>
 
 #include "base/time.hpp"
@@ -10,27 +10,29 @@
 
 namespace duneturn {
 
-/// What a server's cache is taken to hold of a prompt.
+/// Which parts of a prompt a server's KV cache is assumed to hold.
 enum class PrefixAssumption {
-    AsRecorded,   ///< What it was sent by this node.
-    SharedParts,  ///< All but the request's own part, as a cache home does that other nodes send to too.
+    AsRecorded,   ///< Those that this node sent to it.
+    SharedParts,  ///< All shared ones, as for an affinity server, to which other nodes send the prefix too.
 };
 
-/// The prompt's tokens that a server would have to read: all but the leading parts that it holds.
+/// The prompt tokens that a server would have to process: all but the leading parts that its cache holds.
 [[nodiscard]] auto uncachedPromptTokens(const ServerStatistics& statistics, const ReceivedRequest& request,
     PrefixAssumption assumption) -> std::int64_t;
 
-/// Scores of servers by what is known of them.
+/// Rates candidates by the statistics of servers. `statistics` must outlive this object.
 class Scoring {
   public:
     explicit Scoring(ServerStatisticsTable& statistics) : statistics_(statistics) {}
 
-    /// When the answer would begin, in microseconds from now, the longer the less fit the server is.
+    /// Predicts the time to the first byte of the answer, in microseconds. The lower the server's health
+    /// score, the longer the prediction.
     [[nodiscard]] auto predictFirstByte(const Candidate& candidate, const Request& request,
         const ServiceRule& rule, PrefixAssumption assumption, Microseconds now) -> double;
-    /// Whether an engine's memory has room for a request beside what runs there: ours as we know them, the
-    /// others as the service's requests are on average. What is shared is there once, and gives way.
-    [[nodiscard]] auto fitsInMemory(const Candidate& candidate, const Request& request,
+    /// Whether a request fits into an engine's KV cache beside the requests that run there. Requests of this
+    /// node count with their own tokens, requests of other nodes with the service's average. Of shared
+    /// prefixes only the request's own counts, since others can be evicted.
+    [[nodiscard]] auto fitsInKvCache(const Candidate& candidate, const Request& request,
         const ServiceRule& rule, Microseconds now) -> bool;
 
   private:
--- a/src/routing/server_selection.cpp
+++ b/src/routing/server_selection.cpp
@@ -17,14 +17,31 @@
 namespace duneturn {
 namespace {
 
-constexpr auto CACHE_HOMES = std::size_t(2);    // servers that rendezvous hashing names for a beginning
-constexpr auto HOME_OCCUPANCY_MARGIN = 0.4;     // how much fuller than the least occupied one it may be
-constexpr auto REGION_OCCUPANCY_MARGIN = 0.4;   // how much fuller the client's region may be than others
-constexpr auto UNCLAIMED_OCCUPANCY = 0.6;       // up to which an unclaimed region is preferred
-constexpr auto DRAWN_BY_ALL = std::size_t(12);  // servers that all nodes together compare for a request
-constexpr auto NONE = 1e18;                     // the best of no candidates
-
-// Whether the rule of a stage lets a server in. What is judged at the moment is not asked here.
+// The number of servers to which rendezvous hashing assigns a prompt prefix.
+constexpr auto AFFINITY_SERVERS = std::size_t(2);
+// How much more occupied than the least occupied candidate an affinity server may be.
+constexpr auto AFFINITY_OCCUPANCY_MARGIN = 0.4;
+// How much more occupied than other regions the client's region may be.
+constexpr auto REGION_OCCUPANCY_MARGIN = 0.4;
+// Below this occupancy the least demanded region is preferred for long prompts.
+constexpr auto LEAST_DEMANDED_OCCUPANCY_LIMIT = 0.6;
+// A region counts as in demand if more than this fraction of recent requests can go to it only.
+constexpr auto MIN_DEMAND_SHARE = 0.2;
+// Another region is preferred if its demand per server is below this fraction of the client's region's.
+constexpr auto DEMAND_RATIO = 0.5;
+// The number of servers that all nodes together compare for a request.
+constexpr auto SAMPLED_BY_FLEET = std::size_t(12);
+constexpr auto MIN_SAMPLE = std::size_t(2);  // servers that each node compares at least
+constexpr auto MIN_CONNECTION_SHARE = std::size_t(2);
+// An affinity server may answer later than the best candidate by this fraction of the first-byte target.
+constexpr auto AFFINITY_DELAY_DIVISOR = 4;
+// The cost of a server by occupancy: an idle server has this occupancy, and lower health scores are raised to
+// the minimum, so that the cost stays above 0 and finite.
+constexpr auto IDLE_OCCUPANCY = 0.05;
+constexpr auto MIN_HEALTH_SCORE = 0.05;
+constexpr auto NO_CANDIDATE = 1e18;  // more than the cost of any candidate
+
+// Whether a stage's eligibility rule permits a server. Stages that depend on health or load permit all.
 auto ruleAllows(SelectionStage stage, const Request& request, const KnownServer& server,
     const SelectionInputs& inputs) -> bool {
     switch (stage) {
@@ -34,12 +51,12 @@
     case SelectionStage::Evacuated: return isOutsideEvacuatedZones(server, inputs.node.replicatedState());
     case SelectionStage::Home: return isInHomeRegion(server, request, inputs.faults);
     case SelectionStage::Weights: return hasStreamWeights(server, request, inputs.dialect, inputs.faults);
-    case SelectionStage::Near: return isInAllowedRegion(server, request, inputs.dialect);
+    case SelectionStage::Region: return isInAllowedRegion(server, request, inputs.dialect);
     default: return true;
     }
 }
 
-// One selection for one request.
+// A single selection for one request.
 class SelectionRun {
   public:
     SelectionRun(const SelectionInputs& inputs, const Request& request, Microseconds now)
@@ -58,7 +75,8 @@
             apply(step);
         }
         if (selection_.server.empty())
-            selection_.explanation += ofService_ ? "; nothing is left" : "; no server of this pool is known";
+            selection_.explanation +=
+                serversOfService_ ? "; no candidate is left" : "; no server of this service is known";
         return selection_;
     }
 
@@ -66,41 +84,43 @@
     auto apply(const SelectionStep& step) -> void {
         switch (step.stage) {
         case SelectionStage::Service:
-            keepByRule("pool " + route_.service, step.stage);
-            ofService_ = candidates_.size();
+            keepByRule("service " + route_.service, step.stage);
+            serversOfService_ = candidates_.size();
             return;
         case SelectionStage::Listed: return keepByRule("listed", step.stage);
-        case SelectionStage::Evacuated: return keepByRule("not emptied", step.stage);
+        case SelectionStage::Evacuated: return keepByRule("not evacuated", step.stage);
         case SelectionStage::Home: return keepByRule("home " + route_.homes[0], step.stage);
         case SelectionStage::Weights:
             if (request_.relayed.weights.empty() || request_.relayed.lastEventId < 0) return;
             return keepByRule("weights " + request_.relayed.weights, step.stage);
         case SelectionStage::Untried: return keepUntried();
-        case SelectionStage::Fit: return preferFit(step.threshold);
-        case SelectionStage::Ramp: return keepAdmittedBySlowStart();
-        case SelectionStage::Room: return keepWithRoom(step.threshold);
-        case SelectionStage::Near:
-            if (rule_ && inputs_.dialect.clientNamesRequests) return preferRegionByLoad();
-            return preferRegion(step.threshold);
+        case SelectionStage::Healthy: return preferHealthy(step.threshold);
+        case SelectionStage::SlowStart: return keepAdmittedBySlowStart();
+        case SelectionStage::Capacity: return keepWithCapacity(step.threshold);
+        case SelectionStage::Region:
+            if (rule_ && inputs_.dialect.clientNamesRequests) return preferClientRegionByLoad();
+            return preferClientRegion(step.threshold);
         case SelectionStage::Pick: return pick(step.threshold > 0);
         }
     }
 
+    // Removes the candidates that do not satisfy a condition.
     template <class Condition>
-    auto keep(std::string_view what, Condition condition) -> void {
+    auto keep(std::string_view filter, Condition condition) -> void {
         auto before = candidates_.size();
         std::erase_if(candidates_, [&](auto& candidate) { return !condition(candidate); });
         auto separator = selection_.explanation.empty() ? "" : ", ";
-        selection_.explanation += fmt::format("{}{} {}/{}", separator, what, candidates_.size(), before);
+        selection_.explanation += fmt::format("{}{} {}/{}", separator, filter, candidates_.size(), before);
     }
-    // A wish, dropped where nothing would be left.
+    // Like `keep`, but skipped if no candidate satisfies the condition.
     template <class Condition>
-    auto prefer(std::string_view what, Condition condition) -> void {
-        if (std::any_of(candidates_.begin(), candidates_.end(), condition)) keep(what, condition);
-        else selection_.explanation += fmt::format(", {} unmet", what);
+    auto prefer(std::string_view filter, Condition condition) -> void {
+        if (std::any_of(candidates_.begin(), candidates_.end(), condition)) keep(filter, condition);
+        else selection_.explanation += fmt::format(", {} unmet", filter);
     }
-    auto keepByRule(std::string_view what, SelectionStage stage) -> void {
-        keep(what, [&](auto& candidate) { return ruleAllows(stage, request_, *candidate.server, inputs_); });
+    auto keepByRule(std::string_view filter, SelectionStage stage) -> void {
+        keep(
+            filter, [&](auto& candidate) { return ruleAllows(stage, request_, *candidate.server, inputs_); });
     }
 
     auto statisticsOf(const Candidate& candidate) const -> ServerStatistics& {
@@ -109,7 +129,7 @@
     auto healthScore(const Candidate& candidate) const -> double {
         return statisticsOf(candidate).ejection.healthScore(now_);
     }
-    auto isNear(const Candidate& candidate) const -> bool {
+    auto isInClientRegion(const Candidate& candidate) const -> bool {
         return candidate.server->listing.region == request_.received.region;
     }
     auto predict(const Candidate& candidate, PrefixAssumption assumption) -> double {
@@ -118,38 +138,40 @@
 
     auto keepUntried() -> void {
         auto& attempts = request_.attempts;
-        // One that said no, or where nobody was, is not asked again by the same request.
+        // A server that rejected the request or refused the connection is not tried again by the same
+        // request.
         if (inputs_.dialect.clientNamesRequests && !attempts.rejected.empty())
-            keep("not denied", [&](auto& candidate) { return !isAmong(attempts.rejected, candidate); });
+            keep("not rejected",
+                [&](auto& candidate) { return !containsServer(attempts.rejected, candidate); });
         if (!attempts.tried.empty())
-            prefer("untried", [&](auto& candidate) { return !isAmong(attempts.tried, candidate); });
+            prefer("untried", [&](auto& candidate) { return !containsServer(attempts.tried, candidate); });
     }
 
-    auto preferFit(double leastFitness) -> void {
-        prefer("fit", [&](auto& candidate) {
-            return isFit(candidate, statisticsOf(candidate), route_, rule_, leastFitness, now_);
+    auto preferHealthy(double minHealthScore) -> void {
+        prefer("healthy", [&](auto& candidate) {
+            return isHealthy(candidate, statisticsOf(candidate), route_, rule_, minHealthScore, now_);
         });
     }
 
     auto keepAdmittedBySlowStart() -> void {
         auto& slowStart = inputs_.slowStart;
         if (rule_)
-            return keep("cold", [&](auto& candidate) {
+            return keep("slow start", [&](auto& candidate) {
                 return slowStart.admits(*candidate.name, *candidate.server, *rule_, now_, BucketUse::Peek);
             });
-        keep("ramp", [&](auto& candidate) {
+        keep("slow start", [&](auto& candidate) {
             return statisticsOf(candidate).inflight
-                < slowStart.rampShare(*candidate.name, *candidate.server, now_);
+                < slowStart.concurrencyLimit(*candidate.name, *candidate.server, now_);
         });
     }
 
-    auto keepWithRoom(double threshold) -> void {
+    auto keepWithCapacity(double threshold) -> void {
         auto& statistics = inputs_.statistics;
         if (!rule_) {
             for (auto& candidate : candidates_)
                 candidate.occupancy = statistics.reportedLoad(*candidate.name, *candidate.server)
                     / std::max(1, candidate.server->listing.slots);
-            return keep("room", [&](auto& candidate) { return candidate.occupancy < threshold; });
+            return keep("capacity", [&](auto& candidate) { return candidate.occupancy < threshold; });
         }
         auto slots = [&](auto& candidate) {
             return statistics.slots(*candidate.name, *candidate.server, *rule_);
@@ -158,96 +180,109 @@
             candidate.occupancy =
                 statistics.load(*candidate.name, *candidate.server, now_) / slots(candidate);
         auto share = std::size_t(rule_->maxConnections) / inputs_.fleet.nodes();
-        auto connectionShare = std::max<std::size_t>(2, share);
-        auto isBoundByMemory = rule_->isEngine && rule_->kvCacheTokens > 0;
-        keep("room", [&](auto& candidate) {
-            if (isBoundByMemory && !scoring_.fitsInMemory(candidate, request_, *rule_, now_)) return false;
-            return hasRoom(
+        auto connectionShare = std::max<std::size_t>(MIN_CONNECTION_SHARE, share);
+        auto isLimitedByKvCache = rule_->isEngine && rule_->kvCacheTokens > 0;
+        keep("capacity", [&](auto& candidate) {
+            if (isLimitedByKvCache && !scoring_.fitsInKvCache(candidate, request_, *rule_, now_))
+                return false;
+            return hasCapacity(
                 candidate, statisticsOf(candidate), *rule_, slots(candidate), connectionShare, threshold);
         });
         prefer("not full", [&](auto& candidate) { return now_ >= statisticsOf(candidate).fullUntil; });
     }
 
-    // The client's region, unless it is full.
-    auto preferRegion(double fullOccupancy) -> void {
-        auto isRoomy = [&](auto& candidate) {
-            return isNear(candidate) && candidate.occupancy < fullOccupancy;
+    // Keeps the client's region; if that is at capacity, adds the spillover regions.
+    auto preferClientRegion(double fullOccupancy) -> void {
+        auto hasCapacityInRegion = [&](auto& candidate) {
+            return isInClientRegion(candidate) && candidate.occupancy < fullOccupancy;
         };
-        if (std::any_of(candidates_.begin(), candidates_.end(), isRoomy))
-            return keep(
-                "near " + request_.received.region, [&](auto& candidate) { return isNear(candidate); });
-        keepByRule(fmt::format("spill from {}", request_.received.region), SelectionStage::Near);
+        if (std::any_of(candidates_.begin(), candidates_.end(), hasCapacityInRegion))
+            return keep("region " + request_.received.region,
+                [&](auto& candidate) { return isInClientRegion(candidate); });
+        keepByRule(fmt::format("spillover from {}", request_.received.region), SelectionStage::Region);
     }
 
-    // The client's region, unless others are much less occupied or would answer in time where it does not.
-    auto preferRegionByLoad() -> void {
-        keepByRule(fmt::format("regions for {}", request_.received.region), SelectionStage::Near);
+    // Keeps the client's region, unless other regions are much less occupied, or the client's region would
+    // miss the latency target and another would answer sooner. Long prompts go to the least demanded region.
+    auto preferClientRegionByLoad() -> void {
+        keepByRule(fmt::format("regions allowed for {}", request_.received.region), SelectionStage::Region);
         auto occupancy = [](auto& candidate) { return candidate.occupancy; };
         auto firstByte = [&](auto& candidate) { return predict(candidate, PrefixAssumption::AsRecorded); };
-        auto near = bestOf(true, occupancy), others = bestOf(false, occupancy);
-        if (near >= NONE || others >= NONE) return;
-        if (auto region = unclaimedRegion(); !region.empty() && region != request_.received.region) {
-            auto isThere = [&](auto& candidate) {
+        auto clientRegionOccupancy = lowest(true, occupancy), otherOccupancy = lowest(false, occupancy);
+        if (clientRegionOccupancy >= NO_CANDIDATE || otherOccupancy >= NO_CANDIDATE) return;
+        if (auto region = leastDemandedRegion(); !region.empty() && region != request_.received.region) {
+            auto isPreferred = [&](auto& candidate) {
                 return candidate.server->listing.region == region
-                    && candidate.occupancy < UNCLAIMED_OCCUPANCY;
+                    && candidate.occupancy < LEAST_DEMANDED_OCCUPANCY_LIMIT;
             };
-            if (std::any_of(candidates_.begin(), candidates_.end(), isThere))
-                return keep("unclaimed " + region, isThere);
+            if (std::any_of(candidates_.begin(), candidates_.end(), isPreferred))
+                return keep("least demanded region " + region, isPreferred);
         }
-        auto isOverloaded = near > others + REGION_OCCUPANCY_MARGIN;
+        auto isOverloaded = clientRegionOccupancy > otherOccupancy + REGION_OCCUPANCY_MARGIN;
         if (!isOverloaded && route_.firstByteTarget) {
-            auto nearTime = bestOf(true, firstByte);
-            isOverloaded = nearTime > double(route_.firstByteTarget) && nearTime > bestOf(false, firstByte);
+            auto clientRegionTime = lowest(true, firstByte);
+            isOverloaded = clientRegionTime > double(route_.firstByteTarget)
+                && clientRegionTime > lowest(false, firstByte);
         }
-        // All are weighed then, lest every node run from one region to the other.
-        if (!isOverloaded) keep("near", [&](auto& candidate) { return isNear(candidate); });
+        // If the client's region is overloaded, all regions stay candidates. Excluding it would make all
+        // nodes move their load to another region at once, and back again.
+        if (!isOverloaded)
+            keep("client region", [&](auto& candidate) { return isInClientRegion(candidate); });
     }
-    // The least figure of the candidates in the client's region, or of those elsewhere.
-    template <class Figure>
-    auto bestOf(bool near, Figure figure) const -> double {
-        auto best = NONE;
+    // The lowest value of a statistic among the candidates inside or outside the client's region.
+    template <class Statistic>
+    auto lowest(bool inClientRegion, Statistic statistic) const -> double {
+        auto lowestValue = NO_CANDIDATE;
         for (auto& candidate : candidates_)
-            if (isNear(candidate) == near) best = std::min(best, figure(candidate));
-        return best;
+            if (isInClientRegion(candidate) == inClientRegion)
+                lowestValue = std::min(lowestValue, statistic(candidate));
+        return lowestValue;
     }
 
-    // Reading a long prompt holds up all that runs beside it. Where many requests can only go to the
-    // client's region and clearly fewer to another, long prompts that may go anywhere are read there. Every
-    // node sees much the same kinds, so that all choose the same region. Empty: the client's will do.
-    auto unclaimedRegion() -> std::string {
-        auto& near = request_.received.region;
-        if (request_.received.sharedTokens < LONG_PREFIX_TOKENS || route_.homes.size() == 1) return "";
+    // Returns the region to which a long prompt should go; empty if the client's region is suitable. The
+    // prefill of a long prompt delays all requests that run beside it. If many requests can only go to the
+    // client's region, and clearly fewer per server to another region, long prompts that may go to any region
+    // go to that one. All nodes receive a similar mix of requests, so they choose the same region.
+    auto leastDemandedRegion() -> std::string {
+        auto& clientRegion = request_.received.region;
+        if (request_.received.sharedTokens < MIN_AFFINITY_PREFIX_TOKENS || route_.homes.size() == 1)
+            return "";
         auto servers = std::map<std::string, int>();
         for (auto& candidate : candidates_) servers[candidate.server->listing.region]++;
-        if (!servers.count(near) || servers.size() < 2) return "";
+        if (!servers.count(clientRegion) || servers.size() < 2) return "";
         auto& service = inputs_.statistics.ofService(route_.service);
-        auto claimsPerServer = [&](const std::string& region) {
-            auto bound = service.boundByRegion.find(region);
-            return bound == service.boundByRegion.end() ? 0.0 : bound->second / servers[region];
+        auto demandPerServer = [&](const std::string& region) {
+            auto demand = service.singleRegionRequests.find(region);
+            return demand == service.singleRegionRequests.end() ? 0.0 : demand->second / servers[region];
         };
-        auto least = near;
+        auto leastDemanded = clientRegion;
         for (auto& [region, count] : servers)
-            if (claimsPerServer(region) < claimsPerServer(least)) least = region;
-        auto isClaimed = claimsPerServer(near) * servers[near] > 0.2 * service.recentRequests;
-        return isClaimed && claimsPerServer(least) < 0.5 * claimsPerServer(near) ? least : "";
+            if (demandPerServer(region) < demandPerServer(leastDemanded)) leastDemanded = region;
+        auto clientRegionDemand = demandPerServer(clientRegion);
+        auto isInDemand =
+            clientRegionDemand * servers[clientRegion] > MIN_DEMAND_SHARE * service.recentRequests;
+        return isInDemand && demandPerServer(leastDemanded) < DEMAND_RATIO * clientRegionDemand
+            ? leastDemanded
+            : "";
     }
 
+    // The index of the selected candidate, and the reason for operators.
     struct Picked {
         std::size_t index;
-        std::string how;
+        std::string reason;
     };
 
     auto pick(bool byPrefix) -> void {
         auto picked = rule_ ? pickByPrediction() : pickByOccupancy(byPrefix);
         auto& candidate = candidates_[picked.index];
         selection_.server = *candidate.name;
-        selection_.isOutsideRegion = !isNear(candidate);
+        selection_.isOutsideRegion = !isInClientRegion(candidate);
         selection_.explanation +=
-            fmt::format(", picked {} ({}, region {}, occupancy {:.2f}, fitness {:.2f})", selection_.server,
-                picked.how, candidate.server->listing.region, candidate.occupancy, healthScore(candidate));
+            fmt::format(", picked {} ({}, region {}, occupancy {:.2f}, health {:.2f})", selection_.server,
+                picked.reason, candidate.server->listing.region, candidate.occupancy, healthScore(candidate));
     }
 
-    // The index of the candidate with the least cost, the first of several.
+    // The index of the candidate with the lowest cost; the first one of equals.
     template <class Cost>
     auto leastBy(Cost cost) const -> std::size_t {
         auto least = std::size_t(0);
@@ -256,74 +291,79 @@
         return least;
     }
 
-    // The servers that rendezvous hashing names for this prompt's beginning: the same at every node, so
-    // that they have it in their caches.
-    auto cacheHomes() const -> std::vector<std::size_t> {
+    // The indices of the candidates that rendezvous hashing assigns to the request's prompt prefix. Every
+    // node assigns the same servers, so that these have the prefix in their KV caches.
+    auto affinityServers() const -> std::vector<std::size_t> {
         auto order = std::vector<std::size_t>(candidates_.size());
         std::iota(order.begin(), order.end(), std::size_t(0));
         auto key = request_.received.prefixKey;
         std::sort(order.begin(), order.end(), [&](auto left, auto right) {
             return hash64(*candidates_[left].name, key) > hash64(*candidates_[right].name, key);
         });
-        order.resize(std::min(order.size(), CACHE_HOMES));
+        order.resize(std::min(order.size(), AFFINITY_SERVERS));
         return order;
     }
 
-    // A long shared beginning goes where it was read before. All else goes to the best of some drawn at
-    // random, since many nodes that know the same would all run to one.
+    // A prompt with a long shared prefix goes to a server that has processed the prefix before. Any other
+    // request goes to the best of a random sample: if all nodes compared all servers, they would all select
+    // the same.
     auto pickByPrediction() -> Picked {
         if (inputs_.faults.selectRandomly)
-            return {std::size_t(inputs_.random.below(candidates_.size())), "least of some"};
+            return {std::size_t(inputs_.random.below(candidates_.size())), "random"};
         auto& received = request_.received;
-        if (!rule_->isEngine || !received.prefixKey || received.sharedTokens < LONG_PREFIX_TOKENS)
-            return {bestOfDrawn(), "least of some"};
+        if (!rule_->isEngine || !received.prefixKey || received.sharedTokens < MIN_AFFINITY_PREFIX_TOKENS)
+            return {bestOfSample(), "lowest predicted latency of a sample"};
         auto asRecorded = [&](auto& candidate) { return predict(candidate, PrefixAssumption::AsRecorded); };
         auto least = leastBy(asRecorded);
         auto leastOccupied =
             candidates_[leastBy([](auto& candidate) { return candidate.occupancy; })].occupancy;
-        // What it may wait longer at a home, beyond what reading it elsewhere would take.
-        auto spare = double(route_.firstByteTarget ? route_.firstByteTarget : SECOND) / 4;
-        auto homes = cacheHomes();
-        for (auto i = std::size_t(0); i < homes.size(); i++) {
-            auto& home = candidates_[homes[i]];
-            if (home.occupancy > leastOccupied + HOME_OCCUPANCY_MARGIN) continue;
-            if (predict(home, PrefixAssumption::SharedParts) > asRecorded(candidates_[least]) + spare)
+        // The delay that is accepted for an affinity server, compared with processing the prefix elsewhere.
+        auto acceptedDelay =
+            double(route_.firstByteTarget ? route_.firstByteTarget : SECOND) / AFFINITY_DELAY_DIVISOR;
+        auto affinity = affinityServers();
+        for (auto i = std::size_t(0); i < affinity.size(); i++) {
+            auto& candidate = candidates_[affinity[i]];
+            if (candidate.occupancy > leastOccupied + AFFINITY_OCCUPANCY_MARGIN) continue;
+            if (predict(candidate, PrefixAssumption::SharedParts)
+                > asRecorded(candidates_[least]) + acceptedDelay)
                 continue;
-            return {homes[i], fmt::format("cache home {}", i + 1)};
+            return {affinity[i], fmt::format("prefix affinity {}", i + 1)};
         }
-        return {least, "least predicted, cache homes are busy"};
+        return {least, "lowest predicted latency, affinity servers are busy"};
     }
 
-    // The more nodes choose, the fewer servers each compares, lest all run to the same one.
-    auto bestOfDrawn() -> std::size_t {
+    // The more nodes there are, the fewer servers each compares, so that they do not all select the same one.
+    auto bestOfSample() -> std::size_t {
         auto size = candidates_.size();
-        auto drawn =
-            std::clamp(size * DRAWN_BY_ALL / inputs_.fleet.nodes(), std::min<std::size_t>(2, size), size);
-        auto from = std::size_t(inputs_.random.below(size)), best = from;
+        auto sampleSize =
+            std::clamp(size * SAMPLED_BY_FLEET / inputs_.fleet.nodes(), std::min(MIN_SAMPLE, size), size);
+        auto first = std::size_t(inputs_.random.below(size)), best = first;
         auto cost = [&](std::size_t index) {
             return predict(candidates_[index], PrefixAssumption::AsRecorded);
         };
-        for (auto k = std::size_t(1); k < drawn; k++)
-            if (auto next = (from + k) % size; cost(next) < cost(best)) best = next;
+        for (auto i = std::size_t(1); i < sampleSize; i++)
+            if (auto next = (first + i) % size; cost(next) < cost(best)) best = next;
         return best;
     }
 
     auto pickByOccupancy(bool byPrefix) -> Picked {
         auto cost = [&](auto& candidate) {
-            return (candidate.occupancy + 0.05) / std::max(0.05, healthScore(candidate));
+            return (candidate.occupancy + IDLE_OCCUPANCY)
+                / std::max(MIN_HEALTH_SCORE, healthScore(candidate));
         };
-        auto draw = [&] { return std::size_t(inputs_.random.below(candidates_.size())); };
-        if (inputs_.faults.selectRandomly) return {draw(), "random"};
-        if (inputs_.faults.selectLeastLoaded) return {leastBy(cost), "least"};
+        auto randomIndex = [&] { return std::size_t(inputs_.random.below(candidates_.size())); };
+        if (inputs_.faults.selectRandomly) return {randomIndex(), "random"};
+        if (inputs_.faults.selectLeastLoaded) return {leastBy(cost), "least occupied"};
         if (byPrefix && request_.received.prefixKey) {
             auto least = leastBy(cost);
-            auto homes = cacheHomes();
-            for (auto i = std::size_t(0); i < homes.size(); i++)
-                if (cost(candidates_[homes[i]]) <= cost(candidates_[least]) + HOME_OCCUPANCY_MARGIN)
-                    return {homes[i], fmt::format("cache home {}", i + 1)};
-            return {least, "least occupied, cache homes are busy"};
+            auto affinity = affinityServers();
+            for (auto i = std::size_t(0); i < affinity.size(); i++)
+                if (cost(candidates_[affinity[i]]) <= cost(candidates_[least]) + AFFINITY_OCCUPANCY_MARGIN)
+                    return {affinity[i], fmt::format("prefix affinity {}", i + 1)};
+            return {least, "least occupied, affinity servers are busy"};
         }
-        auto one = draw(), other = draw();
+        // The power of two random choices (Mitzenmacher, 2001).
+        auto one = randomIndex(), other = randomIndex();
         return {cost(candidates_[one]) <= cost(candidates_[other]) ? one : other, "least occupied of two"};
     }
 
@@ -334,7 +374,7 @@
     const ServiceRule* rule_;
     Scoring scoring_;
     std::vector<Candidate> candidates_;
-    std::size_t ofService_ = 0;
+    std::size_t serversOfService_ = 0;
     Selection selection_;
 };
 
@@ -360,7 +400,7 @@
     });
 }
 
-auto ServerSelection::recordClaim(const Request& request) -> void {
+auto ServerSelection::recordRegionDemand(const Request& request) -> void {
     auto& homes = request.route.homes;
     inputs_.statistics.ofService(request.route.service).recordRequest(homes.size() == 1 ? homes[0] : "");
 }
--- a/src/routing/server_selection.hpp
+++ b/src/routing/server_selection.hpp
@@ -1,5 +1,6 @@
 #pragma once
-// Which server a request goes to: the candidate filters of its route one after the other, then the pick.
+// Selects the server for a request: applies the stages of its route in order, of which the last one picks a
+// server.
 #include <string>
 
 #include "base/random.hpp"
@@ -15,7 +16,7 @@
 
 namespace duneturn {
 
-/// What the selection looks at.
+/// The components that a selection reads. They must outlive the selection.
 struct SelectionInputs {
     const Node& node;
     const RouteTable& routes;
@@ -27,25 +28,28 @@
     RandomSource& random;
 };
 
-/// The outcome of a selection.
+/// The result of a selection.
 struct Selection {
-    std::string server;            ///< Empty: none may take it now.
-    std::string explanation;       ///< What each filter left, and why this one; for operators.
-    bool isOutsideRegion = false;  ///< Not in the client's region.
+    std::string server;            ///< Empty if no server may take the request now.
+    std::string explanation;       ///< What each stage left, and how the server was picked; for operators.
+    bool isOutsideRegion = false;  ///< The server is not in the client's region.
 };
 
-/// Selects servers. Nothing is reserved: what selects says nothing of whether it is sent.
+/// Selects servers. A selection reserves nothing; the caller may select again or not send the request.
 class ServerSelection {
   public:
     explicit ServerSelection(const SelectionInputs& inputs) : inputs_(inputs) {}
 
+    /// Selects a server by the rules, the health and the load of the servers at this time.
     [[nodiscard]] auto select(const Request& request, Microseconds now) -> Selection;
-    /// Whether every rule lets a request go to this server, whatever its load is now.
+    /// Whether the eligibility rules permit this server, regardless of its health and load.
     [[nodiscard]] auto allows(const Request& request, const KnownServer& server) const -> bool;
-    /// Whether there is a server that may take the request once it has room.
+    /// Whether a request that found no server should wait: some permitted server has not rejected it. Always
+    /// false where clients do not name requests.
     [[nodiscard]] auto mayFindServerLater(const Request& request) const -> bool;
-    /// A request that may only go to one region claims that region's servers; see unclaimedRegion.
-    auto recordClaim(const Request& request) -> void;
+    /// Records an accepted request in the demand of regions. Long prompts avoid regions with many requests
+    /// that cannot be served elsewhere.
+    auto recordRegionDemand(const Request& request) -> void;
 
   private:
     SelectionInputs inputs_;
--- a/src/routing/server_statistics.hpp
+++ b/src/routing/server_statistics.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// What this node knows of servers and services from its own attempts and from servers' answers.
+// Statistics of servers and services, gathered from this node's attempts and from the answers of servers.
 #include <cstdint>
 #include <map>
 #include <string>
@@ -15,90 +15,97 @@
 
 namespace duneturn {
 
-/// The weights of an exponentially smoothed figure: what is kept of the old value, what is taken of a
-/// new one. 0 stands for "no value yet".
+/// Exponential smoothing of a positive value; 0 stands for "no value yet". The weights add up to 1.
 struct ExponentialSmoothing {
-    double keep, take;
+    double keep;  ///< Weight of the previous value.
+    double take;  ///< Weight of the new sample.
     [[nodiscard]] auto next(double previous, double sample) const -> double {
         return previous > 0 ? previous * keep + sample * take : sample;
     }
 };
 
-/// Figures of one server. Times are points in time unless called otherwise; 0: never.
+/// Statistics of one server. Members of type Microseconds are points in time; 0: never.
 struct ServerStatistics {
-    int inflight = 0;          ///< Attempts of this node under way.
-    int inflightAtReport = 0;  ///< Those of them when its newest load report came.
-    Microseconds reportAt = 0;
-    Microseconds lastFailureAt = 0;  ///< When an attempt was last refused or broke.
+    int inflight = 0;                ///< Attempts of this node that are in flight.
+    int inflightAtGossipLoad = 0;    ///< Value of `inflight` when the newest gossiped load was first used.
+    Microseconds gossipLoadAt = 0;   ///< When that load was read at the server.
+    Microseconds lastFailureAt = 0;  ///< When a connection was last refused or lost.
     OutlierEjection ejection;
     double firstByteTime = 0;  ///< Smoothed time to the first byte, in microseconds.
-    double eventGap = 0;       ///< Smoothed time from one event to the next, in microseconds.
-    // What it said of itself in an answer, and how many attempts of ours it had then.
-    int running = 0, waiting = 0, slots = 0, inflightAtLoad = 0;
-    Microseconds loadAt = 0;
-    Microseconds fullUntil = 0;        ///< It said that it was full.
-    Microseconds unansweredSince = 0;  ///< The first attempt since it last answered.
-    Microseconds lastReceivedAt = 0;   ///< When it last answered.
-    /// The revision of the listing under which another server answered at its address.
+    double eventGap = 0;       ///< Smoothed time between events of a stream, in microseconds.
+    /// The newest load header of an answer: requests running and waiting, and slots.
+    int running = 0, waiting = 0, slots = 0;
+    int inflightAtLoadHeader = 0;      ///< Value of `inflight` when that header was received.
+    Microseconds loadHeaderAt = 0;     ///< When that header was received.
+    Microseconds fullUntil = 0;        ///< After an answer that it was full, others are preferred until then.
+    Microseconds unansweredSince = 0;  ///< When the first attempt since its last answer was sent.
+    Microseconds lastReceivedAt = 0;   ///< When it last sent anything.
+    /// The revision of the listing under which another server answered at its address; -1: none.
     std::int64_t wrongAddressRevision = -1;
-    Microseconds coldUntil = 0;      ///< As it said itself.
-    double coldBucket = 1;           ///< Requests that a cold one may still be sent; see SlowStart.
-    Microseconds coldBucketAt = 0;   ///< When the bucket was last filled.
-    double reservedTokens = 0;       ///< Of its memory that ours hold, beside what they share.
-    double pendingPromptTokens = 0;  ///< Of prompts sent to it that it has not begun to answer.
+    Microseconds coldUntil = 0;      ///< According to the server's own answers.
+    double coldBucket = 1;           ///< Tokens of the bucket that limits requests while cold; see SlowStart.
+    Microseconds coldBucketAt = 0;   ///< When the bucket was last refilled.
+    double reservedTokens = 0;       ///< KV-cache tokens of this node's requests, without shared prefixes.
+    double pendingPromptTokens = 0;  ///< Prompt tokens sent to it for which no answer has begun.
     PrefixCache prefixCache;
 
-    /// It was sent something that it has not answered for much longer than it usually takes.
+    /// Whether the server has not answered for much longer than it usually takes to the first byte.
     [[nodiscard]] auto isSilent(Microseconds now) const -> bool;
-    /// The first bytes of an answer came.
+    /// Records the time that an answer took to its first byte.
     auto recordFirstByte(Microseconds taken) -> void;
-    /// An event of a stream came `gap` after what came before it.
+    /// Records the time between two successive events of a stream.
     auto recordEventGap(Microseconds gap) -> void;
 };
 
-/// Figures of one service's requests, as this node sees them.
+/// Statistics of one service's requests, as observed by this node.
 struct ServiceStatistics {
-    double requestDuration = 0;  ///< Smoothed: how long a request takes a server, in microseconds.
-    double unsharedTokens = 0;   ///< Smoothed: the tokens that only one request needs.
-    double recentRequests = 0;   ///< Requests of late; older ones count less and less.
-    std::map<std::string, double> boundByRegion;  ///< Those of them that only one region may serve.
-    std::int64_t loadReports = 0;
-    double requestsOfOthers = 0;  ///< Smoothed: what a server holds of other nodes' requests.
+    double requestDuration = 0;  ///< Smoothed time for which a request occupies a server, in microseconds.
+    double unsharedTokens = 0;   ///< Smoothed tokens of a request that no other request shares.
+    double recentRequests = 0;   ///< Exponentially decayed number of accepted requests.
+    /// The part of `recentRequests` that a single region may serve, by region.
+    std::map<std::string, double> singleRegionRequests;
+    std::int64_t loadReports = 0;   ///< Load headers received.
+    double otherNodesRequests = 0;  ///< Smoothed number of other nodes' requests at one server.
 
     auto recordRequestDuration(Microseconds taken) -> void;
     auto recordOwnTokens(std::int64_t tokens) -> void;
-    /// A request was accepted that only `region` may serve; empty: that several may.
+    /// Records an accepted request. `region`: the only region that may serve it; empty if several may.
     auto recordRequest(const std::string& region) -> void;
-    auto recordRequestsOfOthers(double requests) -> void;
+    auto recordOtherNodesRequests(double requests) -> void;
 };
 
-/// The statistics of all servers and services.
+/// The statistics of all servers and services. `node` must outlive this object.
 class ServerStatisticsTable {
   public:
     explicit ServerStatisticsTable(const Node& node) : node_(node) {}
 
-    /// A server's statistics; new ones if there are none.
+    /// The statistics of a server; created if there are none.
     auto of(const std::string& server) -> ServerStatistics& { return servers_[server]; }
+    /// The statistics of a server; null if there are none.
     [[nodiscard]] auto find(const std::string& server) const -> const ServerStatistics*;
+    /// The statistics of a service; created if there are none.
     auto ofService(const std::string& service) -> ServiceStatistics& { return services_[service]; }
 
-    /// Requests that a server holds by the load reports that nodes send each other, ours since then included.
+    /// The requests at a server according to the gossiped load, plus those that this node has sent since.
     [[nodiscard]] auto reportedLoad(const std::string& name, const KnownServer& server) -> double;
-    /// Requests that a server holds: ours, and what it last said of others'. As those come to their ends,
-    /// what was said counts for less and less, and the service's average more.
+    /// The estimated number of requests at a server: this node's requests, plus other nodes' requests
+    /// according to its newest load header. As those requests end, the estimate moves from the header's
+    /// number to the service's average. A gossiped load that is newer than the header is used instead.
     [[nodiscard]] auto load(const std::string& name, const KnownServer& server, Microseconds now) -> double;
-    /// Requests that a server runs at once: as it says, as it is listed, as the configuration says.
+    /// The requests that a server runs concurrently, at least 1: from its load header, else its listing, else
+    /// the service's rule.
     [[nodiscard]] auto slots(const std::string& name, const KnownServer& server, const ServiceRule& rule)
         -> int;
-    /// The median of a figure over a service's servers; 0 if fewer than three have one.
-    [[nodiscard]] auto median(const std::string& service, double ServerStatistics::*figure) const -> double;
+    /// The median of a statistic over a service's servers; 0 if fewer than three servers have a value.
+    [[nodiscard]] auto median(const std::string& service, double ServerStatistics::*statistic) const
+        -> double;
 
-    /// What a server says of itself in the headers of an answer.
+    /// Records an answer of a server, with the load and the cold time that its headers report.
     auto readAnswer(const std::string& name, const Headers& headers, const Dialect& dialect, Microseconds now)
         -> void;
-    /// Attempts under way at all servers.
+    /// The attempts in flight at all servers.
     [[nodiscard]] auto inflight() const -> int;
-    /// Forgets servers that are no longer listed and hold nothing of ours.
+    /// Removes servers that are no longer listed and have no attempt of this node in flight.
     auto forgetUnlisted() -> void;
 
   private:
--- a/src/routing/slow_start.hpp
+++ b/src/routing/slow_start.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Slow start: a server that has just started, or come back, is sent little at first.
+// Slow start: a server that has just started or recovered receives requests at a limited rate.
 #include <cstddef>
 #include <map>
 #include <set>
@@ -14,26 +14,29 @@
 
 namespace duneturn {
 
-/// Whether an answer about a cold server's bucket takes from it.
+/// Whether SlowStart::admits consumes a token of the server's bucket or only checks for one.
 enum class BucketUse { Peek, Consume };
 
-/// Two rules. Where the configuration says nothing of the service, a server's room grows from
-/// RouteTable::slowStartInitialSlots to all its slots over RouteTable::slowStartDuration. Where it names a
-/// cold rate, a cold server bears that many requests a second. Both are limits of all nodes together, and are
-/// dealt out to nodes by rendezvous hashing, so that nobody has to ask.
+/// Applies one of two limits. For a service without a rule, the concurrency of a server grows from
+/// RouteTable::slowStartInitialSlots to all its slots over RouteTable::slowStartDuration. For a service with
+/// a cold rate, a cold server gets that many requests per second. Both limits hold for all nodes together.
+/// They are divided among the nodes by rendezvous hashing, so that no communication is needed.
 class SlowStart {
   public:
     SlowStart(const Node& node, const RouteTable& routes, ServerStatisticsTable& statistics,
         const FleetSize& fleet, const EdgeFaults& faults)
         : node_(node), routes_(routes), statistics_(statistics), fleet_(fleet), faults_(faults) {}
 
-    /// How many attempts of this node may be under way at a server.
-    [[nodiscard]] auto rampShare(const std::string& name, const KnownServer& server, Microseconds now) -> int;
-    /// Whether a server may be sent one more request now; always if it is not cold.
+    /// The number of attempts that this node may have in flight at a server.
+    [[nodiscard]] auto concurrencyLimit(const std::string& name, const KnownServer& server, Microseconds now)
+        -> int;
+    /// Whether a server may get another request now; always true if it is not cold.
     auto admits(const std::string& name, const KnownServer& server, const ServiceRule& rule, Microseconds now,
         BucketUse use) -> bool;
-    /// The zones that are evacuated now. Servers of one that no longer is may have turned cold.
+    /// Sets the evacuated zones. Servers in a zone that is no longer evacuated count as cold for a while,
+    /// since they may have restarted unnoticed.
     auto setEvacuatedZones(std::set<std::string> zones) -> void;
+    /// Updates the times of restored zones; called periodically.
     auto tick(Microseconds now) -> void;
 
   private:
@@ -48,8 +51,8 @@
     const FleetSize& fleet_;
     const EdgeFaults& faults_;
     std::set<std::string> evacuatedZones_;
-    std::map<std::string, Microseconds> restoredZones_;  // when it was restored; -1 until the next tick
-    Microseconds listedAt_ = 0;                          // when servers were first known; 0: not yet
+    std::map<std::string, Microseconds> restoredZones_;  // time of the restoration; -1 until the next tick
+    Microseconds firstListedAt_ = 0;                     // when this node first knew any server; 0: not yet
 };
 
 }  // namespace duneturn
--- a/src/routing/tenant_admission.cpp
+++ b/src/routing/tenant_admission.cpp
@@ -9,16 +9,16 @@
 ClientKey::ClientKey(const Headers& headers, const Dialect& dialect) {
     auto isKey = [&](auto& entry) { return equalsIgnoreCase(entry.first, dialect.apiKey); };
     if (std::count_if(headers.begin(), headers.end(), isKey) != 1) return;
-    text_ = std::find_if(headers.begin(), headers.end(), isKey)->second;
+    value_ = std::find_if(headers.begin(), headers.end(), isKey)->second;
 }
 
 auto ClientKey::findTenant(const TenantTable& tenants) const -> const Tenant* {
-    return text_ ? tenants.findByKey(*text_) : nullptr;
+    return value_ ? tenants.findByKey(*value_) : nullptr;
 }
 
-auto RequestTenant::take(const Tenant* tenant) -> void {
-    static const auto none = Tenant();
-    auto& source = tenant ? *tenant : none;
+auto RequestTenant::assign(const Tenant* tenant) -> void {
+    static const auto noTenant = Tenant();
+    auto& source = tenant ? *tenant : noTenant;
     name = source.name;
     rank = source.rank;
     homes = source.homes;
--- a/src/routing/tenant_admission.hpp
+++ b/src/routing/tenant_admission.hpp
@@ -1,6 +1,5 @@
 #pragma once
-// Whose request it is: the key that a client sends, the tenant that holds it, and what that tenant decides of
-// the request.
+// Identifies the tenant of a request by the API key that the client sends.
 #include <optional>
 #include <string>
 #include <vector>
@@ -11,35 +10,35 @@
 
 namespace duneturn {
 
-/// The key that came with a request, kept to be looked up again in newer configurations. Its text can not be
-/// read back, so that it ends up in no trace, view or message.
+/// The API key of a request, kept so that it can be looked up again in newer configurations. It has no
+/// accessor for its value, so that the key cannot get into a trace, an operator's view or a message.
 class ClientKey {
   public:
     ClientKey() = default;
-    /// The whole value of the only header with a key. Without such a header, or with several, no tenant is
-    /// found.
+    /// Takes the complete value of the API key header. If the header is missing or repeated, no tenant is
+    /// found for the key.
     ClientKey(const Headers& headers, const Dialect& dialect);
 
-    /// The tenant that holds the key; null if none does.
+    /// The tenant to which the key belongs; null if there is none.
     [[nodiscard]] auto findTenant(const TenantTable& tenants) const -> const Tenant*;
 
   private:
-    std::optional<std::string> text_;
+    std::optional<std::string> value_;
 };
 
-/// The tenant of one request, as the newest configuration that binds it says.
+/// The tenant of one request, according to the newest configuration that the request was bound to.
 struct RequestTenant {
     ClientKey key;
-    std::string name;                ///< Empty: the request is no tenant's.
-    int rank = 0;                    ///< 0 goes first.
-    std::vector<std::string> homes;  ///< Regions whose servers alone may be used; empty: any.
+    std::string name;                ///< Empty if the request has no tenant.
+    int rank = 0;                    ///< 0 is the most urgent.
+    std::vector<std::string> homes;  ///< Only servers of these regions may be used; empty: any.
 
     [[nodiscard]] auto isKnown() const -> bool { return !name.empty(); }
-    /// Takes what the configuration says of a tenant; null: of no tenant.
-    auto take(const Tenant* tenant) -> void;
+    /// Copies the tenant's name, rank and homes; null stands for no tenant. The key stays.
+    auto assign(const Tenant* tenant) -> void;
 };
 
-/// The headers less the client's key, and less the tenant that the client says it is.
+/// Removes the API key, and a tenant name, which clients must not set.
 [[nodiscard]] auto withoutTenantHeaders(const Headers& headers, const Dialect& dialect) -> Headers;
 
 }  // namespace duneturn
--- a/src/routing/urgency_levels.cpp
+++ b/src/routing/urgency_levels.cpp
@@ -6,11 +6,11 @@
 namespace duneturn {
 namespace {
 
-constexpr auto LEVELS = 10;  // that the wire has
+constexpr auto LEVELS = 10;  // on the wire
 
 auto levelOfUrgency(int urgency) -> int { return LEVELS - 1 - std::clamp(urgency, 0, LEVELS - 1); }
 
-// How many members are smaller than `value`; at most the last one's position.
+// The position of `value` in a sorted set; a value beyond the last member gets the last position.
 auto positionIn(const std::set<int>& members, int value) -> int {
     auto position = int(std::distance(members.begin(), members.lower_bound(value)));
     return std::clamp(position, 0, std::max(0, int(members.size()) - 1));
@@ -25,11 +25,11 @@
     auto ranks = int(ranks_.size());
     if (ranks < 2) return routeLevel;
     auto rank = positionIn(ranks_, tenantRank);
-    auto first = rank * LEVELS / ranks;
-    auto width = (rank + 1) * LEVELS / ranks - first;
+    auto firstLevel = rank * LEVELS / ranks;
+    auto levelsOfRank = (rank + 1) * LEVELS / ranks - firstLevel;
     auto position = positionIn(routeLevels_, routeLevel);
-    auto kinds = int(routeLevels_.size());
-    return first + (kinds <= width ? position : position * width / kinds);
+    auto urgencies = int(routeLevels_.size());
+    return firstLevel + (urgencies <= levelsOfRank ? position : position * levelsOfRank / urgencies);
 }
 
 }  // namespace duneturn
