--- a/tests/routing/edge_fixture.hpp
+++ b/tests/routing/edge_fixture.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// An edge behind another wire: clients name their requests, servers tell their load, streams
-// end with their message.
+// A fixture with one edge in a deployment whose clients name their requests, whose servers report their load
+// in headers, and whose streams end with their HTTP message.
 #include <cstdint>
 #include <deque>
 #include <map>
@@ -23,31 +23,42 @@
 
 namespace duneturn {
 
-/// The names of a wire on which clients name their requests.
+/// The header names and conventions of a deployment whose clients name their requests.
 inline auto testDialect() -> Dialect {
-    auto d = Dialect();
-    d.request = "X-Try", d.notExecuted = "X-Not-Run", d.weights = "", d.target = "X-For";
-    d.deadlineMs = "X-Left", d.urgency = "X-Urgency", d.load = "X-Load", d.serverId = "X-Server";
-    d.coldMs = "X-Cold", d.parts = "X-Parts", d.tokens = "X-Tokens", d.model = "X-Model";
-    d.clientNamesRequests = d.passThroughHeaders = true;
-    d.streamEndsWithDoneEvent = false;
-    return d;
+    auto dialect = Dialect();
+    dialect.request = "X-Try";
+    dialect.notExecuted = "X-Not-Run";
+    dialect.weights = "";
+    dialect.target = "X-For";
+    dialect.deadlineMs = "X-Left";
+    dialect.urgency = "X-Urgency";
+    dialect.load = "X-Load";
+    dialect.serverId = "X-Server";
+    dialect.coldMs = "X-Cold";
+    dialect.parts = "X-Parts";
+    dialect.tokens = "X-Tokens";
+    dialect.model = "X-Model";
+    dialect.clientNamesRequests = true;
+    dialect.passThroughHeaders = true;
+    dialect.streamEndsWithDoneEvent = false;
+    return dialect;
 }
 
-/// An attempt that the edge began.
+/// An attempt that the edge started.
 struct StartedAttempt {
     std::int64_t request;
     int attempt;
     std::string server;
 };
-/// A whole answer to a client.
+/// A complete answer to a client.
 struct Reply {
     int status;
     Headers headers;
     std::string body;
 };
 
-/// A node that is a fleet of its own, with its edge, in virtual time; the other nodes are records only.
+/// A node that is the only voter, with its edge, in virtual time. Of the other nodes it knows only the
+/// records in their heartbeats.
 struct EdgeFixture : NodePort, EdgePort {
     Settings settings;
     Counters counters;
@@ -55,13 +66,13 @@
     std::unique_ptr<Edge> edge;
     std::deque<DiskWrite> diskWrites;
     Microseconds now = 10 * SECOND;
-    std::map<std::int64_t, Outcome> outcomes;
+    std::map<std::int64_t, Outcome> outcomes;  // of operator orders
     std::vector<StartedAttempt> sends;
     std::vector<std::pair<std::int64_t, int>> cancelled;
     std::map<std::int64_t, Reply> replies;
     std::map<std::int64_t, std::pair<int, Headers>> heads;
-    std::map<std::int64_t, std::string> parts;
-    std::set<std::int64_t> cut, whole;
+    std::map<std::int64_t, std::string> parts;  // the stream's bytes that were sent to the client
+    std::set<std::int64_t> cut, whole;          // requests whose streams were interrupted or completed
     std::int64_t revision = 0, requestCount = 0, heartbeat = 0;
     std::string region = "near";
     int others = 0;
@@ -77,58 +88,73 @@
         runFor(8 * SECOND);
     }
     auto send(const std::string&, const wire::Envelope&) -> void override {}
-    auto disk(const DiskWrite& w) -> void override { diskWrites.push_back(w); }
-    auto done(std::int64_t id, const Outcome& o) -> void override { outcomes[id] = o; }
+    auto disk(const DiskWrite& write) -> void override { diskWrites.push_back(write); }
+    auto done(std::int64_t id, const Outcome& outcome) -> void override { outcomes[id] = outcome; }
     auto savePeerHints(const std::vector<std::string>&) -> void override {}
     auto probe(const std::string&, const std::string&) -> void override {}
-    auto startAttempt(std::int64_t x, int a, const std::string& s, const std::string&) -> void override {
-        sends.push_back({x, a, s});
+    auto startAttempt(std::int64_t request, int attempt, const std::string& server, const std::string&)
+        -> void override {
+        sends.push_back({request, attempt, server});
     }
-    auto cancelAttempt(std::int64_t x, int a) -> void override { cancelled.emplace_back(x, a); }
-    auto sendHead(std::int64_t x, int s, const Headers& h) -> void override { heads[x] = {s, h}; }
-    auto sendStreamBytes(std::int64_t x, const std::string& s) -> void override { parts[x] += s; }
-    auto endStream(std::int64_t x, bool w) -> void override {
-        CHECK(!cut.count(x) && !whole.count(x));
-        (w ? whole : cut).insert(x);
+    auto cancelAttempt(std::int64_t request, int attempt) -> void override {
+        cancelled.emplace_back(request, attempt);
     }
-    auto sendReply(std::int64_t x, int s, const Headers& h, const std::string& b) -> void override {
-        CHECK(!replies.count(x));
-        replies[x] = {s, h, b};
+    auto sendHead(std::int64_t request, int status, const Headers& headers) -> void override {
+        heads[request] = {status, headers};
+    }
+    auto sendStreamBytes(std::int64_t request, const std::string& bytes) -> void override {
+        parts[request] += bytes;
+    }
+    auto endStream(std::int64_t request, bool isComplete) -> void override {
+        CHECK(!cut.count(request) && !whole.count(request));
+        (isComplete ? whole : cut).insert(request);
+    }
+    auto sendReply(std::int64_t request, int status, const Headers& headers, const std::string& body)
+        -> void override {
+        CHECK(!replies.count(request));
+        replies[request] = {status, headers, body};
     }
 
-    auto step() -> void {
-        if (others && now % (200 * MILLISECOND) == 0) {
-            auto v = wire::Envelope();
-            v.wire = WIRE;
-            v.node = "n1";
-            auto b = wire::Heartbeat();
-            heartbeat++;
-            for (auto i = 0; i <= others; i++) {
-                auto w = wire::NodeRecord();
-                w.node = fmt::format("n{}", i);
-                if (w.node == settings.node) continue;
-                w.boot = 5, w.heartbeat = heartbeat, w.peer = fmt::format("127.0.0.2:{}", 100 + i);
-                b.records.push_back(w);
-            }
-            v.__set_heartbeat(b);
-            if (settings.node == "n1") v.node = "n0";
-            node->handle(v, now);
+    /// A heartbeat with the records of all other nodes.
+    auto receiveHeartbeat() -> void {
+        auto envelope = wire::Envelope();
+        envelope.wire = WIRE;
+        envelope.node = "n1";
+        auto message = wire::Heartbeat();
+        heartbeat++;
+        for (auto i = 0; i <= others; i++) {
+            auto record = wire::NodeRecord();
+            record.node = fmt::format("n{}", i);
+            if (record.node == settings.node) continue;
+            record.boot = 5;
+            record.heartbeat = heartbeat;
+            record.peer = fmt::format("127.0.0.2:{}", 100 + i);
+            message.records.push_back(record);
         }
+        envelope.__set_heartbeat(message);
+        if (settings.node == "n1") envelope.node = "n0";
+        node->handle(envelope, now);
+    }
+    /// Lets 20 ms pass.
+    auto step() -> void {
+        if (others && now % (200 * MILLISECOND) == 0) receiveHeartbeat();
         if (!listed.empty() && now % (5 * SECOND) == 0) listServers(listed, 0);
         node->tick(now, 1800000000 * SECOND + now);
         edge->tick(now);
-        auto q = std::move(diskWrites);
+        auto writes = std::move(diskWrites);
         diskWrites.clear();
-        for (auto& w : q) node->onDiskWriteDone(w.seq, true, now);
+        for (auto& write : writes) node->onDiskWriteDone(write.seq, true, now);
         now += 20 * MILLISECOND;
     }
-    auto runFor(Microseconds d) -> void {
-        for (auto t = now + d; now < t;) step();
+    auto runFor(Microseconds duration) -> void {
+        for (auto end = now + duration; now < end;) step();
     }
-    auto orderConfig(const std::string& c) -> int {
+    /// Orders a new configuration, and returns the status of the order.
+    auto orderConfig(const std::string& configuration) -> int {
         auto id = std::int64_t(1000 + requestCount++);
-        node->order(id, "config", fmt::format("k{}", id),
-            fmt::format("{{\"base\":{},\"config\":{}}}", node->replicatedState().configVersion(), c), now);
+        auto body = fmt::format(
+            "{{\"base\":{},\"config\":{}}}", node->replicatedState().configVersion(), configuration);
+        node->order(id, "config", fmt::format("k{}", id), body, now);
         runFor(SECOND);
         return outcomes[id].status;
     }
@@ -136,68 +162,76 @@
         std::string name, region = "near", service = "p", zone = "z";
         int slots = 4;
     };
-    std::vector<ListedServer> listed;  // sent again before its lease ends
-    auto listServers(const std::vector<ListedServer>& v, Microseconds wait = SECOND) -> void {
-        listed = std::vector<ListedServer>(v);
-        auto o = std::string();
-        for (auto& s : v)
-            o += (o.empty() ? "" : ",")
-                + bodyOf({{"name", jsonQuote(s.name)}, {"address", "\"127.0.0.1:9\""},
-                    {"region", jsonQuote(s.region)}, {"district", jsonQuote(s.zone)},
-                    {"pool", jsonQuote(s.service)}, {"slots", fmt::to_string(s.slots)}});
-        for (auto& [s, till] : coldUntil)  // named for those alone whose cold time is known
-            if (auto i = o.find(bodyOf({{"name", jsonQuote(s)}}).substr(1, s.size() + 9));
-                i != std::string::npos)
-                o.insert(i, fmt::format("\"coldUs\":{},", std::max<Microseconds>(0, till - now)));
-        node->list(1, fmt::format("{{\"revision\":{},\"servers\":[{}]}}", ++revision, o), now);
+    std::vector<ListedServer> listed;  // listed again every 5 s, before its lease expires
+    auto listServers(const std::vector<ListedServer>& servers, Microseconds wait = SECOND) -> void {
+        listed = std::vector<ListedServer>(servers);
+        auto list = std::string();
+        for (auto& server : servers)
+            list += (list.empty() ? "" : ",")
+                + bodyOf({{"name", jsonQuote(server.name)}, {"address", "\"127.0.0.1:9\""},
+                    {"region", jsonQuote(server.region)}, {"district", jsonQuote(server.zone)},
+                    {"pool", jsonQuote(server.service)}, {"slots", fmt::to_string(server.slots)}});
+        // Only the servers with a known cold time get a "coldUs" member.
+        for (auto& [name, until] : coldUntil) {
+            auto nameMember = bodyOf({{"name", jsonQuote(name)}}).substr(1, name.size() + 9);
+            if (auto position = list.find(nameMember); position != std::string::npos)
+                list.insert(position, fmt::format("\"coldUs\":{},", std::max<Microseconds>(0, until - now)));
+        }
+        node->list(1, fmt::format("{{\"revision\":{},\"servers\":[{}]}}", ++revision, list), now);
         runFor(wait);
     }
-    /// A server's cold time, as a listing would name it.
-    auto setColdUntil(const std::string& s, Microseconds till) -> void {
-        coldUntil[s] = till;
+    /// Sets the end of a server's cold time, which all listings state from now on.
+    auto setColdUntil(const std::string& server, Microseconds until) -> void {
+        coldUntil[server] = until;
         listServers(std::vector<ListedServer>(listed), 0);
     }
-    std::map<std::string, Microseconds> coldUntil;  // named by every listing
-    auto sendRequest(const std::string& path, Headers h = {}, const std::string& host = "h.example")
+    std::map<std::string, Microseconds> coldUntil;  // by server; stated by every listing
+    auto sendRequest(const std::string& path, Headers headers = {}, const std::string& host = "h.example")
         -> std::int64_t {
-        h.emplace_back("Host", host);
-        h.emplace_back("X-Try", fmt::format("t{}", ++requestCount));
-        return edge->accept("POST", path, h, "body", now);
+        headers.emplace_back("Host", host);
+        headers.emplace_back("X-Try", fmt::format("t{}", ++requestCount));
+        return edge->accept("POST", path, headers, "body", now);
     }
-    auto answerHeaders(std::int64_t x, Headers h = {}) -> Headers {
-        auto p = edge->find(x);
-        h.emplace_back("X-Try", p ? p->received.name : "");
-        return h;
+    /// The headers of an answer to a request; they repeat its name.
+    auto answerHeaders(std::int64_t id, Headers headers = {}) -> Headers {
+        auto request = edge->find(id);
+        headers.emplace_back("X-Try", request ? request->received.name : "");
+        return headers;
     }
     auto lastSend() -> StartedAttempt { return sends.back(); }
-    auto sendFirstByte(std::int64_t x) -> bool { return edge->confirmSend(x, lastSend().attempt, now); }
-    auto answer(std::int64_t x, Headers h = {}) -> void {
-        auto p = edge->find(x);
-        auto a = p->attempts.current;
-        h = answerHeaders(x, h);
-        if (edge->onResponseHead(x, a, 200, h, now)) edge->onResponse(x, a, 200, h, "done", now);
+    /// Sends the first byte of the newest attempt, if the edge confirms it.
+    auto sendFirstByte(std::int64_t id) -> bool { return edge->confirmSend(id, lastSend().attempt, now); }
+    /// A complete answer with status 200 to the current attempt.
+    auto answer(std::int64_t id, Headers headers = {}) -> void {
+        auto attempt = edge->find(id)->attempts.current;
+        headers = answerHeaders(id, headers);
+        if (edge->onResponseHead(id, attempt, 200, headers, now))
+            edge->onResponse(id, attempt, 200, headers, "done", now);
     }
-    auto sendEvent(std::int64_t x, const std::string& id, const std::string& data = "d") -> void {
-        edge->onStreamEvent(x, edge->find(x)->attempts.current,
-            {id, "", data, fmt::format("id: {}\ndata: {}\n\n", id, data)}, now);
+    auto sendEvent(std::int64_t id, const std::string& eventId, const std::string& data = "d") -> void {
+        edge->onStreamEvent(id, edge->find(id)->attempts.current,
+            {eventId, "", data, fmt::format("id: {}\ndata: {}\n\n", eventId, data)}, now);
     }
-    /// Ended, and how: the status of a reply, 1 for a whole stream, 2 for a cut one, 0 for neither.
-    auto outcome(std::int64_t x) -> int {
-        return replies.count(x) ? replies[x].status : whole.count(x) ? 1 : cut.count(x) ? 2 : 0;
+    /// How a request ended: the status of its reply, 1 for a complete stream, 2 for an interrupted one; 0 if
+    /// it has not ended.
+    auto outcome(std::int64_t id) -> int {
+        if (replies.count(id)) return replies[id].status;
+        return whole.count(id) ? 1 : cut.count(id) ? 2 : 0;
     }
 };
 
-/// The value of a header by its exact name; "-" if there is none.
+/// The value of the header with exactly this name; "-" if there is none.
 inline auto headerOf(const Headers& headers, const std::string& name) -> std::string {
     for (auto& [key, value] : headers)
         if (key == name) return value;
     return "-";
 }
-/// A configuration of one route, with `more` in it and `top` beside it.
-inline auto configOf(const std::string& more, const std::string& top = "") -> std::string {
-    return R"({"budget":{"slack":64,"share":0.2})" + top
-        + R"(,"mappings":[{"name":"a","host":"h.example","method":"*","path":"/a/*","pool":"p")" + more
-        + "}]}";
+/// A configuration with one route. `routeMembers`: further members of the route; `topMembers`: further
+/// members of the configuration. Each begins with a comma, unless it is empty.
+inline auto configOf(const std::string& routeMembers, const std::string& topMembers = "") -> std::string {
+    return R"({"budget":{"slack":64,"share":0.2})" + topMembers
+        + R"(,"mappings":[{"name":"a","host":"h.example","method":"*","path":"/a/*","pool":"p")"
+        + routeMembers + "}]}";
 }
 
 }  // namespace duneturn
--- a/tests/routing/edge_key_changes_test.cpp
+++ b/tests/routing/edge_key_changes_test.cpp
@@ -1,4 +1,4 @@
-// Keys that are taken away or change hands while requests are under way.
+// API keys that are withdrawn or reassigned to another tenant while requests are active.
 #include <cstdint>
 #include <string>
 
@@ -8,25 +8,26 @@
 namespace {
 
 constexpr auto WITHOUT_KEY_ONE = R"("one":{"keys":["another"]},"two":{"keys":["key-two"],"rank":3})";
-constexpr auto KEY_ONE_MOVED = R"("one":{"keys":["another"]},"two":{"keys":["key-one","key-two"],"rank":3})";
+constexpr auto KEY_ONE_REASSIGNED =
+    R"("one":{"keys":["another"]},"two":{"keys":["key-one","key-two"],"rank":3})";
 constexpr auto REPEATABLE = R"(,"MaxTries":3,"repeatable":true)";
 
 }  // namespace
 
-TEST(EdgeTenants, withdrawnKeyRefusesWhoWaits) {
+TEST(EdgeTenants, withdrawnKeyRejectsQueuedRequest) {
     auto rig = TenantFixture();
-    auto filling = rig.fillServer("key-two");
+    auto running = rig.fillServer("key-two");
     auto waiting = rig.sendWithKey("key-one");
     auto other = rig.sendWithKey("key-two");
     CHECK_EQ(200, rig.orderTenants(WITHOUT_KEY_ONE));
     CHECK_EQ(401, rig.outcome(waiting));
     CHECK_EQ(0, rig.outcome(other));
     CHECK_EQ(std::size_t(1), rig.edge->queuedCount());
-    rig.answer(filling[0]);
+    rig.answer(running[0]);
     CHECK_EQ(other, rig.lastSend().request);
 }
 
-TEST(EdgeTenants, withdrawnKeyRefusesBeforeTheFirstByte) {
+TEST(EdgeTenants, withdrawnKeyRejectsRequestBeforeItsFirstByte) {
     auto rig = TenantFixture();
     auto request = rig.sendWithKey("key-one");
     CHECK_EQ(std::size_t(1), rig.sends.size());
@@ -37,7 +38,9 @@
     CHECK_EQ(0, rig.edge->inflightCount());
 }
 
-TEST(EdgeTenants, withdrawnKeyLetsNoFurtherServerRunIt) {
+// A request that a server declined without running it is rejected with 401. One that was lost after it was
+// sent may have run, so it must not be reported as rejected.
+TEST(EdgeTenants, withdrawnKeyPreventsRetry) {
     auto rig = TenantFixture(REPEATABLE);
     rig.listServers({{"x"}, {"y"}});
     auto declined = rig.sendWithKey("key-one");
@@ -53,7 +56,7 @@
     CHECK_EQ(sent, rig.sends.size());
 }
 
-TEST(EdgeTenants, withdrawnKeyLetsTheRunningRequestEnd) {
+TEST(EdgeTenants, withdrawnKeyLetsRunningRequestComplete) {
     auto rig = TenantFixture();
     auto request = rig.sendWithKey("key-one");
     CHECK(rig.sendFirstByte(request));
@@ -62,38 +65,38 @@
     CHECK_EQ(200, rig.outcome(request));
 }
 
-TEST(EdgeTenants, movedKeyNamesTheNewTenant) {
+TEST(EdgeTenants, queuedRequestOfReassignedKeyNamesNewTenant) {
     auto rig = TenantFixture();
-    auto filling = rig.fillServer("key-two");
+    auto running = rig.fillServer("key-two");
     auto waiting = rig.sendWithKey("key-one");
-    CHECK_EQ(200, rig.orderTenants(KEY_ONE_MOVED));
-    rig.answer(filling[0]);
+    CHECK_EQ(200, rig.orderTenants(KEY_ONE_REASSIGNED));
+    rig.answer(running[0]);
     CHECK_EQ(waiting, rig.lastSend().request);
     CHECK(rig.sendFirstByte(waiting));
     CHECK_EQ(std::string("two"), rig.headerToServer(waiting, TENANT_HEADER));
 }
 
-TEST(EdgeTenants, movedKeyNamesTheNewTenantAtTheFirstByte) {
+TEST(EdgeTenants, selectedRequestOfReassignedKeyNamesNewTenant) {
     auto rig = TenantFixture();
     auto request = rig.sendWithKey("key-one");
-    CHECK_EQ(200, rig.orderTenants(KEY_ONE_MOVED));
+    CHECK_EQ(200, rig.orderTenants(KEY_ONE_REASSIGNED));
     CHECK(rig.sendFirstByte(request));
     CHECK_EQ(std::string("two"), rig.headerToServer(request, TENANT_HEADER));
 }
 
-TEST(EdgeTenants, begunRequestGoesOnUnderNoOtherTenant) {
+TEST(EdgeTenants, sentRequestIsNotRetriedForAnotherTenant) {
     auto rig = TenantFixture(REPEATABLE);
     rig.listServers({{"x"}, {"y"}});
     auto request = rig.sendWithKey("key-one");
     CHECK(rig.sendFirstByte(request));
-    CHECK_EQ(200, rig.orderTenants(KEY_ONE_MOVED, REPEATABLE));
+    CHECK_EQ(200, rig.orderTenants(KEY_ONE_REASSIGNED, REPEATABLE));
     auto sent = rig.sends.size();
     rig.edge->onConnectionLost(request, 1, "reset", rig.now);
     CHECK_EQ(502, rig.outcome(request));
     CHECK_EQ(sent, rig.sends.size());
 }
 
-TEST(EdgeTenants, begunStreamGoesOnUnderNoOtherTenant) {
+TEST(EdgeTenants, startedStreamDoesNotMigrateForAnotherTenant) {
     auto rig = EdgeFixture();
     auto order = [&](const std::string& tenants) {
         return rig.orderConfig(configOf(R"(,"MaxTries":3,"stream":true,"Resumable":true,"model":"m")",
@@ -105,14 +108,15 @@
     CHECK(rig.sendFirstByte(request));
     CHECK(rig.edge->onResponseHead(request, 1, 200, rig.answerHeaders(request), rig.now));
     rig.sendEvent(request, "1");
-    CHECK_EQ(200, order(KEY_ONE_MOVED));
+    CHECK_EQ(200, order(KEY_ONE_REASSIGNED));
     auto sent = rig.sends.size();
     rig.edge->onConnectionLost(request, 1, "reset", rig.now);
     CHECK_EQ(2, rig.outcome(request));
     CHECK_EQ(sent, rig.sends.size());
 }
 
-TEST(EdgeTenants, firstTenantsBindWhoWaitsWithoutAKey) {
+// The configuration gets tenants while a request without a key is queued.
+TEST(EdgeTenants, queuedRequestWithoutKeyIsRejectedOnceKeysAreRequired) {
     auto rig = TenantFixture(R"(,"public":true)");
     rig.fillServer("key-two");
     auto waiting = rig.sendRequest("/a/x");
--- a/tests/routing/edge_tenant_order_test.cpp
+++ b/tests/routing/edge_tenant_order_test.cpp
@@ -1,4 +1,4 @@
-// Ranks and homes of tenants: who goes first, and where requests may go.
+// Ranks and home regions of tenants: the order of requests, and the regions that may serve them.
 #include <cstdint>
 #include <string>
 #include <vector>
@@ -9,7 +9,7 @@
 namespace duneturn {
 namespace {
 
-// The route of the fixture, the least urgent, and the most urgent one at /u.
+// Members of the fixture's route, which get the lower urgency, and a second route at /u with the higher one.
 constexpr auto TWO_URGENCIES = R"(,"urgency":1},
     {"name":"u","path":"/u","pool":"p","aimUs":1000000,"queueUs":10000000,"urgency":9)";
 
@@ -19,21 +19,21 @@
 
 }  // namespace
 
-TEST(EdgeTenants, tenantsRankGoesBeforeTheRoutesUrgency) {
+TEST(EdgeTenants, tenantRankPrecedesRouteUrgency) {
     auto rig = TenantFixture(TWO_URGENCIES);
-    auto filling = rig.fillServer("key-two");
+    auto running = rig.fillServer("key-two");
     auto second = rig.sendWithKey("key-two", "/u");
     auto first = rig.sendWithKey("key-one");
     auto last = rig.sendWithKey("key-two");
-    rig.answer(filling[0]);
+    rig.answer(running[0]);
     CHECK_EQ(first, rig.lastSend().request);
-    rig.answer(filling[1]);
+    rig.answer(running[1]);
     CHECK_EQ(second, rig.lastSend().request);
-    rig.answer(filling[2]);
+    rig.answer(running[2]);
     CHECK_EQ(last, rig.lastSend().request);
 }
 
-TEST(EdgeTenants, tenantsRankDisplacesFromAFullQueue) {
+TEST(EdgeTenants, tenantRankDisplacesFromFullQueue) {
     auto rig = TenantFixture(std::string(R"(,"queue":1)") + R"(,"urgency":1},
     {"name":"u","path":"/u","pool":"p","aimUs":1000000,"queueUs":10000000,"urgency":9,"queue":1)");
     rig.fillServer("key-two");
@@ -45,7 +45,7 @@
     CHECK_EQ(0, rig.outcome(first));
 }
 
-TEST(EdgeTenants, serversLearnTheRankAsUrgency) {
+TEST(EdgeTenants, serversReceiveRankAsUrgency) {
     auto rig = TenantFixture(TWO_URGENCIES);
     rig.listServers({{"x", "near", "p", "z", 64}});
     auto level = [&](const std::string& key, const std::string& path) {
@@ -57,7 +57,7 @@
     CHECK_EQ(std::string("6"), level("key-two", "/a/x"));
 }
 
-TEST(EdgeTenants, urgencyIsTheRoutesWhereTenantsHaveOneRank) {
+TEST(EdgeTenants, levelDependsOnlyOnRouteUrgencyIfTenantsHaveOneRank) {
     auto levels = UrgencyLevels();
     for (auto urgency = 0; urgency <= 9; urgency++) {
         CHECK_EQ(9 - urgency, levels.level(0, urgency));
@@ -67,7 +67,7 @@
     for (auto urgency = 0; urgency <= 9; urgency++) CHECK_EQ(9 - urgency, levels.level(4, urgency));
 }
 
-TEST(EdgeTenants, smallerRankHasTheSmallerLevelWhateverTheUrgency) {
+TEST(EdgeTenants, smallerRankHasSmallerLevelForAnyUrgency) {
     for (auto ranks = 2; ranks <= 10; ranks++) {
         auto levels = UrgencyLevels();
         for (auto rank = 0; rank < ranks; rank++) levels.addTenantRank(rank);
@@ -81,7 +81,7 @@
     }
 }
 
-TEST(EdgeTenants, homesOfTheTenantBind) {
+TEST(EdgeTenants, tenantHomeRegionsRestrictSelection) {
     auto rig = TenantFixture("", tenantsWithHomes(R"(["far"])"));
     rig.listServers({{"x", "near"}, {"y", "far"}, {"z", "other"}});
     for (auto i = 0; i < 4; i++) {
@@ -92,9 +92,9 @@
     CHECK_EQ(std::string("x"), rig.lastSend().server);
 }
 
-TEST(EdgeTenants, homesOfRouteAndTenantBothBind) {
+TEST(EdgeTenants, routeAndTenantHomeRegionsAreIntersected) {
     struct Case {
-        std::string routeHomes, tenantHomes, server;  // "": refused
+        std::string routeHomes, tenantHomes, server;  // "" if the request is rejected
     };
     for (auto& homes : std::vector<Case>{{R"(["near","far"])", R"(["far","other"])", "y"},
              {R"(["@near"])", R"(["near","far"])", "x"}, {R"(["@near"])", R"(["far"])", ""},
@@ -107,7 +107,7 @@
     }
 }
 
-TEST(EdgeTenants, homesBindFurtherAttempts) {
+TEST(EdgeTenants, tenantHomeRegionsRestrictRetries) {
     constexpr auto REPEATABLE = R"(,"MaxTries":3,"repeatable":true)";
     auto rig = TenantFixture(REPEATABLE, tenantsWithHomes(R"(["far"])"));
     rig.listServers({{"x", "near"}, {"y", "far"}});
@@ -117,7 +117,7 @@
     for (auto& send : rig.sends) CHECK_EQ(std::string("y"), send.server);
 }
 
-TEST(EdgeTenants, newHomesBindBeforeTheFirstByte) {
+TEST(EdgeTenants, changedHomeRegionsRejectRequestBeforeItsFirstByte) {
     auto rig = TenantFixture("", tenantsWithHomes(R"(["near"])"));
     auto request = rig.sendWithKey("key-one");
     CHECK_EQ(std::string("x"), rig.lastSend().server);
--- a/tests/routing/edge_tenants_test.cpp
+++ b/tests/routing/edge_tenants_test.cpp
@@ -1,4 +1,4 @@
-// Keys of tenants: who may send, and what servers learn of it.
+// API keys of tenants: which requests are accepted, and which tenant name is sent to servers.
 #include <cstdint>
 #include <string>
 
@@ -6,7 +6,7 @@
 
 namespace duneturn {
 
-TEST(EdgeTenants, serverNeverGetsTheKey) {
+TEST(EdgeTenants, keyIsNotForwardedToServers) {
     auto rig = EdgeFixture();
     CHECK_EQ(200, rig.orderConfig(configOf("")));
     rig.listServers({{"x"}});
@@ -16,7 +16,7 @@
     CHECK_EQ(std::string("kept"), headerOf(headers, "X-Other"));
 }
 
-TEST(EdgeTenants, clientCannotNameItsTenant) {
+TEST(EdgeTenants, tenantHeaderOfClientIsNotForwarded) {
     auto rig = EdgeFixture();
     CHECK_EQ(200, rig.orderConfig(configOf("")));
     rig.listServers({{"x"}});
@@ -25,7 +25,7 @@
     CHECK_EQ(std::string("-"), headerOf(headers, TENANT_HEADER));
 }
 
-TEST(EdgeTenants, serverLearnsTheTenantOfTheKey) {
+TEST(EdgeTenants, serverReceivesTenantOfKey) {
     auto rig = TenantFixture();
     auto request = rig.sendWithKey("key-two", "/a/x", {{TENANT_HEADER, "one"}});
     CHECK(rig.sendFirstByte(request));
@@ -33,7 +33,7 @@
     CHECK_EQ(std::string("-"), rig.headerToServer(request, KEY_HEADER));
 }
 
-TEST(EdgeTenants, unknownKeyIsRefused) {
+TEST(EdgeTenants, unknownKeyIsRejected) {
     auto rig = TenantFixture();
     auto request = rig.sendWithKey("key-three");
     CHECK_EQ(401, rig.outcome(request));
@@ -43,7 +43,7 @@
     CHECK(rig.sends.empty());
 }
 
-TEST(EdgeTenants, missingKeyIsRefused) {
+TEST(EdgeTenants, missingKeyIsRejected) {
     auto rig = TenantFixture();
     CHECK_EQ(401, rig.outcome(rig.sendRequest("/a/x")));
     CHECK_EQ(401, rig.outcome(rig.sendRequest("/a/x", {{TENANT_HEADER, "one"}})));
@@ -51,7 +51,7 @@
     CHECK(rig.sends.empty());
 }
 
-TEST(EdgeTenants, keyIsTheWholeValueOfTheOnlyHeader) {
+TEST(EdgeTenants, keyMustBeCompleteValueOfSingleHeader) {
     auto rig = TenantFixture();
     CHECK_EQ(401, rig.outcome(rig.sendWithKey("key-one", "/a/x", {{"x-api-key", "key-one"}})));
     CHECK_EQ(401, rig.outcome(rig.sendWithKey("key-one, key-one")));
@@ -60,7 +60,7 @@
     CHECK(rig.sends.empty());
 }
 
-TEST(EdgeTenants, publicRouteNeedsNoKey) {
+TEST(EdgeTenants, publicRouteRequiresNoKey) {
     auto rig = TenantFixture(R"(,"public":true)");
     auto tenantFor = [&](const Headers& headers) {
         auto request = rig.sendRequest("/a/x", headers);
@@ -76,20 +76,21 @@
     CHECK_EQ(std::string("two"), tenantFor({{KEY_HEADER, "key-two"}}));
 }
 
-// A key that the node cannot know yet is no reason to send a client away for good.
-TEST(EdgeTenants, nodeWithoutConfigurationDoesNotJudgeKeys) {
+// A node that has no configuration yet cannot know the keys. It must answer 503, upon which clients retry,
+// rather than 401, upon which they give up.
+TEST(EdgeTenants, nodeWithoutConfigurationDoesNotRejectKeys) {
     auto rig = EdgeFixture();
     CHECK_EQ(503, rig.outcome(rig.sendRequest("/a/x", {{KEY_HEADER, "key-one"}})));
     CHECK_EQ(503, rig.outcome(rig.sendRequest("/a/x")));
 }
 
-TEST(EdgeTenants, unknownPathComesBeforeTheKey) {
+TEST(EdgeTenants, unknownPathIsReportedBeforeUnknownKey) {
     auto rig = TenantFixture();
     CHECK_EQ(404, rig.outcome(rig.sendWithKey("key-three", "/elsewhere")));
 }
 
-// A client keeps its connection while its key comes and goes: each request is judged by itself.
-TEST(EdgeTenants, eachRequestIsJudgedByItself) {
+// A client may keep its connection while its key is withdrawn and replaced.
+TEST(EdgeTenants, keyOfEachRequestIsChecked) {
     auto rig = TenantFixture();
     auto first = rig.sendWithKey("key-one");
     CHECK(rig.sendFirstByte(first));
@@ -101,7 +102,7 @@
     CHECK_EQ(0, rig.outcome(rig.sendWithKey("another")));
 }
 
-TEST(EdgeTenants, furtherAttemptNamesTheTenant) {
+TEST(EdgeTenants, retryNamesTenant) {
     auto rig = TenantFixture(R"(,"MaxTries":3,"repeatable":true)");
     rig.listServers({{"x"}, {"y"}});
     auto request = rig.sendWithKey("key-two");
@@ -113,7 +114,7 @@
     CHECK_EQ(std::string("-"), rig.headerToServer(request, KEY_HEADER));
 }
 
-TEST(EdgeTenants, resumedStreamNamesTheTenant) {
+TEST(EdgeTenants, resumedStreamNamesTenant) {
     auto rig = TenantFixture(R"(,"MaxTries":3,"stream":true,"Resumable":true)");
     rig.listServers({{"x"}, {"y"}});
     auto request = rig.sendWithKey("key-two", "/a/x", {{TENANT_HEADER, "one"}, {"Last-Event-Id", "7"}});
@@ -123,16 +124,16 @@
     CHECK_EQ(std::string("-"), rig.headerToServer(request, KEY_HEADER));
 }
 
-TEST(EdgeTenants, keyIsInNoViewAndTraceNamesTheTenant) {
+TEST(EdgeTenants, operatorViewsNameTenantAndNeverContainKey) {
     auto rig = TenantFixture();
     auto sent = rig.sendWithKey("key-one");
     CHECK(rig.sendFirstByte(sent));
-    auto refused = rig.sendWithKey("key-three");
+    auto rejected = rig.sendWithKey("key-three");
     auto name = rig.edge->find(sent)->received.name;
     auto seen = rig.edge->liveRequestsJson(rig.now) + rig.edge->explainedRequestJson(name, rig.now);
     CHECK(seen.find("tenant one") != std::string::npos);
     rig.answer(sent);
-    seen += rig.edge->decisionsJson(0) + rig.counters.text() + rig.replies[refused].body;
+    seen += rig.edge->decisionsJson(0) + rig.counters.text() + rig.replies[rejected].body;
     CHECK(seen.find("key-one") == std::string::npos);
     CHECK(seen.find("key-three") == std::string::npos);
     for (auto& [header, value] : rig.edge->find(sent)->received.headers) CHECK(value.find("key-") != 0);
--- a/tests/routing/edge_test.cpp
+++ b/tests/routing/edge_test.cpp
@@ -1,3 +1,4 @@
+// One edge where nodes name the requests: configuration changes, resumed streams, full queues, and selection.
 #include <algorithm>
 #include <array>
 #include <cstdint>
@@ -15,176 +16,210 @@
 #include "test.hpp"
 
 namespace duneturn {
+namespace {
 
-static auto route(const std::string& more) -> std::string {
+constexpr auto RESUMABLE = R"(,"Resumable":true,"MaxTries":3)";
+
+// A configuration with one route of streams at /s. `members`: further members of the route.
+auto configurationOfStreams(const std::string& members) -> std::string {
     return R"({"models":{"m":{"migrationLimit":2,"maxSequence":64}},"ramp":{"overUs":0},"mappings":[
         {"name":"s","path":"/s","pool":"p","model":"m","stream":true,"spill":["far"])"
-        + more + "}]}";
+        + members + "}]}";
+}
+
+// Completes streams, each of which earns credit in the retry budget.
+auto completeStreams(NodeFixture& fixture, int count) -> void {
+    auto& edge = *fixture.e;
+    for (auto i = 0; i < count; i++) {
+        auto id = edge.accept("POST", "/s", {}, "b", fixture.now);
+        CHECK(edge.confirmSend(id, 1, fixture.now));
+        edge.onResponseHead(id, 1, 200, {}, fixture.now);
+        edge.onStreamEvent(id, 1, {"1", "", "d", "id: 1\ndata: d\n\n"}, fixture.now);
+        edge.onStreamEvent(id, 1, {"", "done", "", "event: done\n\n"}, fixture.now);
+    }
 }
 
-// What is allowed at the moment of moving is what counts, not what was when it began.
-TEST(Edge, newestRulesBind) {
+}  // namespace
+
+// Whether an interrupted stream may migrate depends on the configuration at that time, not on the one under
+// which the stream began.
+TEST(Edge, newestConfigurationDecidesAboutMigration) {
     struct Case {
-        std::string then;
-        bool moves;
+        std::string newConfiguration;
+        bool migrates;
     };
-    auto ok = std::string(R"(,"Resumable":true,"MaxTries":3)");
-    for (auto& c :
-        std::vector<Case>{{route(ok), true}, {route(R"(,"MaxTries":3)"), false},
-            {route(R"(,"Resumable":true,"MaxTries":1)"), false},
+    for (auto& testCase :
+        std::vector<Case>{{configurationOfStreams(RESUMABLE), true},
+            {configurationOfStreams(R"(,"MaxTries":3)"), false},
+            {configurationOfStreams(R"(,"Resumable":true,"MaxTries":1)"), false},
             {R"({"mappings":[{"name":"t","path":"/t","pool":"p"}]})", false},
             {R"({"models":{"m":{}},"ramp":{"overUs":0},"mappings":[{"name":"s","path":"/s","pool":"p","model":"m","stream":true,"Resumable":true,"MaxTries":3}]})",
                 false}}) {
-        auto r = NodeFixture();
-        CHECK_EQ(200, r.config(route(ok)));
-        r.list({{"x", "near", "z", "p", "w"}, {"y", "near", "z", "p", "w"}});
-        for (auto i = 0; i < 12; i++) {  // earns credit
-            auto id = r.e->accept("POST", "/s", {}, "b", r.now);
-            CHECK(r.e->confirmSend(id, 1, r.now));
-            r.e->onResponseHead(id, 1, 200, {}, r.now);
-            r.e->onStreamEvent(id, 1, {"1", "", "d", "id: 1\ndata: d\n\n"}, r.now);
-            r.e->onStreamEvent(id, 1, {"", "done", "", "event: done\n\n"}, r.now);
-        }
-        auto id = r.e->accept("POST", "/s", {}, "b", r.now);
-        CHECK(r.e->confirmSend(id, 1, r.now));
-        r.e->onStreamEvent(id, 1, {"1", "", "d", "id: 1\ndata: d\n\n"}, r.now);
-        CHECK_EQ(200, r.config(c.then));
-        auto n = r.sends.size();
-        r.e->onConnectionLost(id, 1, "reset", r.now);
-        CHECK_EQ(c.moves, r.sends.size() == n + 1);
-        CHECK_EQ(!c.moves, r.cut.count(id) > 0);
-        CHECK_EQ(std::int64_t(0), r.ct.get("illegal_transitions_total"));
+        auto fixture = NodeFixture();
+        auto& edge = *fixture.e;
+        CHECK_EQ(200, fixture.config(configurationOfStreams(RESUMABLE)));
+        fixture.list({{"x", "near", "z", "p", "w"}, {"y", "near", "z", "p", "w"}});
+        completeStreams(fixture, 12);
+        auto id = edge.accept("POST", "/s", {}, "b", fixture.now);
+        CHECK(edge.confirmSend(id, 1, fixture.now));
+        edge.onStreamEvent(id, 1, {"1", "", "d", "id: 1\ndata: d\n\n"}, fixture.now);
+        CHECK_EQ(200, fixture.config(testCase.newConfiguration));
+        auto sent = fixture.sends.size();
+        edge.onConnectionLost(id, 1, "reset", fixture.now);
+        CHECK_EQ(testCase.migrates, fixture.sends.size() == sent + 1);
+        CHECK_EQ(!testCase.migrates, fixture.cut.count(id) > 0);
+        CHECK_EQ(std::int64_t(0), fixture.ct.get("illegal_transitions_total"));
     }
 }
 
-// A refusal that is told of a send whose first byte was written proves nothing.
-TEST(Edge, refusedAfterTheFirstByte) {
-    auto r = NodeFixture();
-    CHECK_EQ(200, r.config(route(R"(,"MaxTries":3)")));
-    r.list({{"x", "near", "z", "p", "w"}, {"y", "near", "z", "p", "w"}});
-    auto id = r.e->accept("POST", "/s", {}, "b", r.now);
-    CHECK(r.e->confirmSend(id, 1, r.now));
-    r.e->onConnectionRefused(id, 1, r.now);
-    CHECK_EQ(502, r.replies[id].first);
-    CHECK_EQ(std::size_t(1), r.sends.size());
+// A refused connection that is reported after the first byte was written does not prove that nothing ran, so
+// the request must not be sent again.
+TEST(Edge, refusalAfterFirstByteIsNotRetried) {
+    auto fixture = NodeFixture();
+    auto& edge = *fixture.e;
+    CHECK_EQ(200, fixture.config(configurationOfStreams(R"(,"MaxTries":3)")));
+    fixture.list({{"x", "near", "z", "p", "w"}, {"y", "near", "z", "p", "w"}});
+    auto id = edge.accept("POST", "/s", {}, "b", fixture.now);
+    CHECK(edge.confirmSend(id, 1, fixture.now));
+    edge.onConnectionRefused(id, 1, fixture.now);
+    CHECK_EQ(502, fixture.replies[id].first);
+    CHECK_EQ(std::size_t(1), fixture.sends.size());
 }
 
-// What a sender may pick up, and what not; nothing of a denied one runs.
-TEST(Edge, resumption) {
-    auto r = NodeFixture();
-    auto two = route(R"(,"Resumable":true,"MaxTries":3)");
-    two.insert(
-        two.size() - 2, R"(,{"name":"n","path":"/n","pool":"p","model":"m","stream":true,"MaxTries":3})");
-    CHECK_EQ(200, r.config(two));
-    r.list({{"x", "near", "z", "p", "w"}, {"y", "near", "z", "p", "v"}});
-    auto ask = [&](const std::string& p, const Headers& h) { return r.e->accept("POST", p, h, "b", r.now); };
-    for (auto& [p, h] :
+// A client may resume a stream only on a resumable route, with a valid event id within the model's sequence
+// and the weights version. A rejected resumption must not be sent to any server. A resumption counts as a
+// retry in the budget, and goes to a server with the same weights.
+TEST(Edge, clientResumesStream) {
+    auto fixture = NodeFixture();
+    auto& edge = *fixture.e;
+    auto configuration = configurationOfStreams(RESUMABLE);
+    configuration.insert(configuration.size() - 2,
+        R"(,{"name":"n","path":"/n","pool":"p","model":"m","stream":true,"MaxTries":3})");
+    CHECK_EQ(200, fixture.config(configuration));
+    fixture.list({{"x", "near", "z", "p", "w"}, {"y", "near", "z", "p", "v"}});
+    auto send = [&](const std::string& path, const Headers& headers) {
+        return edge.accept("POST", path, headers, "b", fixture.now);
+    };
+    for (auto& [path, headers] :
         std::vector<std::pair<std::string, Headers>>{{"/n", {{"Last-Event-Id", "3"}, {"X-Weights", "w"}}},
             {"/s", {{"Last-Event-Id", "3"}}}, {"/s", {{"Last-Event-Id", "x"}, {"X-Weights", "w"}}},
             {"/s", {{"Last-Event-Id", "65"}, {"X-Weights", "w"}}}}) {
-        auto n = r.sends.size();
-        auto id = ask(p, h);
-        CHECK_EQ(409, r.replies[id].first);
-        CHECK_EQ(n, r.sends.size());
+        auto sent = fixture.sends.size();
+        auto id = send(path, headers);
+        CHECK_EQ(409, fixture.replies[id].first);
+        CHECK_EQ(sent, fixture.sends.size());
+    }
+    auto resumption = Headers{{"last-event-id", "3"}, {"x-weights", "v"}};
+    CHECK_EQ(503, fixture.replies[send("/s", resumption)].first);  // the retry budget has no credit yet
+    for (auto i = 0; i < 12; i++) {
+        static_cast<void>(edge.confirmSend(send("/s", {}), 1, fixture.now));  // false if it is queued
+        fixture.run(20 * MILLISECOND);
     }
-    auto h = Headers{{"last-event-id", "3"}, {"x-weights", "v"}};
-    CHECK_EQ(503, r.replies[ask("/s", h)].first);  // no credit yet: it is an extra send
-    for (auto i = 0; i < 12; i++) r.e->confirmSend(ask("/s", {}), 1, r.now), r.run(20 * MILLISECOND);
-    r.e->abortAll(r.now);
-    r.run(40 * MILLISECOND);
-    auto credit = r.e->credit();
-    auto id = ask("/s", h);
-    CHECK_EQ(std::string("y"), r.sends.back().second);
-    CHECK(r.e->confirmSend(id, 1, r.now));
-    CHECK(r.e->credit() < credit);
-    CHECK_EQ(1, r.e->find(id)->migrationsLeft());
-    // It must go on exactly behind what the sender holds, on the same weights.
-    CHECK(!r.e->onResponseHead(id, 1, 200, {{"X-Weights", "w"}}, r.now));
-    CHECK(r.cut.empty() || !r.whole.count(id));
+    edge.abortAll(fixture.now);
+    fixture.run(40 * MILLISECOND);
+    auto credit = edge.credit();
+    auto id = send("/s", resumption);
+    CHECK_EQ(std::string("y"), fixture.sends.back().second);
+    CHECK(edge.confirmSend(id, 1, fixture.now));
+    CHECK(edge.credit() < credit);
+    CHECK_EQ(1, edge.find(id)->migrationsLeft());
+    // An answer by other weights must not continue the stream.
+    CHECK(!edge.onResponseHead(id, 1, 200, {{"X-Weights", "w"}}, fixture.now));
+    CHECK(fixture.cut.empty() || !fixture.whole.count(id));
 }
 
-// Urgent work takes the queue place of work that is less so, which is told at once.
-TEST(Edge, fullQueue) {
-    auto r = NodeFixture();
+// In a full queue an urgent request displaces a less urgent one, which is rejected at once.
+TEST(Edge, urgentRequestDisplacesFromFullQueue) {
+    auto fixture = NodeFixture();
+    auto& edge = *fixture.e;
     CHECK_EQ(200,
-        r.config(
+        fixture.config(
             R"({"ramp":{"overUs":0},"mappings":[{"name":"lo","path":"/lo","pool":"p","urgency":2,"queue":2},
         {"name":"hi","path":"/hi","pool":"p","urgency":8,"queue":2}]})"));
-    r.list({{"x", "near", "z", "p", "w"}});
-    auto ask = [&](const std::string& p) { return r.e->accept("POST", p, {}, "b", r.now); };
-    for (auto i = 0; i < 4; i++) ask("/hi");
-    auto a = ask("/lo"), b = ask("/lo"), c = ask("/lo");
-    CHECK_EQ(503, r.replies[c].first);
-    CHECK(!r.replies.count(a) && !r.replies.count(b));
-    auto d = ask("/hi");
-    CHECK_EQ(503, r.replies[b].first);
-    CHECK(!r.replies.count(a) && !r.replies.count(d));
-    CHECK_EQ(std::size_t(2), r.e->queuedCount());
+    fixture.list({{"x", "near", "z", "p", "w"}});
+    auto send = [&](const std::string& path) { return edge.accept("POST", path, {}, "b", fixture.now); };
+    for (auto i = 0; i < 4; i++) send("/hi");
+    auto firstQueued = send("/lo"), secondQueued = send("/lo"), rejected = send("/lo");
+    CHECK_EQ(503, fixture.replies[rejected].first);
+    CHECK(!fixture.replies.count(firstQueued) && !fixture.replies.count(secondQueued));
+    auto urgent = send("/hi");
+    CHECK_EQ(503, fixture.replies[secondQueued].first);
+    CHECK(!fixture.replies.count(firstQueued) && !fixture.replies.count(urgent));
+    CHECK_EQ(std::size_t(2), edge.queuedCount());
 }
 
-// The steps against a plain reading of the configuration, over random fleets.
-TEST(Edge, fuzzAgainstPlainReading) {
-    auto g = RandomSource{21};
-    auto picked = 0, none = 0;
-    for (auto k = 0; k < 25; k++) {
-        auto r = NodeFixture();
-        auto names = std::vector<std::string>{"near", "far", "off"};
-        auto any = [&](auto& v) { return v[g.below(v.size())]; };
-        auto home = g.chance(.4) ? (g.chance(.5) ? std::string("@near") : any(names)) : std::string();
-        auto spill = std::vector<std::string>();
+// The stages of selection against a direct evaluation of the configuration, over random fleets: a request
+// must go to an eligible server, in the client's region if it has one, and be rejected if there is none.
+TEST(Edge, fuzzSelectionAgainstDirectEvaluation) {
+    auto random = RandomSource{21};
+    auto served = 0, rejected = 0;
+    for (auto round = 0; round < 25; round++) {
+        auto fixture = NodeFixture();
+        auto& edge = *fixture.e;
+        auto regions = std::vector<std::string>{"near", "far", "off"};
+        auto anyRegion = [&] { return regions[random.below(regions.size())]; };
+        auto home =
+            random.chance(.4) ? (random.chance(.5) ? std::string("@near") : anyRegion()) : std::string();
+        auto spillover = std::vector<std::string>();
         if (home.empty())
-            for (auto& x : names)
-                if (g.chance(.4)) spill.push_back(x);
-        auto service = fmt::format("p{}", g.below(2));
-        auto sp = std::string();
-        for (auto& x : spill) sp += (sp.empty() ? "" : ",") + jsonQuote(x);
+            for (auto& region : regions)
+                if (random.chance(.4)) spillover.push_back(region);
+        auto service = fmt::format("p{}", random.below(2));
+        auto spilloverList = std::string();
+        for (auto& region : spillover)
+            spilloverList += (spilloverList.empty() ? "" : ",") + jsonQuote(region);
         CHECK_EQ(200,
-            r.config(fmt::format(
+            fixture.config(fmt::format(
                 R"({{"ramp":{{"overUs":0}},"mappings":[{{"name":"a","path":"/a/*","pool":"{}","queueUs":0{}}}]}})",
-                service, home.empty() ? ",\"spill\":[" + sp + "]" : ",\"home\":" + jsonQuote(home))));
-        auto v = std::vector<std::array<std::string, 5>>();
+                service,
+                home.empty() ? ",\"spill\":[" + spilloverList + "]" : ",\"home\":" + jsonQuote(home))));
+        auto servers = std::vector<std::array<std::string, 5>>();  // name, region, zone, service, weights
         for (auto i = 0; i < 6; i++)
-            v.push_back({fmt::format("s{}", i), any(names), fmt::format("z{}", g.below(2)),
-                fmt::format("p{}", g.below(2)), "w"});
-        r.list(v);
-        auto gone = fmt::format("s{}", g.below(6));
-        r.n->mark(99, gone, ++r.rev, r.now);
-        auto z = fmt::format("z{}", g.below(2));
-        auto evacuated = g.chance(.5);
-        if (evacuated) r.n->order(98, "empty", "e", bodyOf({{"district", jsonQuote(z)}}), r.now);
-        r.run(2 * SECOND);
+            servers.push_back({fmt::format("s{}", i), anyRegion(), fmt::format("z{}", random.below(2)),
+                fmt::format("p{}", random.below(2)), "w"});
+        fixture.list(servers);
+        auto draining = fmt::format("s{}", random.below(6));
+        fixture.n->mark(99, draining, ++fixture.rev, fixture.now);
+        auto zone = fmt::format("z{}", random.below(2));
+        auto isEvacuated = random.chance(.5);
+        if (isEvacuated)
+            fixture.n->order(98, "empty", "e", bodyOf({{"district", jsonQuote(zone)}}), fixture.now);
+        fixture.run(2 * SECOND);
         for (auto i = 0; i < 20; i++) {
-            auto from = any(names);
-            // The plain reading: who may take it at all, and whether near ones come first.
-            auto may = std::set<std::string>(), near = std::set<std::string>();
-            for (auto& s : v) {
-                auto h = home == "@near" ? from : home;
-                if (s[3] != service || s[0] == gone || (evacuated && s[2] == z)) continue;
-                if (!h.empty() ? s[1] != h
-                               : s[1] != from && std::find(spill.begin(), spill.end(), s[1]) == spill.end())
-                    continue;
-                may.insert(s[0]);
-                if (s[1] == from) near.insert(s[0]);
+            auto clientRegion = anyRegion();
+            auto eligible = std::set<std::string>(), inClientRegion = std::set<std::string>();
+            for (auto& server : servers) {
+                auto& region = server[1];
+                auto homeRegion = home == "@near" ? clientRegion : home;
+                if (server[3] != service || server[0] == draining) continue;
+                if (isEvacuated && server[2] == zone) continue;
+                auto isSpillover = std::find(spillover.begin(), spillover.end(), region) != spillover.end();
+                auto isAllowed =
+                    homeRegion.empty() ? region == clientRegion || isSpillover : region == homeRegion;
+                if (!isAllowed) continue;
+                eligible.insert(server[0]);
+                if (region == clientRegion) inClientRegion.insert(server[0]);
             }
-            auto n = r.sends.size();
-            auto id = r.e->accept("POST", "/a/b", {{"X-Region", from}}, "b", r.now);
-            if (may.empty()) {
-                none++;
-                CHECK_EQ(n, r.sends.size());
-                CHECK_EQ(503, r.replies[id].first);
+            auto sent = fixture.sends.size();
+            auto id = edge.accept("POST", "/a/b", {{"X-Region", clientRegion}}, "b", fixture.now);
+            if (eligible.empty()) {
+                rejected++;
+                CHECK_EQ(sent, fixture.sends.size());
+                CHECK_EQ(503, fixture.replies[id].first);
             } else {
-                picked++;
-                CHECK_EQ(n + 1, r.sends.size());
-                CHECK(may.count(r.sends.back().second));
-                CHECK(near.empty() || !home.empty() || near.count(r.sends.back().second));
-                CHECK(r.e->confirmSend(id, 1, r.now));
-                r.e->onResponse(id, 1, 200, {}, "x", r.now);
+                served++;
+                CHECK_EQ(sent + 1, fixture.sends.size());
+                auto& server = fixture.sends.back().second;
+                CHECK(eligible.count(server));
+                CHECK(inClientRegion.empty() || !home.empty() || inClientRegion.count(server));
+                CHECK(edge.confirmSend(id, 1, fixture.now));
+                edge.onResponse(id, 1, 200, {}, "x", fixture.now);
             }
-            r.run(20 * MILLISECOND);
+            fixture.run(20 * MILLISECOND);
         }
     }
-    CHECK(picked > 100);
-    CHECK(none > 50);
+    CHECK(served > 100);
+    CHECK(rejected > 50);
 }
 
 }  // namespace duneturn
--- a/tests/routing/server_selection_test.cpp
+++ b/tests/routing/server_selection_test.cpp
@@ -1,4 +1,4 @@
-// Which server a request goes to: regions, prefix caches, and many edges that know the same.
+// Server selection: regions, prefix affinity, and many edges that select at the same time.
 #include <algorithm>
 #include <array>
 #include <cstdint>
@@ -15,284 +15,299 @@
 #include "routing/edge_fleet.hpp"
 
 namespace duneturn {
+namespace {
 
-// Whatever is listed or ordered between the pick and the send.
-TEST(EdgePlatform, fuzzHomes) {
-    auto g = RandomSource{9};
-    auto sent = 0, held = 0;
-    for (auto k = 0; k < 20; k++) {
+// A request that a server runs until a point in time; `edge` is the index of the edge that sent it.
+struct RunningRequest {
+    Microseconds until;
+    std::size_t edge;
+    std::int64_t id;
+    std::string server;
+};
+
+auto serversOfOneRegion(int count, int slots) -> std::vector<EdgeFixture::ListedServer> {
+    auto servers = std::vector<EdgeFixture::ListedServer>();
+    for (auto i = 0; i < count; i++) servers.push_back({fmt::format("i-{}", i), "near", "p", "z", slots});
+    return servers;
+}
+
+}  // namespace
+
+// A request must never be sent outside the home regions that the newest configuration names, nor to a server
+// that is not listed for its service, even if configurations and listings change between selection and
+// sending.
+TEST(EdgePlatform, fuzzHomeRegionsUnderChanges) {
+    auto random = RandomSource{9};
+    auto sent = 0, withheld = 0;
+    for (auto round = 0; round < 20; round++) {
         auto rig = EdgeFixture();
         auto homes = std::vector<std::vector<std::string>>{{"near"}, {"far"}, {"near", "far"}, {"off"}, {}};
-        auto at = std::size_t(0);
-        auto give = [&] {
-            at = g.below(homes.size());
-            auto t = std::string();
-            for (auto& h : homes[at]) t += (t.empty() ? "" : ",") + jsonQuote(h);
+        auto current = std::size_t(0);
+        auto changeHomes = [&] {
+            current = random.below(homes.size());
+            auto list = std::string();
+            for (auto& home : homes[current]) list += (list.empty() ? "" : ",") + jsonQuote(home);
             CHECK_EQ(
-                200, rig.orderConfig(configOf(R"(,"MaxTries":4,"repeatable":true,"homes":[)" + t + "]")));
+                200, rig.orderConfig(configOf(R"(,"MaxTries":4,"repeatable":true,"homes":[)" + list + "]")));
         };
-        auto ls = std::vector<EdgeFixture::ListedServer>();
-        auto list = [&] {
-            ls.clear();
+        auto servers = std::vector<EdgeFixture::ListedServer>();
+        auto changeListing = [&] {
+            servers.clear();
             for (auto i = 0; i < 5; i++)
-                if (g.chance(.8))
-                    ls.push_back(
-                        {fmt::format("s{}", i), std::string(std::array{"near", "far", "off"}[g.below(3)]),
-                            g.chance(.8) ? "p" : "q", "z", 40});
-            rig.listServers(ls, 0);
+                if (random.chance(.8))
+                    servers.push_back({fmt::format("s{}", i),
+                        std::string(std::array{"near", "far", "off"}[random.below(3)]),
+                        random.chance(.8) ? "p" : "q", "z", 40});
+            rig.listServers(servers, 0);
         };
-        give();
-        list();
-        auto open = std::vector<std::int64_t>();
+        changeHomes();
+        changeListing();
         for (auto i = 0; i < 60; i++) {
-            open.push_back(rig.sendRequest("/a/x"));
-            if (g.chance(.3)) list();
-            if (g.chance(.05)) give();
-            for (auto n = rig.sends.size(), j = std::size_t(0); j < rig.sends.size() && j < n + 40; j++) {
-                auto s = rig.sends[j];
-                auto x = rig.edge->find(s.request);
-                if (!x || x->attempts.current != s.attempt || x->attempts.tracker.written()) continue;
-                if (g.chance(.4)) {
-                    rig.edge->onConnectionRefused(s.request, s.attempt, rig.now);
-                } else if (rig.edge->confirmSend(s.request, s.attempt, rig.now)) {
+            rig.sendRequest("/a/x");
+            if (random.chance(.3)) changeListing();
+            if (random.chance(.05)) changeHomes();
+            for (auto before = rig.sends.size(), j = std::size_t(0); j < rig.sends.size() && j < before + 40;
+                 j++) {
+                auto send = rig.sends[j];
+                auto request = rig.edge->find(send.request);
+                if (!request || request->attempts.current != send.attempt) continue;
+                if (request->attempts.tracker.written()) continue;
+                if (random.chance(.4)) {
+                    rig.edge->onConnectionRefused(send.request, send.attempt, rig.now);
+                } else if (rig.edge->confirmSend(send.request, send.attempt, rig.now)) {
                     sent++;
-                    auto l = std::find_if(ls.begin(), ls.end(), [&](auto& v) { return v.name == s.server; });
-                    CHECK(l != ls.end());
-                    CHECK_EQ(std::string("p"), l->service);
-                    auto& h = homes[at];
-                    CHECK(h.empty() || std::find(h.begin(), h.end(), l->region) != h.end());
-                    if (g.chance(.5)) rig.answer(s.request);
-                } else held++;
+                    auto server = std::find_if(servers.begin(), servers.end(),
+                        [&](auto& listed) { return listed.name == send.server; });
+                    CHECK(server != servers.end());
+                    CHECK_EQ(std::string("p"), server->service);
+                    auto& allowed = homes[current];
+                    CHECK(allowed.empty()
+                        || std::find(allowed.begin(), allowed.end(), server->region) != allowed.end());
+                    if (random.chance(.5)) rig.answer(send.request);
+                } else withheld++;
             }
             rig.runFor(20 * MILLISECOND);
         }
     }
-    CHECK(sent > 300 && held > 20);
+    CHECK(sent > 300 && withheld > 20);
 }
 
-// 32 shared beginnings of 13,300 tokens over eleven engines with memory for 319,818 tokens: all
-// edges send one to the same server, no server is named for too many, and each is read once.
-TEST(EdgePlatform, cacheHomes) {
-    for (auto random : {false, true}) {
-        auto g = RandomSource{51};
-        auto ls = std::vector<EdgeFixture::ListedServer>();
-        for (auto i = 0; i < 11; i++) ls.push_back({fmt::format("i-{}", i), "near", "p", "z", 64});
-        auto f = EdgeFleet(12,
+// 32 shared prefixes of 13,300 tokens over eleven engines whose KV caches hold 319,818 tokens: all edges must
+// send a prefix to the same server, no server may get too many prefixes, and each prefix is processed about
+// once. With random selection prefixes are processed again and again, which shows that the load of the test
+// suffices.
+TEST(EdgePlatform, prefixAffinityAvoidsRepeatedPrefill) {
+    for (auto selectRandomly : {false, true}) {
+        auto random = RandomSource{51};
+        auto fleet = EdgeFleet(12,
             R"({"budget":{"slack":64},"pools":{"p":{"engine":true,"kvTokens":319818,"stride":6}},"mappings":[
              {"name":"a","path":"/a/*","pool":"p","aimUs":1000000,"stream":true},
              {"name":"b","path":"/b/*","pool":"p","aimUs":800000,"stream":true}]})",
-            ls);
-        auto caches = std::map<std::string, std::map<int, Microseconds>>();
-        auto running = std::map<std::string, int>();
-        auto reads = 0, longs = 0;
-        struct Run {
-            Microseconds till;
-            std::size_t e;
-            std::int64_t x;
-            std::string server;
-        };
-        auto runs = std::deque<Run>();
-        for (auto t = 0; t < 3000; t++) {  // a minute
-            for (auto i = std::size_t(0); i < f.edges.size(); i++) {
-                auto& rig = *f.edges[i];
-                rig.edge->broken.selectRandomly = random;
-                if (g.chance(8.47 / 50 / 12)) {
-                    auto p = int(g.below(32));
-                    auto own = rig.requestCount;
+            serversOfOneRegion(11, 64));
+        auto caches = std::map<std::string, std::map<int, Microseconds>>();  // last use by server and prefix
+        auto running = std::map<std::string, int>();                         // by server
+        auto prefills = 0, longPrompts = 0;
+        auto requests = std::deque<RunningRequest>();
+        for (auto step = 0; step < 3000; step++) {  // a minute
+            for (auto i = std::size_t(0); i < fleet.edges.size(); i++) {
+                auto& rig = *fleet.edges[i];
+                rig.edge->broken.selectRandomly = selectRandomly;
+                if (random.chance(8.47 / 50 / 12)) {
+                    auto prefix = int(random.below(32));
+                    auto ownPart = 1000 + i * 100000 + rig.requestCount;
                     rig.sendRequest("/a/x",
                         {{"X-Tokens", "17020,120"},
-                            {"X-Parts", fmt::format("{:x}:13300,{:x}:3720", p, 1000 + i * 100000 + own)}});
+                            {"X-Parts", fmt::format("{:x}:13300,{:x}:3720", prefix, ownPart)}});
                 }
-                if (g.chance(224. / 50 / 12))
+                if (random.chance(224. / 50 / 12))
                     rig.sendRequest("/b/x",
                         {{"X-Tokens", "383,48"},
                             {"X-Parts",
-                                fmt::format(
-                                    "{:x}:92,{:x}:291", 500 + g.below(20), 99000000 + rig.requestCount)}});
-                for (auto& s : f.newSends(i)) {
-                    CHECK(rig.edge->confirmSend(s.request, s.attempt, rig.now));
-                    auto e = rig.edge->find(s.request);
-                    auto p = e->received.promptParts.size() > 1 && e->received.sharedTokens > 1000
-                        ? headerOf(e->received.headers, "X-Parts")
-                        : std::string();
-                    auto& c = caches[s.server];
-                    auto load = fmt::format("{},0,64", ++running[s.server]);
-                    auto lat = 300 * MILLISECOND;
-                    if (!p.empty()) {
-                        longs++;
-                        auto id = std::stoi(p, nullptr, 16);
-                        if (!c.count(id)) {
-                            reads++;
-                            lat += 200 * MILLISECOND;
-                            if (c.size() >= 20)
-                                c.erase(std::min_element(c.begin(), c.end(),
-                                    [](auto& a, auto& b) { return a.second < b.second; }));
+                                fmt::format("{:x}:92,{:x}:291", 500 + random.below(20),
+                                    99000000 + rig.requestCount)}});
+                for (auto& send : fleet.newSends(i)) {
+                    CHECK(rig.edge->confirmSend(send.request, send.attempt, rig.now));
+                    auto request = rig.edge->find(send.request);
+                    auto isLongPrompt =
+                        request->received.promptParts.size() > 1 && request->received.sharedTokens > 1000;
+                    auto& cache = caches[send.server];
+                    auto load = fmt::format("{},0,64", ++running[send.server]);
+                    auto duration = 300 * MILLISECOND;
+                    if (isLongPrompt) {
+                        longPrompts++;
+                        auto prefix = std::stoi(headerOf(request->received.headers, "X-Parts"), nullptr, 16);
+                        if (!cache.count(prefix)) {
+                            prefills++;
+                            duration += 200 * MILLISECOND;
+                            if (cache.size() >= 20)
+                                cache.erase(std::min_element(cache.begin(), cache.end(),
+                                    [](auto& left, auto& right) { return left.second < right.second; }));
                         }
-                        c[id] = rig.now;
+                        cache[prefix] = rig.now;
                     }
-                    rig.edge->onResponseHead(
-                        s.request, s.attempt, 200, rig.answerHeaders(s.request, {{"X-Load", load}}), rig.now);
-                    rig.sendEvent(s.request, "1");
-                    runs.push_back({rig.now + lat, i, s.request, s.server});
+                    rig.edge->onResponseHead(send.request, send.attempt, 200,
+                        rig.answerHeaders(send.request, {{"X-Load", load}}), rig.now);
+                    rig.sendEvent(send.request, "1");
+                    requests.push_back({rig.now + duration, i, send.request, send.server});
                 }
             }
-            for (auto n = runs.size(); n > 0; n--) {
-                auto v = runs.front();
-                runs.pop_front();
-                if (v.till > f.now()) {
-                    runs.push_back(v);
+            for (auto remaining = requests.size(); remaining > 0; remaining--) {
+                auto request = requests.front();
+                requests.pop_front();
+                if (request.until > fleet.now()) {
+                    requests.push_back(request);
                     continue;
                 }
-                running[v.server]--;
-                auto& rig = *f.edges[v.e];
-                rig.edge->onStreamEnd(v.x, rig.edge->find(v.x)->attempts.current, rig.now);
+                running[request.server]--;
+                auto& rig = *fleet.edges[request.edge];
+                auto attempt = rig.edge->find(request.id)->attempts.current;
+                rig.edge->onStreamEnd(request.id, attempt, rig.now);
             }
-            f.step();
+            fleet.step();
         }
-        CHECK(longs > 400);
-        if (random) CHECK(reads > 150);
+        CHECK(longPrompts > 400);
+        if (selectRandomly) CHECK(prefills > 150);
         else {
-            CHECK(reads <= 32 + 6);
-            auto most = std::size_t(0);
-            for (auto& [s, c] : caches) most = std::max(most, c.size());
-            CHECK(most <= 10);
+            CHECK(prefills <= 32 + 6);
+            auto mostPrefixes = std::size_t(0);
+            for (auto& [server, cache] : caches) mostPrefixes = std::max(mostPrefixes, cache.size());
+            CHECK(mostPrefixes <= 10);
         }
     }
 }
 
-// Edges that each heard of a server at another time, at three quarters of its places: few arrive
-// where all places are taken, and all do not run to a server that is new.
-TEST(EdgePlatform, noHerd) {
+// Edges that received the servers' loads at different times, with three quarters of all slots in use: few
+// requests may arrive at a server whose slots are all in use, and a new server must not get requests from all
+// edges at once. Random selection is the counterexample.
+TEST(EdgePlatform, edgesDoNotHerdToOneServer) {
     struct Case {
         int nodes;
-        std::string how;
-        double over;
-        int fresh;
+        bool selectsRandomly;
+        double overloadedShare = 0;  // measured: requests that arrived at a server without a free slot
+        int mostAtNewServer = 0;     // measured: concurrent requests at the new server
     };
-    auto cs = std::vector<Case>{{12, "", 0, 0}, {12, "random", 0, 0}, {48, "", 0, 0}};
-    for (auto& c : cs) {
-        auto g = RandomSource{61};
-        auto ls = std::vector<EdgeFixture::ListedServer>();
-        for (auto i = 0; i < 11; i++) ls.push_back({fmt::format("i-{}", i), "near", "p", "z", 32});
-        auto f = EdgeFleet(c.nodes,
+    auto cases = std::vector<Case>{{12, false}, {12, true}, {48, false}};
+    for (auto& testCase : cases) {
+        auto random = RandomSource{61};
+        auto servers = serversOfOneRegion(11, 32);
+        auto fleet = EdgeFleet(testCase.nodes,
             R"({"budget":{"slack":64},"pools":{"p":{"engine":true,"kvTokens":319818}},"mappings":[
              {"name":"b","path":"/b/*","pool":"p","aimUs":800000,"stream":true}]})",
-            ls);
-        auto running = std::map<std::string, int>();
-        struct Run {
-            Microseconds till;
-            std::size_t e;
-            std::int64_t x;
-            std::string server;
-        };
-        auto runs = std::deque<Run>();
-        auto all = 0, over = 0, refused = 0;
-        for (auto t = 0; t < 450; t++) {
-            if (t == 400) {
-                ls[0].name = "new";
-                for (auto& rig : f.edges) rig->listServers(ls, 0);
+            servers);
+        auto running = std::map<std::string, int>();  // by server
+        auto requests = std::deque<RunningRequest>();
+        auto arrived = 0, overloaded = 0, rejected = 0;
+        for (auto step = 0; step < 450; step++) {
+            if (step == 400) {
+                servers[0].name = "new";
+                for (auto& rig : fleet.edges) rig->listServers(servers, 0);
             }
-            for (auto i = std::size_t(0); i < f.edges.size(); i++) {
-                auto& rig = *f.edges[i];
-                rig.edge->broken.selectRandomly = c.how == "random";
+            for (auto i = std::size_t(0); i < fleet.edges.size(); i++) {
+                auto& rig = *fleet.edges[i];
+                rig.edge->broken.selectRandomly = testCase.selectsRandomly;
                 for (auto k = 0; k < 2; k++)
-                    if (g.chance(11 * 24 / (0.4 * 50) / c.nodes / 2))
-                        refused += rig.outcome(rig.sendRequest("/b/x", {{"X-Tokens", "383,48"}})) != 0;
-                for (auto& s : f.newSends(i)) {
-                    CHECK(rig.edge->confirmSend(s.request, s.attempt, rig.now));
-                    auto n = ++running[s.server];
-                    if (t > 100 && t < 400) all++, over += n > 32;
-                    if (s.server == "new") c.fresh = std::max(c.fresh, n);
-                    rig.edge->onResponseHead(s.request, s.attempt, 200,
-                        rig.answerHeaders(s.request, {{"X-Load", fmt::format("{},0,32", n)}}), rig.now);
-                    runs.push_back({rig.now + 400 * MILLISECOND, i, s.request, s.server});
+                    if (random.chance(11 * 24 / (0.4 * 50) / testCase.nodes / 2))
+                        rejected += rig.outcome(rig.sendRequest("/b/x", {{"X-Tokens", "383,48"}})) != 0;
+                for (auto& send : fleet.newSends(i)) {
+                    CHECK(rig.edge->confirmSend(send.request, send.attempt, rig.now));
+                    auto count = ++running[send.server];
+                    if (step > 100 && step < 400) {
+                        arrived++;
+                        overloaded += count > 32;
+                    }
+                    if (send.server == "new")
+                        testCase.mostAtNewServer = std::max(testCase.mostAtNewServer, count);
+                    auto load = fmt::format("{},0,32", count);
+                    rig.edge->onResponseHead(send.request, send.attempt, 200,
+                        rig.answerHeaders(send.request, {{"X-Load", load}}), rig.now);
+                    requests.push_back({rig.now + 400 * MILLISECOND, i, send.request, send.server});
                 }
             }
-            while (!runs.empty() && runs.front().till <= f.now()) {
-                auto v = runs.front();
-                runs.pop_front();
-                running[v.server]--;
-                f.edges[v.e]->edge->onStreamEnd(
-                    v.x, f.edges[v.e]->edge->find(v.x)->attempts.current, f.now());
+            while (!requests.empty() && requests.front().until <= fleet.now()) {
+                auto request = requests.front();
+                requests.pop_front();
+                running[request.server]--;
+                auto& edge = *fleet.edges[request.edge]->edge;
+                edge.onStreamEnd(request.id, edge.find(request.id)->attempts.current, fleet.now());
             }
-            f.step();
+            fleet.step();
         }
-        c.over = double(over) / all;
-        if (c.how.empty()) CHECK_EQ(0, refused);
+        testCase.overloadedShare = double(overloaded) / arrived;
+        if (!testCase.selectsRandomly) CHECK_EQ(0, rejected);
     }
-    CHECK(cs[0].over < 0.01);
-    CHECK(cs[1].over > 3 * cs[0].over + 0.02);
-    CHECK(cs[0].fresh <= 40);
-    CHECK(cs[2].fresh <= 41);
+    CHECK(cases[0].overloadedShare < 0.01);
+    CHECK(cases[1].overloadedShare > 3 * cases[0].overloadedShare + 0.02);
+    CHECK(cases[0].mostAtNewServer <= 40);
+    CHECK(cases[2].mostAtNewServer <= 41);
 }
 
-// Short prompts go round a server that reads a long one; the near region comes first, until it
-// is much fuller than another.
-TEST(EdgePlatform, shortPromptsAndRegions) {
+// Short prompts must avoid a server that processes a long one, and a repeated prefix must go to the server
+// that has it. The client's region is preferred until it is much more occupied than another region.
+TEST(EdgePlatform, shortPromptsAvoidPrefillAndRegionsSpillOver) {
     auto rig = EdgeFixture();
     CHECK_EQ(200,
         rig.orderConfig(
             configOf(R"(,"aimUs":800000)", R"(,"pools":{"p":{"engine":true,"kvTokens":300000}})")));
     rig.listServers({{"x", "near", "p", "z", 10}, {"y", "near", "p", "z", 10}, {"f", "far", "p", "z", 10}});
-    auto big = rig.sendRequest("/a/x", {{"X-Tokens", "17000,10"}, {"X-Parts", "a1:13000,b2:4000"}});
-    CHECK(rig.sendFirstByte(big));
-    auto reading = rig.lastSend().server;
-    // The other server holds more, but reads nothing.
-    auto o = rig.sendRequest("/a/x", {{"X-Tokens", "300,10"}});
-    CHECK(rig.sendFirstByte(o));
-    CHECK(rig.lastSend().server != reading);
-    rig.answer(o, {{"X-Load", "4,0,10"}});
+    auto longPrompt = rig.sendRequest("/a/x", {{"X-Tokens", "17000,10"}, {"X-Parts", "a1:13000,b2:4000"}});
+    CHECK(rig.sendFirstByte(longPrompt));
+    auto prefilling = rig.lastSend().server;
+    // The other server of the region is more occupied, but processes no long prompt.
+    auto shortPrompt = rig.sendRequest("/a/x", {{"X-Tokens", "300,10"}});
+    CHECK(rig.sendFirstByte(shortPrompt));
+    CHECK(rig.lastSend().server != prefilling);
+    rig.answer(shortPrompt, {{"X-Load", "4,0,10"}});
     for (auto i = 0; i < 5; i++) {
-        auto x = rig.sendRequest("/a/x", {{"X-Tokens", "300,10"}});
-        CHECK(rig.sendFirstByte(x));
-        CHECK(rig.lastSend().server != reading && rig.lastSend().server != "f");
-        rig.answer(x);
+        auto request = rig.sendRequest("/a/x", {{"X-Tokens", "300,10"}});
+        CHECK(rig.sendFirstByte(request));
+        CHECK(rig.lastSend().server != prefilling && rig.lastSend().server != "f");
+        rig.answer(request);
     }
-    // The same beginning again goes where it was read.
+    // Requests with the same prefix go to the server that processed it.
     for (auto i = 0; i < 3; i++) {
-        auto x = rig.sendRequest(
+        auto request = rig.sendRequest(
             "/a/x", {{"X-Tokens", "14000,10"}, {"X-Parts", fmt::format("A1:13000,c{}:1000", i)}});
-        CHECK(rig.sendFirstByte(x));
-        CHECK_EQ(reading, rig.lastSend().server);
-        rig.answer(x);
+        CHECK(rig.sendFirstByte(request));
+        CHECK_EQ(prefilling, rig.lastSend().server);
+        rig.answer(request);
     }
-    auto far = 0, before = 0;
+    auto sentFar = 0, sentBeforeFar = 0;
     for (auto i = 0; i < 30; i++) {
-        auto x = rig.sendRequest("/a/x", {{"X-Tokens", "300,10"}});
-        if (rig.outcome(x) || rig.edge->find(x)->phase() != Phase::Sending) break;
-        CHECK(rig.sendFirstByte(x));
-        far += rig.lastSend().server == "f";
-        before += !far;
+        auto request = rig.sendRequest("/a/x", {{"X-Tokens", "300,10"}});
+        if (rig.outcome(request) || rig.edge->find(request)->phase() != Phase::Sending) break;
+        CHECK(rig.sendFirstByte(request));
+        sentFar += rig.lastSend().server == "f";
+        sentBeforeFar += !sentFar;
     }
-    CHECK(far >= 5);
-    CHECK(before >= 6 && before < 20);  // before the near ones were full
+    CHECK(sentFar >= 5);
+    CHECK(sentBeforeFar >= 6 && sentBeforeFar < 20);  // less than the 20 slots of the client's region
 }
 
-// Exchanges that may only go to the near region claim its servers; long prompts that may go anywhere
-// are read in the other, unless that is full or no other exchange is bound.
-TEST(EdgePlatform, boundRequestsClaimARegion) {
-    auto conf = std::string(
+// If many requests can only go to the client's region, long prompts that may go to any region must go to the
+// other one. Without such requests they stay in the client's region.
+TEST(EdgePlatform, longPromptsAvoidRegionsInDemand) {
+    auto configuration = std::string(
         R"({"pools":{"p":{"engine":true,"kvTokens":300000}},"mappings":[{"name":"a","path":"/a/*","pool":"p","homes":["near"],"aimUs":800000},{"name":"l","path":"/l/*","pool":"p","aimUs":1000000}]})");
-    for (auto bound : {false, true}) {
+    for (auto isSingleRegion : {false, true}) {
         auto rig = EdgeFixture();
-        CHECK_EQ(200, rig.orderConfig(conf));
+        CHECK_EQ(200, rig.orderConfig(configuration));
         rig.listServers(
             {{"x", "near", "p", "z", 10}, {"y", "near", "p", "z", 10}, {"f", "far", "p", "z", 10}});
         for (auto i = 0; i < 60; i++) {
-            auto x = rig.sendRequest(bound ? "/a/x" : "/l/x", {{"X-Tokens", "300,10"}});
-            CHECK(rig.sendFirstByte(x));
-            CHECK(!bound || rig.lastSend().server != "f");
-            rig.answer(x);
+            auto request = rig.sendRequest(isSingleRegion ? "/a/x" : "/l/x", {{"X-Tokens", "300,10"}});
+            CHECK(rig.sendFirstByte(request));
+            CHECK(!isSingleRegion || rig.lastSend().server != "f");
+            rig.answer(request);
         }
-        auto far = 0;
+        auto sentFar = 0;
         for (auto i = 0; i < 4; i++) {
-            auto x = rig.sendRequest(
+            auto request = rig.sendRequest(
                 "/l/x", {{"X-Tokens", "17000,10"}, {"X-Parts", fmt::format("a{}:13000,b{}:4000", i, i)}});
-            CHECK(rig.sendFirstByte(x));
-            far += rig.lastSend().server == "f";
-            rig.answer(x);
+            CHECK(rig.sendFirstByte(request));
+            sentFar += rig.lastSend().server == "f";
+            rig.answer(request);
         }
-        CHECK_EQ(bound ? 4 : 0, far);
+        CHECK_EQ(isSingleRegion ? 4 : 0, sentFar);
     }
 }
 
--- a/tests/routing/slow_start_test.cpp
+++ b/tests/routing/slow_start_test.cpp
@@ -1,5 +1,6 @@
-// What servers that have just started are sent.
+// Slow start of servers that have just started.
 #include <cstdint>
+#include <string>
 #include <vector>
 
 #include <fmt/format.h>
@@ -10,84 +11,81 @@
 
 namespace duneturn {
 
-// What a cold server gets from all edges together, in any second; and that it gets something.
-TEST(EdgePlatform, fuzzColdRate) {
-    auto g = RandomSource{41};
+// All edges together must not send a cold server more requests in any second than its rate times the overrun
+// plus the slack permits, and must not starve it. With slow start disabled the bound is exceeded, which shows
+// that the load of the test suffices.
+TEST(EdgePlatform, fuzzColdServerRateOfAllEdges) {
+    auto random = RandomSource{41};
     struct Case {
         int nodes;
         double rate;
-        bool broken;
+        bool skipsSlowStart;
     };
-    for (auto& c : std::vector<Case>{
+    for (auto& testCase : std::vector<Case>{
              {12, 31, false}, {12, 3, false}, {12, 200, false}, {40, 8, false}, {12, 31, true}}) {
-        auto conf = fmt::format(
+        auto configuration = fmt::format(
             R"({{"budget":{{"slack":64}},"pools":{{"p":{{"coldRate":{},"coldUs":3000000}}}},"mappings":[{{"name":"a","path":"/a/*","pool":"p","aimUs":1000000}}]}})",
-            c.rate);
-        auto f = EdgeFleet(c.nodes, conf, {{"w", "near", "p", "z", 60}, {"c", "near", "p", "z", 60}});
-        for (auto& rig : f.edges) {
-            rig->edge->broken.skipSlowStart = c.broken;
+            testCase.rate);
+        auto fleet = EdgeFleet(
+            testCase.nodes, configuration, {{"w", "near", "p", "z", 60}, {"c", "near", "p", "z", 60}});
+        for (auto& rig : fleet.edges) {
+            rig->edge->broken.skipSlowStart = testCase.skipsSlowStart;
             rig->setColdUntil("c", rig->now + 60 * SECOND);
         }
-        auto at = std::vector<Microseconds>();
-        for (auto t = 0; t < 500; t++) {
-            auto crowd = t % 100 < 30 ? .9 : .3;  // a crowd now and then
-            for (auto i = std::size_t(0); i < f.edges.size(); i++) {
-                auto& rig = *f.edges[i];
-                for (auto k = 0; k < 400 / c.nodes; k++)
-                    if (g.chance(crowd * .3)) rig.sendRequest("/a/x");
-                for (auto& s : f.newSends(i)) {
-                    if (!rig.edge->confirmSend(s.request, s.attempt, rig.now)) continue;
-                    if (s.server == "c") at.push_back(rig.now + Microseconds(g.below(5 * MILLISECOND)));
-                    if (g.chance(.7)) rig.answer(s.request);
+        auto coldSendTimes = std::vector<Microseconds>();
+        for (auto step = 0; step < 500; step++) {
+            auto load = step % 100 < 30 ? .9 : .3;  // a load surge for 0.6 s of every 2 s
+            for (auto i = std::size_t(0); i < fleet.edges.size(); i++) {
+                auto& rig = *fleet.edges[i];
+                for (auto k = 0; k < 400 / testCase.nodes; k++)
+                    if (random.chance(load * .3)) rig.sendRequest("/a/x");
+                for (auto& send : fleet.newSends(i)) {
+                    if (!rig.edge->confirmSend(send.request, send.attempt, rig.now)) continue;
+                    if (send.server == "c")
+                        coldSendTimes.push_back(rig.now + Microseconds(random.below(5 * MILLISECOND)));
+                    if (random.chance(.7)) rig.answer(send.request);
                 }
             }
-            f.step();
+            fleet.step();
         }
-        auto most = densest(at, SECOND);
-        if (c.broken) CHECK(double(most) > c.rate * 1.5 + 5);
+        auto maximum = maxInWindow(coldSendTimes, SECOND);
+        if (testCase.skipsSlowStart) CHECK(double(maximum) > testCase.rate * 1.5 + 5);
         else {
-            CHECK(double(most) <= c.rate * 1.5 + 5);
-            CHECK(double(at.size()) > c.rate * 10 * 0.4);
+            CHECK(double(maximum) <= testCase.rate * 1.5 + 5);
+            CHECK(double(coldSendTimes.size()) > testCase.rate * 10 * 0.4);
         }
     }
 }
 
-// New among the listed in our time, and nobody says how it is: cold by its pool's time.
-TEST(EdgePlatform, newServersAreCold) {
+// A server that is listed newly without a cold time counts as cold for the time configured for its service:
+// it gets few requests at first and its full share later. A server that reports a cold time in an answer is
+// cold again.
+TEST(EdgePlatform, newlyListedServersAreCold) {
     auto rig = EdgeFixture();
     CHECK_EQ(200, rig.orderConfig(configOf("", R"(,"pools":{"p":{"coldUs":4000000,"coldRate":5}})")));
     rig.listServers({{"x", "near", "p", "z", 90}});
     rig.runFor(3 * SECOND);
-    auto in = [&](int steps) {
-        auto n = 0;
-        for (auto i = 0; i < steps; i++) {
-            auto x = rig.sendRequest("/a/x");
-            CHECK(rig.sendFirstByte(x));
-            n += rig.lastSend().server == "c";
-            rig.answer(x);
+    auto sentTo = [&](const std::string& server, int requests) {
+        auto count = 0;
+        for (auto i = 0; i < requests; i++) {
+            auto request = rig.sendRequest("/a/x");
+            CHECK(rig.sendFirstByte(request));
+            count += rig.lastSend().server == server;
+            rig.answer(request);
             rig.runFor(20 * MILLISECOND);
         }
-        return n;
+        return count;
     };
     rig.listServers({{"x", "near", "p", "z", 90}, {"c", "near", "p", "z", 90}}, 20 * MILLISECOND);
-    auto n = in(50);
-    CHECK(n >= 2 && n <= 6);
-    in(160);
-    CHECK(in(50) > 12);
-    // A reply may tell that it is cold again.
-    auto x = rig.sendRequest("/a/x");
-    CHECK(rig.sendFirstByte(x));
-    auto who = rig.lastSend().server;
-    rig.answer(x, {{"X-Cold", "3000"}});
-    auto k = 0;
-    for (auto i = 0; i < 50; i++) {
-        auto y = rig.sendRequest("/a/x");
-        CHECK(rig.sendFirstByte(y));
-        k += rig.lastSend().server == who;
-        rig.answer(y);
-        rig.runFor(20 * MILLISECOND);
-    }
-    CHECK(k <= 6);
+    auto sentWhileCold = sentTo("c", 50);
+    CHECK(sentWhileCold >= 2 && sentWhileCold <= 6);
+    sentTo("c", 160);
+    CHECK(sentTo("c", 50) > 12);
+    auto reporting = rig.sendRequest("/a/x");
+    CHECK(rig.sendFirstByte(reporting));
+    auto coldServer = rig.lastSend().server;
+    rig.answer(reporting, {{"X-Cold", "3000"}});
+    CHECK(sentTo(coldServer, 50) <= 6);
 }
 
 }  // namespace duneturn
