--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -220,7 +220,8 @@
     if (queueRevision_ == routes_.revision) return;
     queueRevision_ = routes_.revision;
     for (auto request : backlog_.inDispatchOrder())
-        if (auto rejection = rebindToNewest(*request)) fail(*request, rejection->status, rejection->why, now);
+        if (auto rejection = rebindToNewestConfiguration(*request))
+            fail(*request, rejection->status, rejection->why, now);
 }
 
 auto Edge::dispatchQueuedRequests(Microseconds now) -> void {
--- a/src/routing/dispatch.cpp
+++ b/src/routing/dispatch.cpp
@@ -26,7 +26,7 @@
 
 // Sends a request to a server, if one may take it now. The request may have ended if none may.
 auto Edge::dispatch(Request& request, Microseconds now) -> bool {
-    if (auto refusal = rebindToNewest(request)) {
+    if (auto refusal = rebindToNewestConfiguration(request)) {
         fail(request, refusal->status, refusal->why, now);
         return false;
     }
@@ -95,7 +95,7 @@
 }
 
 // Why the newest configuration no longer lets the request be sent, if it does not.
-auto Edge::rebindToNewest(Request& request) -> std::optional<RequestRejection> {
+auto Edge::rebindToNewestConfiguration(Request& request) -> std::optional<RequestRejection> {
     auto tenant = request.tenant.name;
     auto refusal = rebind(request, routes_, dialect_, broken);
     if (request.tenant.name != tenant)
@@ -106,7 +106,7 @@
 
 // Why the request may not be sent, whatever the server.
 auto Edge::whyNoAttempt(Request& request) -> std::optional<RequestRejection> {
-    if (auto refusal = rebindToNewest(request)) return refusal;
+    if (auto refusal = rebindToNewestConfiguration(request)) return refusal;
     auto why = migration_.objection(request, request.attempts.tracker.earlier(), AttemptGrant::Granted);
     return why.empty() ? std::nullopt : std::optional(RequestRejection{503, why});
 }
--- a/src/routing/edge.hpp
+++ b/src/routing/edge.hpp
@@ -160,7 +160,7 @@
     auto reserveEngine(Request& request, ServerStatistics& statistics, const ServiceRule& rule) -> void;
     auto release(Request& request) -> void;
     auto promptRead(Request& request) -> void;
-    [[nodiscard]] auto rebindToNewest(Request& request) -> std::optional<RequestRejection>;
+    [[nodiscard]] auto rebindToNewestConfiguration(Request& request) -> std::optional<RequestRejection>;
     [[nodiscard]] auto whyNoAttempt(Request& request) -> std::optional<RequestRejection>;
     [[nodiscard]] auto whyNotToServer(const Request& request, bool reused, Microseconds now) -> std::string;
     auto giveUpAttempt(Request& request, const std::string& why, Microseconds now) -> void;
--- a/src/routing/retry.cpp
+++ b/src/routing/retry.cpp
@@ -30,7 +30,7 @@
     auto known = std::max(execution, attempts.tracker.earlier());
     auto isFurther = budget_.countsAsFurther(execution);
     auto grant = isFurther ? AttemptGrant::Further : AttemptGrant::Granted;
-    if (rebindToNewest(request) || now >= request.limits.deadline) return false;
+    if (rebindToNewestConfiguration(request) || now >= request.limits.deadline) return false;
     if (!migration_.objection(request, known, grant).empty()) return false;
     if (isFurther && !budget_.allows(request, now)) return false;
     attempts.tried.push_back(attempts.server);
@@ -55,7 +55,7 @@
     auto grant = isFurther ? AttemptGrant::Further : AttemptGrant::Granted;
     abandonAttempt(request, execution, why, now);
     // What the newest configuration allows is what counts, not what it allowed at first.
-    if (auto refusal = rebindToNewest(request)) {
+    if (auto refusal = rebindToNewestConfiguration(request)) {
         auto status = refusal->status == KEY_REJECTED_STATUS ? KEY_REJECTED_STATUS : 502;
         return fail(request, status, why + "; " + refusal->why, now);
     }
@@ -180,7 +180,7 @@
     auto why = migration_.crawls(request, gap);
     if (!why) return;
     statistics.ejection.lowerHealthScore(CRAWLING, now);
-    if (!budget_.allows(request, now) || rebindToNewest(request)) return;
+    if (!budget_.allows(request, now) || rebindToNewestConfiguration(request)) return;
     if (now >= request.limits.deadline) return;
     if (!migration_.objection(request, Execution::MayHaveRun, AttemptGrant::Further).empty()) return;
     attempts.tried.push_back(attempts.server);
