--- a/src/routing/server_statistics.cpp
+++ b/src/routing/server_statistics.cpp
@@ -131,7 +131,7 @@
     if (auto text = header(headers, dialect.load); !text.empty()) readLoad(name, text, now);
     if (auto text = header(headers, dialect.coldMs); !text.empty())
         if (auto number = parseNumber(text); number >= 0)
-            statistics.coldUntil = number ? now + std::min(number, MAX_COLD_TIME_MS) * MILLISECOND : 0;
+            statistics.slowStartUntil = number ? now + std::min(number, MAX_COLD_TIME_MS) * MILLISECOND : 0;
 }
 
 // Reads the load header, "RUNNING,WAITING,SLOTS"; ignores it if malformed.
--- a/src/routing/server_statistics.hpp
+++ b/src/routing/server_statistics.hpp
@@ -42,7 +42,7 @@
     Microseconds lastReceivedAt = 0;   ///< When it last sent anything.
     /// The revision of the listing under which another server answered at its address; -1: none.
     std::int64_t wrongAddressRevision = -1;
-    Microseconds coldUntil = 0;      ///< According to the server's own answers.
+    Microseconds slowStartUntil = 0;  ///< According to the server's own answers.
     double coldBucket = 1;           ///< Tokens of the bucket that limits requests while cold; see SlowStart.
     Microseconds coldBucketAt = 0;   ///< When the bucket was last refilled.
     double reservedTokens = 0;       ///< KV-cache tokens of this node's requests, without shared prefixes.
--- a/src/routing/slow_start.cpp
+++ b/src/routing/slow_start.cpp
@@ -52,12 +52,12 @@
 auto SlowStart::isCold(
     const std::string& name, const KnownServer& server, const ServiceRule& rule, Microseconds now) -> bool {
     auto& statistics = statistics_.of(name);
-    if (server.coldUntil > server.listedAt && now < server.coldUntil + COLD_MARGIN) return true;
-    if (now < statistics.coldUntil + COLD_MARGIN && statistics.coldUntil > 0) return true;
+    if (server.slowStartUntil > server.listedAt && now < server.slowStartUntil + COLD_MARGIN) return true;
+    if (now < statistics.slowStartUntil + COLD_MARGIN && statistics.slowStartUntil > 0) return true;
     // Without a reported cold time, a server that appeared while this node was running counts as cold for the
     // service's configured duration.
     auto isNew = firstListedAt_ && server.firstSeenAt > firstListedAt_ + SECOND;
-    if (!server.coldUntil && isNew && now < server.firstSeenAt + rule.coldDuration) return true;
+    if (!server.slowStartUntil && isNew && now < server.firstSeenAt + rule.coldDuration) return true;
     // Servers of a zone that was just restored may have restarted shortly before.
     auto restored = restoredZones_.find(server.listing.zone);
     return restored != restoredZones_.end()
--- a/tests/routing/edge_fixture.hpp
+++ b/tests/routing/edge_fixture.hpp
@@ -172,7 +172,7 @@
                     {"region", jsonQuote(server.region)}, {"district", jsonQuote(server.zone)},
                     {"pool", jsonQuote(server.service)}, {"slots", fmt::to_string(server.slots)}});
         // Only the servers with a known cold time get a "coldUs" member.
-        for (auto& [name, until] : coldUntil) {
+        for (auto& [name, until] : slowStartUntil) {
             auto nameMember = bodyOf({{"name", jsonQuote(name)}}).substr(1, name.size() + 9);
             if (auto position = list.find(nameMember); position != std::string::npos)
                 list.insert(position, fmt::format("\"coldUs\":{},", std::max<Microseconds>(0, until - now)));
@@ -182,10 +182,10 @@
     }
     /// Sets the end of a server's cold time, which all listings state from now on.
     auto setColdUntil(const std::string& server, Microseconds until) -> void {
-        coldUntil[server] = until;
+        slowStartUntil[server] = until;
         listServers(std::vector<ListedServer>(listed), 0);
     }
-    std::map<std::string, Microseconds> coldUntil;  // by server; stated by every listing
+    std::map<std::string, Microseconds> slowStartUntil;  // by server; stated by every listing
     auto sendRequest(const std::string& path, Headers headers = {}, const std::string& host = "h.example")
         -> std::int64_t {
         headers.emplace_back("Host", host);
