--- a/src/routing/server_statistics.cpp
+++ b/src/routing/server_statistics.cpp
@@ -50,7 +50,7 @@
     requestDuration = REQUEST_DURATION_SMOOTHING.next(requestDuration, double(taken));
 }
 
-auto ServiceStatistics::recordOwnTokens(std::int64_t tokens) -> void {
+auto ServiceStatistics::recordUnsharedTokens(std::int64_t tokens) -> void {
     unsharedTokens = UNSHARED_TOKENS_SMOOTHING.next(unsharedTokens, double(tokens));
 }
 
--- a/src/routing/server_statistics.hpp
+++ b/src/routing/server_statistics.hpp
@@ -68,7 +68,7 @@
     double otherNodesRequests = 0;  ///< Smoothed number of other nodes' requests at one server.
 
     auto recordRequestDuration(Microseconds taken) -> void;
-    auto recordOwnTokens(std::int64_t tokens) -> void;
+    auto recordUnsharedTokens(std::int64_t tokens) -> void;
     /// Records an accepted request. `region`: the only region that may serve it; empty if several may.
     auto recordRequest(const std::string& region) -> void;
     auto recordOtherNodesRequests(double requests) -> void;
