--- a/src/routing/edge_faults.hpp
+++ b/src/routing/edge_faults.hpp
@@ -5,7 +5,7 @@
 
 /// All are off in a real process. Each names what goes wrong.
 struct EdgeFaults {
-    bool resendAny = false;           ///< What may have run is sent again.
+    bool retryNonRepeatable = false;  ///< What may have run is sent again.
     bool joinAny = false;             ///< Events are joined whatever their ids.
     bool ignoreHome = false;          ///< Home regions bind nothing.
     bool noBudget = false;            ///< Further attempts cost nothing.
--- a/src/routing/migration.cpp
+++ b/src/routing/migration.cpp
@@ -21,7 +21,7 @@
 auto Migration::objection(const Request& request, Execution earlier, AttemptGrant grant) const
     -> std::string {
     auto& relayed = request.relayed;
-    if (earlier >= Execution::MayHaveRun && !faults_.resendAny) {
+    if (earlier >= Execution::MayHaveRun && !faults_.retryNonRepeatable) {
         auto step = stepAfterFailure(Execution::MayHaveRun, relayed.headSent);
         if (!mayAttemptAgain(step, request.retryRights()))
             return relayed.headSent && request.retryRights().repeatable
--- a/src/sim/machine.cpp
+++ b/src/sim/machine.cpp
@@ -46,7 +46,7 @@
     node->broken.noLease = b == "no-lease";
     node->broken.ackEarly = b == "ack-early";
     node->broken.acceptOldState = b == "old-word";
-    edge->broken.resendAny = b == "resend-any";
+    edge->broken.retryNonRepeatable = b == "resend-any";
     edge->broken.joinAny = b == "join-any";
     edge->broken.ignoreHome = b == "ignore-home";
     edge->broken.noBudget = b == "no-budget";
--- a/tests/routing/edge_retry_test.cpp
+++ b/tests/routing/edge_retry_test.cpp
@@ -22,7 +22,7 @@
     auto broke = 0;
     for (auto k = 0; k < 40; k++) {
         auto rig = EdgeFixture();
-        rig.edge->broken.resendAny = k == 39;
+        rig.edge->broken.retryNonRepeatable = k == 39;
         auto conf = [&](int v) {
             return fmt::format(
                 R"({{"budget":{{"slack":500,"share":0.2}},"models":{{"m":{{"migrationLimit":3}}}},"mappings":[
--- a/tests/routing/server_model_test.cpp
+++ b/tests/routing/server_model_test.cpp
@@ -204,10 +204,11 @@
         c.play("/once", {{Kind::StallAnswer, 0}});
         return c.faults;
     };
-    CHECK(found([](auto& m) { m.edge->broken.resendAny = true; }) > 0);
+    CHECK(found([](auto& m) { m.edge->broken.retryNonRepeatable = true; }) > 0);
     CHECK(found([](auto& m) { m.edge->broken.silenceIsNoArrival = true; }) > 0);
     CHECK(found([](auto& m) { m.edge->broken.anyIdentity = true; }) > 0);
-    CHECK(found([](auto& m) { m.edge->broken.joinAny = true, m.edge->broken.resendAny = true; }) > 0);
+    CHECK(
+        found([](auto& m) { m.edge->broken.joinAny = true, m.edge->broken.retryNonRepeatable = true; }) > 0);
     CHECK(found([](auto& m) { m.edge->broken.cutLooksWhole = true; }) > 0);
     CHECK(found([](auto& m) { m.faults.closeIsAlwaysWhole = true; }) > 0);
     CHECK(found([](auto& m) { m.faults.keepAnyConnection = true, m.edge->broken.anyIdentity = true; }) > 0);
