--- a/src/routing/response_relay.cpp
+++ b/src/routing/response_relay.cpp
@@ -156,7 +156,7 @@
         relayed.countable = false;
         return EventVerdict::Sound;
     }
-    if (number <= relayed.lastEventId && !broken.joinAny) return EventVerdict::OutOfOrder;
+    if (number <= relayed.lastEventId && !broken.joinUnorderedEvents) return EventVerdict::OutOfOrder;
     relayed.lastEventId = number;
     return EventVerdict::Sound;
 }
@@ -177,7 +177,7 @@
         return EventVerdict::Sound;
     }
     auto isNext = relayed.lastEventId < 0 || number == relayed.lastEventId + 1;
-    if (!isNext && !broken.joinAny) return EventVerdict::OutOfOrder;
+    if (!isNext && !broken.joinUnorderedEvents) return EventVerdict::OutOfOrder;
     relayed.lastEventId = number;
     return EventVerdict::Sound;
 }
--- a/src/sim/machine.cpp
+++ b/src/sim/machine.cpp
@@ -47,7 +47,7 @@
     node->broken.ackEarly = b == "ack-early";
     node->broken.acceptOldState = b == "old-word";
     edge->broken.retryNonRepeatable = b == "resend-any";
-    edge->broken.joinAny = b == "join-any";
+    edge->broken.joinUnorderedEvents = b == "join-any";
     edge->broken.ignoreHome = b == "ignore-home";
     edge->broken.noBudget = b == "no-budget";
     edge->broken.noRamp = b == "no-ramp";
--- a/tests/routing/server_model_test.cpp
+++ b/tests/routing/server_model_test.cpp
@@ -207,8 +207,9 @@
     CHECK(found([](auto& m) { m.edge->broken.retryNonRepeatable = true; }) > 0);
     CHECK(found([](auto& m) { m.edge->broken.silenceIsNoArrival = true; }) > 0);
     CHECK(found([](auto& m) { m.edge->broken.anyIdentity = true; }) > 0);
-    CHECK(
-        found([](auto& m) { m.edge->broken.joinAny = true, m.edge->broken.retryNonRepeatable = true; }) > 0);
+    CHECK(found([](auto& m) {
+        m.edge->broken.joinUnorderedEvents = true, m.edge->broken.retryNonRepeatable = true;
+    }) > 0);
     CHECK(found([](auto& m) { m.edge->broken.cutLooksWhole = true; }) > 0);
     CHECK(found([](auto& m) { m.faults.closeIsAlwaysWhole = true; }) > 0);
     CHECK(found([](auto& m) { m.faults.keepAnyConnection = true, m.edge->broken.anyIdentity = true; }) > 0);
