--- a/src/routing/candidate_filters.cpp
+++ b/src/routing/candidate_filters.cpp
@@ -27,7 +27,7 @@
 
 auto isInHomeRegion(const KnownServer& server, const Request& request, const EdgeFaults& faults) -> bool {
     auto& homes = request.route.homes;
-    return faults.ignoreHome || std::any_of(homes.begin(), homes.end(), [&](auto& home) {
+    return faults.ignoreHomeRegion || std::any_of(homes.begin(), homes.end(), [&](auto& home) {
         return server.listing.region == homeRegion(home, request.received.region);
     });
 }
--- a/src/routing/edge_faults.hpp
+++ b/src/routing/edge_faults.hpp
@@ -7,7 +7,7 @@
 struct EdgeFaults {
     bool retryNonRepeatable = false;   ///< What may have run is sent again.
     bool joinUnorderedEvents = false;  ///< Events are joined whatever their ids.
-    bool ignoreHome = false;           ///< Home regions bind nothing.
+    bool ignoreHomeRegion = false;     ///< Home regions bind nothing.
     bool noBudget = false;             ///< Further attempts cost nothing.
     bool noRamp = false;               ///< Servers that have just started are not spared.
     bool cutLooksWhole = false;        ///< A cut stream ends like a whole one.
--- a/src/sim/machine.cpp
+++ b/src/sim/machine.cpp
@@ -48,7 +48,7 @@
     node->broken.acceptOldState = b == "old-word";
     edge->broken.retryNonRepeatable = b == "resend-any";
     edge->broken.joinUnorderedEvents = b == "join-any";
-    edge->broken.ignoreHome = b == "ignore-home";
+    edge->broken.ignoreHomeRegion = b == "ignore-home";
     edge->broken.noBudget = b == "no-budget";
     edge->broken.noRamp = b == "no-ramp";
     edge->broken.cutLooksWhole = b == "cut-looks-whole";
