--- a/src/routing/edge_faults.hpp
+++ b/src/routing/edge_faults.hpp
@@ -8,7 +8,7 @@
     bool retryNonRepeatable = false;   ///< What may have run is sent again.
     bool joinUnorderedEvents = false;  ///< Events are joined whatever their ids.
     bool ignoreHomeRegion = false;     ///< Home regions bind nothing.
-    bool noBudget = false;             ///< Further attempts cost nothing.
+    bool ignoreRetryBudget = false;    ///< Further attempts cost nothing.
     bool noRamp = false;               ///< Servers that have just started are not spared.
     bool cutLooksWhole = false;        ///< A cut stream ends like a whole one.
     bool ignoreLeaving = false;        ///< Draining servers are sent requests.
--- a/src/routing/retry_budget.cpp
+++ b/src/routing/retry_budget.cpp
@@ -31,7 +31,7 @@
 // Reading a long prompt again costs more than reading a short one; where arrivals are what is counted,
 // each is one.
 auto RetryBudget::cost(const Request& request) const -> std::int64_t {
-    if (faults_.noBudget) return 0;
+    if (faults_.ignoreRetryBudget) return 0;
     if (dialect_.clientNamesRequests) return CREDIT_PER_ATTEMPT;
     return CREDIT_PER_ATTEMPT + CREDIT_PER_ATTEMPT * request.limits.sequenceTokens / TOKENS_PER_CREDIT;
 }
--- a/src/sim/machine.cpp
+++ b/src/sim/machine.cpp
@@ -49,7 +49,7 @@
     edge->broken.retryNonRepeatable = b == "resend-any";
     edge->broken.joinUnorderedEvents = b == "join-any";
     edge->broken.ignoreHomeRegion = b == "ignore-home";
-    edge->broken.noBudget = b == "no-budget";
+    edge->broken.ignoreRetryBudget = b == "no-budget";
     edge->broken.noRamp = b == "no-ramp";
     edge->broken.cutLooksWhole = b == "cut-looks-whole";
     edge->broken.ignoreLeaving = b == "ignore-leaving";
--- a/tests/routing/edge_retry_test.cpp
+++ b/tests/routing/edge_retry_test.cpp
@@ -185,7 +185,7 @@
         for (auto t = 0; t < 1500; t++) {
             for (auto i = std::size_t(0); i < f.edges.size(); i++) {
                 auto& rig = *f.edges[i];
-                rig.edge->broken.noBudget = broken;
+                rig.edge->broken.ignoreRetryBudget = broken;
                 if (g.chance(.4)) rig.sendRequest("/a/x");  // far more of one pool than of the other
                 if (g.chance(.02)) rig.sendRequest("/b/x");
                 for (auto n = 0; n < 8; n++)
