--- a/src/routing/edge_faults.hpp
+++ b/src/routing/edge_faults.hpp
@@ -9,7 +9,7 @@
     bool joinUnorderedEvents = false;  ///< Events are joined whatever their ids.
     bool ignoreHomeRegion = false;     ///< Home regions bind nothing.
     bool ignoreRetryBudget = false;    ///< Further attempts cost nothing.
-    bool noRamp = false;               ///< Servers that have just started are not spared.
+    bool skipSlowStart = false;        ///< Servers that have just started are not spared.
     bool cutLooksWhole = false;        ///< A cut stream ends like a whole one.
     bool ignoreLeaving = false;        ///< Draining servers are sent requests.
     bool pickRandom = false;           ///< Servers are picked at random,
--- a/src/routing/slow_start.cpp
+++ b/src/routing/slow_start.cpp
@@ -30,7 +30,7 @@
 }
 
 auto SlowStart::rampShare(const std::string& name, const KnownServer& server, Microseconds now) -> int {
-    if (faults_.noRamp || routes_.rampDuration <= 0) return NO_LIMIT;
+    if (faults_.skipSlowStart || routes_.rampDuration <= 0) return NO_LIMIT;
     auto elapsed = upTime(name, server, now);
     if (elapsed >= routes_.rampDuration) return NO_LIMIT;
     auto slots = double(std::max(1, server.listing.slots));
@@ -62,7 +62,7 @@
 // the same second.
 auto SlowStart::admits(const std::string& name, const KnownServer& server, const ServiceRule& rule,
     Microseconds now, BucketUse use) -> bool {
-    if (rule.coldRate <= 0 || faults_.noRamp || !isCold(name, server, rule, now)) return true;
+    if (rule.coldRate <= 0 || faults_.skipSlowStart || !isCold(name, server, rule, now)) return true;
     if (!fleet_.settled(now)) return false;
     auto burst = BURST_SHARE * ((routes_.coldOverrun - RATE_SHARE) * rule.coldRate + routes_.coldSlack);
     auto sharers = std::min(fleet_.nodes(), std::size_t(std::max(1.0, burst)));
--- a/src/sim/machine.cpp
+++ b/src/sim/machine.cpp
@@ -50,7 +50,7 @@
     edge->broken.joinUnorderedEvents = b == "join-any";
     edge->broken.ignoreHomeRegion = b == "ignore-home";
     edge->broken.ignoreRetryBudget = b == "no-budget";
-    edge->broken.noRamp = b == "no-ramp";
+    edge->broken.skipSlowStart = b == "no-ramp";
     edge->broken.cutLooksWhole = b == "cut-looks-whole";
     edge->broken.ignoreLeaving = b == "ignore-leaving";
     edge->broken.oldRules = b == "old-rules";
--- a/tests/routing/slow_start_test.cpp
+++ b/tests/routing/slow_start_test.cpp
@@ -25,7 +25,7 @@
             c.rate);
         auto f = EdgeFleet(c.nodes, conf, {{"w", "near", "p", "z", 60}, {"c", "near", "p", "z", 60}});
         for (auto& rig : f.edges) {
-            rig->edge->broken.noRamp = c.broken;
+            rig->edge->broken.skipSlowStart = c.broken;
             rig->setColdUntil("c", rig->now + 60 * SECOND);
         }
         auto at = std::vector<Microseconds>();
