--- a/src/routing/completion.cpp
+++ b/src/routing/completion.cpp
@@ -50,7 +50,7 @@
             fmt::format("event: failed\ndata: {}\n\n",
                 bodyOf({{"error", jsonQuote(why)},
                     {"lastEventId", fmt::to_string(request.relayed.lastEventId)}, {"retryAfter", "1"}})));
-    port_.endStream(request.id, broken.cutLooksWhole);
+    port_.endStream(request.id, broken.truncatedLooksComplete);
 }
 
 // The header by which nothing ran is said only where it is certain.
--- a/src/routing/edge_faults.hpp
+++ b/src/routing/edge_faults.hpp
@@ -5,23 +5,23 @@
 
 /// All are off in a real process. Each names what goes wrong.
 struct EdgeFaults {
-    bool retryNonRepeatable = false;   ///< What may have run is sent again.
-    bool joinUnorderedEvents = false;  ///< Events are joined whatever their ids.
-    bool ignoreHomeRegion = false;     ///< Home regions bind nothing.
-    bool ignoreRetryBudget = false;    ///< Further attempts cost nothing.
-    bool skipSlowStart = false;        ///< Servers that have just started are not spared.
-    bool cutLooksWhole = false;        ///< A cut stream ends like a whole one.
-    bool ignoreLeaving = false;        ///< Draining servers are sent requests.
-    bool pickRandom = false;           ///< Servers are picked at random,
-    bool pickLeast = false;            ///< or always the least occupied.
-    bool oldRules = false;             ///< A request keeps the routes that it began with.
-    bool resumeAny = false;            ///< Clients may resume any stream.
-    bool queueLeak = false;            ///< Places in queues are freed wrongly.
-    bool anyWeights = false;           ///< Streams are joined across versions of the weights.
-    bool noServe = false;              ///< Every request is refused.
-    bool badStep = false;              ///< A finished request changes its phase.
-    bool anyIdentity = false;          ///< Answers are taken whosever they are.
-    bool silenceIsNoArrival = false;   ///< A silent server counts as one that received nothing.
+    bool retryNonRepeatable = false;      ///< What may have run is sent again.
+    bool joinUnorderedEvents = false;     ///< Events are joined whatever their ids.
+    bool ignoreHomeRegion = false;        ///< Home regions bind nothing.
+    bool ignoreRetryBudget = false;       ///< Further attempts cost nothing.
+    bool skipSlowStart = false;           ///< Servers that have just started are not spared.
+    bool truncatedLooksComplete = false;  ///< A cut stream ends like a whole one.
+    bool ignoreLeaving = false;           ///< Draining servers are sent requests.
+    bool pickRandom = false;              ///< Servers are picked at random,
+    bool pickLeast = false;               ///< or always the least occupied.
+    bool oldRules = false;                ///< A request keeps the routes that it began with.
+    bool resumeAny = false;               ///< Clients may resume any stream.
+    bool queueLeak = false;               ///< Places in queues are freed wrongly.
+    bool anyWeights = false;              ///< Streams are joined across versions of the weights.
+    bool noServe = false;                 ///< Every request is refused.
+    bool badStep = false;                 ///< A finished request changes its phase.
+    bool anyIdentity = false;             ///< Answers are taken whosever they are.
+    bool silenceIsNoArrival = false;      ///< A silent server counts as one that received nothing.
 };
 
 }  // namespace duneturn
--- a/src/sim/machine.cpp
+++ b/src/sim/machine.cpp
@@ -51,7 +51,7 @@
     edge->broken.ignoreHomeRegion = b == "ignore-home";
     edge->broken.ignoreRetryBudget = b == "no-budget";
     edge->broken.skipSlowStart = b == "no-ramp";
-    edge->broken.cutLooksWhole = b == "cut-looks-whole";
+    edge->broken.truncatedLooksComplete = b == "cut-looks-whole";
     edge->broken.ignoreLeaving = b == "ignore-leaving";
     edge->broken.oldRules = b == "old-rules";
     edge->broken.resumeAny = b == "resume-any";
--- a/tests/routing/server_model_test.cpp
+++ b/tests/routing/server_model_test.cpp
@@ -210,7 +210,7 @@
     CHECK(found([](auto& m) {
         m.edge->broken.joinUnorderedEvents = true, m.edge->broken.retryNonRepeatable = true;
     }) > 0);
-    CHECK(found([](auto& m) { m.edge->broken.cutLooksWhole = true; }) > 0);
+    CHECK(found([](auto& m) { m.edge->broken.truncatedLooksComplete = true; }) > 0);
     CHECK(found([](auto& m) { m.faults.closeIsAlwaysWhole = true; }) > 0);
     CHECK(found([](auto& m) { m.faults.keepAnyConnection = true, m.edge->broken.anyIdentity = true; }) > 0);
 }
