--- a/src/routing/candidate_filters.cpp
+++ b/src/routing/candidate_filters.cpp
@@ -18,7 +18,7 @@
 auto isListed(const KnownServer& server, const ServerStatistics* statistics, const EdgeFaults& faults)
     -> bool {
     if (statistics && statistics->wrongAddressRevision >= server.listing.revision) return false;
-    return !server.listing.address.empty() && (server.listing.state == UP || faults.ignoreLeaving);
+    return !server.listing.address.empty() && (server.listing.state == UP || faults.ignoreDraining);
 }
 
 auto isOutsideEvacuatedZones(const KnownServer& server, const ReplicatedState& state) -> bool {
--- a/src/routing/edge_faults.hpp
+++ b/src/routing/edge_faults.hpp
@@ -11,7 +11,7 @@
     bool ignoreRetryBudget = false;       ///< Further attempts cost nothing.
     bool skipSlowStart = false;           ///< Servers that have just started are not spared.
     bool truncatedLooksComplete = false;  ///< A cut stream ends like a whole one.
-    bool ignoreLeaving = false;           ///< Draining servers are sent requests.
+    bool ignoreDraining = false;          ///< Draining servers are sent requests.
     bool pickRandom = false;              ///< Servers are picked at random,
     bool pickLeast = false;               ///< or always the least occupied.
     bool oldRules = false;                ///< A request keeps the routes that it began with.
--- a/src/sim/machine.cpp
+++ b/src/sim/machine.cpp
@@ -52,7 +52,7 @@
     edge->broken.ignoreRetryBudget = b == "no-budget";
     edge->broken.skipSlowStart = b == "no-ramp";
     edge->broken.truncatedLooksComplete = b == "cut-looks-whole";
-    edge->broken.ignoreLeaving = b == "ignore-leaving";
+    edge->broken.ignoreDraining = b == "ignore-leaving";
     edge->broken.oldRules = b == "old-rules";
     edge->broken.resumeAny = b == "resume-any";
     edge->broken.queueLeak = b == "queue-leak";
