--- a/src/routing/edge_faults.hpp
+++ b/src/routing/edge_faults.hpp
@@ -12,7 +12,7 @@
     bool skipSlowStart = false;           ///< Servers that have just started are not spared.
     bool truncatedLooksComplete = false;  ///< A cut stream ends like a whole one.
     bool ignoreDraining = false;          ///< Draining servers are sent requests.
-    bool pickRandom = false;              ///< Servers are picked at random,
+    bool selectRandomly = false;          ///< Servers are picked at random,
     bool pickLeast = false;               ///< or always the least occupied.
     bool oldRules = false;                ///< A request keeps the routes that it began with.
     bool resumeAny = false;               ///< Clients may resume any stream.
--- a/src/routing/server_selection.cpp
+++ b/src/routing/server_selection.cpp
@@ -272,7 +272,7 @@
     // A long shared beginning goes where it was read before. All else goes to the best of some drawn at
     // random, since many nodes that know the same would all run to one.
     auto pickByPrediction() -> Picked {
-        if (inputs_.faults.pickRandom)
+        if (inputs_.faults.selectRandomly)
             return {std::size_t(inputs_.random.below(candidates_.size())), "least of some"};
         auto& received = request_.received;
         if (!rule_->isEngine || !received.prefixKey || received.sharedTokens < LONG_PREFIX_TOKENS)
@@ -313,7 +313,7 @@
             return (candidate.occupancy + 0.05) / std::max(0.05, fitness(candidate));
         };
         auto draw = [&] { return std::size_t(inputs_.random.below(candidates_.size())); };
-        if (inputs_.faults.pickRandom) return {draw(), "random"};
+        if (inputs_.faults.selectRandomly) return {draw(), "random"};
         if (inputs_.faults.pickLeast) return {leastBy(cost), "least"};
         if (byPrefix && request_.received.prefixKey) {
             auto least = leastBy(cost);
--- a/src/sim/machine.cpp
+++ b/src/sim/machine.cpp
@@ -61,7 +61,7 @@
     edge->broken.noServe = b == "no-serve" && w.t > 30 * SECOND;
     edge->broken.badStep = b == "bad-step";
     node->broken.oldBoot = b == "old-boot";
-    edge->broken.pickRandom = w.op.place == "random";
+    edge->broken.selectRandomly = w.op.place == "random";
     edge->broken.pickLeast = w.op.place == "least";
     top = {0, 0};
     if (core) {
--- a/tests/routing/server_selection_test.cpp
+++ b/tests/routing/server_selection_test.cpp
@@ -95,7 +95,7 @@
         for (auto t = 0; t < 3000; t++) {  // a minute
             for (auto i = std::size_t(0); i < f.edges.size(); i++) {
                 auto& rig = *f.edges[i];
-                rig.edge->broken.pickRandom = random;
+                rig.edge->broken.selectRandomly = random;
                 if (g.chance(8.47 / 50 / 12)) {
                     auto p = int(g.below(32));
                     auto own = rig.requestCount;
@@ -194,7 +194,7 @@
             }
             for (auto i = std::size_t(0); i < f.edges.size(); i++) {
                 auto& rig = *f.edges[i];
-                rig.edge->broken.pickRandom = c.how == "random";
+                rig.edge->broken.selectRandomly = c.how == "random";
                 for (auto k = 0; k < 2; k++)
                     if (g.chance(11 * 24 / (0.4 * 50) / c.nodes / 2))
                         refused += rig.outcome(rig.sendRequest("/b/x", {{"X-Tokens", "383,48"}})) != 0;
