--- a/src/routing/edge_faults.hpp
+++ b/src/routing/edge_faults.hpp
@@ -13,7 +13,7 @@
     bool truncatedLooksComplete = false;  ///< A cut stream ends like a whole one.
     bool ignoreDraining = false;          ///< Draining servers are sent requests.
     bool selectRandomly = false;          ///< Servers are picked at random,
-    bool pickLeast = false;               ///< or always the least occupied.
+    bool selectLeastLoaded = false;       ///< or always the least occupied.
     bool oldRules = false;                ///< A request keeps the routes that it began with.
     bool resumeAny = false;               ///< Clients may resume any stream.
     bool queueLeak = false;               ///< Places in queues are freed wrongly.
--- a/src/routing/server_selection.cpp
+++ b/src/routing/server_selection.cpp
@@ -314,7 +314,7 @@
         };
         auto draw = [&] { return std::size_t(inputs_.random.below(candidates_.size())); };
         if (inputs_.faults.selectRandomly) return {draw(), "random"};
-        if (inputs_.faults.pickLeast) return {leastBy(cost), "least"};
+        if (inputs_.faults.selectLeastLoaded) return {leastBy(cost), "least"};
         if (byPrefix && request_.received.prefixKey) {
             auto least = leastBy(cost);
             auto homes = cacheHomes();
--- a/src/sim/machine.cpp
+++ b/src/sim/machine.cpp
@@ -62,7 +62,7 @@
     edge->broken.badStep = b == "bad-step";
     node->broken.oldBoot = b == "old-boot";
     edge->broken.selectRandomly = w.op.place == "random";
-    edge->broken.pickLeast = w.op.place == "least";
+    edge->broken.selectLeastLoaded = w.op.place == "least";
     top = {0, 0};
     if (core) {
         dk.under.clear();
