--- a/src/routing/route_binding.cpp
+++ b/src/routing/route_binding.cpp
@@ -111,7 +111,8 @@
 
 auto rebind(Request& request, const RouteTable& routes, const Dialect& dialect, const EdgeFaults& faults)
     -> std::optional<Refusal> {
-    if (request.limits.routesRevision == routes.revision || faults.oldRules) return std::nullopt;
+    if (request.limits.routesRevision == routes.revision || faults.keepFirstConfiguration)
+        return std::nullopt;
     auto binding = findBinding(request, routes);
     if (!binding) return refusalUnderWay(binding.error(), request);
     auto hasBegun = request.attempts.tracker.mayHaveRun() || request.attempts.sent > 0;
--- a/src/sim/machine.cpp
+++ b/src/sim/machine.cpp
@@ -53,7 +53,7 @@
     edge->broken.skipSlowStart = b == "no-ramp";
     edge->broken.truncatedLooksComplete = b == "cut-looks-whole";
     edge->broken.ignoreDraining = b == "ignore-leaving";
-    edge->broken.oldRules = b == "old-rules";
+    edge->broken.keepFirstConfiguration = b == "old-rules";
     edge->broken.resumeAny = b == "resume-any";
     edge->broken.queueLeak = b == "queue-leak";
     edge->broken.anyWeights = b == "any-weights";
