--- a/src/routing/edge_faults.hpp
+++ b/src/routing/edge_faults.hpp
@@ -15,7 +15,7 @@
     bool selectRandomly = false;          ///< Servers are picked at random,
     bool selectLeastLoaded = false;       ///< or always the least occupied.
     bool keepFirstConfiguration = false;  ///< A request keeps the routes that it began with.
-    bool resumeAny = false;               ///< Clients may resume any stream.
+    bool resumeUnchecked = false;         ///< Clients may resume any stream.
     bool queueLeak = false;               ///< Places in queues are freed wrongly.
     bool anyWeights = false;              ///< Streams are joined across versions of the weights.
     bool noServe = false;                 ///< Every request is refused.
--- a/src/routing/migration.cpp
+++ b/src/routing/migration.cpp
@@ -49,7 +49,7 @@
     request.relayed.lastEventId = last;
     request.relayed.weights = weights;
     request.limits.sequenceTokens += std::max<std::int64_t>(0, last);
-    if (faults_.resumeAny) return "";
+    if (faults_.resumeUnchecked) return "";
     auto& route = request.route;
     if (!route.resumable)
         return "streams of this mapping cannot be resumed; send it anew without Last-Event-Id";
--- a/src/sim/machine.cpp
+++ b/src/sim/machine.cpp
@@ -54,7 +54,7 @@
     edge->broken.truncatedLooksComplete = b == "cut-looks-whole";
     edge->broken.ignoreDraining = b == "ignore-leaving";
     edge->broken.keepFirstConfiguration = b == "old-rules";
-    edge->broken.resumeAny = b == "resume-any";
+    edge->broken.resumeUnchecked = b == "resume-any";
     edge->broken.queueLeak = b == "queue-leak";
     edge->broken.anyWeights = b == "any-weights";
     node->broken.lateUp = b == "late-up";
