--- a/src/routing/backlog.cpp
+++ b/src/routing/backlog.cpp
@@ -62,7 +62,7 @@
 
 auto Backlog::leave(Request& request) -> void {
     if (request.queuePlace.service.empty()) return;
-    places_[faults_.queueLeak ? request.route.service + "?" : request.queuePlace.service]--;
+    places_[faults_.leakQueueSlots ? request.route.service + "?" : request.queuePlace.service]--;
     request.queuePlace = {};
 }
 
--- a/src/routing/edge_faults.hpp
+++ b/src/routing/edge_faults.hpp
@@ -16,7 +16,7 @@
     bool selectLeastLoaded = false;       ///< or always the least occupied.
     bool keepFirstConfiguration = false;  ///< A request keeps the routes that it began with.
     bool resumeUnchecked = false;         ///< Clients may resume any stream.
-    bool queueLeak = false;               ///< Places in queues are freed wrongly.
+    bool leakQueueSlots = false;          ///< Places in queues are freed wrongly.
     bool anyWeights = false;              ///< Streams are joined across versions of the weights.
     bool noServe = false;                 ///< Every request is refused.
     bool badStep = false;                 ///< A finished request changes its phase.
--- a/src/sim/machine.cpp
+++ b/src/sim/machine.cpp
@@ -55,7 +55,7 @@
     edge->broken.ignoreDraining = b == "ignore-leaving";
     edge->broken.keepFirstConfiguration = b == "old-rules";
     edge->broken.resumeUnchecked = b == "resume-any";
-    edge->broken.queueLeak = b == "queue-leak";
+    edge->broken.leakQueueSlots = b == "queue-leak";
     edge->broken.anyWeights = b == "any-weights";
     node->broken.lateUp = b == "late-up";
     edge->broken.noServe = b == "no-serve" && w.t > 30 * SECOND;
