--- a/src/routing/candidate_filters.cpp
+++ b/src/routing/candidate_filters.cpp
@@ -36,7 +36,7 @@
     const EdgeFaults& faults) -> bool {
     if (dialect.clientNamesRequests && server.listing.weights.empty()) return true;
     auto& relayed = request.relayed;
-    return faults.anyWeights || relayed.weights.empty() || relayed.lastEventId < 0
+    return faults.ignoreWeightsVersion || relayed.weights.empty() || relayed.lastEventId < 0
         || server.listing.weights == relayed.weights;
 }
 
--- a/src/routing/edge_faults.hpp
+++ b/src/routing/edge_faults.hpp
@@ -17,7 +17,7 @@
     bool keepFirstConfiguration = false;  ///< A request keeps the routes that it began with.
     bool resumeUnchecked = false;         ///< Clients may resume any stream.
     bool leakQueueSlots = false;          ///< Places in queues are freed wrongly.
-    bool anyWeights = false;              ///< Streams are joined across versions of the weights.
+    bool ignoreWeightsVersion = false;    ///< Streams are joined across versions of the weights.
     bool noServe = false;                 ///< Every request is refused.
     bool badStep = false;                 ///< A finished request changes its phase.
     bool anyIdentity = false;             ///< Answers are taken whosever they are.
--- a/src/routing/response_relay.cpp
+++ b/src/routing/response_relay.cpp
@@ -102,7 +102,7 @@
     // What a server says of its weights itself is newer than the listing.
     if (auto weights = header(headers, dialect_.weights); status == 200 && !weights.empty()) {
         attempts.weights = weights;
-        auto isBound = relayed.lastEventId >= 0 && !relayed.weights.empty() && !broken.anyWeights;
+        auto isBound = relayed.lastEventId >= 0 && !relayed.weights.empty() && !broken.ignoreWeightsVersion;
         if (isBound && weights != relayed.weights) {
             counters_.add("wrong_weights_total");
             retryElsewhere(
--- a/src/sim/machine.cpp
+++ b/src/sim/machine.cpp
@@ -56,7 +56,7 @@
     edge->broken.keepFirstConfiguration = b == "old-rules";
     edge->broken.resumeUnchecked = b == "resume-any";
     edge->broken.leakQueueSlots = b == "queue-leak";
-    edge->broken.anyWeights = b == "any-weights";
+    edge->broken.ignoreWeightsVersion = b == "any-weights";
     node->broken.lateUp = b == "late-up";
     edge->broken.noServe = b == "no-serve" && w.t > 30 * SECOND;
     edge->broken.badStep = b == "bad-step";
