--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -106,7 +106,7 @@
             return Refusal{400, "the header " + dialect_.request + " is missing or too long"};
     if (refusingNew_ || (draining_ && !dialect_.clientNamesRequests))
         return Refusal{503, "this node is stopping"};
-    if (broken.noServe) return Refusal{503, "broken"};
+    if (broken.rejectEverything) return Refusal{503, "broken"};
     if (!node_.withinLease(now)) return Refusal{503, "this node has not heard a majority within its lease"};
     auto isEvacuated = evacuatedAt_ > 0 && now - evacuatedAt_ > EVACUATION_GRACE;
     if (isEvacuated && !dialect_.clientNamesRequests) return Refusal{503, "this district is emptied"};
--- a/src/sim/machine.cpp
+++ b/src/sim/machine.cpp
@@ -58,7 +58,7 @@
     edge->broken.leakQueueSlots = b == "queue-leak";
     edge->broken.ignoreWeightsVersion = b == "any-weights";
     node->broken.lateUp = b == "late-up";
-    edge->broken.noServe = b == "no-serve" && w.t > 30 * SECOND;
+    edge->broken.rejectEverything = b == "no-serve" && w.t > 30 * SECOND;
     edge->broken.badStep = b == "bad-step";
     node->broken.oldBoot = b == "old-boot";
     edge->broken.selectRandomly = w.op.place == "random";
