--- a/src/routing/completion.cpp
+++ b/src/routing/completion.cpp
@@ -80,7 +80,7 @@
     backlog_.leave(request);
     quota_.release(request, now);
     turn(request, counters_, PhaseEvent::End);
-    if (broken.badStep) turn(request, counters_, PhaseEvent::Loss);
+    if (broken.illegalPhaseChange) turn(request, counters_, PhaseEvent::Loss);
     note(request, fmt::format("+{} us {}", now - request.received.acceptedAt, how));
     decisions_.record(request, how);
     finished_.push_back(request.id);
--- a/src/routing/edge_faults.hpp
+++ b/src/routing/edge_faults.hpp
@@ -19,7 +19,7 @@
     bool leakQueueSlots = false;          ///< Places in queues are freed wrongly.
     bool ignoreWeightsVersion = false;    ///< Streams are joined across versions of the weights.
     bool rejectEverything = false;        ///< Every request is refused.
-    bool badStep = false;                 ///< A finished request changes its phase.
+    bool illegalPhaseChange = false;      ///< A finished request changes its phase.
     bool anyIdentity = false;             ///< Answers are taken whosever they are.
     bool silenceIsNoArrival = false;      ///< A silent server counts as one that received nothing.
 };
--- a/src/sim/machine.cpp
+++ b/src/sim/machine.cpp
@@ -59,7 +59,7 @@
     edge->broken.ignoreWeightsVersion = b == "any-weights";
     node->broken.lateUp = b == "late-up";
     edge->broken.rejectEverything = b == "no-serve" && w.t > 30 * SECOND;
-    edge->broken.badStep = b == "bad-step";
+    edge->broken.illegalPhaseChange = b == "bad-step";
     node->broken.oldBoot = b == "old-boot";
     edge->broken.selectRandomly = w.op.place == "random";
     edge->broken.selectLeastLoaded = w.op.place == "least";
