--- a/src/routing/edge_faults.hpp
+++ b/src/routing/edge_faults.hpp
@@ -20,7 +20,7 @@
     bool ignoreWeightsVersion = false;    ///< Streams are joined across versions of the weights.
     bool rejectEverything = false;        ///< Every request is refused.
     bool illegalPhaseChange = false;      ///< A finished request changes its phase.
-    bool anyIdentity = false;             ///< Answers are taken whosever they are.
+    bool ignoreRequestIdentity = false;   ///< Answers are taken whosever they are.
     bool silenceIsNoArrival = false;      ///< A silent server counts as one that received nothing.
 };
 
--- a/src/routing/response_relay.cpp
+++ b/src/routing/response_relay.cpp
@@ -47,7 +47,7 @@
 
 // Whether the answer is another request's, or does not prove that it is this one's.
 auto Edge::isOtherRequests(const Request& request, const Headers& headers, int status) const -> bool {
-    if (broken.anyIdentity) return false;
+    if (broken.ignoreRequestIdentity) return false;
     auto name = header(headers, dialect_.request);
     if (!name.empty()) return name != request.received.name;
     // Of a success without a name nobody knows whose it is; of a failure neither, where a late answer to an
--- a/tests/routing/server_model_test.cpp
+++ b/tests/routing/server_model_test.cpp
@@ -206,13 +206,15 @@
     };
     CHECK(found([](auto& m) { m.edge->broken.retryNonRepeatable = true; }) > 0);
     CHECK(found([](auto& m) { m.edge->broken.silenceIsNoArrival = true; }) > 0);
-    CHECK(found([](auto& m) { m.edge->broken.anyIdentity = true; }) > 0);
+    CHECK(found([](auto& m) { m.edge->broken.ignoreRequestIdentity = true; }) > 0);
     CHECK(found([](auto& m) {
         m.edge->broken.joinUnorderedEvents = true, m.edge->broken.retryNonRepeatable = true;
     }) > 0);
     CHECK(found([](auto& m) { m.edge->broken.truncatedLooksComplete = true; }) > 0);
     CHECK(found([](auto& m) { m.faults.closeIsAlwaysWhole = true; }) > 0);
-    CHECK(found([](auto& m) { m.faults.keepAnyConnection = true, m.edge->broken.anyIdentity = true; }) > 0);
+    CHECK(found([](auto& m) {
+        m.faults.keepAnyConnection = true, m.edge->broken.ignoreRequestIdentity = true;
+    }) > 0);
 }
 
 }  // namespace duneturn
