--- a/src/routing/edge_faults.hpp
+++ b/src/routing/edge_faults.hpp
@@ -21,7 +21,7 @@
     bool rejectEverything = false;        ///< Every request is refused.
     bool illegalPhaseChange = false;      ///< A finished request changes its phase.
     bool ignoreRequestIdentity = false;   ///< Answers are taken whosever they are.
-    bool silenceIsNoArrival = false;      ///< A silent server counts as one that received nothing.
+    bool silenceMeansNotArrived = false;  ///< A silent server counts as one that received nothing.
 };
 
 }  // namespace duneturn
--- a/src/routing/retry.cpp
+++ b/src/routing/retry.cpp
@@ -26,7 +26,7 @@
 auto Edge::couldMove(Request& request, AttemptEvent event, Microseconds now) -> bool {
     auto& attempts = request.attempts;
     auto execution = attemptRule(attempts.tracker.state(), event).execution;
-    if (broken.silenceIsNoArrival && event == AttemptEvent::Silence) execution = Execution::NotArrived;
+    if (broken.silenceMeansNotArrived && event == AttemptEvent::Silence) execution = Execution::NotArrived;
     auto known = std::max(execution, attempts.tracker.earlier());
     auto isFurther = budget_.countsAsFurther(execution);
     auto grant = isFurther ? AttemptGrant::Further : AttemptGrant::Granted;
@@ -46,7 +46,7 @@
 auto Edge::retryElsewhere(Request& request, AttemptEvent event, const std::string& why, Microseconds now)
     -> void {
     auto execution = apply(request, event);
-    if (broken.silenceIsNoArrival && event == AttemptEvent::Silence) {
+    if (broken.silenceMeansNotArrived && event == AttemptEvent::Silence) {
         request.attempts.tracker = AttemptTracker();
         execution = Execution::NotArrived;
     }
@@ -162,7 +162,7 @@
             onConnectionRefused(request.id, attempts.current, now);
         return;
     }
-    auto mayMove = request.retryRights().repeatable || broken.silenceIsNoArrival;
+    auto mayMove = request.retryRights().repeatable || broken.silenceMeansNotArrived;
     if (!mayMove || silence < migration_.silenceLimit(request)) return;
     attempts.nextStallCheckAt = now + SILENCE_INTERVAL;
     if (!couldMove(request, AttemptEvent::Silence, now)) return;
--- a/tests/routing/server_model_test.cpp
+++ b/tests/routing/server_model_test.cpp
@@ -205,7 +205,7 @@
         return c.faults;
     };
     CHECK(found([](auto& m) { m.edge->broken.retryNonRepeatable = true; }) > 0);
-    CHECK(found([](auto& m) { m.edge->broken.silenceIsNoArrival = true; }) > 0);
+    CHECK(found([](auto& m) { m.edge->broken.silenceMeansNotArrived = true; }) > 0);
     CHECK(found([](auto& m) { m.edge->broken.ignoreRequestIdentity = true; }) > 0);
     CHECK(found([](auto& m) {
         m.edge->broken.joinUnorderedEvents = true, m.edge->broken.retryNonRepeatable = true;
