--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -102,7 +102,7 @@
     auto sendHead(std::int64_t request, int status, const Headers& headers) -> void override {
         responses_.beginStream(request, status, headers);
     }
-    auto sendPart(std::int64_t request, const std::string& bytes) -> void override {
+    auto sendStreamBytes(std::int64_t request, const std::string& bytes) -> void override {
         responses_.addPart(request, bytes);
     }
     auto endStream(std::int64_t request, bool whole) -> void override {
--- a/src/routing/completion.cpp
+++ b/src/routing/completion.cpp
@@ -46,7 +46,7 @@
 // Ends a stream visibly incomplete.
 auto Edge::cutStream(Request& request, const std::string& why) -> void {
     if (!dialect_.passHeaders)
-        port_.sendPart(request.id,
+        port_.sendStreamBytes(request.id,
             fmt::format("event: failed\ndata: {}\n\n",
                 bodyOf({{"error", jsonQuote(why)},
                     {"lastEventId", fmt::to_string(request.relayed.lastEventId)}, {"retryAfter", "1"}})));
--- a/src/routing/edge_port.hpp
+++ b/src/routing/edge_port.hpp
@@ -19,7 +19,7 @@
     /// The head of a streamed answer to the client.
     virtual auto sendHead(std::int64_t request, int status, const Headers& headers) -> void = 0;
     /// Further bytes of a streamed answer.
-    virtual auto sendPart(std::int64_t request, const std::string& bytes) -> void = 0;
+    virtual auto sendStreamBytes(std::int64_t request, const std::string& bytes) -> void = 0;
     /// Ends a streamed answer: whole, or visibly cut.
     virtual auto endStream(std::int64_t request, bool whole) -> void = 0;
     /// A whole answer to the client.
--- a/src/routing/response_relay.cpp
+++ b/src/routing/response_relay.cpp
@@ -213,7 +213,7 @@
         note(*request,
             fmt::format(
                 "+{} us past the maximum sequence length: migrations 0", now - request->received.acceptedAt));
-    port_.sendPart(id, event.raw);
+    port_.sendStreamBytes(id, event.raw);
     if (dialect_.doneEvent && event.done()) completeStream(*request, now);
     else if (request->relayed.lastEventId > 0) moveIfCrawling(*request, gap, now);
 }
--- a/src/sim/machine.cpp
+++ b/src/sim/machine.cpp
@@ -237,7 +237,7 @@
     for (auto& [n, v] : h)
         if (n == "X-Weights") T.weights = v;
 }
-auto Machine::sendPart(std::int64_t x, const std::string& s) -> void {
+auto Machine::sendStreamBytes(std::int64_t x, const std::string& s) -> void {
     auto k = w.tryOf.find({i, life, x});
     if (k == w.tryOf.end()) return;
     auto& l = w.linkAt[{1000 + i, int(x % 1000000)}];
--- a/src/sim/world.hpp
+++ b/src/sim/world.hpp
@@ -68,7 +68,7 @@
         -> void override;
     auto cancelAttempt(std::int64_t x, int a) -> void override;
     auto sendHead(std::int64_t x, int status, const Headers& h) -> void override;
-    auto sendPart(std::int64_t x, const std::string& s) -> void override;
+    auto sendStreamBytes(std::int64_t x, const std::string& s) -> void override;
     auto endStream(std::int64_t x, bool whole) -> void override;
     auto sendReply(std::int64_t x, int status, const Headers& h, const std::string& body) -> void override;
 };
--- a/tests/membership/node_fixture.hpp
+++ b/tests/membership/node_fixture.hpp
@@ -54,7 +54,7 @@
     }
     auto cancelAttempt(std::int64_t, int) -> void override {}
     auto sendHead(std::int64_t x, int, const Headers& h) -> void override { heads[x] = h; }
-    auto sendPart(std::int64_t, const std::string&) -> void override {}
+    auto sendStreamBytes(std::int64_t, const std::string&) -> void override {}
     auto endStream(std::int64_t x, bool w) -> void override { (w ? whole : cut).insert(x); }
     auto sendReply(std::int64_t x, int s, const Headers&, const std::string& b) -> void override {
         replies[x] = {s, b};
--- a/tests/routing/edge_fixture.hpp
+++ b/tests/routing/edge_fixture.hpp
@@ -86,7 +86,7 @@
     }
     auto cancelAttempt(std::int64_t x, int a) -> void override { cancelled.emplace_back(x, a); }
     auto sendHead(std::int64_t x, int s, const Headers& h) -> void override { heads[x] = {s, h}; }
-    auto sendPart(std::int64_t x, const std::string& s) -> void override { parts[x] += s; }
+    auto sendStreamBytes(std::int64_t x, const std::string& s) -> void override { parts[x] += s; }
     auto endStream(std::int64_t x, bool w) -> void override {
         CHECK(!cut.count(x) && !whole.count(x));
         (w ? whole : cut).insert(x);
