--- a/src/daemon/upstream_connections.cpp
+++ b/src/daemon/upstream_connections.cpp
@@ -145,7 +145,7 @@
     auto& [number, ordinal] = attempt.key;
     auto request = edge.find(number);
     if (attempt.dropped || !request) return std::nullopt;
-    if (!edge.beforeFirstByte(number, ordinal, bootNow(), attempt.kept)) return std::nullopt;
+    if (!edge.confirmSend(number, ordinal, bootNow(), attempt.kept)) return std::nullopt;
     auto written = ServerRequest();
     written.body = request->received.body;
     auto headers = edge.requestHeaders(*request, bootNow());
--- a/src/routing/dispatch.cpp
+++ b/src/routing/dispatch.cpp
@@ -126,7 +126,7 @@
 }
 
 // The process may just have woken from a freeze, so all is asked again.
-auto Edge::beforeFirstByte(std::int64_t id, int attempt, Microseconds now, bool reused) -> bool {
+auto Edge::confirmSend(std::int64_t id, int attempt, Microseconds now, bool reused) -> bool {
     auto request = currentAttempt(id, attempt);
     if (!request) return false;
     // Some things no other server can mend.
--- a/src/routing/edge.hpp
+++ b/src/routing/edge.hpp
@@ -74,7 +74,7 @@
 
     /// The last check, just before the first byte; true: it is sent now. `reused`: on a connection that
     /// carried another request before, where an answer must prove whose it is.
-    [[nodiscard]] auto beforeFirstByte(std::int64_t id, int attempt, Microseconds now, bool reused = false)
+    [[nodiscard]] auto confirmSend(std::int64_t id, int attempt, Microseconds now, bool reused = false)
         -> bool;
     /// The headers to send, complete but for what concerns length and connection.
     [[nodiscard]] auto requestHeaders(const Request& request, Microseconds now) const -> Headers;
--- a/src/routing/edge_port.hpp
+++ b/src/routing/edge_port.hpp
@@ -11,7 +11,7 @@
 /// `attempt` the number of one attempt of it.
 struct EdgePort {
     virtual ~EdgePort() = default;
-    /// Connects to `address` and sends; Edge::beforeFirstByte is asked just before the first byte.
+    /// Connects to `address` and sends; Edge::confirmSend is asked just before the first byte.
     virtual auto startAttempt(
         std::int64_t request, int attempt, const std::string& server, const std::string& address) -> void = 0;
     /// Closes the attempt's connection for good; what still comes of it is ignored.
--- a/src/sim/machine.cpp
+++ b/src/sim/machine.cpp
@@ -210,7 +210,7 @@
         }
         w.to(i, l, w.lat(), [this, p, x, a, l] {
             auto e = edge->find(x);
-            if (!p->open || !e || !edge->beforeFirstByte(x, a, now())) {
+            if (!p->open || !e || !edge->confirmSend(x, a, now())) {
                 p->open = false;
                 return;
             }
--- a/tests/routing/edge_answers_test.cpp
+++ b/tests/routing/edge_answers_test.cpp
@@ -158,7 +158,7 @@
         CHECK_EQ(200, rig.orderConfig(configOf(R"(,"MaxTries":2,"repeatable":true)")));
         rig.listServers({{"x"}});
         auto x = rig.sendRequest("/a/x");
-        CHECK(rig.edge->beforeFirstByte(x, rig.lastSend().attempt, rig.now, used));
+        CHECK(rig.edge->confirmSend(x, rig.lastSend().attempt, rig.now, used));
         rig.edge->onResponse(x, rig.lastSend().attempt, 404, {{"X-Seal", "1"}}, "of another", rig.now);
         CHECK_EQ(!used, rig.outcome(x) == 404);
     }
@@ -167,7 +167,7 @@
     CHECK_EQ(200, rig.orderConfig(configOf("")));
     rig.listServers({{"x"}});
     auto x = rig.sendRequest("/a/x");
-    CHECK(!rig.edge->beforeFirstByte(x, rig.lastSend().attempt, rig.now, true));
+    CHECK(!rig.edge->confirmSend(x, rig.lastSend().attempt, rig.now, true));
     CHECK_EQ(std::size_t(2), rig.sends.size());
     CHECK(rig.sendFirstByte(x));
 }
--- a/tests/routing/edge_fixture.hpp
+++ b/tests/routing/edge_fixture.hpp
@@ -170,7 +170,7 @@
         return h;
     }
     auto lastSend() -> StartedAttempt { return sends.back(); }
-    auto sendFirstByte(std::int64_t x) -> bool { return edge->beforeFirstByte(x, lastSend().attempt, now); }
+    auto sendFirstByte(std::int64_t x) -> bool { return edge->confirmSend(x, lastSend().attempt, now); }
     auto answer(std::int64_t x, Headers h = {}) -> void {
         auto p = edge->find(x);
         auto a = p->attempts.current;
--- a/tests/routing/edge_retry_test.cpp
+++ b/tests/routing/edge_retry_test.cpp
@@ -54,7 +54,7 @@
                 if (!e->attempts.tracker.written()) {
                     if (g.chance(.2)) rig.edge->onConnectionRefused(x, a, rig.now);
                     else if (g.chance(.1)) rig.edge->onConnectionLost(x, a, "broke", rig.now);
-                    else if (rig.edge->beforeFirstByte(x, a, rig.now)) {
+                    else if (rig.edge->confirmSend(x, a, rig.now)) {
                         v.runs++, v.sends++;
                         if (v.sends > v.most && k != 39) CHECK(false);
                         if (v.path == "/r") {
@@ -115,8 +115,7 @@
                 cuts += f == 2;
                 CHECK(!rig.edge->find(x) || rig.edge->find(x)->phase() == Phase::Finished);
                 auto e = rig.edge->find(x);
-                CHECK(!rig.edge->beforeFirstByte(
-                    x, e ? e->attempts.current : 1, rig.now));  // nothing runs later
+                CHECK(!rig.edge->confirmSend(x, e ? e->attempts.current : 1, rig.now));  // nothing runs later
             }
             if (g.chance(.05)) rig.orderConfig(conf(3));
             if (g.chance(.1)) rig.listServers(ls, 0);
@@ -190,7 +189,7 @@
                 if (g.chance(.02)) rig.sendRequest("/b/x");
                 for (auto n = 0; n < 8; n++)
                     for (auto& s : f.newSends(i)) {
-                        if (!rig.edge->beforeFirstByte(s.request, s.attempt, rig.now)) continue;
+                        if (!rig.edge->confirmSend(s.request, s.attempt, rig.now)) continue;
                         auto p = rig.edge->find(s.request)->route.service;
                         (rig.edge->find(s.request)->attempts.sent == 1 ? first : extra)[p].push_back(rig.now);
                         // First only the smaller pool is in trouble, then both.
--- a/tests/routing/edge_streams_test.cpp
+++ b/tests/routing/edge_streams_test.cpp
@@ -115,7 +115,7 @@
             for (auto j = from; j < 12; j++) want += fmt::format("id: {}\ndata: d\n\n", ids[j]);
             while (!rig.outcome(x) && rig.edge->find(x)->phase() == Phase::Sending) {
                 auto a = rig.edge->find(x)->attempts.current;
-                CHECK(rig.edge->beforeFirstByte(x, a, rig.now));
+                CHECK(rig.edge->confirmSend(x, a, rig.now));
                 auto l = headerOf(rig.edge->requestHeaders(*rig.edge->find(x), rig.now), "Last-Event-Id");
                 auto j = l == "-"
                     ? std::size_t(0)
@@ -188,7 +188,7 @@
     rig.runFor(60 * MILLISECOND);
     CHECK_EQ(e, rig.lastSend().request);
     CHECK(rig.lastSend().server != was.server);
-    CHECK(!rig.edge->beforeFirstByte(e, was.attempt, rig.now));
+    CHECK(!rig.edge->confirmSend(e, was.attempt, rig.now));
     CHECK(rig.sendFirstByte(e));
     CHECK_EQ(std::int64_t(0), rig.counters.get("extra_sends_total"));
     auto n = rig.sends.size();
--- a/tests/routing/edge_test.cpp
+++ b/tests/routing/edge_test.cpp
@@ -40,13 +40,13 @@
         r.list({{"x", "near", "z", "p", "w"}, {"y", "near", "z", "p", "w"}});
         for (auto i = 0; i < 12; i++) {  // earns credit
             auto id = r.e->accept("POST", "/s", {}, "b", r.now);
-            CHECK(r.e->beforeFirstByte(id, 1, r.now));
+            CHECK(r.e->confirmSend(id, 1, r.now));
             r.e->onResponseHead(id, 1, 200, {}, r.now);
             r.e->onStreamEvent(id, 1, {"1", "", "d", "id: 1\ndata: d\n\n"}, r.now);
             r.e->onStreamEvent(id, 1, {"", "done", "", "event: done\n\n"}, r.now);
         }
         auto id = r.e->accept("POST", "/s", {}, "b", r.now);
-        CHECK(r.e->beforeFirstByte(id, 1, r.now));
+        CHECK(r.e->confirmSend(id, 1, r.now));
         r.e->onStreamEvent(id, 1, {"1", "", "d", "id: 1\ndata: d\n\n"}, r.now);
         CHECK_EQ(200, r.config(c.then));
         auto n = r.sends.size();
@@ -63,7 +63,7 @@
     CHECK_EQ(200, r.config(route(R"(,"MaxTries":3)")));
     r.list({{"x", "near", "z", "p", "w"}, {"y", "near", "z", "p", "w"}});
     auto id = r.e->accept("POST", "/s", {}, "b", r.now);
-    CHECK(r.e->beforeFirstByte(id, 1, r.now));
+    CHECK(r.e->confirmSend(id, 1, r.now));
     r.e->onConnectionRefused(id, 1, r.now);
     CHECK_EQ(502, r.replies[id].first);
     CHECK_EQ(std::size_t(1), r.sends.size());
@@ -89,13 +89,13 @@
     }
     auto h = Headers{{"last-event-id", "3"}, {"x-weights", "v"}};
     CHECK_EQ(503, r.replies[ask("/s", h)].first);  // no credit yet: it is an extra send
-    for (auto i = 0; i < 12; i++) r.e->beforeFirstByte(ask("/s", {}), 1, r.now), r.run(20 * MILLISECOND);
+    for (auto i = 0; i < 12; i++) r.e->confirmSend(ask("/s", {}), 1, r.now), r.run(20 * MILLISECOND);
     r.e->abortAll(r.now);
     r.run(40 * MILLISECOND);
     auto credit = r.e->credit();
     auto id = ask("/s", h);
     CHECK_EQ(std::string("y"), r.sends.back().second);
-    CHECK(r.e->beforeFirstByte(id, 1, r.now));
+    CHECK(r.e->confirmSend(id, 1, r.now));
     CHECK(r.e->credit() < credit);
     CHECK_EQ(1, r.e->find(id)->migrationsLeft());
     // It must go on exactly behind what the sender holds, on the same weights.
@@ -177,7 +177,7 @@
                 CHECK_EQ(n + 1, r.sends.size());
                 CHECK(may.count(r.sends.back().second));
                 CHECK(near.empty() || !home.empty() || near.count(r.sends.back().second));
-                CHECK(r.e->beforeFirstByte(id, 1, r.now));
+                CHECK(r.e->confirmSend(id, 1, r.now));
                 r.e->onResponse(id, 1, 200, {}, "x", r.now);
             }
             r.run(20 * MILLISECOND);
--- a/tests/routing/server_model.cpp
+++ b/tests/routing/server_model.cpp
@@ -114,7 +114,7 @@
 auto ServerModel::begin(Attempt& attempt) -> bool {
     if (!connect(attempt)) return false;
     auto request = edge->find(attempt.request);
-    if (!request || !edge->beforeFirstByte(attempt.request, attempt.number, now, attempt.link->used))
+    if (!request || !edge->confirmSend(attempt.request, attempt.number, now, attempt.link->used))
         return false;
     if (left_) sendsAfterLeaving_++;
     auto head = requestHead(request->received.method, request->received.path,
--- a/tests/routing/server_selection_test.cpp
+++ b/tests/routing/server_selection_test.cpp
@@ -54,7 +54,7 @@
                 if (!x || x->attempts.current != s.attempt || x->attempts.tracker.written()) continue;
                 if (g.chance(.4)) {
                     rig.edge->onConnectionRefused(s.request, s.attempt, rig.now);
-                } else if (rig.edge->beforeFirstByte(s.request, s.attempt, rig.now)) {
+                } else if (rig.edge->confirmSend(s.request, s.attempt, rig.now)) {
                     sent++;
                     auto l = std::find_if(ls.begin(), ls.end(), [&](auto& v) { return v.name == s.server; });
                     CHECK(l != ls.end());
@@ -110,7 +110,7 @@
                                 fmt::format(
                                     "{:x}:92,{:x}:291", 500 + g.below(20), 99000000 + rig.requestCount)}});
                 for (auto& s : f.newSends(i)) {
-                    CHECK(rig.edge->beforeFirstByte(s.request, s.attempt, rig.now));
+                    CHECK(rig.edge->confirmSend(s.request, s.attempt, rig.now));
                     auto e = rig.edge->find(s.request);
                     auto p = e->received.promptParts.size() > 1 && e->received.sharedTokens > 1000
                         ? headerOf(e->received.headers, "X-Parts")
@@ -199,7 +199,7 @@
                     if (g.chance(11 * 24 / (0.4 * 50) / c.nodes / 2))
                         refused += rig.outcome(rig.sendRequest("/b/x", {{"X-Tokens", "383,48"}})) != 0;
                 for (auto& s : f.newSends(i)) {
-                    CHECK(rig.edge->beforeFirstByte(s.request, s.attempt, rig.now));
+                    CHECK(rig.edge->confirmSend(s.request, s.attempt, rig.now));
                     auto n = ++running[s.server];
                     if (t > 100 && t < 400) all++, over += n > 32;
                     if (s.server == "new") c.fresh = std::max(c.fresh, n);
--- a/tests/routing/slow_start_test.cpp
+++ b/tests/routing/slow_start_test.cpp
@@ -36,7 +36,7 @@
                 for (auto k = 0; k < 400 / c.nodes; k++)
                     if (g.chance(crowd * .3)) rig.sendRequest("/a/x");
                 for (auto& s : f.newSends(i)) {
-                    if (!rig.edge->beforeFirstByte(s.request, s.attempt, rig.now)) continue;
+                    if (!rig.edge->confirmSend(s.request, s.attempt, rig.now)) continue;
                     if (s.server == "c") at.push_back(rig.now + Microseconds(g.below(5 * MILLISECOND)));
                     if (g.chance(.7)) rig.answer(s.request);
                 }
