--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -50,7 +50,8 @@
     readRequest(request, headers, body, arrived > 0 ? std::min(arrived, now) : now);
     if (auto refusal = readResumption(request, now)) return refuse(*refusal);
     auto& limits = request.limits;
-    limits.immovable = limits.sequenceTokens > request.route.maxSequenceTokens || !request.relayed.countable;
+    limits.immovable =
+        limits.sequenceTokens > request.route.maxSequenceTokens || !request.relayed.hasOrderedIds;
     noteAcceptance(request, now);
     counters_.add("accepted_total");
     auto answer = quota_.ask(request, now);
@@ -171,7 +172,7 @@
         if (!request.route.mayRunAgain() || !request.route.stream) return std::nullopt;
         auto& relayed = request.relayed;
         relayed.lastEventId = parseNumber(lastEventId);
-        relayed.countable = relayed.lastEventId >= 0;
+        relayed.hasOrderedIds = relayed.lastEventId >= 0;
         request.limits.sequenceTokens += std::max<std::int64_t>(0, relayed.lastEventId);
         return std::nullopt;
     }
--- a/src/routing/migration.cpp
+++ b/src/routing/migration.cpp
@@ -27,7 +27,7 @@
             return relayed.headSent && request.retryRights().repeatable
                 ? "its beginning was delivered, and nothing can be joined to it"
                 : "it may have run, and what may not be repeated never runs twice";
-        if (relayed.headSent && !relayed.countable)
+        if (relayed.headSent && !relayed.hasOrderedIds)
             return "its events cannot be counted, so they cannot be joined";
     }
     auto isFurther = grant == AttemptGrant::Further;
--- a/src/routing/request.hpp
+++ b/src/routing/request.hpp
@@ -70,7 +70,7 @@
     Headers headers;   ///< and its headers.
     std::string weights;
     std::int64_t lastEventId = -1;    ///< Of the newest event relayed; -1: none was.
-    bool countable = true;            ///< Ids so far were whole numbers that rise as they should.
+    bool hasOrderedIds = true;        ///< Ids so far were whole numbers that rise as they should.
     std::vector<std::string> events;  ///< Relayed ones, kept while the request may still migrate.
 };
 
--- a/src/routing/response_relay.cpp
+++ b/src/routing/response_relay.cpp
@@ -146,14 +146,14 @@
         if (isComment(event.raw)) return EventVerdict::Sound;
         if (relayed.lastEventId >= 0 || (event.data.empty() && event.type.empty()))
             return EventVerdict::Unsound;
-        relayed.countable = false;
+        relayed.hasOrderedIds = false;
         return EventVerdict::Sound;
     }
-    if (!relayed.countable) return EventVerdict::Sound;
+    if (!relayed.hasOrderedIds) return EventVerdict::Sound;
     auto number = parseNumber(event.id);
     if (number < 0) {
         if (relayed.lastEventId >= 0) return EventVerdict::Unsound;
-        relayed.countable = false;
+        relayed.hasOrderedIds = false;
         return EventVerdict::Sound;
     }
     if (number <= relayed.lastEventId && !broken.joinUnorderedEvents) return EventVerdict::OutOfOrder;
@@ -165,15 +165,15 @@
 auto Edge::judgeEvent(RelayedStream& relayed, const ServerSentEvent& event) const -> EventVerdict {
     if (dialect_.clientNamesRequests) return judgeRisingEvent(relayed, event);
     if (event.id.empty()) {
-        if (!event.done()) relayed.countable = false;
+        if (!event.done()) relayed.hasOrderedIds = false;
         return EventVerdict::Sound;
     }
-    if (!relayed.countable) return EventVerdict::Sound;
+    if (!relayed.hasOrderedIds) return EventVerdict::Sound;
     auto number = parseNumber(event.id);
     if (number < 0) {
         // Ids that are no numbers cannot be counted, nor joined.
         if (relayed.lastEventId >= 0) return EventVerdict::Uncountable;
-        relayed.countable = false;
+        relayed.hasOrderedIds = false;
         return EventVerdict::Sound;
     }
     auto isNext = relayed.lastEventId < 0 || number == relayed.lastEventId + 1;
@@ -205,7 +205,7 @@
     headRead(*request, 200, {});
     auto verdict = judgeEvent(request->relayed, event);
     if (verdict != EventVerdict::Sound) return rejectEvent(*request, event, verdict, now);
-    if (!request->relayed.countable) request->limits.immovable = true;
+    if (!request->relayed.hasOrderedIds) request->limits.immovable = true;
     sendHeadOnce(*request);
     turn(*request, counters_, PhaseEvent::Bytes);
     apply(*request, AttemptEvent::EventReceived);
