--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -50,7 +50,7 @@
     readRequest(request, headers, body, arrived > 0 ? std::min(arrived, now) : now);
     if (auto refusal = readResumption(request, now)) return refuse(*refusal);
     auto& limits = request.limits;
-    limits.immovable =
+    limits.migrationDisabled =
         limits.sequenceTokens > request.route.maxSequenceTokens || !request.relayed.hasOrderedIds;
     noteAcceptance(request, now);
     counters_.add("accepted_total");
--- a/src/routing/migration.cpp
+++ b/src/routing/migration.cpp
@@ -35,7 +35,7 @@
     // A stream of no model has the limit that is the default: none.
     auto& route = request.route;
     auto isLimited = !route.model.empty() || (dialect_.clientNamesRequests && route.stream);
-    auto isSpent = migrations > route.migrationLimit || (isFurther && request.limits.immovable);
+    auto isSpent = migrations > route.migrationLimit || (isFurther && request.limits.migrationDisabled);
     if (isLimited && migrations > 0 && isSpent) return "no migration is left";
     if (request.attempts.sent >= route.maxAttempts) return "MaxTries is reached";
     return "";
@@ -71,8 +71,8 @@
     auto& limits = request.limits;
     limits.sequenceTokens += eventTokens(request, event);
     if (limits.sequenceTokens > request.route.maxSequenceTokens) {
-        auto wasMovable = !limits.immovable;
-        limits.immovable = true;
+        auto wasMovable = !limits.migrationDisabled;
+        limits.migrationDisabled = true;
         request.relayed.events.clear();
         return wasMovable;
     }
--- a/src/routing/request.hpp
+++ b/src/routing/request.hpp
@@ -79,7 +79,7 @@
     Microseconds deadline = 0;
     std::int64_t routesRevision = 0;  ///< Of the routes that bind it.
     std::int64_t sequenceTokens = 0;  ///< Prompt and events so far, as counted or estimated here.
-    bool immovable = false;           ///< It can no longer migrate, whatever the limit.
+    bool migrationDisabled = false;   ///< It can no longer migrate, whatever the limit.
     bool resumedByClient = false;     ///< Its client lost another node and goes on with its stream here.
 };
 
@@ -133,7 +133,7 @@
     }
     /// The migrations that are left to it.
     [[nodiscard]] auto migrationsLeft() const -> int {
-        return limits.immovable ? 0 : std::max(0, route.migrationLimit - attempts.migrations);
+        return limits.migrationDisabled ? 0 : std::max(0, route.migrationLimit - attempts.migrations);
     }
 };
 
--- a/src/routing/response_relay.cpp
+++ b/src/routing/response_relay.cpp
@@ -205,7 +205,7 @@
     headRead(*request, 200, {});
     auto verdict = judgeEvent(request->relayed, event);
     if (verdict != EventVerdict::Sound) return rejectEvent(*request, event, verdict, now);
-    if (!request->relayed.hasOrderedIds) request->limits.immovable = true;
+    if (!request->relayed.hasOrderedIds) request->limits.migrationDisabled = true;
     sendHeadOnce(*request);
     turn(*request, counters_, PhaseEvent::Bytes);
     apply(*request, AttemptEvent::EventReceived);
--- a/src/routing/route_binding.cpp
+++ b/src/routing/route_binding.cpp
@@ -121,8 +121,8 @@
     if (hasBegun && nameOf(binding->tenant) != request.tenant.name)
         return Refusal{503, "its key now belongs to another tenant"};
     take(request, std::move(*binding), routes);
-    request.limits.immovable =
-        request.limits.immovable || request.limits.sequenceTokens > request.route.maxSequenceTokens;
+    request.limits.migrationDisabled =
+        request.limits.migrationDisabled || request.limits.sequenceTokens > request.route.maxSequenceTokens;
     return std::nullopt;
 }
 
