--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -105,7 +105,7 @@
     if (dialect_.clientNamesRequests)
         if (auto name = header(headers, dialect_.request); name.empty() || name.size() > MAX_NAME)
             return Refusal{400, "the header " + dialect_.request + " is missing or too long"};
-    if (refusingNew_ || (draining_ && !dialect_.clientNamesRequests))
+    if (rejectingNew_ || (draining_ && !dialect_.clientNamesRequests))
         return Refusal{503, "this node is stopping"};
     if (broken.rejectEverything) return Refusal{503, "broken"};
     if (!node_.withinLease(now)) return Refusal{503, "this node has not heard a majority within its lease"};
--- a/src/routing/completion.cpp
+++ b/src/routing/completion.cpp
@@ -60,7 +60,7 @@
     if (status >= 500 || status == 429) {  // else coming back changes nothing
         auto after = std::string("1");
         if (dialect_.clientNamesRequests) {
-            auto spread = refusingNew_ ? 0 : RETRY_AFTER_STEP * double(random_.below(RETRY_AFTER_STEPS));
+            auto spread = rejectingNew_ ? 0 : RETRY_AFTER_STEP * double(random_.below(RETRY_AFTER_STEPS));
             after = fmt::format("{:.2f}", RETRY_AFTER + spread);
         }
         headers.emplace_back("Retry-After", after);
--- a/src/routing/edge.hpp
+++ b/src/routing/edge.hpp
@@ -109,7 +109,7 @@
     /// The process stops. A Dialect with clientNamesRequests serves on until stopAccepting.
     auto drain() -> void { draining_ = true; }
     /// From now on new requests are refused at once.
-    auto stopAccepting() -> void { refusingNew_ = true; }
+    auto stopAccepting() -> void { rejectingNew_ = true; }
     /// Ends what still runs, visibly; the stop's limit is over.
     auto abortAll(Microseconds now) -> void;
 
@@ -230,7 +230,7 @@
     Migration migration_;
     KnownBeginnings beginnings_;
     DecisionLog decisions_;
-    bool draining_ = false, refusingNew_ = false;
+    bool draining_ = false, rejectingNew_ = false;
     Microseconds evacuatedAt_ = 0;    // when this node's own zone was evacuated; -1 until the next tick
     std::int64_t queueRevision_ = 0;  // of the routes that all waiting requests are bound to
     Microseconds prunedAt_ = 0;       // when unlisted servers were last forgotten
