--- a/src/daemon/answer_reader.cpp
+++ b/src/daemon/answer_reader.cpp
@@ -51,7 +51,7 @@
     while (!over_ && buffer_.size() && !parser_->is_done()) {
         buffer_.consume(parser_->put(buffer_.data(), ec));
         if (ec == http::error::need_more) break;
-        if (ec) return fail(AttemptEvent::MalformedAnswer, "no sound answer: " + ec.message());
+        if (ec) return fail(AttemptEvent::MalformedResponse, "no sound answer: " + ec.message());
         if (!headKnown_ && parser_->is_header_done()) headDone();
     }
     if (over_) return;
@@ -62,7 +62,7 @@
 auto AnswerReader::headDone() -> void {
     auto status = int(parser_->get().result_int());
     if (status == SWITCHING_PROTOCOLS)
-        return fail(AttemptEvent::MalformedAnswer, "the server switches protocols, which nobody asked for");
+        return fail(AttemptEvent::MalformedResponse, "the server switches protocols, which nobody asked for");
     if (isInterim(status)) return renew();
     status_ = status;
     for (auto& field : parser_->get())
@@ -76,7 +76,8 @@
     parts_.emplace_back(AnswerHead{status_, headers_});
     auto framed = parser_->is_done() || parser_->chunked() || parser_->content_length();
     // Nothing tells the whole of such an answer from one that was cut.
-    if (!framed && !options_.mayEndByClose) fail(AttemptEvent::MalformedAnswer, "an answer without a length");
+    if (!framed && !options_.mayEndByClose)
+        fail(AttemptEvent::MalformedResponse, "an answer without a length");
 }
 
 auto AnswerReader::collectEvents() -> void {
@@ -85,12 +86,12 @@
     events_.feed(body);
     body.clear();
     while (auto event = events_.next()) parts_.emplace_back(*event);
-    if (events_.tooLong()) fail(AttemptEvent::MalformedAnswer, "an event is too long");
+    if (events_.tooLong()) fail(AttemptEvent::MalformedResponse, "an event is too long");
 }
 
 auto AnswerReader::finish() -> void {
     if (streamed_ && !events_.rest().empty())
-        return fail(AttemptEvent::MalformedAnswer, "bytes after the stream's last event");
+        return fail(AttemptEvent::MalformedResponse, "bytes after the stream's last event");
     over_ = whole_ = true;
     surplus_ = surplus_ || buffer_.size() > 0;
     parts_.emplace_back(AnswerEnd{status_, headers_, std::move(parser_->get().body()), streamed_});
--- a/src/daemon/answer_reader.hpp
+++ b/src/daemon/answer_reader.hpp
@@ -42,7 +42,7 @@
 };
 /// The answer cannot become whole. Nothing follows.
 struct AnswerFailure {
-    AttemptEvent event = AttemptEvent::MalformedAnswer;
+    AttemptEvent event = AttemptEvent::MalformedResponse;
     std::string why;
 };
 /// One part of an answer, in the order in which the server sent it.
--- a/src/routing/attempt_state.cpp
+++ b/src/routing/attempt_state.cpp
@@ -11,8 +11,8 @@
 using Table = std::array<EventRules, ATTEMPT_STATES>;
 
 // The states in which a failure of the connection or of the answer ends the attempt.
-constexpr auto FAILURES = std::array{Event::ConnectionReset, Event::ConnectionClosed, Event::MalformedAnswer,
-    Event::WrongIdentity, Event::Silence, Event::AnswerUnsuitable};
+constexpr auto FAILURES = std::array{Event::ConnectionReset, Event::ConnectionClosed,
+    Event::MalformedResponse, Event::WrongIdentity, Event::Silence, Event::AnswerUnsuitable};
 
 class TableBuilder {
   public:
--- a/src/routing/attempt_state.hpp
+++ b/src/routing/attempt_state.hpp
@@ -28,15 +28,15 @@
     ConnectionRefused,  ///< Refused, timed out, or closed before the first byte was written.
     WriteStarted,
     WriteFinished,
-    ConnectionReset,   ///< Also a failed write.
-    ConnectionClosed,  ///< Closed in order before the answer was whole.
-    MalformedAnswer,   ///< Bytes that are no answer of the protocol.
-    WrongIdentity,     ///< The answer names another request, or does not prove whose it is.
-    Silence,           ///< Nothing was received for longer than this request can wait.
-    NotExecutedHead,   ///< The head of an answer by which the server says that it did not execute it.
-    FinalHead,         ///< The head of any other final answer.
-    EventReceived,     ///< A sound event of a stream, to be passed on.
-    AnswerUnsuitable,  ///< A whole answer that cannot be passed on as it is.
+    ConnectionReset,    ///< Also a failed write.
+    ConnectionClosed,   ///< Closed in order before the answer was whole.
+    MalformedResponse,  ///< Bytes that are no answer of the protocol.
+    WrongIdentity,      ///< The answer names another request, or does not prove whose it is.
+    Silence,            ///< Nothing was received for longer than this request can wait.
+    NotExecutedHead,    ///< The head of an answer by which the server says that it did not execute it.
+    FinalHead,          ///< The head of any other final answer.
+    EventReceived,      ///< A sound event of a stream, to be passed on.
+    AnswerUnsuitable,   ///< A whole answer that cannot be passed on as it is.
     AnswerWhole,
     SurplusBytes,  ///< Bytes on the connection after the whole answer.
     ClientGone,
--- a/src/routing/response_relay.cpp
+++ b/src/routing/response_relay.cpp
@@ -190,7 +190,7 @@
     statistics_.of(request.attempts.server).ejection.lowerFitness(UNSOUND_EVENT, now);
     counters_.add(verdict == EventVerdict::OutOfOrder ? "events_out_of_line_total" : "events_unsound_total");
     if (dialect_.clientNamesRequests && !request.relayed.headSent)
-        return retryElsewhere(request, AttemptEvent::MalformedAnswer, "its first event is unsound", now);
+        return retryElsewhere(request, AttemptEvent::MalformedResponse, "its first event is unsound", now);
     auto came = event.id.empty() ? "garbage" : event.id;
     fail(request, 502, fmt::format("the event after {} came as {}", last, came), now);
 }
--- a/tests/daemon/answer_reader_test.cpp
+++ b/tests/daemon/answer_reader_test.cpp
@@ -82,7 +82,7 @@
     CHECK_EQ("head 200;" + failed(AttemptEvent::ConnectionReset), readAll(unframed, reset));
     auto strict = options();
     strict.mayEndByClose = false;
-    CHECK_EQ("head 200;" + failed(AttemptEvent::MalformedAnswer), readAll(unframed, closed, strict));
+    CHECK_EQ("head 200;" + failed(AttemptEvent::MalformedResponse), readAll(unframed, closed, strict));
     // What was cut is not whole, however the connection ended.
     for (auto end : {closed, reset}) {
         auto event = end == closed ? AttemptEvent::ConnectionClosed : AttemptEvent::ConnectionReset;
@@ -93,7 +93,7 @@
                  "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n"})
             CHECK_EQ("head 200;" + failed(event), readAll(cut, end));
     }
-    CHECK_EQ(failed(AttemptEvent::MalformedAnswer), readAll("no answer\r\n\r\n", std::nullopt));
+    CHECK_EQ(failed(AttemptEvent::MalformedResponse), readAll("no answer\r\n\r\n", std::nullopt));
 }
 
 TEST(AnswerReader, interimAnswers) {
@@ -102,7 +102,7 @@
                 "Content-Length: 1\r\n\r\na",
             std::nullopt));
     // Nobody asked for another protocol; what follows such a head is no answer.
-    CHECK_EQ(failed(AttemptEvent::MalformedAnswer),
+    CHECK_EQ(failed(AttemptEvent::MalformedResponse),
         readAll("HTTP/1.1 101 Switching\r\nUpgrade: x\r\n\r\n", std::nullopt));
 }
 
@@ -110,7 +110,7 @@
     auto head = std::string("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n");
     auto chunked = head + "Transfer-Encoding: chunked\r\n\r\n";
     auto event = std::string("c\r\nid: 1\ndata:a\r\n2\r\n\n\n\r\n");
-    auto broken = failed(AttemptEvent::MalformedAnswer);
+    auto broken = failed(AttemptEvent::MalformedResponse);
     CHECK_EQ(std::string("head 200;event 1;whole ;"), readAll(chunked + event + "0\r\n\r\n", std::nullopt));
     CHECK_EQ("head 200;event 1;" + failed(AttemptEvent::ConnectionClosed),
         readAll(chunked + event, ConnectionEnd::Closed));
--- a/tests/routing/attempt_state_test.cpp
+++ b/tests/routing/attempt_state_test.cpp
@@ -28,7 +28,7 @@
 const auto OVER = std::set{State::Done, State::Failed};
 const auto NOTHING_WRITTEN = std::set{State::Queued, State::Connecting};
 const auto AWAITING_ANSWER = std::set{State::Writing, State::Written};
-const auto FAILURES = std::set{Event::ConnectionReset, Event::ConnectionClosed, Event::MalformedAnswer,
+const auto FAILURES = std::set{Event::ConnectionReset, Event::ConnectionClosed, Event::MalformedResponse,
     Event::WrongIdentity, Event::Silence, Event::AnswerUnsuitable};
 
 // Whether the event can happen at all, from the order in which a send and its answer go.
