--- a/src/routing/attempt_state.cpp
+++ b/src/routing/attempt_state.cpp
@@ -10,9 +10,9 @@
 using EventRules = std::array<AttemptRule, ATTEMPT_EVENTS>;
 using Table = std::array<EventRules, ATTEMPT_STATES>;
 
-// The states in which a failure of the connection or of the answer ends the attempt.
+// The failures of a connection or of a response that end an attempt.
 constexpr auto FAILURES = std::array{Event::ConnectionReset, Event::ConnectionClosed,
-    Event::MalformedResponse, Event::WrongIdentity, Event::Silence, Event::AnswerUnsuitable};
+    Event::MalformedResponse, Event::WrongIdentity, Event::ServerSilent, Event::ResponseUnusable};
 
 class TableBuilder {
   public:
@@ -20,15 +20,15 @@
         table_[std::size_t(state)][std::size_t(event)] = {next, execution, step};
         return *this;
     }
-    // Each failure ends the attempt with the same consequence.
-    auto failing(State state, Execution execution, NextStep step) -> TableBuilder& {
+    // Every event of FAILURES ends the attempt, with the same next step.
+    auto onFailures(State state, Execution execution, NextStep step) -> TableBuilder& {
         for (auto event : FAILURES) on(state, event, State::Failed, execution, step);
         return *this;
     }
-    // How the request ends when its client leaves or its time is over.
-    auto ending(State state, Execution execution, NextStep atDeadline) -> TableBuilder& {
-        on(state, Event::ClientGone, State::Failed, execution, NextStep::Abandon);
-        on(state, Event::DeadlinePassed, State::Failed, execution, atDeadline);
+    // How the request ends when its client disconnects or its deadline passes.
+    auto onRequestEnd(State state, Execution execution, NextStep atDeadline) -> TableBuilder& {
+        on(state, Event::ClientDisconnected, State::Failed, execution, NextStep::Abandon);
+        on(state, Event::DeadlineExceeded, State::Failed, execution, atDeadline);
         return *this;
     }
     auto table() const -> const Table& { return table_; }
@@ -37,56 +37,58 @@
     Table table_ = {};
 };
 
-auto beforeTheFirstByte(TableBuilder& table) -> void {
+auto addRulesBeforeFirstByte(TableBuilder& table) -> void {
     constexpr auto NONE = Execution::NotArrived;
-    table.on(State::Queued, Event::ServerChosen, State::Connecting, NONE, NextStep::Continue);
-    table.ending(State::Queued, NONE, NextStep::RefuseNotRun);
+    table.on(State::Queued, Event::ServerSelected, State::Connecting, NONE, NextStep::Continue);
+    table.onRequestEnd(State::Queued, NONE, NextStep::RejectNotExecuted);
     table.on(
         State::Connecting, Event::WriteStarted, State::Writing, Execution::MayHaveRun, NextStep::Continue);
-    // Nothing was written, so whatever the connection does proves that nothing arrived.
-    table.failing(State::Connecting, NONE, NextStep::RetryFreely);
-    table.on(State::Connecting, Event::HeldBack, State::Failed, NONE, NextStep::RetryFreely);
-    table.on(State::Connecting, Event::ConnectionRefused, State::Failed, NONE, NextStep::RetryFreely);
-    table.ending(State::Connecting, NONE, NextStep::RefuseNotRun);
+    // No byte was written, so however the connection fails, nothing can have arrived.
+    table.onFailures(State::Connecting, NONE, NextStep::RetryAny);
+    table.on(State::Connecting, Event::SendWithheld, State::Failed, NONE, NextStep::RetryAny);
+    table.on(State::Connecting, Event::ConnectionRefused, State::Failed, NONE, NextStep::RetryAny);
+    table.onRequestEnd(State::Connecting, NONE, NextStep::RejectNotExecuted);
 }
 
-auto beforeTheAnswer(TableBuilder& table, State state) -> void {
+auto addRulesBeforeResponse(TableBuilder& table, State state) -> void {
     constexpr auto UNKNOWN = Execution::MayHaveRun;
-    table.failing(state, UNKNOWN, NextStep::RetryRepeatable);
-    // A refusal cannot follow the first byte; if it is reported, it proves nothing.
-    table.on(state, Event::ConnectionRefused, State::Failed, UNKNOWN, NextStep::RetryRepeatable);
-    // A server may answer before it has read the whole request.
+    table.onFailures(state, UNKNOWN, NextStep::RetryIfRepeatable);
+    // A connection cannot be refused once a byte was written; such a report proves nothing.
+    table.on(state, Event::ConnectionRefused, State::Failed, UNKNOWN, NextStep::RetryIfRepeatable);
+    // A server may respond before it has read the complete request.
     table.on(state, Event::NotExecutedHead, State::Declined, Execution::NotRun, NextStep::Continue);
-    table.on(state, Event::FinalHead, State::AnsweredHead, Execution::Ran, NextStep::Continue);
-    table.ending(state, UNKNOWN, NextStep::FailMayHaveRun);
+    table.on(state, Event::FinalHead, State::HeadReceived, Execution::Ran, NextStep::Continue);
+    table.onRequestEnd(state, UNKNOWN, NextStep::FailOutcomeUnknown);
 }
 
-auto duringTheAnswer(TableBuilder& table) -> void {
-    // The head alone says that it was not executed, whatever becomes of the rest.
-    table.failing(State::Declined, Execution::NotRun, NextStep::RetryFreely);
+auto addRulesDuringResponse(TableBuilder& table) -> void {
+    // The head alone proves that the request was not executed, even if the rest of the response is lost.
+    table.onFailures(State::Declined, Execution::NotRun, NextStep::RetryAny);
     table.on(State::Declined, Event::WriteFinished, State::Declined, Execution::NotRun, NextStep::Continue);
-    table.on(State::Declined, Event::AnswerWhole, State::Done, Execution::NotRun, NextStep::PassOn);
-    table.ending(State::Declined, Execution::NotRun, NextStep::RefuseNotRun);
+    table.on(
+        State::Declined, Event::ResponseCompleted, State::Completed, Execution::NotRun, NextStep::Forward);
+    table.onRequestEnd(State::Declined, Execution::NotRun, NextStep::RejectNotExecuted);
 
-    table.failing(State::AnsweredHead, Execution::Ran, NextStep::RetryRepeatable);
+    table.onFailures(State::HeadReceived, Execution::Ran, NextStep::RetryIfRepeatable);
+    table.on(
+        State::HeadReceived, Event::WriteFinished, State::HeadReceived, Execution::Ran, NextStep::Continue);
+    table.on(State::HeadReceived, Event::EventReceived, State::Streaming, Execution::Ran, NextStep::Forward);
     table.on(
-        State::AnsweredHead, Event::WriteFinished, State::AnsweredHead, Execution::Ran, NextStep::Continue);
-    table.on(State::AnsweredHead, Event::EventReceived, State::Streaming, Execution::Ran, NextStep::PassOn);
-    table.on(State::AnsweredHead, Event::AnswerWhole, State::Done, Execution::Ran, NextStep::PassOn);
-    table.ending(State::AnsweredHead, Execution::Ran, NextStep::FailMayHaveRun);
+        State::HeadReceived, Event::ResponseCompleted, State::Completed, Execution::Ran, NextStep::Forward);
+    table.onRequestEnd(State::HeadReceived, Execution::Ran, NextStep::FailOutcomeUnknown);
 
-    table.failing(State::Streaming, Execution::Ran, NextStep::ResumeStream);
+    table.onFailures(State::Streaming, Execution::Ran, NextStep::ResumeIfResumable);
     table.on(State::Streaming, Event::WriteFinished, State::Streaming, Execution::Ran, NextStep::Continue);
-    table.on(State::Streaming, Event::EventReceived, State::Streaming, Execution::Ran, NextStep::PassOn);
-    table.on(State::Streaming, Event::AnswerWhole, State::Done, Execution::Ran, NextStep::PassOn);
-    table.ending(State::Streaming, Execution::Ran, NextStep::CutStream);
+    table.on(State::Streaming, Event::EventReceived, State::Streaming, Execution::Ran, NextStep::Forward);
+    table.on(State::Streaming, Event::ResponseCompleted, State::Completed, Execution::Ran, NextStep::Forward);
+    table.onRequestEnd(State::Streaming, Execution::Ran, NextStep::TruncateStream);
 }
 
-// What still comes of an attempt that is over changes nothing; a surplus condemns its connection.
-auto afterTheEnd(TableBuilder& table, State state, Execution execution) -> void {
-    for (auto event :
-        {Event::ConnectionRefused, Event::WriteFinished, Event::NotExecutedHead, Event::FinalHead,
-            Event::EventReceived, Event::AnswerWhole, Event::ClientGone, Event::DeadlinePassed})
+// Events of an attempt that has ended change nothing, but a connection with surplus bytes is closed.
+auto addRulesAfterEnd(TableBuilder& table, State state, Execution execution) -> void {
+    for (auto event : {Event::ConnectionRefused, Event::WriteFinished, Event::NotExecutedHead,
+             Event::FinalHead, Event::EventReceived, Event::ResponseCompleted, Event::ClientDisconnected,
+             Event::DeadlineExceeded})
         table.on(state, event, state, execution, NextStep::Ignore);
     for (auto event : FAILURES) table.on(state, event, state, execution, NextStep::Ignore);
     table.on(state, Event::SurplusBytes, state, execution, NextStep::CloseConnection);
@@ -94,13 +96,13 @@
 
 auto buildTable() -> Table {
     auto table = TableBuilder();
-    beforeTheFirstByte(table);
-    beforeTheAnswer(table, State::Writing);
+    addRulesBeforeFirstByte(table);
+    addRulesBeforeResponse(table, State::Writing);
     table.on(State::Writing, Event::WriteFinished, State::Written, Execution::MayHaveRun, NextStep::Continue);
-    beforeTheAnswer(table, State::Written);
-    duringTheAnswer(table);
-    afterTheEnd(table, State::Done, Execution::Ran);
-    afterTheEnd(table, State::Failed, Execution::MayHaveRun);
+    addRulesBeforeResponse(table, State::Written);
+    addRulesDuringResponse(table);
+    addRulesAfterEnd(table, State::Completed, Execution::Ran);
+    addRulesAfterEnd(table, State::Failed, Execution::MayHaveRun);
     return table.table();
 }
 
@@ -111,16 +113,16 @@
     return table[std::size_t(state)][std::size_t(event)];
 }
 
-auto stepAfterFailure(Execution execution, bool answerBegun) -> NextStep {
-    if (answerBegun) return NextStep::ResumeStream;
-    return execution < Execution::MayHaveRun ? NextStep::RetryFreely : NextStep::RetryRepeatable;
+auto stepAfterFailure(Execution execution, bool responseStarted) -> NextStep {
+    if (responseStarted) return NextStep::ResumeIfResumable;
+    return execution < Execution::MayHaveRun ? NextStep::RetryAny : NextStep::RetryIfRepeatable;
 }
 
 auto mayAttemptAgain(NextStep step, RetryRights rights) -> bool {
     switch (step) {
-    case NextStep::RetryFreely: return true;
-    case NextStep::RetryRepeatable: return rights.repeatable;
-    case NextStep::ResumeStream: return rights.repeatable && rights.resumable;
+    case NextStep::RetryAny: return true;
+    case NextStep::RetryIfRepeatable: return rights.repeatable;
+    case NextStep::ResumeIfResumable: return rights.repeatable && rights.resumable;
     default: return false;
     }
 }
@@ -129,7 +131,7 @@
     auto& rule = attemptRule(state_, event);
     if (rule.step == NextStep::Illegal || rule.step == NextStep::Ignore) return rule;
     state_ = rule.next;
-    // What is known of an attempt that is over does not change with what still comes of it.
+    // Surplus bytes do not change what is known about an attempt that has ended.
     if (rule.step != NextStep::CloseConnection) current_ = rule.execution;
     return rule;
 }
--- a/src/routing/completion.cpp
+++ b/src/routing/completion.cpp
@@ -1,4 +1,4 @@
-// How requests end.
+// The ends of requests: complete, failed, truncated or abandoned by the client.
 #include <string>
 #include <string_view>
 
@@ -12,17 +12,18 @@
 namespace duneturn {
 namespace {
 
-// Seconds after which a client that was refused may come back; spread, lest all come at once.
-constexpr auto RETRY_AFTER = 0.2;
-constexpr auto RETRY_AFTER_STEP = 0.002;
+// Retry-After of a rejected request. It is drawn from a range, so that the rejected clients do not all return
+// at the same time.
+constexpr auto MIN_RETRY_AFTER_SECONDS = 0.2;
+constexpr auto RETRY_AFTER_STEP_SECONDS = 0.002;
 constexpr auto RETRY_AFTER_STEPS = 100;
 
 }  // namespace
 
-// The request ends without a whole answer. 503 and its like promise that nothing ran and nothing will; all
-// else promises nothing.
+// Ends the request without a complete response. Where clients name requests, 503 promises that the request
+// did not run and never will, so it is sent exactly where that is certain; other statuses promise nothing.
 auto Edge::fail(Request& request, int status, const std::string& why, Microseconds now) -> void {
-    release(request);
+    releaseServer(request);
     if (request.phase() == Phase::Sending || request.phase() == Phase::Delivering) {
         port_.cancelAttempt(request.id, request.attempts.current);
         request.attempts.current++;
@@ -33,7 +34,7 @@
         else if (status == 503) status = 502;
     }
     if (request.relayed.headSent) {
-        cutStream(request, why);
+        truncateStream(request, why);
         countOutcome(request, "cut");
     } else {
         replyFailure(request, status, why);
@@ -43,8 +44,8 @@
     finish(request, "failed: " + why, now);
 }
 
-// Ends a stream visibly incomplete.
-auto Edge::cutStream(Request& request, const std::string& why) -> void {
+// Ends the client's stream so that it is visibly incomplete.
+auto Edge::truncateStream(Request& request, const std::string& why) -> void {
     if (!dialect_.passHeaders)
         port_.sendStreamBytes(request.id,
             fmt::format("event: failed\ndata: {}\n\n",
@@ -53,17 +54,19 @@
     port_.endStream(request.id, broken.truncatedLooksComplete);
 }
 
-// The header by which nothing ran is said only where it is certain.
+// Sends an error response. The header that states that the request was not executed is included only where
+// that is certain.
 auto Edge::replyFailure(Request& request, int status, const std::string& why) -> void {
     auto mayHaveRun = request.attempts.tracker.mayHaveRun();
     auto headers = Headers{{"Content-Type", "application/json"}};
-    if (status >= 500 || status == 429) {  // else coming back changes nothing
-        auto after = std::string("1");
+    if (status >= 500 || status == 429) {  // after any other status a retry would fail in the same way
+        auto retryAfter = std::string("1");
         if (dialect_.clientNamesRequests) {
-            auto spread = rejectingNew_ ? 0 : RETRY_AFTER_STEP * double(random_.below(RETRY_AFTER_STEPS));
-            after = fmt::format("{:.2f}", RETRY_AFTER + spread);
+            auto spread =
+                rejectingNew_ ? 0 : RETRY_AFTER_STEP_SECONDS * double(random_.below(RETRY_AFTER_STEPS));
+            retryAfter = fmt::format("{:.2f}", MIN_RETRY_AFTER_SECONDS + spread);
         }
-        headers.emplace_back("Retry-After", after);
+        headers.emplace_back("Retry-After", retryAfter);
     }
     if (!mayHaveRun) headers.emplace_back(dialect_.notExecuted, "true");
     port_.sendReply(request.id, status, headers,
@@ -71,16 +74,16 @@
             {"exchange", jsonQuote(request.received.name)}}));
 }
 
-// What every end has in common, whatever the client was sent.
+// Releases everything that the request holds and records its end; common to all ways of ending.
 auto Edge::finish(Request& request, const std::string& how, Microseconds now) -> void {
     auto& attempts = request.attempts;
     if (attempts.countedInflight && attempts.tracker.written())
-        statistics_.ofService(request.route.service).recordHoldTime(now - attempts.chosenAt);
-    release(request);
+        statistics_.ofService(request.route.service).recordHoldTime(now - attempts.serverSelectedAt);
+    releaseServer(request);
     backlog_.leave(request);
     quota_.release(request, now);
-    turn(request, counters_, PhaseEvent::End);
-    if (broken.illegalPhaseChange) turn(request, counters_, PhaseEvent::Loss);
+    applyPhaseEvent(request, counters_, PhaseEvent::RequestEnded);
+    if (broken.illegalPhaseChange) applyPhaseEvent(request, counters_, PhaseEvent::AttemptLost);
     note(request, fmt::format("+{} us {}", now - request.received.acceptedAt, how));
     decisions_.record(request, how);
     finished_.push_back(request.id);
@@ -97,9 +100,9 @@
     auto& request = found->second;
     port_.cancelAttempt(id, request.attempts.current);
     request.attempts.current++;
-    apply(request, AttemptEvent::ClientGone);
+    applyAttemptEvent(request, AttemptEvent::ClientDisconnected);
     countOutcome(request, "sender_gone");
-    finish(request, "the sender has gone", now);
+    finish(request, "the client has disconnected", now);
 }
 
 auto Edge::abortAll(Microseconds now) -> void {
--- a/src/routing/dispatch.cpp
+++ b/src/routing/dispatch.cpp
@@ -1,4 +1,5 @@
-// The attempts of a request: a server is chosen, and checked once more just before the first byte.
+// Dispatch: selects a server for a request, starts an attempt, and repeats all checks directly before the
+// first byte is written.
 #include <algorithm>
 #include <cstdint>
 #include <optional>
@@ -17,21 +18,23 @@
 namespace duneturn {
 namespace {
 
-constexpr auto UNSTATED_MEMORY_TOKENS = std::int64_t(1 << 18);  // of an engine of which nothing is said
-constexpr auto HELD_UP = 250 * MILLISECOND;  // after which a cold server is asked for a place again
-constexpr auto MAX_HELD_BACK = 3;            // attempts given up just before the first byte
-constexpr auto TOKEN_LAPSED = "its token of its tenant's quota has lapsed";
+constexpr auto DEFAULT_MEMORY_TOKENS = std::int64_t(1 << 18);  // of an engine that is configured without
+// If a send is delayed for longer than this, the slow-start limit of a cold server is checked again.
+constexpr auto MAX_SEND_DELAY = 250 * MILLISECOND;
+constexpr auto MAX_WITHHELD_SENDS = 3;  // per request
+constexpr auto QUOTA_TOKEN_EXPIRED = "the quota token reserved for the request has expired";
 
 }  // namespace
 
-// Sends a request to a server, if one may take it now. The request may have ended if none may.
+// Starts an attempt if a server can take the request now; returns whether it did. If it did not, the request
+// may have ended.
 auto Edge::dispatch(Request& request, Microseconds now) -> bool {
     if (auto refusal = rebindToNewest(request)) {
         fail(request, refusal->status, refusal->why, now);
         return false;
     }
     if (!node_.withinLease(now)) {
-        fail(request, 503, "this node has not heard a majority within its lease", now);
+        fail(request, 503, "this node is outside its lease: no recent contact with a majority", now);
         return false;
     }
     auto selection = select(request, now);
@@ -42,50 +45,52 @@
     return true;
 }
 
-auto Edge::beginAttempt(Request& request, const std::string& name, Microseconds now) -> void {
+auto Edge::beginAttempt(Request& request, const std::string& serverName, Microseconds now) -> void {
     auto& attempts = request.attempts;
-    attempts.server = name;
+    attempts.server = serverName;
     attempts.current++;
     attempts.onReusedConnection = false;
     attempts.eventGapSamples = 0;
-    attempts.lastActivityAt = attempts.chosenAt = now;
-    auto& statistics = statistics_.of(name);
+    attempts.lastActivityAt = attempts.serverSelectedAt = now;
+    auto& statistics = statistics_.of(serverName);
     statistics.inflight++;
     attempts.countedInflight = true;
-    auto& server = node_.servers().at(name);
+    auto& server = node_.servers().at(serverName);
     if (auto rule = serviceRule(request)) {
-        slowStart_.admits(name, server, *rule, now, BucketUse::Take);
-        if (rule->isEngine) reserveEngine(request, statistics, *rule);
+        slowStart_.admits(serverName, server, *rule, now, BucketUse::Take);
+        if (rule->isEngine) reserveEngineTokens(request, statistics, *rule);
     }
-    turn(request, counters_, PhaseEvent::Send);
-    apply(request, AttemptEvent::ServerChosen);
-    port_.startAttempt(request.id, attempts.current, name, server.listing.address);
+    applyPhaseEvent(request, counters_, PhaseEvent::AttemptStarted);
+    applyAttemptEvent(request, AttemptEvent::ServerSelected);
+    port_.startAttempt(request.id, attempts.current, serverName, server.listing.address);
 }
 
-// What a request takes of an engine: its prompt is to be read, its tokens fill the memory.
-auto Edge::reserveEngine(Request& request, ServerStatistics& statistics, const ServiceRule& rule) -> void {
+// Counts the request's tokens at an engine: the prompt as not read yet, its own tokens as occupied memory,
+// and the parts of the prompt as cached.
+auto Edge::reserveEngineTokens(Request& request, ServerStatistics& statistics, const ServiceRule& rule)
+    -> void {
     auto& received = request.received;
     request.attempts.unreadTokens = unreadPromptTokens(statistics, received, PrefixAssumption::AsRecorded);
     statistics.unreadTokens += double(request.attempts.unreadTokens);
     statistics.heldTokens += double(received.ownTokens());
     statistics_.ofService(request.route.service).recordOwnTokens(received.ownTokens());
-    auto capacity = rule.memoryTokens ? rule.memoryTokens : UNSTATED_MEMORY_TOKENS;
+    auto capacity = rule.memoryTokens ? rule.memoryTokens : DEFAULT_MEMORY_TOKENS;
     for (auto& [part, tokens] : received.promptParts) statistics.prefixCache.add(part, tokens, capacity);
 }
 
-// The present attempt no longer counts at its server.
-auto Edge::release(Request& request) -> void {
-    promptRead(request);
+// Stops counting the current attempt at its server.
+auto Edge::releaseServer(Request& request) -> void {
+    releaseUnreadPrompt(request);
     if (!request.attempts.countedInflight) return;
     request.attempts.countedInflight = false;
     auto& statistics = statistics_.of(request.attempts.server);
     statistics.inflight--;
-    auto held = std::max(0.0, statistics.heldTokens - double(request.received.ownTokens()));
-    statistics.heldTokens = statistics.inflight ? held : 0;
+    auto remaining = std::max(0.0, statistics.heldTokens - double(request.received.ownTokens()));
+    statistics.heldTokens = statistics.inflight ? remaining : 0;
 }
 
-// The server has read the prompt, or never will.
-auto Edge::promptRead(Request& request) -> void {
+// Stops counting the prompt as unread, since the server has read it or never will.
+auto Edge::releaseUnreadPrompt(Request& request) -> void {
     auto& unread = request.attempts.unreadTokens;
     if (!unread) return;
     auto& statistics = statistics_.of(request.attempts.server);
@@ -93,62 +98,64 @@
     unread = 0;
 }
 
-// Why the newest configuration no longer lets the request be sent, if it does not.
+// Binds the request to the newest configuration. Returns the rejection if that no longer permits the request.
 auto Edge::rebindToNewest(Request& request) -> std::optional<Refusal> {
     auto tenant = request.tenant.name;
     auto refusal = rebind(request, routes_, dialect_, broken);
     if (request.tenant.name != tenant)
         note(request,
-            "its key now belongs to " + (request.tenant.isKnown() ? request.tenant.name : "no tenant"));
+            "the API key now belongs to " + (request.tenant.isKnown() ? request.tenant.name : "no tenant"));
     return refusal;
 }
 
-// Why the request may not be sent, whatever the server.
-auto Edge::whyNoAttempt(Request& request) -> std::optional<Refusal> {
+// Returns why the request may not be sent to any server, if it may not.
+auto Edge::whySendForbidden(Request& request) -> std::optional<Refusal> {
     if (auto refusal = rebindToNewest(request)) return refusal;
-    auto why = migration_.objection(request, request.attempts.tracker.earlier(), AttemptGrant::Granted);
+    auto why = migration_.rejectionReason(
+        request, request.attempts.tracker.earlier(), MigrationCharge::AlreadyCounted);
     return why.empty() ? std::nullopt : std::optional(Refusal{503, why});
 }
 
-// Why the server that was chosen may not be sent to after all.
-auto Edge::whyNotToServer(const Request& request, bool reused, Microseconds now) -> std::string {
-    if (!node_.withinLease(now)) return "no majority was heard within the lease";
-    if (now >= request.limits.deadline) return "its time is over";
+// Returns why the request may no longer be sent to the server that was selected; empty if it may.
+auto Edge::whyServerForbidden(const Request& request, bool reused, Microseconds now) -> std::string {
+    if (!node_.withinLease(now)) return "this node is outside its lease";
+    if (now >= request.limits.deadline) return "the deadline of the request has passed";
     auto server = node_.servers().find(request.attempts.server);
-    if (server == node_.servers().end()) return "it is no longer known";
-    if (!selection_.allows(request, server->second)) return "it may no longer be sent there";
-    if (reused && !mayReuseConnection(request)) return "it may not go on a used connection any more";
+    if (server == node_.servers().end()) return "the server is no longer listed";
+    if (!selection_.allows(request, server->second)) return "the server is no longer a candidate";
+    if (reused && !mayReuseConnection(request))
+        return "the request is no longer repeatable and the connection was used before";
     auto rule = serviceRule(request);
-    auto isHeldUp = now - request.attempts.chosenAt > HELD_UP;
-    if (rule && isHeldUp && !slowStart_.admits(server->first, server->second, *rule, now, BucketUse::Take))
-        return "it is cold, and this send was held up";
+    auto isDelayed = now - request.attempts.serverSelectedAt > MAX_SEND_DELAY;
+    if (rule && isDelayed && !slowStart_.admits(server->first, server->second, *rule, now, BucketUse::Take))
+        return "the send was delayed and slow start does not admit it now";
     return "";
 }
 
-// The process may just have woken from a freeze, so all is asked again.
+// The process may have been frozen since the server was selected, so all conditions are checked again.
 auto Edge::confirmSend(std::int64_t id, int attempt, Microseconds now, bool reused) -> bool {
     auto request = currentAttempt(id, attempt);
     if (!request) return false;
-    // Some things no other server can mend.
-    if (auto refusal = whyNoAttempt(*request)) {
-        giveUpAttempt(*request, refusal->why, now);
+    // Selecting another server would not help here, so the request fails.
+    if (auto refusal = whySendForbidden(*request)) {
+        cancelUnsentAttempt(*request, refusal->why, now);
         fail(*request, refusal->status, refusal->why, now);
         return false;
     }
-    if (auto why = whyNotToServer(*request, reused, now); !why.empty()) {
-        holdBack(*request, why, now);
+    if (auto why = whyServerForbidden(*request, reused, now); !why.empty()) {
+        withholdSend(*request, why, now);
         return false;
     }
     if (!quota_.spend(*request, now)) {
-        giveUpAttempt(*request, TOKEN_LAPSED, now);
-        fail(*request, 503, TOKEN_LAPSED, now);
+        cancelUnsentAttempt(*request, QUOTA_TOKEN_EXPIRED, now);
+        fail(*request, 503, QUOTA_TOKEN_EXPIRED, now);
         return false;
     }
     budget_.recordAttempt(*request, now);
     auto& attempts = request->attempts;
     attempts.sent++;
-    apply(*request, AttemptEvent::WriteStarted);
-    attempts.sentUnrepeatable = attempts.sentUnrepeatable || !request->route.mayRunAgain();
+    applyAttemptEvent(*request, AttemptEvent::WriteStarted);
+    attempts.sentAsNonRepeatable = attempts.sentAsNonRepeatable || !request->route.mayRunAgain();
     attempts.onReusedConnection = reused;
     attempts.lastActivityAt = now;
     auto& statistics = statistics_.of(attempts.server);
@@ -160,30 +167,31 @@
     return true;
 }
 
-// The attempt ends before its first byte.
-auto Edge::giveUpAttempt(Request& request, const std::string& why, Microseconds now) -> void {
+// Ends the current attempt before its first byte was written.
+auto Edge::cancelUnsentAttempt(Request& request, const std::string& why, Microseconds now) -> void {
     auto& attempts = request.attempts;
     note(request,
-        fmt::format("+{} us held back from {}: {}", now - request.received.acceptedAt, attempts.server, why));
+        fmt::format(
+            "+{} us send to {} withheld: {}", now - request.received.acceptedAt, attempts.server, why));
     counters_.add("held_back_total");
-    release(request);
-    turn(request, counters_, PhaseEvent::Loss);
-    apply(request, AttemptEvent::HeldBack);
+    releaseServer(request);
+    applyPhaseEvent(request, counters_, PhaseEvent::AttemptLost);
+    applyAttemptEvent(request, AttemptEvent::SendWithheld);
     attempts.tracker.startOver();
     port_.cancelAttempt(request.id, attempts.current);
     attempts.current++;
 }
 
-// The attempt ends before its first byte; another server may do.
-auto Edge::holdBack(Request& request, const std::string& why, Microseconds now) -> void {
-    giveUpAttempt(request, why, now);
+// Ends the current attempt before its first byte was written, and tries another server or queues the request.
+auto Edge::withholdSend(Request& request, const std::string& why, Microseconds now) -> void {
+    cancelUnsentAttempt(request, why, now);
     auto& attempts = request.attempts;
-    if (++attempts.heldBack > MAX_HELD_BACK || now >= request.limits.deadline)
-        return fail(request, 503, "no server may take it now", now);
+    if (++attempts.withheldSends > MAX_WITHHELD_SENDS || now >= request.limits.deadline)
+        return fail(request, 503, "sends to all selected servers were withheld", now);
     if (dispatch(request, now) || request.phase() == Phase::Finished) return;
     if (!selection_.mayFindServerLater(request) || !enqueue(request, now))
-        return fail(request, 503, "no server has room", now);
-    turn(request, counters_, PhaseEvent::Wait);
+        return fail(request, 503, "no server has free capacity", now);
+    applyPhaseEvent(request, counters_, PhaseEvent::Requeued);
 }
 
 auto Edge::requestHeaders(const Request& request, Microseconds now) const -> Headers {
@@ -216,25 +224,25 @@
     return headers;
 }
 
-// An attempt's event, by the table of attempt_state.hpp; gives what is known of it then. What the table
-// does not allow is never done in silence.
-auto Edge::apply(Request& request, AttemptEvent event) -> Execution {
+// Applies an event to the current attempt, by the table of attempt_state.hpp, and returns what is then known
+// about its execution. An event that the table does not allow is counted.
+auto Edge::applyAttemptEvent(Request& request, AttemptEvent event) -> Execution {
     auto& tracker = request.attempts.tracker;
     if (tracker.apply(event).step == NextStep::Illegal) counters_.add("illegal_transitions_total");
     return tracker.current();
 }
 
-// The request, if this is its present attempt and it has not ended.
+// Returns the request if `attempt` is its current attempt and it has not ended, else null.
 auto Edge::currentAttempt(std::int64_t id, int attempt) -> Request* {
     auto found = requests_.find(id);
     if (found == requests_.end()) return nullptr;
     auto& request = found->second;
-    auto isPast = request.attempts.current != attempt || request.phase() == Phase::Finished;
-    return isPast ? nullptr : &request;
+    auto isOver = request.attempts.current != attempt || request.phase() == Phase::Finished;
+    return isOver ? nullptr : &request;
 }
 
 auto Edge::onRequestWritten(std::int64_t id, int attempt) -> void {
-    if (auto request = currentAttempt(id, attempt)) apply(*request, AttemptEvent::WriteFinished);
+    if (auto request = currentAttempt(id, attempt)) applyAttemptEvent(*request, AttemptEvent::WriteFinished);
 }
 
 }  // namespace duneturn
--- a/src/routing/edge.cpp
+++ b/src/routing/edge.cpp
@@ -9,8 +9,8 @@
 namespace duneturn {
 namespace {
 
-constexpr auto MAX_TRACE = std::size_t(200);  // lines of one request
-constexpr auto PRUNE_INTERVAL = 10 * SECOND;
+constexpr auto MAX_TRACE_LINES = std::size_t(200);  // per request
+constexpr auto PRUNE_INTERVAL = 10 * SECOND;        // for the statistics of servers that are no longer listed
 
 }  // namespace
 
@@ -28,16 +28,16 @@
       quota_(requests_, node, counters),
       selection_({node, routes_, dialect_, fleet_, broken, statistics_, slowStart_, random_}),
       migration_(routes_, dialect_, statistics_, broken) {
-    node_.onStateChange = [this] { takeState(); };
+    node_.onStateChange = [this] { applyReplicatedState(); };
     node_.onGrant = [this](std::int64_t credit) { budget_.receiveGrant(credit); };
     node_.onQuotaAnswer = [this](Microseconds now) { serveQuotaWaiters(now); };
-    takeState();
+    applyReplicatedState();
 }
 
-// The replicated state has changed.
-auto Edge::takeState() -> void {
+// Takes over a change of the replicated state: routes, evacuated zones and the size of the roster.
+auto Edge::applyReplicatedState() -> void {
     auto& state = node_.replicatedState();
-    // After a loss of state a version's number may be given anew, so the epoch counts too.
+    // After a loss of state a version number may be assigned again, so the epoch is compared as well.
     if (state.configVersion() != routes_.configVersion || state.epoch != routes_.epoch
         || routes_.routes.empty()) {
         auto revision = routes_.revision + 1;
@@ -60,17 +60,17 @@
 }
 
 auto Edge::note(Request& request, std::string line) -> void {
-    if (request.trace.size() < MAX_TRACE) request.trace.push_back(std::move(line));
+    if (request.trace.size() < MAX_TRACE_LINES) request.trace.push_back(std::move(line));
 }
 
 auto Edge::serviceRule(const Request& request) const -> const ServiceRule* {
     return serviceRuleOf(routes_, dialect_, request.route.service);
 }
 
-// Selects a server and leaves a line that says why.
+// Selects a server and adds the reason to the request's trace.
 auto Edge::select(Request& request, Microseconds now) -> Selection {
     auto selection = selection_.select(request, now);
-    note(request, fmt::format("+{} us place: {}", now - request.received.acceptedAt, selection.explanation));
+    note(request, fmt::format("+{} us select: {}", now - request.received.acceptedAt, selection.explanation));
     return selection;
 }
 
@@ -100,12 +100,12 @@
         if (dialect_.clientNamesRequests && attempts.countedInflight)
             if (auto& statistics = statistics_.of(attempts.server); statistics.isSilent(now))
                 statistics.ejection.eject(now);
-        apply(request, AttemptEvent::DeadlinePassed);
-        return fail(request, 504, "its time is over", now);
+        applyAttemptEvent(request, AttemptEvent::DeadlineExceeded);
+        return fail(request, 504, "the deadline of the request has passed", now);
     }
     if (request.phase() != Phase::Sending && request.phase() != Phase::Delivering) return;
-    if (dialect_.clientNamesRequests) checkSilenceOfNamed(request, now);
-    else checkSilence(request, now);
+    if (dialect_.clientNamesRequests) checkSilenceOfNamedRequest(request, now);
+    else checkIdleTimeout(request, now);
 }
 
 auto Edge::liveRequestsJson(Microseconds now) const -> std::string { return requestsJson(requests_, now); }
--- a/src/routing/edge.hpp
+++ b/src/routing/edge.hpp
@@ -1,19 +1,19 @@
 #pragma once
-// The router of one node. A request passes these stages, each in a file of its own:
+// The router of one node. A request passes through these stages, each in its own files:
 //
-//   route match         route_table, route_binding   which route a request has
-//   tenant              tenant_admission             whose request it is, by its key
-//   admission, queue    admission, quota_admission,  taken, queued by urgency, or refused
+//   route match         route_table, route_binding   finds the route of the request
+//   tenant              tenant_admission             identifies the tenant by the API key
+//   admission, queue    admission, quota_admission,  accepts the request, queues it by urgency, or rejects it
 //                       backlog
 //   candidate filters   candidate_filters, slow_start, outlier_ejection, server_selection
 //   scoring             scoring, server_statistics, prefix_cache
-//   retry budget        retry_budget                 what further attempts are paid from
-//   dispatch            dispatch, attempt_state      attempts, and the last check before the first byte
-//   response, streams   response_relay               what of an answer is passed on
-//   migration           migration                    when a request goes on at another server
-//   completion          completion, decision_log     how requests end, and what operators see of them
+//   retry budget        retry_budget                 limits the retries of the whole fleet
+//   dispatch            dispatch, attempt_state      starts attempts; last check before the first byte
+//   response, streams   response_relay               validates responses and forwards them to the client
+//   retry, migration    retry, migration             continues a request at another server
+//   completion          completion, decision_log     ends requests and records the decisions for operators
 //
-// Logic only: sockets are behind EdgePort, time is passed in, and nothing here waits or locks.
+// This is logic only: sockets are behind EdgePort, the time is passed in, and nothing here blocks or locks.
 #include <cstddef>
 #include <cstdint>
 #include <map>
@@ -48,94 +48,108 @@
 
 namespace duneturn {
 
-/// Moves requests between the stages. A request is named by the number that accept gave, an attempt by its
-/// request and its own number; what is said of an attempt that is over is ignored.
+/// Moves requests through the stages. A request is identified by the id that accept returned, an attempt by
+/// the request's id and its own number. Reports about an attempt that has ended are ignored.
 class Edge {
   public:
     Edge(Node& node, EdgePort& port, Counters& counters, std::uint64_t seed, const Dialect& dialect = {});
     Edge(const Edge&) = delete;
     auto operator=(const Edge&) -> Edge& = delete;
 
-    /// Faults for tests; none in a real process.
+    /// Faults injected by tests; none in a real process.
     EdgeFaults broken;
 
     // ---- Clients.
 
-    /// A client's request, whole, its Host among the headers. Gives its number; it may have ended by then.
-    /// `arrived`: when its first byte was read, if that was earlier; its time runs from there.
+    /// Accepts a complete request of a client; its Host must be among the headers. Returns the request's id.
+    /// The request may have ended by then. `arrived` is when its first byte was read, if that was earlier
+    /// than `now`; the request's time limits count from there.
     auto accept(const std::string& method, const std::string& path, const Headers& headers,
         const std::string& body, Microseconds now, Microseconds arrived = 0) -> std::int64_t;
-    /// The client reads slower than the server writes; that is not the server's silence.
+    /// Reports that the client reads slower than the server sends, so that the pause does not count as
+    /// silence of the server.
     auto onClientSlow(std::int64_t id, int attempt, Microseconds now) -> void;
-    /// The client has closed its connection.
+    /// Reports that the client has closed its connection.
     auto clientClosed(std::int64_t id, Microseconds now) -> void;
 
     // ---- Attempts.
 
-    /// The last check, just before the first byte; true: it is sent now. `reused`: on a connection that
-    /// carried another request before, where an answer must prove whose it is.
+    /// Performs the last check directly before the first byte of an attempt is written. Returns true if the
+    /// request is to be sent now; otherwise the attempt has ended. `reused`: the connection carried another
+    /// request before, so the response must prove which request it belongs to.
     [[nodiscard]] auto confirmSend(std::int64_t id, int attempt, Microseconds now, bool reused = false)
         -> bool;
-    /// The headers to send, complete but for what concerns length and connection.
+    /// Returns the headers to send to the server, except those for the body's length and the connection.
     [[nodiscard]] auto requestHeaders(const Request& request, Microseconds now) const -> Headers;
-    /// Whether it may go on a connection that was used before, where a loss says nothing.
+    /// Whether the request may be sent on a connection that was used before. If such a connection is lost, it
+    /// is unknown whether the request arrived, so the request must be repeatable.
     [[nodiscard]] auto mayReuseConnection(const Request& request) const -> bool {
         return request.retryRights().repeatable;
     }
-    /// The whole request has been written.
+    /// Reports that the complete request has been written.
     auto onRequestWritten(std::int64_t id, int attempt) -> void;
-    /// The connection failed before the first byte of the request was written.
+    /// Reports that the connection failed before the first byte of the request was written.
     auto onConnectionRefused(std::int64_t id, int attempt, Microseconds now) -> void;
-    /// The answer's head; false if this answer is not for the request, and nothing more of it is wanted.
+    /// Handles the head of a response. Returns false if the attempt has ended, for instance because the
+    /// response belongs to another request; the rest of the response is not needed then.
     auto onResponseHead(std::int64_t id, int attempt, int status, const Headers& headers, Microseconds now)
         -> bool;
     auto onStreamEvent(std::int64_t id, int attempt, const ServerSentEvent& event, Microseconds now) -> void;
-    /// The HTTP message of a stream is whole.
+    /// Reports that the HTTP message of a streamed response is complete.
     auto onStreamEnd(std::int64_t id, int attempt, Microseconds now) -> void;
-    /// A whole answer that is no stream.
+    /// Handles a complete response that is not a stream.
     auto onResponse(std::int64_t id, int attempt, int status, const Headers& headers, const std::string& body,
         Microseconds now) -> void;
     auto onConnectionLost(std::int64_t id, int attempt, const std::string& why, Microseconds now) -> void {
         onAttemptFailed(id, attempt, AttemptEvent::ConnectionReset, why, now);
     }
-    /// The answer can no longer become whole.
+    /// Reports a failure after which the response can no longer become complete.
     auto onAttemptFailed(
         std::int64_t id, int attempt, AttemptEvent event, const std::string& why, Microseconds now) -> void;
 
-    // ---- Time, and the process's end.
+    // ---- Time, and the end of the process.
 
-    /// Called every 20 ms or so: deadlines, silent servers, queues, the budget.
+    /// Checks deadlines, silent servers, queues and the retry budget. To be called about every 20 ms.
     auto tick(Microseconds now) -> void;
-    /// The process stops. A Dialect with clientNamesRequests serves on until stopAccepting.
+    /// Announces that the process stops. New requests are rejected, except under a Dialect with
+    /// clientNamesRequests, which accepts them until stopAccepting.
     auto drain() -> void { draining_ = true; }
-    /// From now on new requests are refused at once.
+    /// Rejects new requests from now on.
     auto stopAccepting() -> void { rejectingNew_ = true; }
-    /// Ends what still runs, visibly; the stop's limit is over.
+    /// Fails all requests in flight, since the time limit for stopping has passed.
     auto abortAll(Microseconds now) -> void;
 
-    // ---- What is seen from outside.
+    // ---- Inspection.
 
-    /// A request under way, null if there is none.
+    /// Returns a request, or null if there is none with this id. A request that has ended is kept until the
+    /// next tick.
     [[nodiscard]] auto find(std::int64_t id) const -> const Request*;
     [[nodiscard]] auto activeRequests() const -> std::size_t { return requests_.size(); }
     [[nodiscard]] auto dialect() const -> const Dialect& { return dialect_; }
-    /// Of the retry budget, in thousandths of an attempt.
+    /// The credit of the retry budget, in thousandths of an attempt.
     [[nodiscard]] auto credit() const -> std::int64_t { return budget_.credit(); }
-    /// Places taken in queues, and attempts under way, as counted here; for judging leaks.
+    /// The occupied slots in queues, as counted here; lets tests detect leaks.
     [[nodiscard]] auto queuedCount() const -> std::size_t { return backlog_.count(); }
+    /// The attempts in flight, as counted here; lets tests detect leaks.
     [[nodiscard]] auto inflightCount() const -> int { return statistics_.inflight(); }
-    /// The requests under way, as JSON.
+    /// Returns the requests in flight as JSON.
     [[nodiscard]] auto liveRequestsJson(Microseconds now) const -> std::string;
-    /// What was decided of a request, by its name or its number, as JSON; empty if it is not known.
+    /// Returns the decisions about a request, given by its name or its id, as JSON; empty if the request is
+    /// unknown.
     [[nodiscard]] auto explainedRequestJson(const std::string& name, Microseconds now) const -> std::string;
-    /// The decisions about requests that ended, behind number `after`, as JSON.
+    /// Returns the decisions about ended requests with sequence numbers greater than `after`, as JSON.
     [[nodiscard]] auto decisionsJson(std::int64_t after) const -> std::string {
         return decisions_.since(after);
     }
 
   private:
-    /// What becomes of the next event of a stream.
-    enum class EventVerdict { Sound, OutOfOrder, Unsound, Uncountable };
+    /// The result of validating the next event of a stream.
+    enum class EventCheck {
+        Valid,
+        OutOfOrder,    ///< The id does not follow that of the previous event.
+        Malformed,     ///< Garbage, or an event without a usable id after events that had one.
+        NonNumericId,  ///< The id is not a number, after events whose ids were.
+    };
 
     // Admission (admission.cpp).
     auto beginRequest(const std::string& method, const std::string& path, const Headers& headers,
@@ -155,57 +169,59 @@
     // Dispatch (dispatch.cpp).
     auto dispatch(Request& request, Microseconds now) -> bool;
     auto beginAttempt(Request& request, const std::string& server, Microseconds now) -> void;
-    auto reserveEngine(Request& request, ServerStatistics& statistics, const ServiceRule& rule) -> void;
-    auto release(Request& request) -> void;
-    auto promptRead(Request& request) -> void;
+    auto reserveEngineTokens(Request& request, ServerStatistics& statistics, const ServiceRule& rule) -> void;
+    auto releaseServer(Request& request) -> void;
+    auto releaseUnreadPrompt(Request& request) -> void;
     [[nodiscard]] auto rebindToNewest(Request& request) -> std::optional<Refusal>;
-    [[nodiscard]] auto whyNoAttempt(Request& request) -> std::optional<Refusal>;
-    [[nodiscard]] auto whyNotToServer(const Request& request, bool reused, Microseconds now) -> std::string;
-    auto giveUpAttempt(Request& request, const std::string& why, Microseconds now) -> void;
-    auto holdBack(Request& request, const std::string& why, Microseconds now) -> void;
-    auto apply(Request& request, AttemptEvent event) -> Execution;
+    [[nodiscard]] auto whySendForbidden(Request& request) -> std::optional<Refusal>;
+    [[nodiscard]] auto whyServerForbidden(const Request& request, bool reused, Microseconds now)
+        -> std::string;
+    auto cancelUnsentAttempt(Request& request, const std::string& why, Microseconds now) -> void;
+    auto withholdSend(Request& request, const std::string& why, Microseconds now) -> void;
+    auto applyAttemptEvent(Request& request, AttemptEvent event) -> Execution;
     auto currentAttempt(std::int64_t id, int attempt) -> Request*;
 
     // Failed attempts (retry.cpp).
-    [[nodiscard]] auto couldMove(Request& request, AttemptEvent event, Microseconds now) -> bool;
+    [[nodiscard]] auto canRetryElsewhere(Request& request, AttemptEvent event, Microseconds now) -> bool;
     auto retryElsewhere(Request& request, AttemptEvent event, const std::string& why, Microseconds now)
         -> void;
-    auto abandonAttempt(Request& request, Execution execution, const std::string& why, Microseconds now)
+    auto endFailedAttempt(Request& request, Execution execution, const std::string& why, Microseconds now)
         -> void;
     auto recordRetry(Request& request, Execution execution, Microseconds now) -> void;
-    auto moveIfCrawling(Request& request, Microseconds gap, Microseconds now) -> void;
-    auto checkSilence(Request& request, Microseconds now) -> void;
-    auto checkSilenceOfNamed(Request& request, Microseconds now) -> void;
+    auto migrateIfServerSlow(Request& request, Microseconds gap, Microseconds now) -> void;
+    auto checkIdleTimeout(Request& request, Microseconds now) -> void;
+    auto checkSilenceOfNamedRequest(Request& request, Microseconds now) -> void;
 
-    // Answers (response_relay.cpp).
-    [[nodiscard]] auto isOtherRequests(const Request& request, const Headers& headers, int status) const
-        -> bool;
+    // Responses (response_relay.cpp).
+    [[nodiscard]] auto belongsToAnotherRequest(
+        const Request& request, const Headers& headers, int status) const -> bool;
     [[nodiscard]] auto isNotExecuted(int status, const Headers& headers) const -> bool;
-    auto headRead(Request& request, int status, const Headers& headers) -> void;
-    auto judgeFirstByteTime(const Request& request, int status, const Headers& headers, Microseconds now)
+    auto recordResponseHead(Request& request, int status, const Headers& headers) -> void;
+    auto recordFirstByteTime(const Request& request, int status, const Headers& headers, Microseconds now)
         -> void;
     auto sendHeadOnce(Request& request) -> void;
-    [[nodiscard]] auto judgeEvent(RelayedStream& relayed, const ServerSentEvent& event) const -> EventVerdict;
-    [[nodiscard]] auto judgeRisingEvent(RelayedStream& relayed, const ServerSentEvent& event) const
-        -> EventVerdict;
-    auto rejectEvent(Request& request, const ServerSentEvent& event, EventVerdict verdict, Microseconds now)
+    [[nodiscard]] auto validateEvent(RelayedStream& relayed, const ServerSentEvent& event) const
+        -> EventCheck;
+    [[nodiscard]] auto validateIncreasingId(RelayedStream& relayed, const ServerSentEvent& event) const
+        -> EventCheck;
+    auto rejectEvent(Request& request, const ServerSentEvent& event, EventCheck check, Microseconds now)
         -> void;
     auto completeStream(Request& request, Microseconds now) -> void;
     auto onWrongIdentity(Request& request, Microseconds now) -> void;
-    auto onDeclined(Request& request, int status, Microseconds now) -> void;
-    [[nodiscard]] auto whyUnsuitable(Request& request, int status, Microseconds now) -> std::string;
+    auto onNotExecuted(Request& request, int status, Microseconds now) -> void;
+    [[nodiscard]] auto whyResponseUnusable(Request& request, int status, Microseconds now) -> std::string;
     auto relayResponse(Request& request, int status, const Headers& headers, const std::string& body,
         Microseconds now) -> void;
 
     // Completion (completion.cpp).
     auto fail(Request& request, int status, const std::string& why, Microseconds now) -> void;
-    auto cutStream(Request& request, const std::string& why) -> void;
+    auto truncateStream(Request& request, const std::string& why) -> void;
     auto replyFailure(Request& request, int status, const std::string& why) -> void;
     auto finish(Request& request, const std::string& how, Microseconds now) -> void;
     auto countOutcome(const Request& request, std::string_view outcome) -> void;
 
-    // The rest (edge.cpp).
-    auto takeState() -> void;
+    // State, time and tracing (edge.cpp).
+    auto applyReplicatedState() -> void;
     auto tickRequest(Request& request, Microseconds now) -> void;
     auto note(Request& request, std::string line) -> void;
     [[nodiscard]] auto select(Request& request, Microseconds now) -> Selection;
@@ -218,7 +234,7 @@
     Dialect dialect_;
     RouteTable routes_;
     std::map<std::int64_t, Request> requests_;
-    std::vector<std::int64_t> finished_;  // removed with the next tick
+    std::vector<std::int64_t> finished_;  // ended requests, removed by the next tick
     std::int64_t lastRequestId_ = 0;
     ServerStatisticsTable statistics_;
     FleetSize fleet_;
@@ -231,9 +247,11 @@
     KnownBeginnings beginnings_;
     DecisionLog decisions_;
     bool draining_ = false, rejectingNew_ = false;
-    Microseconds evacuatedAt_ = 0;    // when this node's own zone was evacuated; -1 until the next tick
-    std::int64_t queueRevision_ = 0;  // of the routes that all waiting requests are bound to
-    Microseconds prunedAt_ = 0;       // when unlisted servers were last forgotten
+    // When this node's zone was evacuated; 0: it is not evacuated; -1: it is, and the next tick sets the
+    // time.
+    Microseconds evacuatedAt_ = 0;
+    std::int64_t queueRevision_ = 0;  // revision of the routes that all queued requests are bound to
+    Microseconds prunedAt_ = 0;       // when the statistics of unlisted servers were last dropped
 };
 
 }  // namespace duneturn
--- a/src/routing/migration.cpp
+++ b/src/routing/migration.cpp
@@ -11,33 +11,44 @@
 namespace duneturn {
 namespace {
 
-constexpr auto PACE_SMOOTHING = Smoothing{0.8, 0.2};
-constexpr auto PACE_SAMPLES = 8;                               // events before an attempt's pace is judged
-constexpr auto SLOWEST_SOUND_GAP = double(100 * MILLISECOND);  // a pace that nobody is moved for
-constexpr auto CRAWL_FACTOR = 5;                               // times the median of its like
+// How long a server may be silent where the configuration does not say: a share of the latency target, but at
+// least some multiple of the service's median, and never less than a minimum.
+constexpr auto EVENT_GAP_TARGET_SHARE = 0.6;
+constexpr auto EVENT_GAP_MEDIANS = 8;
+constexpr auto MIN_EVENT_GAP_TIMEOUT = double(150 * MILLISECOND);
+constexpr auto FIRST_BYTE_TARGET_SHARE = 0.7;
+constexpr auto FIRST_BYTE_MEDIANS = 4;
+constexpr auto MIN_FIRST_BYTE_TIMEOUT = double(200 * MILLISECOND);
+constexpr auto PROMPT_READING_MARGIN = 2;  // times the time that the engine needs to read the prompt
+
+// When a stream migrates away from a slow server.
+constexpr auto GAP_SMOOTHING = Smoothing{0.8, 0.2};
+constexpr auto MIN_GAP_SAMPLES = 8;  // events of an attempt before its smoothed gap is compared
+constexpr auto MIN_SLOW_GAP = double(100 * MILLISECOND);  // a shorter gap is never too slow
+constexpr auto SLOW_STREAM_MEDIANS = 5;  // a gap of this many times the service's median is too slow
 
 }  // namespace
 
-auto Migration::objection(const Request& request, Execution earlier, AttemptGrant grant) const
+auto Migration::rejectionReason(const Request& request, Execution earlier, MigrationCharge charge) const
     -> std::string {
     auto& relayed = request.relayed;
     if (earlier >= Execution::MayHaveRun && !faults_.retryNonRepeatable) {
         auto step = stepAfterFailure(Execution::MayHaveRun, relayed.headSent);
         if (!mayAttemptAgain(step, request.retryRights()))
             return relayed.headSent && request.retryRights().repeatable
-                ? "its beginning was delivered, and nothing can be joined to it"
-                : "it may have run, and what may not be repeated never runs twice";
+                ? "a part of the response was forwarded and the route is not resumable"
+                : "the request may have run and is not repeatable";
         if (relayed.headSent && !relayed.hasOrderedIds)
-            return "its events cannot be counted, so they cannot be joined";
+            return "the stream cannot be resumed because its event ids are not in order";
     }
-    auto isFurther = grant == AttemptGrant::Further;
-    auto migrations = request.attempts.migrations + isFurther;
-    // A stream of no model has the limit that is the default: none.
+    auto isNotYetCounted = charge == MigrationCharge::NotYetCounted;
+    auto migrations = request.attempts.migrations + isNotYetCounted;
+    // A stream without a model has the default migration limit, which is 0.
     auto& route = request.route;
     auto isLimited = !route.model.empty() || (dialect_.clientNamesRequests && route.stream);
-    auto isSpent = migrations > route.migrationLimit || (isFurther && request.limits.migrationDisabled);
-    if (isLimited && migrations > 0 && isSpent) return "no migration is left";
-    if (request.attempts.sent >= route.maxAttempts) return "MaxTries is reached";
+    auto isSpent = migrations > route.migrationLimit || (isNotYetCounted && request.limits.migrationDisabled);
+    if (isLimited && migrations > 0 && isSpent) return "the migration limit is reached";
+    if (request.attempts.sent >= route.maxAttempts) return "the limit of attempts (MaxTries) is reached";
     return "";
 }
 
@@ -52,12 +63,12 @@
     if (faults_.resumeUnchecked) return "";
     auto& route = request.route;
     if (!route.resumable)
-        return "streams of this mapping cannot be resumed; send it anew without Last-Event-Id";
+        return "streams of this route are not resumable; send the request again without Last-Event-Id";
     if (last < 0) return "Last-Event-Id is not the number of an event";
-    if (weights.empty()) return "X-Weights, as it came with the stream, is missing";
-    if (route.migrationLimit < 1 || route.maxAttempts < 2) return "streams of this mapping may not move";
+    if (weights.empty()) return "the header X-Weights, with the value received with the stream, is missing";
+    if (route.migrationLimit < 1 || route.maxAttempts < 2) return "streams of this route may not migrate";
     if (request.limits.sequenceTokens > route.maxSequenceTokens)
-        return "the stream is past the maximum sequence length";
+        return "the stream exceeds the maximum sequence length";
     return "";
 }
 
@@ -80,31 +91,35 @@
     return false;
 }
 
-auto Migration::silenceLimit(const Request& request) const -> Microseconds {
+auto Migration::silenceTimeout(const Request& request) const -> Microseconds {
     auto& route = request.route;
     if (route.idleTimeoutConfigured) return route.idleTimeout;
     if (request.phase() == Phase::Delivering) {
         if (!route.eventGapTarget) return route.idleTimeout;
-        return Microseconds(std::max({0.6 * double(route.eventGapTarget),
-            8 * statistics_.median(route.service, &ServerStatistics::eventGap), double(150 * MILLISECOND)}));
+        return Microseconds(std::max({EVENT_GAP_TARGET_SHARE * double(route.eventGapTarget),
+            EVENT_GAP_MEDIANS * statistics_.median(route.service, &ServerStatistics::eventGap),
+            MIN_EVENT_GAP_TIMEOUT}));
     }
     if (!route.firstByteTarget) return route.idleTimeout;
-    auto usual = std::max({0.7 * double(route.firstByteTarget),
-        4 * statistics_.median(route.service, &ServerStatistics::firstByteTime), double(200 * MILLISECOND)});
-    return Microseconds(usual + 2 * double(request.attempts.unreadTokens) / PROMPT_TOKENS_PER_MICROSECOND);
+    auto timeout = std::max({FIRST_BYTE_TARGET_SHARE * double(route.firstByteTarget),
+        FIRST_BYTE_MEDIANS * statistics_.median(route.service, &ServerStatistics::firstByteTime),
+        MIN_FIRST_BYTE_TIMEOUT});
+    auto unreadTokens = double(request.attempts.unreadTokens);
+    return Microseconds(timeout + PROMPT_READING_MARGIN * unreadTokens / PROMPT_TOKENS_PER_MICROSECOND);
 }
 
-auto Migration::crawls(Request& request, Microseconds gap) const -> std::optional<std::string> {
+auto Migration::slowServerReason(Request& request, Microseconds gap) const -> std::optional<std::string> {
     auto& attempts = request.attempts;
     auto isFirst = attempts.eventGapSamples++ == 0;
     attempts.eventGap =
-        isFirst ? double(gap) : attempts.eventGap * PACE_SMOOTHING.keep + double(gap) * PACE_SMOOTHING.take;
-    if (attempts.eventGapSamples < PACE_SAMPLES || attempts.eventGap < SLOWEST_SOUND_GAP) return std::nullopt;
+        isFirst ? double(gap) : attempts.eventGap * GAP_SMOOTHING.keep + double(gap) * GAP_SMOOTHING.take;
+    if (attempts.eventGapSamples < MIN_GAP_SAMPLES || attempts.eventGap < MIN_SLOW_GAP) return std::nullopt;
     if (attempts.migrations > 0 || !request.route.resumable || request.migrationsLeft() <= 0)
         return std::nullopt;
     auto median = statistics_.median(request.route.service, &ServerStatistics::eventGap);
-    if (median <= 0 || attempts.eventGap < CRAWL_FACTOR * median) return std::nullopt;
-    return fmt::format("an event every {:.0f} us, where others need {:.0f}", attempts.eventGap, median);
+    if (median <= 0 || attempts.eventGap < SLOW_STREAM_MEDIANS * median) return std::nullopt;
+    return fmt::format(
+        "the server sends an event every {:.0f} us, the median is {:.0f} us", attempts.eventGap, median);
 }
 
 }  // namespace duneturn
--- a/src/routing/migration.hpp
+++ b/src/routing/migration.hpp
@@ -1,16 +1,16 @@
 #pragma once
-// Migration: when a server fails, its request goes on at another one.
+// Migration: when a server fails, its requests continue at other servers.
 //
 // Source: "LLM Request Migration on Engine Failure" (nnshah1 and kthui, approved, reviewed July 21 2025;
-// ai-dynamo/enhancements pull request 25). A stage in the frontend keeps the original request, what was
-// received of its answer, and a count of migrations left. If a stream cannot be created, the stage takes
-// one off the count and sends the original request to another worker; if a stream ends before the answer is
-// complete, it takes one off the count and goes on with what was received. The count is set per model
-// and is 0 unless configured; past a maximum sequence length it becomes 0. At 0 the failure goes to the
-// client. docs/source-design.md says what was kept of it, and what was changed and why.
+// ai-dynamo/enhancements pull request 25). A stage in the frontend keeps the original request, the part of
+// the response received so far, and the number of migrations left. If a stream cannot be created, the stage
+// decrements the number and sends the original request to another worker. If a stream ends before the
+// response is complete, it decrements the number and continues from the part received. The number is set per
+// model and is 0 unless configured; beyond a maximum sequence length it becomes 0. At 0 the failure is
+// reported to the client. docs/source-design.md lists the differences from that design and their reasons.
 //
-// Here: the count is Request::migrationsLeft, of ModelRule::migrationLimit (default 0) in the newest
-// configuration; the maximum sequence length is ModelRule::maxSequenceTokens.
+// Here the number is Request::migrationsLeft, from ModelRule::migrationLimit (default 0) in the newest
+// configuration. The maximum sequence length is ModelRule::maxSequenceTokens.
 #include <optional>
 #include <string>
 
@@ -25,36 +25,40 @@
 
 namespace duneturn {
 
-/// Whether an attempt that is asked about was granted already, or would be one more.
-enum class AttemptGrant { Granted, Further };
+/// Whether the migration that a check is about is already included in RequestAttempts::migrations.
+enum class MigrationCharge { AlreadyCounted, NotYetCounted };
 
-/// The rules of migration. Nothing is sent here.
+/// Decides whether a request may migrate or be resumed. It sends nothing itself.
 class Migration {
   public:
     Migration(const RouteTable& routes, const Dialect& dialect, const ServerStatisticsTable& statistics,
         const EdgeFaults& faults)
         : routes_(routes), dialect_(dialect), statistics_(statistics), faults_(faults) {}
 
-    /// Why a request may not be sent, whatever the server; empty if it may. `earlier`: what is known of
-    /// all attempts before.
-    [[nodiscard]] auto objection(const Request& request, Execution earlier, AttemptGrant grant) const
-        -> std::string;
-    /// A client whose own node was lost picks its stream up here. That is a migration which the client asks
-    /// for: allowed where ours are, counted as ours are, of the same weights only. Why it may not be;
-    /// empty if it may.
+    /// Returns why a request may not be sent to any server; empty if it may. `earlier` is what is known about
+    /// the execution by all attempts so far.
+    [[nodiscard]] auto rejectionReason(
+        const Request& request, Execution earlier, MigrationCharge charge) const -> std::string;
+    /// Prepares a request by which a client that lost its node resumes its stream at this node. This is a
+    /// migration requested by the client: it is permitted and counted like one of the router's own and
+    /// continues only on the same version of the weights. Returns why it is rejected; empty if it is not.
     auto resumeForClient(Request& request, const std::string& lastEventId, const std::string& weights) const
         -> std::string;
 
-    /// An event was relayed: it adds to the sequence, and is kept while the request may still migrate. True
-    /// if it took the request past its maximum sequence length, from where on it no longer may.
+    /// Adds the tokens of a forwarded event to the request's sequence, and keeps the event while the request
+    /// may still migrate. Returns true if the request now exceeds its maximum sequence length and so can no
+    /// longer migrate.
     auto recordRelayed(Request& request, const ServerSentEvent& event) const -> bool;
 
-    /// How long the silence of a server is borne by a request that may migrate. Where the configuration
-    /// does not say, it migrates while it may still come in time, unless the whole service is that slow.
-    [[nodiscard]] auto silenceLimit(const Request& request) const -> Microseconds;
-    /// The present attempt's event came `gap` after what came before it. Why its server is so slow beside
-    /// its like that the stream would better migrate; nothing if it is not. Only once a stream.
-    [[nodiscard]] auto crawls(Request& request, Microseconds gap) const -> std::optional<std::string>;
+    /// Returns after how long a silence of its server a request that may migrate does so. Unless the
+    /// configuration sets it, the time is short enough to still meet the latency target at another server,
+    /// but is not exceeded by the usual response times of the service.
+    [[nodiscard]] auto silenceTimeout(const Request& request) const -> Microseconds;
+    /// Records that an event of the current attempt arrived `gap` after the previous activity. If the server
+    /// is so much slower than the median of its service that the stream should migrate, returns the reason.
+    /// A stream that has migrated before does not migrate again for this reason.
+    [[nodiscard]] auto slowServerReason(Request& request, Microseconds gap) const
+        -> std::optional<std::string>;
 
   private:
     [[nodiscard]] auto eventTokens(const Request& request, const ServerSentEvent& event) const -> int;
--- a/src/routing/request.hpp
+++ b/src/routing/request.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// A client's request on its way: as it was received, its attempts, what was relayed of its answer, and
-// what limits it.
+// The state of one client request: the request as received, its attempts, the part of the response that was
+// forwarded, and its limits.
 #include <algorithm>
 #include <cstdint>
 #include <memory>
@@ -17,104 +17,112 @@
 
 namespace duneturn {
 
-/// Where a request stands; request_phases.cpp says what may follow what.
-enum class Phase { Queued, Sending, Delivering, Migrating, Finished };
+/// The phase of a request; request_phases.cpp defines the transitions.
+enum class Phase {
+    Queued,      ///< It waits for a server.
+    Sending,     ///< An attempt has started; nothing of its response was forwarded.
+    Delivering,  ///< A part of the response was forwarded.
+    Migrating,   ///< An attempt failed; the next one has not started.
+    Finished,
+};
 struct RequestMachine;
 
 /// The request as its client sent it; not changed after it was accepted.
 struct ReceivedRequest {
     std::string method, path, body, host;
-    std::string name;    ///< The client's own, or one that this node made.
-    std::string region;  ///< Where the client is.
-    std::string model;   ///< That the client asked for; empty: the route's.
-    Headers headers;     ///< Less those of withoutTenantHeaders.
+    std::string name;    ///< The client's name for the request, or one that this node generated.
+    std::string region;  ///< The client's region.
+    std::string model;   ///< The model that the client asked for; empty: the model of the route.
+    Headers headers;     ///< Without the headers that withoutTenantHeaders removes.
     Microseconds acceptedAt = 0;
-    /// The parts of its prompt by their hashes, with their tokens; the last is its own.
+    /// The parts of the prompt: the hash of each and its number of tokens. Only this request has the last.
     std::vector<std::pair<std::uint64_t, std::int64_t>> promptParts;
-    std::uint64_t prefixKey = 0;  ///< Of the prompt's shared beginning; 0: none is known.
+    std::uint64_t prefixKey = 0;  ///< Identifies the shared prefix of the prompt; 0: unknown.
     std::int64_t promptTokens = 0, outputTokens = 0, sharedTokens = 0;
-    /// The tokens that only this request needs.
+    /// The tokens that no other request shares.
     [[nodiscard]] auto ownTokens() const -> std::int64_t {
         return std::max<std::int64_t>(0, promptTokens - sharedTokens) + outputTokens;
     }
 };
 
-/// The attempts of a request: one send of it to one server each.
+/// The attempts of a request. Each is one send of the request to one server.
 struct RequestAttempts {
-    int current = 0;  ///< The present attempt's number; what names another is ignored.
+    int current = 0;  ///< The number of the current attempt; reports about any other number are ignored.
     std::string server, weights;
-    Microseconds chosenAt = 0;          ///< When its server was chosen.
-    Microseconds lastActivityAt = 0;    ///< When its server last sent something, or begun to be written to.
-    Microseconds nextStallCheckAt = 0;  ///< Until then its silence is not looked at again.
-    bool countedInflight = false;       ///< It counts among its server's attempts under way.
-    std::int64_t unreadTokens = 0;      ///< Of the prompt, that its server has not read yet.
-    bool onReusedConnection = false;    ///< Its connection carried another request before.
-    double eventGap = 0;                ///< Smoothed time between its events, in microseconds.
+    Microseconds serverSelectedAt = 0;
+    /// When the server was selected, the send began, the server last sent something or the client was last
+    /// found to read slower than the server sends, whichever came last.
+    Microseconds lastActivityAt = 0;
+    Microseconds nextStallCheckAt = 0;  ///< The server's silence is not checked again before.
+    bool countedInflight = false;       ///< The attempt counts as in flight at its server.
+    std::int64_t unreadTokens = 0;      ///< Tokens of the prompt that the server has not read yet.
+    bool onReusedConnection = false;    ///< Another request was sent on this connection before.
+    double eventGap = 0;                ///< Smoothed time between events, in microseconds.
     int eventGapSamples = 0;
-    int headReadOf = 0;      ///< The attempt whose head was read.
-    AttemptTracker tracker;  ///< What is known of it and of those before it.
-    int sent = 0;            ///< Attempts that count against the route's maximum.
-    int migrations = 0;
-    int heldBack = 0;                   ///< Attempts given up just before the first byte.
-    int refusals = 0;                   ///< Connections refused.
-    bool noneCounted = true;            ///< The budget has not counted the first attempt yet.
-    bool sentUnrepeatable = false;      ///< Sent while the configuration called it not repeatable.
-    std::vector<std::string> tried;     ///< Servers of earlier attempts,
-    std::vector<std::string> rejected;  ///< and those of them where nothing ran.
+    int headReceivedOf = 0;               ///< The number of the attempt whose response head was received.
+    AttemptTracker tracker;               ///< The state of the current attempt, with the earlier outcomes.
+    int sent = 0;                         ///< Attempts that count against the route's maximum.
+    int migrations = 0;                   ///< Migrations that count against the model's limit.
+    int withheldSends = 0;                ///< Attempts cancelled directly before the first byte.
+    int refusedConnections = 0;           ///< Attempts that failed because the connection was refused.
+    bool isFirstAttemptUncounted = true;  ///< The retry budget has not counted the first attempt yet.
+    bool sentAsNonRepeatable = false;     ///< Sent while the configuration called it not repeatable.
+    std::vector<std::string> tried;       ///< Servers of earlier attempts.
+    std::vector<std::string> rejected;    ///< Those of them at which the request certainly did not run.
 };
 
-/// What was relayed of a streamed answer.
+/// The part of a streamed response that was forwarded to the client.
 struct RelayedStream {
     bool headSent = false;
-    int status = 200;  ///< Of the first server's head,
-    Headers headers;   ///< and its headers.
+    int status = 200;  ///< Of the response whose head was forwarded.
+    Headers headers;   ///< Of the same response.
     std::string weights;
-    std::int64_t lastEventId = -1;    ///< Of the newest event relayed; -1: none was.
-    bool hasOrderedIds = true;        ///< Ids so far were whole numbers that rise as they should.
-    std::vector<std::string> events;  ///< Relayed ones, kept while the request may still migrate.
+    std::int64_t lastEventId = -1;    ///< The id of the newest forwarded event; -1: none was forwarded.
+    bool hasOrderedIds = true;        ///< All ids so far were numbers in the expected order.
+    std::vector<std::string> events;  ///< Forwarded events, kept while the request may still migrate.
 };
 
-/// What limits a request.
+/// The limits of a request.
 struct RequestLimits {
     Microseconds deadline = 0;
-    std::int64_t routesRevision = 0;  ///< Of the routes that bind it.
-    std::int64_t sequenceTokens = 0;  ///< Prompt and events so far, as counted or estimated here.
-    bool migrationDisabled = false;   ///< It can no longer migrate, whatever the limit.
-    bool resumedByClient = false;     ///< Its client lost another node and goes on with its stream here.
+    std::int64_t routesRevision = 0;  ///< The revision of the routes that the request is bound to.
+    std::int64_t sequenceTokens = 0;  ///< Tokens of the prompt and the events so far, counted or estimated.
+    bool migrationDisabled = false;   ///< It can no longer migrate, whatever its migration limit is.
+    bool resumedByClient = false;     ///< Its client lost another node and resumes its stream at this one.
 };
 
-/// A place in a service's queue.
+/// A slot in a service's queue.
 struct QueuePlace {
-    std::string service;     ///< Empty: it holds no place.
-    Microseconds until = 0;  ///< When it has waited long enough.
+    std::string service;     ///< Empty: the request has no slot.
+    Microseconds until = 0;  ///< When the request leaves the queue at the latest.
 };
 
 /// A request's claim on its tenant's quota.
 struct QuotaClaim {
     enum class State {
-        None,      ///< It needs no token, or has none.
-        Waiting,   ///< It waits for one.
-        Reserved,  ///< It has one.
-        Spent,     ///< It was sent with one.
+        None,      ///< The request needs no token, or has none.
+        Waiting,   ///< It waits for a token.
+        Reserved,  ///< It has a token.
+        Spent,     ///< It was sent, and its token is used up.
     };
     State state = State::None;
     QuotaReservation reservation;
-    std::string tenant;           ///< For which it waits.
-    Microseconds waitsUntil = 0;  ///< When it has waited long enough.
+    std::string tenant;           ///< The tenant for whose token it waits.
+    Microseconds waitsUntil = 0;  ///< When it stops waiting.
 };
 
 /// One request, from its acceptance to its end.
 struct Request {
     std::int64_t id = 0;
-    Route route;           ///< As the newest configuration that binds it says.
-    RequestTenant tenant;  ///< Likewise.
+    Route route;           ///< As of the newest configuration that the request was bound to.
+    RequestTenant tenant;  ///< As of the same configuration.
     ReceivedRequest received;
     RequestAttempts attempts;
     RelayedStream relayed;
     RequestLimits limits;
     QueuePlace queuePlace;
     QuotaClaim quota;
-    std::vector<std::string> trace;  ///< What was decided of it, for operators.
+    std::vector<std::string> trace;  ///< The decisions about the request, one line each, for operators.
     std::unique_ptr<RequestMachine> machine;
 
     Request();
@@ -122,16 +130,18 @@
     auto operator=(Request&&) noexcept -> Request&;
     ~Request();
     [[nodiscard]] auto phase() const -> Phase;
-    /// What the configuration allows it. One that was sent as not repeatable stays so.
+    /// What the configuration permits. A request that was sent as not repeatable stays so, even if a newer
+    /// configuration calls it repeatable.
     [[nodiscard]] auto retryRights() const -> RetryRights {
-        return {route.mayRunAgain() && !attempts.sentUnrepeatable, route.resumable};
+        return {route.mayRunAgain() && !attempts.sentAsNonRepeatable, route.resumable};
     }
-    /// Whether it goes before another: by the tenants' ranks, and between like ranks by the routes' urgency.
+    /// Whether it takes precedence over `other`: by the rank of the tenants, and for equal ranks by the
+    /// urgency of the routes.
     [[nodiscard]] auto isMoreUrgentThan(const Request& other) const -> bool {
         if (tenant.rank != other.tenant.rank) return tenant.rank < other.tenant.rank;
         return route.urgency > other.route.urgency;
     }
-    /// The migrations that are left to it.
+    /// The number of times that the request may still migrate.
     [[nodiscard]] auto migrationsLeft() const -> int {
         return limits.migrationDisabled ? 0 : std::max(0, route.migrationLimit - attempts.migrations);
     }
--- a/src/routing/request_phases.cpp
+++ b/src/routing/request_phases.cpp
@@ -12,13 +12,14 @@
 namespace msm = boost::msm;
 namespace mpl = boost::mpl;
 
-struct SendEvent {};
-struct BytesEvent {};
-struct LossEvent {};
-struct WaitEvent {};
-struct EndEvent {};
+struct AttemptStarted {};
+struct BytesForwarded {};
+struct AttemptLost {};
+struct Requeued {};
+struct RequestEnded {};
 
-// The table of phases. Its states are numbered in the order of Phase.
+// The transition table. boost::msm numbers the states by their order in the table. It must be the order of
+// Phase, since Request::phase converts the numbers.
 struct PhaseTable : msm::front::state_machine_def<PhaseTable> {
     struct Queued : msm::front::state<> {};
     struct Sending : msm::front::state<> {};
@@ -31,17 +32,17 @@
     using Transition = msm::front::Row<From, Event, To, msm::front::none, msm::front::none>;
     // clang-format off
     struct transition_table : mpl::vector<  // NOLINT: the library's name
-        Transition<Queued, SendEvent, Sending>,
-        Transition<Queued, EndEvent, Finished>,
-        Transition<Sending, BytesEvent, Delivering>,
-        Transition<Sending, LossEvent, Migrating>,
-        Transition<Sending, EndEvent, Finished>,
-        Transition<Delivering, BytesEvent, Delivering>,
-        Transition<Delivering, LossEvent, Migrating>,
-        Transition<Delivering, EndEvent, Finished>,
-        Transition<Migrating, SendEvent, Sending>,
-        Transition<Migrating, WaitEvent, Queued>,
-        Transition<Migrating, EndEvent, Finished>> {};
+        Transition<Queued, AttemptStarted, Sending>,
+        Transition<Queued, RequestEnded, Finished>,
+        Transition<Sending, BytesForwarded, Delivering>,
+        Transition<Sending, AttemptLost, Migrating>,
+        Transition<Sending, RequestEnded, Finished>,
+        Transition<Delivering, BytesForwarded, Delivering>,
+        Transition<Delivering, AttemptLost, Migrating>,
+        Transition<Delivering, RequestEnded, Finished>,
+        Transition<Migrating, AttemptStarted, Sending>,
+        Transition<Migrating, Requeued, Queued>,
+        Transition<Migrating, RequestEnded, Finished>> {};
     // clang-format on
 
     template <class Machine, class Event>
@@ -57,7 +58,7 @@
     msm::back::state_machine<PhaseTable> phases;
 
     RequestMachine() { phases.start(); }
-    // Whether the table allows the event.
+    // Applies the event; returns whether the table allows it in the current phase.
     template <class Event>
     auto process(Event event) -> bool {
         phases.isIllegal = false;
@@ -72,15 +73,15 @@
 Request::~Request() = default;
 auto Request::phase() const -> Phase { return Phase(machine->phases.current_state()[0]); }
 
-auto turn(Request& request, Counters& counters, PhaseEvent event) -> void {
+auto applyPhaseEvent(Request& request, Counters& counters, PhaseEvent event) -> void {
     auto& machine = *request.machine;
     auto isLegal = false;
     switch (event) {
-    case PhaseEvent::Send: isLegal = machine.process(SendEvent{}); break;
-    case PhaseEvent::Bytes: isLegal = machine.process(BytesEvent{}); break;
-    case PhaseEvent::Loss: isLegal = machine.process(LossEvent{}); break;
-    case PhaseEvent::Wait: isLegal = machine.process(WaitEvent{}); break;
-    case PhaseEvent::End: isLegal = machine.process(EndEvent{}); break;
+    case PhaseEvent::AttemptStarted: isLegal = machine.process(AttemptStarted{}); break;
+    case PhaseEvent::BytesForwarded: isLegal = machine.process(BytesForwarded{}); break;
+    case PhaseEvent::AttemptLost: isLegal = machine.process(AttemptLost{}); break;
+    case PhaseEvent::Requeued: isLegal = machine.process(Requeued{}); break;
+    case PhaseEvent::RequestEnded: isLegal = machine.process(RequestEnded{}); break;
     }
     if (!isLegal) counters.add("illegal_transitions_total");
 }
--- a/src/routing/response_relay.cpp
+++ b/src/routing/response_relay.cpp
@@ -1,4 +1,4 @@
-// What servers answer, and what of it is passed on to the client.
+// Responses of servers: validates them and forwards them to the client.
 #include <algorithm>
 #include <cstddef>
 #include <cstdint>
@@ -13,72 +13,75 @@
 namespace duneturn {
 namespace {
 
-constexpr auto MISDIRECTED = 421;                    // the address is another server's by now
-constexpr auto FULL_FOR = 150 * MILLISECOND;         // a server that said that it was full
-constexpr auto SLOW_FIRST_BYTE = 200 * MILLISECOND;  // a shorter time to the first byte is never slow
-constexpr auto SLOW_FACTOR = 5;                      // times the median of its like
-// Factors of a server's fitness.
-constexpr auto SLOW = 0.9;
-constexpr auto DECLINED = 0.8;
-constexpr auto SERVER_ERROR = 0.7;
-constexpr auto UNSOUND_EVENT = 0.3;
-constexpr auto WRONG_IDENTITY = 0.2;
+constexpr auto MISDIRECTED = 421;  // HTTP status: the address now belongs to another server
+// How long a server counts as full after it stated that it did not execute a request.
+constexpr auto FULL_SERVER_PAUSE = 150 * MILLISECOND;
+constexpr auto MIN_SLOW_FIRST_BYTE = 200 * MILLISECOND;  // a shorter time to the first byte is never slow
+constexpr auto SLOW_FIRST_BYTE_MEDIANS = 5;  // a time of so many times the service's median is slow
+// Factors by which a server's fitness (outlier_ejection.hpp) is multiplied.
+constexpr auto SLOW_FIRST_BYTE_FACTOR = 0.9;
+constexpr auto NOT_EXECUTED_FACTOR = 0.8;
+constexpr auto SERVER_ERROR_FACTOR = 0.7;
+constexpr auto MALFORMED_EVENT_FACTOR = 0.3;
+constexpr auto WRONG_IDENTITY_FACTOR = 0.2;
 
-// Whether an event's bytes are comments only.
+// Whether the bytes of an event consist only of comments and empty lines.
 auto isComment(std::string_view raw) -> bool {
-    for (auto i = std::size_t(0); i < raw.size();) {
-        if (raw[i] != ':' && raw[i] != '\n' && raw[i] != '\r') return false;
-        auto end = raw.find('\n', i);
-        i = end == std::string_view::npos ? raw.size() : end + 1;
+    for (auto lineStart = std::size_t(0); lineStart < raw.size();) {
+        auto first = raw[lineStart];
+        if (first != ':' && first != '\n' && first != '\r') return false;
+        auto lineEnd = raw.find('\n', lineStart);
+        lineStart = lineEnd == std::string_view::npos ? raw.size() : lineEnd + 1;
     }
     return true;
 }
 
-// Whether a status says that something is wrong with the request itself, which no other server would take
-// either.
+// Whether the status reports an error in the request itself, so that any other server would reject it too.
 auto isClientError(int status) -> bool {
     return status >= 400 && status < 500 && status != 408 && status != MISDIRECTED && status != 429;
 }
 
-// Whether a status promises that nothing ran.
+// Whether the status promises that the request was not executed.
 auto promisesNoRun(int status) -> bool { return status == 503 || status == 429 || status == 408; }
 
 }  // namespace
 
-// Whether the answer is another request's, or does not prove that it is this one's.
-auto Edge::isOtherRequests(const Request& request, const Headers& headers, int status) const -> bool {
+// Whether the response belongs to another request, or does not prove that it belongs to this one.
+auto Edge::belongsToAnotherRequest(const Request& request, const Headers& headers, int status) const -> bool {
     if (broken.ignoreRequestIdentity) return false;
     auto name = header(headers, dialect_.request);
     if (!name.empty()) return name != request.received.name;
-    // Of a success without a name nobody knows whose it is; of a failure neither, where a late answer to an
-    // earlier request may come on the same connection.
+    // The response names no request. A success could belong to any request. A failure is accepted on a new
+    // connection, but on a reused one it may be a late response to an earlier request.
     auto isSuccess = status >= 200 && status < 300;
     return dialect_.clientNamesRequests && (isSuccess || request.attempts.onReusedConnection);
 }
 
-// Whether the server says that it did not run the request.
+// Whether the server states that it did not execute the request.
 auto Edge::isNotExecuted(int status, const Headers& headers) const -> bool {
     return !header(headers, dialect_.notExecuted).empty()
         || (dialect_.clientNamesRequests && status == MISDIRECTED);
 }
 
-// The head of the answer was read, or what implies it.
-auto Edge::headRead(Request& request, int status, const Headers& headers) -> void {
+// Records that the head of the response was received; later parts of a response imply that as well.
+auto Edge::recordResponseHead(Request& request, int status, const Headers& headers) -> void {
     auto state = request.attempts.tracker.state();
     if (state != AttemptState::Writing && state != AttemptState::Written) return;
-    apply(request, isNotExecuted(status, headers) ? AttemptEvent::NotExecutedHead : AttemptEvent::FinalHead);
+    applyAttemptEvent(
+        request, isNotExecuted(status, headers) ? AttemptEvent::NotExecutedHead : AttemptEvent::FinalHead);
 }
 
-// A server is slow beside its like: judged against the service's median.
-auto Edge::judgeFirstByteTime(const Request& request, int status, const Headers& headers, Microseconds now)
+// Records the time to the first byte, and lowers the fitness of a server that is slow compared with the
+// median of its service.
+auto Edge::recordFirstByteTime(const Request& request, int status, const Headers& headers, Microseconds now)
     -> void {
     auto& statistics = statistics_.of(request.attempts.server);
-    auto taken = now - request.attempts.chosenAt;
-    statistics.recordFirstByte(taken);
-    if (taken <= SLOW_FIRST_BYTE || isNotExecuted(status, headers)) return;
+    auto firstByteTime = now - request.attempts.serverSelectedAt;
+    statistics.recordFirstByte(firstByteTime);
+    if (firstByteTime <= MIN_SLOW_FIRST_BYTE || isNotExecuted(status, headers)) return;
     auto median = statistics_.median(request.route.service, &ServerStatistics::firstByteTime);
-    if (median > 0 && statistics.firstByteTime > SLOW_FACTOR * median)
-        statistics.ejection.lowerFitness(SLOW, now);
+    if (median > 0 && statistics.firstByteTime > SLOW_FIRST_BYTE_MEDIANS * median)
+        statistics.ejection.lowerFitness(SLOW_FIRST_BYTE_FACTOR, now);
 }
 
 auto Edge::onResponseHead(std::int64_t id, int attempt, int status, const Headers& headers, Microseconds now)
@@ -88,25 +91,25 @@
     auto& attempts = request->attempts;
     auto& relayed = request->relayed;
     attempts.lastActivityAt = now;
-    judgeFirstByteTime(*request, status, headers, now);
+    recordFirstByteTime(*request, status, headers, now);
     auto mustBeNamed = status == 200 || dialect_.clientNamesRequests;
-    if (mustBeNamed && isOtherRequests(*request, headers, status)) {
+    if (mustBeNamed && belongsToAnotherRequest(*request, headers, status)) {
         onWrongIdentity(*request, now);
         return false;
     }
-    headRead(*request, status, headers);
-    promptRead(*request);
+    recordResponseHead(*request, status, headers);
+    releaseUnreadPrompt(*request);
     auto isMisdirected = dialect_.clientNamesRequests && status == MISDIRECTED;
     if (!isMisdirected) statistics_.readAnswer(attempts.server, headers, dialect_, now);
-    attempts.headReadOf = attempt;
-    // What a server says of its weights itself is newer than the listing.
+    attempts.headReceivedOf = attempt;
+    // The version of the weights that the server itself reports is newer than the one in its listing.
     if (auto weights = header(headers, dialect_.weights); status == 200 && !weights.empty()) {
         attempts.weights = weights;
         auto isBound = relayed.lastEventId >= 0 && !relayed.weights.empty() && !broken.ignoreWeightsVersion;
         if (isBound && weights != relayed.weights) {
             counters_.add("wrong_weights_total");
-            retryElsewhere(
-                *request, AttemptEvent::AnswerUnsuitable, "the server runs other weights by now", now);
+            retryElsewhere(*request, AttemptEvent::ResponseUnusable,
+                "the server now runs another version of the weights", now);
             return false;
         }
     }
@@ -118,17 +121,18 @@
 }
 
 auto Edge::onWrongIdentity(Request& request, Microseconds now) -> void {
-    statistics_.of(request.attempts.server).ejection.lowerFitness(WRONG_IDENTITY, now);
+    statistics_.of(request.attempts.server).ejection.lowerFitness(WRONG_IDENTITY_FACTOR, now);
     counters_.add("wrong_exchange_total");
-    retryElsewhere(request, AttemptEvent::WrongIdentity, "the server sent another exchange's reply", now);
+    retryElsewhere(
+        request, AttemptEvent::WrongIdentity, "the server sent a response to another request", now);
 }
 
 auto Edge::onClientSlow(std::int64_t id, int attempt, Microseconds now) -> void {
     if (auto request = currentAttempt(id, attempt)) request->attempts.lastActivityAt = now;
 }
 
-// Once, before the first bytes of a stream: the head that the client gets, of whatever server gave the
-// first event.
+// Sends the head of a stream to the client before the first event is forwarded, once per request. The head is
+// that of the server that sent the first event; the client does not see the heads of later servers.
 auto Edge::sendHeadOnce(Request& request) -> void {
     auto& relayed = request.relayed;
     if (relayed.headSent) return;
@@ -140,59 +144,60 @@
             {dialect_.weights, relayed.weights}});
 }
 
-// Where clients name requests, ids rise, by how much nobody says.
-auto Edge::judgeRisingEvent(RelayedStream& relayed, const ServerSentEvent& event) const -> EventVerdict {
+// Validates the id of the next event where clients name requests: ids increase, by any amount.
+auto Edge::validateIncreasingId(RelayedStream& relayed, const ServerSentEvent& event) const -> EventCheck {
     if (event.id.empty()) {
-        if (isComment(event.raw)) return EventVerdict::Sound;
+        if (isComment(event.raw)) return EventCheck::Valid;
         if (relayed.lastEventId >= 0 || (event.data.empty() && event.type.empty()))
-            return EventVerdict::Unsound;
+            return EventCheck::Malformed;
         relayed.hasOrderedIds = false;
-        return EventVerdict::Sound;
+        return EventCheck::Valid;
     }
-    if (!relayed.hasOrderedIds) return EventVerdict::Sound;
+    if (!relayed.hasOrderedIds) return EventCheck::Valid;
     auto number = parseNumber(event.id);
     if (number < 0) {
-        if (relayed.lastEventId >= 0) return EventVerdict::Unsound;
+        if (relayed.lastEventId >= 0) return EventCheck::Malformed;
         relayed.hasOrderedIds = false;
-        return EventVerdict::Sound;
+        return EventCheck::Valid;
     }
-    if (number <= relayed.lastEventId && !broken.joinUnorderedEvents) return EventVerdict::OutOfOrder;
+    if (number <= relayed.lastEventId && !broken.joinUnorderedEvents) return EventCheck::OutOfOrder;
     relayed.lastEventId = number;
-    return EventVerdict::Sound;
+    return EventCheck::Valid;
 }
 
-// Whether the next event of a stream follows what was relayed of it; notes its id if so.
-auto Edge::judgeEvent(RelayedStream& relayed, const ServerSentEvent& event) const -> EventVerdict {
-    if (dialect_.clientNamesRequests) return judgeRisingEvent(relayed, event);
+// Checks that the next event of a stream follows the events forwarded so far, and records its id if so.
+auto Edge::validateEvent(RelayedStream& relayed, const ServerSentEvent& event) const -> EventCheck {
+    if (dialect_.clientNamesRequests) return validateIncreasingId(relayed, event);
     if (event.id.empty()) {
         if (!event.done()) relayed.hasOrderedIds = false;
-        return EventVerdict::Sound;
+        return EventCheck::Valid;
     }
-    if (!relayed.hasOrderedIds) return EventVerdict::Sound;
+    if (!relayed.hasOrderedIds) return EventCheck::Valid;
     auto number = parseNumber(event.id);
     if (number < 0) {
-        // Ids that are no numbers cannot be counted, nor joined.
-        if (relayed.lastEventId >= 0) return EventVerdict::Uncountable;
+        // A stream whose ids are not numbers cannot be resumed at another server.
+        if (relayed.lastEventId >= 0) return EventCheck::NonNumericId;
         relayed.hasOrderedIds = false;
-        return EventVerdict::Sound;
+        return EventCheck::Valid;
     }
     auto isNext = relayed.lastEventId < 0 || number == relayed.lastEventId + 1;
-    if (!isNext && !broken.joinUnorderedEvents) return EventVerdict::OutOfOrder;
+    if (!isNext && !broken.joinUnorderedEvents) return EventCheck::OutOfOrder;
     relayed.lastEventId = number;
-    return EventVerdict::Sound;
+    return EventCheck::Valid;
 }
 
-auto Edge::rejectEvent(Request& request, const ServerSentEvent& event, EventVerdict verdict, Microseconds now)
+auto Edge::rejectEvent(Request& request, const ServerSentEvent& event, EventCheck check, Microseconds now)
     -> void {
-    auto last = request.relayed.lastEventId;
-    if (verdict == EventVerdict::Uncountable)
-        return fail(request, 502, fmt::format("the event after {} came as {}", last, event.id), now);
-    statistics_.of(request.attempts.server).ejection.lowerFitness(UNSOUND_EVENT, now);
-    counters_.add(verdict == EventVerdict::OutOfOrder ? "events_out_of_line_total" : "events_unsound_total");
+    auto lastId = request.relayed.lastEventId;
+    if (check == EventCheck::NonNumericId)
+        return fail(request, 502,
+            fmt::format("the event after id {} has id {}, which is not a number", lastId, event.id), now);
+    statistics_.of(request.attempts.server).ejection.lowerFitness(MALFORMED_EVENT_FACTOR, now);
+    counters_.add(check == EventCheck::OutOfOrder ? "events_out_of_line_total" : "events_unsound_total");
     if (dialect_.clientNamesRequests && !request.relayed.headSent)
-        return retryElsewhere(request, AttemptEvent::MalformedResponse, "its first event is unsound", now);
-    auto came = event.id.empty() ? "garbage" : event.id;
-    fail(request, 502, fmt::format("the event after {} came as {}", last, came), now);
+        return retryElsewhere(request, AttemptEvent::MalformedResponse, "the first event is malformed", now);
+    auto received = event.id.empty() ? "has no id" : "has id " + event.id;
+    fail(request, 502, fmt::format("the event after id {} {}", lastId, received), now);
 }
 
 auto Edge::onStreamEvent(std::int64_t id, int attempt, const ServerSentEvent& event, Microseconds now)
@@ -202,38 +207,38 @@
     auto gap = now - request->attempts.lastActivityAt;
     request->attempts.lastActivityAt = now;
     statistics_.of(request->attempts.server).lastReceivedAt = now;
-    headRead(*request, 200, {});
-    auto verdict = judgeEvent(request->relayed, event);
-    if (verdict != EventVerdict::Sound) return rejectEvent(*request, event, verdict, now);
+    recordResponseHead(*request, 200, {});
+    auto check = validateEvent(request->relayed, event);
+    if (check != EventCheck::Valid) return rejectEvent(*request, event, check, now);
     if (!request->relayed.hasOrderedIds) request->limits.migrationDisabled = true;
     sendHeadOnce(*request);
-    turn(*request, counters_, PhaseEvent::Bytes);
-    apply(*request, AttemptEvent::EventReceived);
+    applyPhaseEvent(*request, counters_, PhaseEvent::BytesForwarded);
+    applyAttemptEvent(*request, AttemptEvent::EventReceived);
     if (migration_.recordRelayed(*request, event))
         note(*request,
-            fmt::format(
-                "+{} us past the maximum sequence length: migrations 0", now - request->received.acceptedAt));
+            fmt::format("+{} us maximum sequence length exceeded: no further migration",
+                now - request->received.acceptedAt));
     port_.sendStreamBytes(id, event.raw);
     if (dialect_.doneEvent && event.done()) completeStream(*request, now);
-    else if (request->relayed.lastEventId > 0) moveIfCrawling(*request, gap, now);
+    else if (request->relayed.lastEventId > 0) migrateIfServerSlow(*request, gap, now);
 }
 
 auto Edge::completeStream(Request& request, Microseconds now) -> void {
     statistics_.of(request.attempts.server).ejection.raiseFitness(now);
-    apply(request, AttemptEvent::AnswerWhole);
+    applyAttemptEvent(request, AttemptEvent::ResponseCompleted);
     port_.endStream(request.id, true);
     countOutcome(request, request.attempts.sent > 1 ? "whole_moved" : "whole");
-    finish(request, "whole", now);
+    finish(request, "complete", now);
 }
 
 auto Edge::onStreamEnd(std::int64_t id, int attempt, Microseconds now) -> void {
     auto request = currentAttempt(id, attempt);
     if (!request) return;
     if (dialect_.doneEvent)
-        return onConnectionLost(id, attempt, "the stream ended without its completion mark", now);
-    headRead(*request, 200, {});
+        return onConnectionLost(id, attempt, "the stream ended without its completion event", now);
+    recordResponseHead(*request, 200, {});
     sendHeadOnce(*request);
-    turn(*request, counters_, PhaseEvent::Bytes);
+    applyPhaseEvent(*request, counters_, PhaseEvent::BytesForwarded);
     statistics_.of(request->attempts.server).lastReceivedAt = now;
     completeStream(*request, now);
     serveQueue(now);
@@ -243,72 +248,74 @@
     const std::string& body, Microseconds now) -> void {
     auto request = currentAttempt(id, attempt);
     if (!request) return;
-    if (isOtherRequests(*request, headers, status)) return onWrongIdentity(*request, now);
-    headRead(*request, status, headers);
-    promptRead(*request);
+    if (belongsToAnotherRequest(*request, headers, status)) return onWrongIdentity(*request, now);
+    recordResponseHead(*request, status, headers);
+    releaseUnreadPrompt(*request);
     auto& attempts = request->attempts;
     auto isMisdirected = dialect_.clientNamesRequests && status == MISDIRECTED;
-    if (attempts.headReadOf != attempt && !isMisdirected)
+    if (attempts.headReceivedOf != attempt && !isMisdirected)
         statistics_.readAnswer(attempts.server, headers, dialect_, now);
-    auto isRequestsFault = dialect_.clientNamesRequests && isClientError(status);
-    if (isNotExecuted(status, headers) && (!isRequestsFault || request->relayed.headSent))
-        return onDeclined(*request, status, now);
-    if (auto why = whyUnsuitable(*request, status, now); !why.empty())
-        return retryElsewhere(*request, AttemptEvent::AnswerUnsuitable, why, now);
+    auto isRequestAtFault = dialect_.clientNamesRequests && isClientError(status);
+    if (isNotExecuted(status, headers) && (!isRequestAtFault || request->relayed.headSent))
+        return onNotExecuted(*request, status, now);
+    if (auto why = whyResponseUnusable(*request, status, now); !why.empty())
+        return retryElsewhere(*request, AttemptEvent::ResponseUnusable, why, now);
     relayResponse(*request, status, headers, body, now);
 }
 
-// The server says that it did not run the request.
-auto Edge::onDeclined(Request& request, int status, Microseconds now) -> void {
+// Retries a request that the server states it did not execute, and avoids that server for a while.
+auto Edge::onNotExecuted(Request& request, int status, Microseconds now) -> void {
     counters_.add("server_denied_total");
     auto& statistics = statistics_.of(request.attempts.server);
     if (!dialect_.clientNamesRequests) {
-        statistics.ejection.lowerFitness(DECLINED, now);
+        statistics.ejection.lowerFitness(NOT_EXECUTED_FACTOR, now);
     } else if (status == MISDIRECTED) {
-        // Its address is another server's by now; it may be listed for a while yet.
+        // The address now belongs to another server, but the old listing may be valid for a while.
         if (auto server = node_.servers().find(request.attempts.server); server != node_.servers().end())
             statistics.wrongAddressRevision =
                 std::max(statistics.wrongAddressRevision, server->second.listing.revision);
         statistics.ejection.eject(now);
     } else {
-        statistics.fullUntil = now + FULL_FOR;
+        statistics.fullUntil = now + FULL_SERVER_PAUSE;
     }
-    retryElsewhere(
-        request, AttemptEvent::AnswerUnsuitable, fmt::format("denied by the server with {}", status), now);
+    retryElsewhere(request, AttemptEvent::ResponseUnusable,
+        fmt::format("the server rejected it with status {}", status), now);
 }
 
-// Why a whole answer cannot be passed on as it is; empty if it can. Judges the server by it.
-auto Edge::whyUnsuitable(Request& request, int status, Microseconds now) -> std::string {
-    if (request.relayed.headSent) return fmt::format("the resumed stream was not one (status {})", status);
-    if (request.route.stream && status == 200 && !dialect_.passHeaders) return "not a stream";
+// Returns why a complete response cannot be forwarded as it is; empty if it can. Adjusts the server's fitness
+// by the status.
+auto Edge::whyResponseUnusable(Request& request, int status, Microseconds now) -> std::string {
+    if (request.relayed.headSent)
+        return fmt::format("the server did not resume the stream (status {})", status);
+    if (request.route.stream && status == 200 && !dialect_.passHeaders) return "the response is not a stream";
     auto& ejection = statistics_.of(request.attempts.server).ejection;
-    if (status >= 500) ejection.lowerFitness(SERVER_ERROR, now);
+    if (status >= 500) ejection.lowerFitness(SERVER_ERROR_FACTOR, now);
     else ejection.raiseFitness(now);
     if (!dialect_.clientNamesRequests) return "";
     auto isRepeatable = request.retryRights().repeatable;
-    if (status >= 500 && isRepeatable && couldMove(request, AttemptEvent::AnswerUnsuitable, now))
-        return fmt::format("the server failed with {}", status);
-    // These promise that nothing ran, which this server did not say.
+    if (status >= 500 && isRepeatable && canRetryElsewhere(request, AttemptEvent::ResponseUnusable, now))
+        return fmt::format("the server failed with status {}", status);
+    // To the client these statuses promise that the request did not run, which the server did not state.
     if (promisesNoRun(status) && !isRepeatable)
-        return fmt::format("the server replied {} but may have run it", status);
+        return fmt::format("the server responded with status {} but may have run the request", status);
     return "";
 }
 
 auto Edge::relayResponse(
     Request& request, int status, const Headers& headers, const std::string& body, Microseconds now) -> void {
-    auto passed = Headers{{dialect_.request, request.received.name}};
+    auto forwarded = Headers{{dialect_.request, request.received.name}};
     if (dialect_.passHeaders) {
-        passed = endToEnd(headers);
+        forwarded = endToEnd(headers);
     } else {
         for (auto name : {"Content-Type", "Retry-After", "Cache-Control", "ETag"})
-            if (auto value = header(headers, name); !value.empty()) passed.emplace_back(name, value);
+            if (auto value = header(headers, name); !value.empty()) forwarded.emplace_back(name, value);
     }
-    turn(request, counters_, PhaseEvent::Bytes);
-    apply(request, AttemptEvent::AnswerWhole);
-    port_.sendReply(request.id, status, passed, body);
+    applyPhaseEvent(request, counters_, PhaseEvent::BytesForwarded);
+    applyAttemptEvent(request, AttemptEvent::ResponseCompleted);
+    port_.sendReply(request.id, status, forwarded, body);
     auto success = request.attempts.sent > 1 ? "whole_moved" : "whole";
     countOutcome(request, status < 400 ? success : "server_error");
-    finish(request, fmt::format("reply {}", status), now);
+    finish(request, fmt::format("response with status {}", status), now);
     if (dialect_.clientNamesRequests) serveQueue(now);
 }
 
--- a/src/routing/retry_budget.cpp
+++ b/src/routing/retry_budget.cpp
@@ -8,11 +8,11 @@
 namespace duneturn {
 namespace {
 
-constexpr auto TOKENS_PER_CREDIT = 4096;  // of a prompt that is read again, beside the attempt itself
-constexpr auto GRANT = 2 * CREDIT_PER_ATTEMPT;
-constexpr auto GRANT_RESERVE = 8 * CREDIT_PER_ATTEMPT;  // what a node keeps for itself
+constexpr auto TOKENS_PER_CREDIT = 4096;  // reading so many tokens again costs as much as one more attempt
+constexpr auto CREDIT_PER_GRANT = 2 * CREDIT_PER_ATTEMPT;
+constexpr auto CREDIT_RESERVE = 8 * CREDIT_PER_ATTEMPT;  // a node grants only credit beyond this
 constexpr auto GRANT_INTERVAL = 200 * MILLISECOND;
-constexpr auto SHORTAGE_HOLDS = 2 * SECOND;  // how long others are asked for credit
+constexpr auto SHORTAGE_REPORT_TIME = 2 * SECOND;  // how long a shortage is published to other nodes
 
 }  // namespace
 
@@ -20,7 +20,8 @@
     if (routes_.budgetSlack < 0) return credit_;
     auto& account = accounts_[service];
     auto cap = std::int64_t(routes_.budgetSlack * double(CREDIT_PER_ATTEMPT) / double(fleet_.nodes()));
-    if (!account.opened && fleet_.settled(now)) {  // how many nodes there are is known by now
+    // The initial credit depends on the number of nodes, which is known only once the fleet has settled.
+    if (!account.opened && fleet_.settled(now)) {
         account.opened = true;
         account.credit += cap / 2;
     }
@@ -28,8 +29,8 @@
     return account.credit;
 }
 
-// Reading a long prompt again costs more than reading a short one; where arrivals are what is counted,
-// each is one.
+// Reading a long prompt again costs more than reading a short one. Where clients name requests, the budget
+// limits the number of requests that arrive at servers, so each attempt costs the same.
 auto RetryBudget::cost(const Request& request) const -> std::int64_t {
     if (faults_.ignoreRetryBudget) return 0;
     if (dialect_.clientNamesRequests) return CREDIT_PER_ATTEMPT;
@@ -51,8 +52,8 @@
 
 auto RetryBudget::recordAttempt(Request& request, Microseconds now) -> void {
     counters_.add("sends_total");
-    if (!request.attempts.noneCounted) return;
-    request.attempts.noneCounted = false;
+    if (!request.attempts.isFirstAttemptUncounted) return;
+    request.attempts.isFirstAttemptUncounted = false;
     auto& credit = account(request.route.service, now);
     if (request.limits.resumedByClient) {
         credit -= cost(request);
@@ -64,10 +65,10 @@
     counters_.add("first_sends_total");
     credit += std::int64_t(routes_.budgetShare * CREDIT_PER_ATTEMPT);
     if (routes_.budgetSlack < 0) credit = std::min(credit, routes_.budgetCap * CREDIT_PER_ATTEMPT);
-    account(request.route.service, now);  // bounds it
+    account(request.route.service, now);  // limits the credit to the cap
 }
 
-auto RetryBudget::countsAsFurther(Execution execution) const -> bool {
+auto RetryBudget::isCharged(Execution execution) const -> bool {
     return execution != Execution::NotArrived || !dialect_.clientNamesRequests;
 }
 
@@ -77,32 +78,33 @@
 }
 
 auto RetryBudget::tick(Node& node, Microseconds now) -> void {
-    node.setCredit(credit_, shortageAt_ && now - shortageAt_ < SHORTAGE_HOLDS ? 1 : 0);
-    if (now - grantedAt_ > GRANT_INTERVAL && credit_ > GRANT_RESERVE) {
+    node.setCredit(credit_, shortageAt_ && now - shortageAt_ < SHORTAGE_REPORT_TIME ? 1 : 0);
+    if (now - grantedAt_ > GRANT_INTERVAL && credit_ > CREDIT_RESERVE) {
         grantedAt_ = now;
         grantToOthers(node, now);
     }
     counters_.set("credit_milli", credit_);
 }
 
-// Spare credit goes to nodes that lack it: taken off here first, so none is minted. Of several nodes that
-// could grant, the one that rendezvous hashing puts first does.
+// Grants spare credit to nodes that lack it. The credit is subtracted here before it is sent, so a lost
+// message cannot create credit. Of several nodes that could grant, only the one that rendezvous hashing ranks
+// first does.
 auto RetryBudget::grantToOthers(Node& node, Microseconds now) -> void {
-    auto isFirst = [&](const std::string& poor) {
+    auto isFirstGranter = [&](const std::string& recipient) {
         for (auto& [name, known] : node.nodes())
-            if (name != poor && now - known.lastHeartbeatAt < ALIVE_TIMEOUT
-                && known.record.credit > GRANT_RESERVE
-                && rendezvousRank(poor, name) > rendezvousRank(poor, node.ownRecord().node))
+            if (name != recipient && now - known.lastHeartbeatAt < ALIVE_TIMEOUT
+                && known.record.credit > CREDIT_RESERVE
+                && rendezvousRank(recipient, name) > rendezvousRank(recipient, node.ownRecord().node))
                 return false;
         return true;
     };
     for (auto& [name, known] : node.nodes()) {
-        auto isPoor = known.record.want && known.record.credit < GRANT;
-        if (now - known.lastHeartbeatAt >= ALIVE_TIMEOUT || !isPoor || credit_ <= GRANT_RESERVE
-            || !isFirst(name))
+        auto lacksCredit = known.record.want && known.record.credit < CREDIT_PER_GRANT;
+        if (now - known.lastHeartbeatAt >= ALIVE_TIMEOUT || !lacksCredit || credit_ <= CREDIT_RESERVE
+            || !isFirstGranter(name))
             continue;
-        credit_ -= GRANT;
-        node.grantCredit(name, GRANT, now);
+        credit_ -= CREDIT_PER_GRANT;
+        node.grantCredit(name, CREDIT_PER_GRANT, now);
         counters_.add("grants_given_total");
     }
 }
--- a/src/routing/retry_budget.hpp
+++ b/src/routing/retry_budget.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// The retry budget: first attempts earn credit, further attempts cost it, so that retries stay a small
-// part of the traffic however much fails.
+// The retry budget: first attempts earn credit and retries cost credit, so that retries stay a small part of
+// the traffic however many attempts fail.
 #include <cstdint>
 #include <map>
 #include <string>
@@ -17,32 +17,35 @@
 
 namespace duneturn {
 
-/// Credit is counted in thousandths of an attempt. There is one account for all services, or, where the
-/// configuration names a slack, one for each service, since what one service's requests earned must not
-/// fall on another service's servers. Nodes with credit to spare grant some to nodes that lack it.
+/// Credit is counted in thousandths of an attempt. There is one account for all services, unless the
+/// configuration sets a slack: then each service has its own account, because credit earned by the requests
+/// of one service must not pay for extra load on the servers of another. Nodes with spare credit grant some
+/// of it to nodes that lack credit.
 class RetryBudget {
   public:
     RetryBudget(const RouteTable& routes, const Dialect& dialect, const FleetSize& fleet, Counters& counters,
         const EdgeFaults& faults)
         : routes_(routes), dialect_(dialect), fleet_(fleet), counters_(counters), faults_(faults) {}
 
-    /// Whether a further attempt of this request can be paid.
+    /// Whether the credit suffices for a retry of this request.
     [[nodiscard]] auto allows(const Request& request, Microseconds now) -> bool;
+    /// Deducts the cost of a retry.
     auto pay(const Request& request, Microseconds now) -> void;
-    /// A further attempt could not be paid; other nodes are asked for credit.
+    /// Records that the credit did not suffice for a retry, and asks other nodes for credit for a while.
     auto recordShortage(Microseconds now) -> void;
-    /// An attempt is about to be sent. The first of a request earns credit; one that carries on a stream
-    /// whose client lost its node was begun elsewhere, so it is a further one.
+    /// Records that an attempt is about to be sent. The first attempt of a request earns credit. If the
+    /// client lost its node and resumes its stream here, the request was first sent by that node, so its
+    /// first attempt here costs credit like a retry.
     auto recordAttempt(Request& request, Microseconds now) -> void;
-    /// Whether an attempt with this outcome counts as an arrival, which the budget pays for. Where
-    /// arrivals are what is counted, what did not arrive costs nothing.
-    [[nodiscard]] auto countsAsFurther(Execution execution) const -> bool;
+    /// Whether a retry after a failed attempt with this outcome costs credit. Where clients name requests,
+    /// the budget limits arrivals at servers, so a retry after an attempt that did not arrive is free.
+    [[nodiscard]] auto isCharged(Execution execution) const -> bool;
 
-    /// Another node granted credit to this one.
+    /// Adds credit that another node granted to this one.
     auto receiveGrant(std::int64_t credit) -> void;
-    /// Publishes how this node stands, and grants what it can spare.
+    /// Publishes the credit of this node and whether it needs more, and grants spare credit to other nodes.
     auto tick(Node& node, Microseconds now) -> void;
-    /// Of the account for all services.
+    /// The credit of the account for all services.
     [[nodiscard]] auto credit() const -> std::int64_t { return credit_; }
 
   private:
@@ -60,7 +63,7 @@
     Counters& counters_;
     const EdgeFaults& faults_;
     std::int64_t credit_ = 0;
-    std::map<std::string, ServiceAccount> accounts_;  // by service, where the configuration names a slack
+    std::map<std::string, ServiceAccount> accounts_;  // by service; used if the configuration sets a slack
     Microseconds shortageAt_ = 0, grantedAt_ = 0;
 };
 
--- a/tests/routing/attempt_state_test.cpp
+++ b/tests/routing/attempt_state_test.cpp
@@ -25,24 +25,24 @@
     return events;
 }
 
-const auto OVER = std::set{State::Done, State::Failed};
+const auto OVER = std::set{State::Completed, State::Failed};
 const auto NOTHING_WRITTEN = std::set{State::Queued, State::Connecting};
 const auto AWAITING_ANSWER = std::set{State::Writing, State::Written};
 const auto FAILURES = std::set{Event::ConnectionReset, Event::ConnectionClosed, Event::MalformedResponse,
-    Event::WrongIdentity, Event::Silence, Event::AnswerUnsuitable};
+    Event::WrongIdentity, Event::ServerSilent, Event::ResponseUnusable};
 
 // Whether the event can happen at all, from the order in which a send and its answer go.
 auto possible(State state, Event event) -> bool {
-    auto answering = std::set{State::Declined, State::AnsweredHead, State::Streaming};
-    if (event == Event::ClientGone || event == Event::DeadlinePassed) return true;
+    auto answering = std::set{State::Declined, State::HeadReceived, State::Streaming};
+    if (event == Event::ClientDisconnected || event == Event::DeadlineExceeded) return true;
     switch (event) {
-    case Event::ServerChosen: return state == State::Queued;
-    case Event::HeldBack:
+    case Event::ServerSelected: return state == State::Queued;
+    case Event::SendWithheld:
     case Event::WriteStarted: return state == State::Connecting;
     case Event::SurplusBytes: return OVER.count(state) > 0;
     case Event::EventReceived:
-        return state == State::AnsweredHead || state == State::Streaming || OVER.count(state);
-    case Event::AnswerWhole: return answering.count(state) || OVER.count(state);
+        return state == State::HeadReceived || state == State::Streaming || OVER.count(state);
+    case Event::ResponseCompleted: return answering.count(state) || OVER.count(state);
     case Event::NotExecutedHead:
     case Event::FinalHead: return AWAITING_ANSWER.count(state) || OVER.count(state);
     case Event::WriteFinished: return state != State::Written && !NOTHING_WRITTEN.count(state);
@@ -53,10 +53,10 @@
 
 // What is proved about the present server's execution once the event has happened.
 auto proven(State state, Event event) -> Execution {
-    if (state == State::Done) return Execution::Ran;
+    if (state == State::Completed) return Execution::Ran;
     if (state == State::Failed) return Execution::MayHaveRun;
     if (event == Event::NotExecutedHead || state == State::Declined) return Execution::NotRun;
-    if (event == Event::FinalHead || state == State::AnsweredHead || state == State::Streaming)
+    if (event == Event::FinalHead || state == State::HeadReceived || state == State::Streaming)
         return Execution::Ran;
     if (NOTHING_WRITTEN.count(state) && event != Event::WriteStarted) return Execution::NotArrived;
     return Execution::MayHaveRun;
@@ -64,7 +64,7 @@
 
 // May it be sent again after the event? Asked for each kind of request.
 auto againExpected(State state, Event event, RetryRights rights) -> bool {
-    auto failure = FAILURES.count(event) || event == Event::ConnectionRefused || event == Event::HeldBack;
+    auto failure = FAILURES.count(event) || event == Event::ConnectionRefused || event == Event::SendWithheld;
     if (!failure || OVER.count(state)) return false;
     auto execution = proven(state, event);
     if (execution == Execution::NotArrived || execution == Execution::NotRun) return true;
@@ -91,18 +91,19 @@
                 CPPUNIT_ASSERT_EQUAL_MESSAGE(
                     what, againExpected(state, event, rights), mayAttemptAgain(rule.step, rights));
             // A promise is given exactly where nothing ran, at the end of the request's time.
-            if (event == Event::DeadlinePassed && !OVER.count(state)) {
+            if (event == Event::DeadlineExceeded && !OVER.count(state)) {
                 auto promised = rule.execution < Execution::MayHaveRun;
-                CPPUNIT_ASSERT_EQUAL_MESSAGE(what, promised, rule.step == NextStep::RefuseNotRun);
+                CPPUNIT_ASSERT_EQUAL_MESSAGE(what, promised, rule.step == NextStep::RejectNotExecuted);
                 CPPUNIT_ASSERT_EQUAL_MESSAGE(
-                    what, state == State::Streaming, rule.step == NextStep::CutStream);
+                    what, state == State::Streaming, rule.step == NextStep::TruncateStream);
             }
             // Only what belongs to this request's answer reaches the client, and nothing after the end.
-            auto passes = event == Event::EventReceived || event == Event::AnswerWhole;
-            CPPUNIT_ASSERT_EQUAL_MESSAGE(what, passes && !OVER.count(state), rule.step == NextStep::PassOn);
+            auto passes = event == Event::EventReceived || event == Event::ResponseCompleted;
+            CPPUNIT_ASSERT_EQUAL_MESSAGE(what, passes && !OVER.count(state), rule.step == NextStep::Forward);
             if (OVER.count(state)) CPPUNIT_ASSERT_EQUAL_MESSAGE(what, int(state), int(rule.next));
             // After each failure and each end the attempt is over.
-            if (FAILURES.count(event) || event == Event::ClientGone || event == Event::DeadlinePassed)
+            if (FAILURES.count(event) || event == Event::ClientDisconnected
+                || event == Event::DeadlineExceeded)
                 CPPUNIT_ASSERT_MESSAGE(what, OVER.count(rule.next) > 0);
         }
     CHECK_EQ(ATTEMPT_STATES * ATTEMPT_EVENTS, std::size_t(legal + illegal));
@@ -119,16 +120,16 @@
         }
     // What one server did not execute does not undo what another may have done.
     auto tracker = AttemptTracker();
-    for (auto event : {Event::ServerChosen, Event::WriteStarted, Event::ConnectionReset})
+    for (auto event : {Event::ServerSelected, Event::WriteStarted, Event::ConnectionReset})
         tracker.apply(event);
     tracker.startOver();
     CHECK(tracker.mayHaveRun() && !tracker.written());
-    for (auto event : {Event::ServerChosen, Event::WriteStarted, Event::NotExecutedHead})
+    for (auto event : {Event::ServerSelected, Event::WriteStarted, Event::NotExecutedHead})
         tracker.apply(event);
     CHECK_EQ(int(Execution::NotRun), int(tracker.current()));
     CHECK(tracker.mayHaveRun());
     // What comes too late changes nothing.
-    tracker.apply(Event::AnswerUnsuitable);
+    tracker.apply(Event::ResponseUnusable);
     tracker.apply(Event::FinalHead);
     CHECK_EQ(int(Execution::NotRun), int(tracker.current()));
 }
