--- a/src/quota/quota_account.cpp
+++ b/src/quota/quota_account.cpp
@@ -52,32 +52,32 @@
 }
 
 auto QuotaAccount::reserve(const std::string& tenant, QuotaReservation& reservation, Microseconds now)
-    -> QuotaAnswer {
+    -> QuotaDecision {
     reservation = {};
     lapseIfDue(now);
     auto account = findLimited(tenant);
-    if (!account) return QuotaAnswer::Granted;
+    if (!account) return QuotaDecision::Granted;
     account->noteRequest(now);
-    if (takeToken(*account, tenant, reservation)) return QuotaAnswer::Granted;
-    if (now < account->refusedUntil) return QuotaAnswer::Refused;
+    if (takeToken(*account, tenant, reservation)) return QuotaDecision::Granted;
+    if (now < account->refusedUntil) return QuotaDecision::Refused;
     account->waiting++;
     waiting_++;
     reportSoon_ = true;
-    return QuotaAnswer::Wait;
+    return QuotaDecision::Wait;
 }
 
 auto QuotaAccount::reserveWaiting(const std::string& tenant, QuotaReservation& reservation, Microseconds now)
-    -> QuotaAnswer {
+    -> QuotaDecision {
     reservation = {};
     lapseIfDue(now);
     auto account = findLimited(tenant);
     if (account && !takeToken(*account, tenant, reservation)) {
-        if (now >= account->refusedUntil) return QuotaAnswer::Wait;
+        if (now >= account->refusedUntil) return QuotaDecision::Wait;
         stopWaiting(tenant);
-        return QuotaAnswer::Refused;
+        return QuotaDecision::Refused;
     }
     stopWaiting(tenant);
-    return QuotaAnswer::Granted;
+    return QuotaDecision::Granted;
 }
 
 auto QuotaAccount::stopWaiting(const std::string& tenant) -> void {
--- a/src/quota/quota_account.hpp
+++ b/src/quota/quota_account.hpp
@@ -24,7 +24,7 @@
 };
 
 /// The answer to a request that wants a token.
-enum class QuotaAnswer {
+enum class QuotaDecision {
     Granted,  ///< It has a token.
     Wait,     ///< The granter is asked; it counts as waiting until it is granted or refused, or ends.
     Refused,  ///< Its tenant is beyond its limit.
@@ -42,10 +42,10 @@
 
     /// A request asks for a token. Granted at once to a tenant without a limit.
     [[nodiscard]] auto reserve(const std::string& tenant, QuotaReservation& reservation, Microseconds now)
-        -> QuotaAnswer;
+        -> QuotaDecision;
     /// The same, of a request that waits.
     [[nodiscard]] auto reserveWaiting(
-        const std::string& tenant, QuotaReservation& reservation, Microseconds now) -> QuotaAnswer;
+        const std::string& tenant, QuotaReservation& reservation, Microseconds now) -> QuotaDecision;
     /// A waiting request has ended.
     auto stopWaiting(const std::string& tenant) -> void;
     /// The request is about to be sent for the first time. False if its token is void: it needs another.
--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -55,8 +55,8 @@
     noteAcceptance(request, now);
     counters_.add("accepted_total");
     auto answer = quota_.ask(request, now);
-    if (answer == QuotaAnswer::Refused) return refuse({429, BEYOND_QUOTA});
-    if (answer == QuotaAnswer::Granted) proceed(request, now);
+    if (answer == QuotaDecision::Refused) return refuse({429, BEYOND_QUOTA});
+    if (answer == QuotaDecision::Granted) proceed(request, now);
     return request.id;
 }
 
--- a/src/routing/quota_admission.cpp
+++ b/src/routing/quota_admission.cpp
@@ -17,20 +17,20 @@
 }
 
 /// Of a request that waits no longer.
-auto verdictOf(QuotaAnswer answer) -> QuotaVerdict {
-    if (answer == QuotaAnswer::Granted) return QuotaVerdict::Admitted;
-    return answer == QuotaAnswer::Refused ? QuotaVerdict::Refused : QuotaVerdict::Unanswered;
+auto verdictOf(QuotaDecision answer) -> QuotaVerdict {
+    if (answer == QuotaDecision::Granted) return QuotaVerdict::Admitted;
+    return answer == QuotaDecision::Refused ? QuotaVerdict::Refused : QuotaVerdict::Unanswered;
 }
 
 }  // namespace
 
-auto QuotaAdmission::ask(Request& request, Microseconds now) -> QuotaAnswer {
+auto QuotaAdmission::ask(Request& request, Microseconds now) -> QuotaDecision {
     auto& claim = request.quota;
-    if (request.tenant.name.empty()) return QuotaAnswer::Granted;
+    if (request.tenant.name.empty()) return QuotaDecision::Granted;
     auto answer = node_.quota().reserve(request.tenant.name, claim.reservation, now);
-    if (answer == QuotaAnswer::Granted) claim.state = QuotaClaim::State::Reserved;
-    if (answer == QuotaAnswer::Refused) counters_.add("quota_refused_total");
-    if (answer != QuotaAnswer::Wait) return answer;
+    if (answer == QuotaDecision::Granted) claim.state = QuotaClaim::State::Reserved;
+    if (answer == QuotaDecision::Refused) counters_.add("quota_refused_total");
+    if (answer != QuotaDecision::Wait) return answer;
     claim.state = QuotaClaim::State::Waiting;
     claim.tenant = request.tenant.name;
     claim.waitsUntil = std::min(request.limits.deadline, now + longestWait(request));
@@ -49,12 +49,13 @@
         auto& request = found->second;
         auto& claim = request.quota;
         auto answer = node_.quota().reserveWaiting(claim.tenant, claim.reservation, now);
-        if (answer == QuotaAnswer::Wait && now < claim.waitsUntil) {
+        if (answer == QuotaDecision::Wait && now < claim.waitsUntil) {
             waiting_.push_back(id);
             continue;
         }
-        if (answer == QuotaAnswer::Wait) node_.quota().stopWaiting(claim.tenant);
-        claim.state = answer == QuotaAnswer::Granted ? QuotaClaim::State::Reserved : QuotaClaim::State::None;
+        if (answer == QuotaDecision::Wait) node_.quota().stopWaiting(claim.tenant);
+        claim.state =
+            answer == QuotaDecision::Granted ? QuotaClaim::State::Reserved : QuotaClaim::State::None;
         auto verdict = verdictOf(answer);
         if (verdict == QuotaVerdict::Refused) counters_.add("quota_refused_total");
         if (verdict == QuotaVerdict::Unanswered) counters_.add("quota_unanswered_total");
@@ -80,8 +81,8 @@
     auto& claim = request.quota;
     auto& account = node_.quota();
     auto answer = account.reserve(request.tenant.name, claim.reservation, now);
-    if (answer == QuotaAnswer::Wait) account.stopWaiting(request.tenant.name);
-    if (answer != QuotaAnswer::Granted) return false;
+    if (answer == QuotaDecision::Wait) account.stopWaiting(request.tenant.name);
+    if (answer != QuotaDecision::Granted) return false;
     claim.state = QuotaClaim::State::Reserved;
     return account.spend(claim.reservation, now);
 }
--- a/src/routing/quota_admission.hpp
+++ b/src/routing/quota_admission.hpp
@@ -29,7 +29,7 @@
         : requests_(requests), node_(node), counters_(counters) {}
 
     /// A request was accepted. If it has to wait, it is among those of `serveWaiting` from now on.
-    [[nodiscard]] auto ask(Request& request, Microseconds now) -> QuotaAnswer;
+    [[nodiscard]] auto ask(Request& request, Microseconds now) -> QuotaDecision;
     /// Goes through the waiting requests, in the order in which they came; `settle` is called for each
     /// that waits no longer.
     auto serveWaiting(const std::function<void(Request&, QuotaVerdict)>& settle, Microseconds now) -> void;
--- a/tests/membership/quota_voters_test.cpp
+++ b/tests/membership/quota_voters_test.cpp
@@ -28,8 +28,8 @@
     auto reservation = QuotaReservation();
     auto& account = box.n->quota();
     auto answer = account.reserve(TENANT, reservation, fleet.t);
-    if (answer == QuotaAnswer::Wait) account.stopWaiting(TENANT);
-    return answer == QuotaAnswer::Granted && account.spend(reservation, fleet.t);
+    if (answer == QuotaDecision::Wait) account.stopWaiting(TENANT);
+    return answer == QuotaDecision::Granted && account.spend(reservation, fleet.t);
 }
 
 }  // namespace
--- a/tests/quota/quota_parts_test.cpp
+++ b/tests/quota/quota_parts_test.cpp
@@ -50,9 +50,9 @@
     auto exchange() -> void { (void)account.take(answer(), now); }
     auto reserve() -> QuotaReservation {
         auto reservation = QuotaReservation();
-        if (account.reserve(TENANT, reservation, now) == QuotaAnswer::Granted) return reservation;
+        if (account.reserve(TENANT, reservation, now) == QuotaDecision::Granted) return reservation;
         exchange();
-        CHECK(account.reserveWaiting(TENANT, reservation, now) == QuotaAnswer::Granted);
+        CHECK(account.reserveWaiting(TENANT, reservation, now) == QuotaDecision::Granted);
         return reservation;
     }
     [[nodiscard]] auto held() const -> std::int64_t { return account.outstanding(TENANT, now); }
@@ -163,7 +163,7 @@
     auto account = QuotaAccount(7, counters);
     account.setTenants(table(0), BEGIN);
     auto reservation = QuotaReservation();
-    CHECK(account.reserve(TENANT, reservation, BEGIN) == QuotaAnswer::Granted);
+    CHECK(account.reserve(TENANT, reservation, BEGIN) == QuotaDecision::Granted);
     CHECK(reservation.tenant.empty());
     CHECK(account.spend(reservation, BEGIN));
     CHECK(!account.reportDue(BEGIN + 10 * SECOND));
--- a/tests/quota/quota_world.cpp
+++ b/tests/quota/quota_world.cpp
@@ -175,12 +175,12 @@
     if (!request.isAbandoned) node.requests.push_back(request);
 }
 
-auto QuotaWorld::admit(Node& node, Request& request, QuotaAnswer answer) -> void {
+auto QuotaWorld::admit(Node& node, Request& request, QuotaDecision answer) -> void {
     (void)node;
     if (!request.waits) request.waitsSince = now_;
-    request.waits = answer == QuotaAnswer::Wait;
-    if (answer == QuotaAnswer::Granted) results_[request.tenant].waited += now_ - request.arrivedAt;
-    if (answer != QuotaAnswer::Refused) return;
+    request.waits = answer == QuotaDecision::Wait;
+    if (answer == QuotaDecision::Granted) results_[request.tenant].waited += now_ - request.arrivedAt;
+    if (answer != QuotaDecision::Refused) return;
     request.isAbandoned = true;
     results_[request.tenant].refused++;
 }
@@ -192,7 +192,7 @@
     if (request.waits) {
         if (now_ - request.waitsSince > MOST_WAIT) {
             account.stopWaiting(tenant);
-            return admit(node, request, QuotaAnswer::Refused);
+            return admit(node, request, QuotaDecision::Refused);
         }
         return admit(node, request, account.reserveWaiting(tenant, request.reservation, clock(node)));
     }
--- a/tests/quota/quota_world.hpp
+++ b/tests/quota/quota_world.hpp
@@ -136,7 +136,7 @@
     auto tickAccount(int node) -> void;
     [[nodiscard]] auto sendTime(const WorldTenant& tenant) -> Microseconds;
     auto arriveAt(int node, std::size_t tenant) -> void;
-    auto admit(Node& node, Request& request, QuotaAnswer answer) -> void;
+    auto admit(Node& node, Request& request, QuotaDecision answer) -> void;
     auto serve(Node& node, Request& request) -> void;
     auto makeRequests() -> void;
     auto checkInvariant() -> void;
