--- a/src/membership/quota_granter.cpp
+++ b/src/membership/quota_granter.cpp
@@ -180,7 +180,7 @@
         for (auto& [disk, sequence] : heldSequences_)
             if (sequence >= oldest.sequence) holders.insert(disk);
         if (!isMajority(holders)) return;
-        ledger_->imageHeld(oldest.sequence, oldest.sentAt);
+        ledger_->confirmImage(oldest.sequence, oldest.sentAt);
         sentImages_.erase(sentImages_.begin());
     }
 }
--- a/src/quota/quota_ledger.cpp
+++ b/src/quota/quota_ledger.cpp
@@ -212,9 +212,9 @@
     return image;
 }
 
-auto QuotaLedger::imageHeld(std::int64_t sequence, Microseconds sentAt) -> void {
+auto QuotaLedger::confirmImage(std::int64_t sequence, Microseconds sentAt) -> void {
     heldImageSentAt_ = std::max(heldImageSentAt_, sentAt);
-    for (auto& [name, tenant] : tenants_) tenant.imageHeld(sequence);
+    for (auto& [name, tenant] : tenants_) tenant.confirmImage(sequence);
 }
 
 auto QuotaLedger::hasAuthority(Microseconds now) const -> bool {
--- a/src/quota/quota_ledger.hpp
+++ b/src/quota/quota_ledger.hpp
@@ -51,7 +51,7 @@
     /// tokens may be granted before a later image must be held by a majority.
     [[nodiscard]] auto image(Microseconds now) -> wire::QuotaImage;
     /// A majority of the voters holds this image, which was sent at `sentAt`.
-    auto imageHeld(std::int64_t sequence, Microseconds sentAt) -> void;
+    auto confirmImage(std::int64_t sequence, Microseconds sentAt) -> void;
     /// Whether the newest such image is recent enough for reports to be answered.
     [[nodiscard]] auto hasAuthority(Microseconds now) const -> bool;
     /// Whether tokens were granted or spent since the last image.
--- a/src/quota/tenant_ledger.hpp
+++ b/src/quota/tenant_ledger.hpp
@@ -61,7 +61,7 @@
     // Images.
     /// The image's part; it reserves tokens.
     auto image(std::int64_t sequence, Microseconds now) -> wire::QuotaTenantImage;
-    auto imageHeld(std::int64_t sequence) -> void { reserve_.confirm(sequence); }
+    auto confirmImage(std::int64_t sequence) -> void { reserve_.confirm(sequence); }
     /// Whether a newer image is wanted, since much of the reserve is used.
     [[nodiscard]] auto wantsImage() const -> bool;
     /// Whether requests wait for nothing else than a newer image.
--- a/tests/quota/quota_parts_test.cpp
+++ b/tests/quota/quota_parts_test.cpp
@@ -41,7 +41,7 @@
         holdImage();
         exchange();  // the account learns the term
     }
-    auto holdImage() -> void { ledger.imageHeld(ledger.image(now).sequence, now); }
+    auto holdImage() -> void { ledger.confirmImage(ledger.image(now).sequence, now); }
     auto answer() -> wire::QuotaGrant {
         auto grant = ledger.take("n", account.report(now), now);
         grant.granter = "g";
@@ -202,7 +202,7 @@
     ledger.setTenants(table(), pair.now);
     auto allowanceAt = [&](Microseconds now, std::int64_t sequence) {
         ledger.tick(now);
-        ledger.imageHeld(ledger.image(now).sequence, now);
+        ledger.confirmImage(ledger.image(now).sequence, now);
         auto report = wire::QuotaReport();
         report.life = 9;
         report.sequence = sequence;
--- a/tests/quota/quota_world_granter.cpp
+++ b/tests/quota/quota_world_granter.cpp
@@ -104,7 +104,7 @@
         auto holders = std::count_if(granter.held.begin(), granter.held.end(),
             [sequence = sequence](auto& entry) { return entry.second >= sequence; });
         if (!isMajority(std::size_t(holders))) return;
-        granter.ledger->imageHeld(sequence, sentAt);
+        granter.ledger->confirmImage(sequence, sentAt);
         granter.sentImages.pop_front();
     }
 }
