--- a/src/membership/quota_granter.cpp
+++ b/src/membership/quota_granter.cpp
@@ -188,7 +188,7 @@
 // ---- reports
 
 auto QuotaGranter::handleReport(const wire::QuotaReport& report, const std::string& from) -> void {
-    if (!ledger_ || !ledger_->hasAuthority(context_.now)) return;
+    if (!ledger_ || !ledger_->hasGranterLease(context_.now)) return;
     auto grant = ledger_->take(report.node, report, context_.now);
     grant.granter = context_.members.own().node;
     auto envelope = context_.envelope();
--- a/src/quota/quota_ledger.cpp
+++ b/src/quota/quota_ledger.cpp
@@ -51,7 +51,7 @@
 auto QuotaLedger::take(const std::string& node, const wire::QuotaReport& report, Microseconds now)
     -> wire::QuotaGrant {
     auto grant = announcement(node);
-    auto mayAnswer = hasAuthority(now) || broken.answerWithoutAuthority;
+    auto mayAnswer = hasGranterLease(now) || broken.answerWithoutAuthority;
     if (report.term != term_ || !mayAnswer) return grant;
     auto& holder = holders_[report.life];
     if (report.sequence <= holder.sequence) return grant;
@@ -217,7 +217,7 @@
     for (auto& [name, tenant] : tenants_) tenant.confirmImage(sequence);
 }
 
-auto QuotaLedger::hasAuthority(Microseconds now) const -> bool {
+auto QuotaLedger::hasGranterLease(Microseconds now) const -> bool {
     return heldImageSentAt_ && now - heldImageSentAt_ <= QUOTA_AUTHORITY;
 }
 
--- a/src/quota/quota_ledger.hpp
+++ b/src/quota/quota_ledger.hpp
@@ -53,7 +53,7 @@
     /// A majority of the voters holds this image, which was sent at `sentAt`.
     auto confirmImage(std::int64_t sequence, Microseconds sentAt) -> void;
     /// Whether the newest such image is recent enough for reports to be answered.
-    [[nodiscard]] auto hasAuthority(Microseconds now) const -> bool;
+    [[nodiscard]] auto hasGranterLease(Microseconds now) const -> bool;
     /// Whether tokens were granted or spent since the last image.
     [[nodiscard]] auto imageDue(Microseconds now) const -> bool;
 
--- a/tests/quota/quota_world_granter.cpp
+++ b/tests/quota/quota_world_granter.cpp
@@ -115,7 +115,7 @@
     auto& node = nodes_[std::size_t(index)];
     if (!node.granter || !node.granter->ledger) return;
     auto& ledger = *node.granter->ledger;
-    if (!ledger.hasAuthority(clock(node)) && !settings_.broken.answerWithoutAuthority) return;
+    if (!ledger.hasGranterLease(clock(node)) && !settings_.broken.answerWithoutAuthority) return;
     auto measure = ProcessorTime(measures ? &ledgerMicroseconds : nullptr);
     auto grant = ledger.take(report.node, report, clock(node));
     grant.granter = name(index);
