--- a/tests/quota/quota_broken_test.cpp
+++ b/tests/quota/quota_broken_test.cpp
@@ -6,7 +6,7 @@
 #include <fmt/format.h>
 
 #include "quota/quota_trouble.hpp"
-#include "quota/quota_world.hpp"
+#include "quota/quota_simulation.hpp"
 #include "test.hpp"
 
 namespace duneturn {
--- a/tests/quota/quota_cost_test.cpp
+++ b/tests/quota/quota_cost_test.cpp
@@ -8,7 +8,7 @@
 
 #include <fmt/format.h>
 
-#include "quota/quota_world.hpp"
+#include "quota/quota_simulation.hpp"
 #include "test.hpp"
 
 namespace duneturn {
--- a/tests/quota/quota_trouble.hpp
+++ b/tests/quota/quota_trouble.hpp
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "quota/quota_world.hpp"
+#include "quota/quota_simulation.hpp"
 
 namespace duneturn {
 
--- a/tests/quota/quota_world.cpp
+++ b/tests/quota/quota_world.cpp
@@ -1,4 +1,4 @@
-#include "quota/quota_world.hpp"
+#include "quota/quota_simulation.hpp"
 
 #include <algorithm>
 #include <utility>
--- a/tests/quota/quota_world_granter.cpp
+++ b/tests/quota/quota_world_granter.cpp
@@ -3,7 +3,7 @@
 #include <utility>
 
 #include "quota/processor_time.hpp"
-#include "quota/quota_world.hpp"
+#include "quota/quota_simulation.hpp"
 
 namespace duneturn {
 namespace {
