--- a/tests/quota/quota_broken_test.cpp
+++ b/tests/quota/quota_broken_test.cpp
@@ -5,7 +5,7 @@
 
 #include <fmt/format.h>
 
-#include "quota/quota_trouble.hpp"
+#include "quota/quota_fault_injection.hpp"
 #include "quota/quota_simulation.hpp"
 #include "test.hpp"
 
--- a/tests/quota/quota_trouble.cpp
+++ b/tests/quota/quota_trouble.cpp
@@ -1,4 +1,4 @@
-#include "quota/quota_trouble.hpp"
+#include "quota/quota_fault_injection.hpp"
 
 #include <algorithm>
 
