--- a/tests/quota/quota_simulation.cpp
+++ b/tests/quota/quota_simulation.cpp
@@ -6,7 +6,7 @@
 #include <fmt/format.h>
 
 #include "base/json.hpp"
-#include "quota/processor_time.hpp"
+#include "quota/thread_cpu_timer.hpp"
 
 namespace duneturn {
 namespace {
--- a/tests/quota/quota_simulation_granter.cpp
+++ b/tests/quota/quota_simulation_granter.cpp
@@ -2,7 +2,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "quota/processor_time.hpp"
+#include "quota/thread_cpu_timer.hpp"
 #include "quota/quota_simulation.hpp"
 
 namespace duneturn {
