--- a/src/quota/sliding_count.cpp
+++ b/src/quota/sliding_count.cpp
@@ -1,4 +1,4 @@
-#include "quota/sliding_count.hpp"
+#include "quota/sliding_window_counter.hpp"
 
 #include <algorithm>
 #include <cstddef>
--- a/src/quota/tenant_ledger.hpp
+++ b/src/quota/tenant_ledger.hpp
@@ -8,7 +8,7 @@
 #include "quota/grant_reserve.hpp"
 #include "quota/quota_faults.hpp"
 #include "quota/quota_limits.hpp"
-#include "quota/sliding_count.hpp"
+#include "quota/sliding_window_counter.hpp"
 #include "quota/token_bucket.hpp"
 #include "state/tenants.hpp"
 #include "wire_types.h"
--- a/tests/quota/quota_parts_test.cpp
+++ b/tests/quota/quota_parts_test.cpp
@@ -9,7 +9,7 @@
 #include "quota/quota_account.hpp"
 #include "quota/quota_ledger.hpp"
 #include "quota/quota_replica.hpp"
-#include "quota/sliding_count.hpp"
+#include "quota/sliding_window_counter.hpp"
 #include "quota/token_bucket.hpp"
 #include "test.hpp"
 
