--- a/src/quota/sliding_window_counter.cpp
+++ b/src/quota/sliding_window_counter.cpp
@@ -5,18 +5,18 @@
 
 namespace duneturn {
 
-auto SlidingCount::stepEnd(Microseconds at) const -> Microseconds {
+auto SlidingWindowCounter::stepEnd(Microseconds at) const -> Microseconds {
     auto steps = at / step_ + (at % step_ > 0 ? 1 : 0);
     return steps * step_;
 }
 
-auto SlidingCount::add(std::int64_t events, Microseconds at) -> void {
+auto SlidingWindowCounter::add(std::int64_t events, Microseconds at) -> void {
     if (events <= 0) return;
     events_[stepEnd(at)] += events;
     total_ += events;
 }
 
-auto SlidingCount::remove(std::int64_t events, Microseconds at) -> std::int64_t {
+auto SlidingWindowCounter::remove(std::int64_t events, Microseconds at) -> std::int64_t {
     auto found = events_.find(stepEnd(at));
     if (found == events_.end() || events <= 0) return 0;
     auto removed = std::min(events, found->second);
@@ -26,14 +26,14 @@
     return removed;
 }
 
-auto SlidingCount::expire(Microseconds window, Microseconds now) -> void {
+auto SlidingWindowCounter::expire(Microseconds window, Microseconds now) -> void {
     while (!events_.empty() && events_.begin()->first + window < now) {
         total_ -= events_.begin()->second;
         events_.erase(events_.begin());
     }
 }
 
-auto SlidingCount::ages(Microseconds ageStep, Microseconds now) const -> std::vector<std::int64_t> {
+auto SlidingWindowCounter::ages(Microseconds ageStep, Microseconds now) const -> std::vector<std::int64_t> {
     auto counts = std::vector<std::int64_t>();
     for (auto& [at, events] : events_) {
         auto age = std::size_t(std::max<Microseconds>(now - at, 0) / ageStep);
--- a/src/quota/sliding_window_counter.hpp
+++ b/src/quota/sliding_window_counter.hpp
@@ -10,9 +10,9 @@
 
 /// How many events lie within a window that ends now. An event counts until the window after the end of its
 /// step: never too short, and at most a step too long.
-class SlidingCount {
+class SlidingWindowCounter {
   public:
-    explicit SlidingCount(Microseconds step) : step_(step) {}
+    explicit SlidingWindowCounter(Microseconds step) : step_(step) {}
 
     auto add(std::int64_t events, Microseconds at) -> void;
     /// Takes back up to so many events of this time; how many there were.
--- a/src/quota/tenant_ledger.hpp
+++ b/src/quota/tenant_ledger.hpp
@@ -94,8 +94,8 @@
     std::int64_t refused_ = 0;
     std::int64_t blocked_ = 0;  // requests that wait since the last image, because the reserve was used up
     std::int64_t announcedReserve_ = 0;
-    SlidingCount spent_{QUOTA_LEDGER_STEP};
-    SlidingCount granted_{QUOTA_LEDGER_STEP};  // lately
+    SlidingWindowCounter spent_{QUOTA_LEDGER_STEP};
+    SlidingWindowCounter granted_{QUOTA_LEDGER_STEP};  // lately
     TokenBucket bucket_;
     GrantReserve reserve_;
 };
--- a/tests/quota/quota_parts_test.cpp
+++ b/tests/quota/quota_parts_test.cpp
@@ -62,7 +62,7 @@
 }  // namespace
 
 TEST(QuotaParts, eventsCountAtLeastTheWindow) {
-    auto count = SlidingCount(50 * MILLISECOND);
+    auto count = SlidingWindowCounter(50 * MILLISECOND);
     count.add(3, 101 * MILLISECOND);
     count.expire(SECOND, 1101 * MILLISECOND);
     CHECK_EQ(std::int64_t(3), count.total());
@@ -71,7 +71,7 @@
 }
 
 TEST(QuotaParts, agesAreRoundedDown) {
-    auto count = SlidingCount(50 * MILLISECOND);
+    auto count = SlidingWindowCounter(50 * MILLISECOND);
     count.add(1, 1000 * MILLISECOND);
     count.add(2, 1500 * MILLISECOND);
     CHECK(std::vector<std::int64_t>({0, 2, 0, 1}) == count.ages(250 * MILLISECOND, 1999 * MILLISECOND));
