--- a/tests/quota/quota_cost_test.cpp
+++ b/tests/quota/quota_cost_test.cpp
@@ -42,7 +42,7 @@
     return settings;
 }
 
-auto refusedIn(const QuotaWorld& world) -> std::int64_t {
+auto refusedIn(const QuotaSimulation& world) -> std::int64_t {
     auto refused = std::int64_t(0);
     for (auto i = std::size_t(0); i < world.settings().tenants.size(); i++)
         refused += world.results(i).refused;
@@ -51,7 +51,7 @@
 
 auto measureCost(int nodes, int tenants) -> Cost {
     constexpr auto SECONDS = 15;
-    auto world = QuotaWorld(costSettings(nodes, tenants));
+    auto world = QuotaSimulation(costSettings(nodes, tenants));
     world.runUntil(10 * SECOND);
     auto refusedBefore = refusedIn(world);
     world.network().measures = world.measures = true;
--- a/tests/quota/quota_fault_injection.cpp
+++ b/tests/quota/quota_fault_injection.cpp
@@ -12,7 +12,7 @@
     return least + Microseconds(random.below(std::uint64_t(most - least)));
 }
 
-auto cutSomeLinks(QuotaWorld& world, Microseconds until) -> void {
+auto cutSomeLinks(QuotaSimulation& world, Microseconds until) -> void {
     auto nodes = world.settings().nodes;
     for (auto i = 0; i < nodes; i++)
         for (auto k = 0; k < i; k++)
@@ -21,7 +21,7 @@
 
 // Two sides that don't reach each other, but for one voter that may reach both; the other side elects a
 // leader.
-auto splitFromLeader(QuotaWorld& world, Microseconds until) -> void {
+auto splitFromLeader(QuotaSimulation& world, Microseconds until) -> void {
     auto& random = world.random();
     auto& settings = world.settings();
     auto leader = world.leader(), successor = (leader + 1) % settings.voters;
@@ -36,7 +36,7 @@
     world.elect(successor, until);
 }
 
-auto electAnother(QuotaWorld& world) -> void {
+auto electAnother(QuotaSimulation& world) -> void {
     auto& random = world.random();
     auto voters = std::uint64_t(world.settings().voters);
     auto learnsAt = world.now() + between(random, 0, 12 * SECOND);
@@ -44,7 +44,7 @@
     world.elect(int(random.below(voters)), learnsAt);
 }
 
-auto changeTenant(QuotaWorld& world) -> void {
+auto changeTenant(QuotaSimulation& world) -> void {
     auto& random = world.random();
     auto tenant = std::size_t(random.below(world.settings().tenants.size()));
     auto rate = 1 + double(random.below(40));
@@ -52,7 +52,7 @@
     world.setDemand(tenant, random.chance(0.4) ? rate * 12 : rate);
 }
 
-auto makeTrouble(QuotaWorld& world, Trouble kind) -> void {
+auto makeTrouble(QuotaSimulation& world, Trouble kind) -> void {
     auto& random = world.random();
     auto node = int(random.below(std::uint64_t(world.settings().nodes)));
     auto voter = int(random.below(std::uint64_t(world.settings().voters)));
@@ -104,7 +104,7 @@
 }
 
 auto playTroubledDay(const WorldSettings& settings, std::vector<Trouble> kinds) -> TroubledDay {
-    auto world = QuotaWorld(settings);
+    auto world = QuotaSimulation(settings);
     auto& network = world.network();
     auto& random = world.random();
     network.loss = random.chance(0.5) ? 0.05 : 0;
--- a/tests/quota/quota_service_test.cpp
+++ b/tests/quota/quota_service_test.cpp
@@ -37,7 +37,7 @@
     [[nodiscard]] auto part() const -> double { return requests ? double(refused) / double(requests) : 0; }
 };
 
-auto shareSince(const QuotaWorld& world, std::size_t tenant, const WorldResults& before) -> Share {
+auto shareSince(const QuotaSimulation& world, std::size_t tenant, const WorldResults& before) -> Share {
     auto& results = world.results(tenant);
     auto share = Share{results.requests - before.requests, results.refused - before.refused, 0};
     auto waited = double(results.waited - before.waited) / double(MILLISECOND);
@@ -45,14 +45,14 @@
     return share;
 }
 
-auto snapshot(const QuotaWorld& world) -> std::vector<WorldResults> {
+auto snapshot(const QuotaSimulation& world) -> std::vector<WorldResults> {
     auto all = std::vector<WorldResults>();
     for (auto i = std::size_t(0); i < world.settings().tenants.size(); i++) all.push_back(world.results(i));
     return all;
 }
 
 /// Of all tenants together.
-auto allSince(const QuotaWorld& world, const std::vector<WorldResults>& before) -> Share {
+auto allSince(const QuotaSimulation& world, const std::vector<WorldResults>& before) -> Share {
     auto all = Share();
     for (auto i = std::size_t(0); i < before.size(); i++) {
         auto share = shareSince(world, i, before[i]);
@@ -64,7 +64,7 @@
 }
 
 auto playCalm(ClientPlaces places, double usage) -> std::vector<Share> {
-    auto world = QuotaWorld(calmSettings(places, usage));
+    auto world = QuotaSimulation(calmSettings(places, usage));
     world.runUntil(WARM_UP);
     auto before = snapshot(world);
     world.runUntil(WARM_UP + 40 * SECOND);
@@ -100,7 +100,7 @@
 
 TEST(QuotaService, goesOnAfterTheGranterIsLost) {
     constexpr auto MOST_REFUSED = 0.005, MOST_REFUSED_MEANWHILE = 0.5;
-    auto world = QuotaWorld(calmSettings(ClientPlaces::AllNodes, 0.6));
+    auto world = QuotaSimulation(calmSettings(ClientPlaces::AllNodes, 0.6));
     world.runUntil(20 * SECOND);
     auto before = snapshot(world);
     world.freeze(0, 70 * SECOND);
--- a/tests/quota/quota_simulation.cpp
+++ b/tests/quota/quota_simulation.cpp
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-QuotaWorld::QuotaWorld(WorldSettings settings)
+QuotaSimulation::QuotaSimulation(WorldSettings settings)
     : settings_(std::move(settings)), random_{settings_.seed}, network_(random_) {
     nodes_.resize(std::size_t(settings_.nodes));
     results_.resize(settings_.tenants.size());
@@ -49,13 +49,15 @@
     elect(0, 0);
 }
 
-auto QuotaWorld::clock(const Node& node) const -> Microseconds {
+auto QuotaSimulation::clock(const Node& node) const -> Microseconds {
     return 100 * SECOND + node.clockOffset + Microseconds(double(now_) * node.clockRate);
 }
 
-auto QuotaWorld::isMajority(std::size_t voters) const -> bool { return int(voters) * 2 > settings_.voters; }
+auto QuotaSimulation::isMajority(std::size_t voters) const -> bool {
+    return int(voters) * 2 > settings_.voters;
+}
 
-auto QuotaWorld::start(Node& node) -> void {
+auto QuotaSimulation::start(Node& node) -> void {
     node.account = std::make_unique<QuotaAccount>(std::int64_t(random_.next() >> 1), counters_);
     node.account->broken = settings_.broken;
     node.requests.clear();
@@ -70,7 +72,7 @@
 
 // ---- configuration
 
-auto QuotaWorld::configure() -> void {
+auto QuotaSimulation::configure() -> void {
     tenants_ = tableOf(settings_.tenants);
     configuredAt_ = now_;
     auto bounds = tenants_->bounds();
@@ -83,13 +85,13 @@
     }
 }
 
-auto QuotaWorld::setRate(std::size_t tenant, double perSecond) -> void {
+auto QuotaSimulation::setRate(std::size_t tenant, double perSecond) -> void {
     settings_.tenants[tenant].ratePerSecond = perSecond;
     configure();
     for (auto& node : nodes_) node.configuredAt = now_ + Microseconds(random_.below(CONFIGURE_TIME));
 }
 
-auto QuotaWorld::applyConfiguration(Node& node) -> void {
+auto QuotaSimulation::applyConfiguration(Node& node) -> void {
     node.tenants = tenants_;
     node.account->setTenants(*tenants_, clock(node));
     if (node.granter && node.granter->ledger) node.granter->ledger->setTenants(*tenants_, clock(node));
@@ -97,11 +99,11 @@
 
 // ---- time
 
-auto QuotaWorld::runUntil(Microseconds end) -> void {
+auto QuotaSimulation::runUntil(Microseconds end) -> void {
     while (now_ < end) step();
 }
 
-auto QuotaWorld::step() -> void {
+auto QuotaSimulation::step() -> void {
     now_ += settings_.step;
     for (auto& delivery : network_.receive(now_)) deliver(delivery);
     makeRequests();
@@ -115,7 +117,7 @@
     if (settings_.checksInvariant) checkInvariant();
 }
 
-auto QuotaWorld::deliver(const QuotaDelivery& delivery) -> void {
+auto QuotaSimulation::deliver(const QuotaDelivery& delivery) -> void {
     auto until = nodes_[std::size_t(delivery.to)].frozenUntil;
     if (until > now_) return network_.postpone(delivery, until);
     std::visit([&](auto& message) { handle(delivery.to, delivery.from, message); }, delivery.message);
@@ -123,7 +125,7 @@
 
 // ---- accounts and requests
 
-auto QuotaWorld::tickAccount(int index) -> void {
+auto QuotaSimulation::tickAccount(int index) -> void {
     auto& node = nodes_[std::size_t(index)];
     for (auto& request : node.requests) serve(node, request);
     std::erase_if(node.requests, [](auto& request) { return request.isAbandoned; });
@@ -137,7 +139,7 @@
     network_.send(index, granter, report, now_);
 }
 
-auto QuotaWorld::clientNode(const WorldTenant& tenant) -> int {
+auto QuotaSimulation::clientNode(const WorldTenant& tenant) -> int {
     constexpr auto STAY = 7 * SECOND;
     auto count = std::uint64_t(settings_.nodes);
     if (tenant.places == ClientPlaces::OneNode) return settings_.nodes - 1;
@@ -145,7 +147,7 @@
     return int(random_.below(count));
 }
 
-auto QuotaWorld::makeRequests() -> void {
+auto QuotaSimulation::makeRequests() -> void {
     for (auto i = std::size_t(0); i < settings_.tenants.size(); i++) {
         auto& tenant = settings_.tenants[i];
         auto expected = tenant.demandPerSecond * double(settings_.step) / double(SECOND);
@@ -154,14 +156,14 @@
     }
 }
 
-auto QuotaWorld::sendTime(const WorldTenant& tenant) -> Microseconds {
+auto QuotaSimulation::sendTime(const WorldTenant& tenant) -> Microseconds {
     constexpr auto WORK = 30 * MILLISECOND;  // between admission and the first byte to a server
     auto soon = now_ + Microseconds(random_.below(WORK));
     if (!random_.chance(tenant.holding)) return soon;
     return soon - soon % tenant.together + tenant.together;
 }
 
-auto QuotaWorld::arriveAt(int index, std::size_t tenant) -> void {
+auto QuotaSimulation::arriveAt(int index, std::size_t tenant) -> void {
     auto& node = nodes_[std::size_t(index)];
     if (node.frozenUntil > now_) return;
     auto request = Request();
@@ -175,7 +177,7 @@
     if (!request.isAbandoned) node.requests.push_back(request);
 }
 
-auto QuotaWorld::admit(Node& node, Request& request, QuotaDecision answer) -> void {
+auto QuotaSimulation::admit(Node& node, Request& request, QuotaDecision answer) -> void {
     (void)node;
     if (!request.waits) request.waitsSince = now_;
     request.waits = answer == QuotaDecision::Wait;
@@ -185,7 +187,7 @@
     results_[request.tenant].refused++;
 }
 
-auto QuotaWorld::serve(Node& node, Request& request) -> void {
+auto QuotaSimulation::serve(Node& node, Request& request) -> void {
     auto& account = *node.account;
     auto& tenant = settings_.tenants[request.tenant].name;
     auto measure = ProcessorTime(measures ? &accountMicroseconds : nullptr);
@@ -226,7 +228,7 @@
 
 }  // namespace
 
-auto QuotaWorld::boundViolations() const -> std::vector<std::string> {
+auto QuotaSimulation::boundViolations() const -> std::vector<std::string> {
     auto window = tenants_->bounds().window;
     auto found = std::vector<std::string>();
     for (auto i = std::size_t(0); i < results_.size(); i++) {
@@ -245,7 +247,7 @@
     return found;
 }
 
-auto QuotaWorld::checkInvariant() -> void {
+auto QuotaSimulation::checkInvariant() -> void {
     auto window = tenants_->bounds().window;
     for (auto i = std::size_t(0); i < results_.size(); i++) {
         auto& result = results_[i];
--- a/tests/quota/quota_simulation.hpp
+++ b/tests/quota/quota_simulation.hpp
@@ -55,9 +55,9 @@
     std::size_t windowBegin = 0;                               ///< The first spend of the last window.
 };
 
-class QuotaWorld {
+class QuotaSimulation {
   public:
-    explicit QuotaWorld(WorldSettings settings);
+    explicit QuotaSimulation(WorldSettings settings);
 
     auto runUntil(Microseconds end) -> void;
     [[nodiscard]] auto now() const -> Microseconds { return now_; }
--- a/tests/quota/quota_simulation_granter.cpp
+++ b/tests/quota/quota_simulation_granter.cpp
@@ -1,4 +1,4 @@
-// QuotaWorld: granters and voters, and the troubles of nodes.
+// QuotaSimulation: granters and voters, and the troubles of nodes.
 #include <algorithm>
 #include <utility>
 
@@ -15,23 +15,23 @@
 
 // ---- troubles
 
-auto QuotaWorld::restart(int node) -> void {
+auto QuotaSimulation::restart(int node) -> void {
     auto& started = nodes_[std::size_t(node)];
     started.frozenUntil = 0;
     start(started);
 }
 
-auto QuotaWorld::freeze(int node, Microseconds until) -> void {
+auto QuotaSimulation::freeze(int node, Microseconds until) -> void {
     auto& frozen = nodes_[std::size_t(node)].frozenUntil;
     frozen = std::max(frozen, until);
 }
 
-auto QuotaWorld::isolate(int node, Microseconds until) -> void {
+auto QuotaSimulation::isolate(int node, Microseconds until) -> void {
     for (auto i = 0; i < settings_.nodes; i++)
         if (i != node) network_.cut(node, i, until);
 }
 
-auto QuotaWorld::elect(int voter, Microseconds predecessorLearnsAt) -> void {
+auto QuotaSimulation::elect(int voter, Microseconds predecessorLearnsAt) -> void {
     auto supporters = std::size_t(0);
     for (auto i = 0; i < settings_.voters; i++)
         if (!network_.isCut(voter, i, now_) && nodes_[std::size_t(i)].frozenUntil <= now_) supporters++;
@@ -50,7 +50,7 @@
 
 // ---- granters
 
-auto QuotaWorld::tickGranter(int index) -> void {
+auto QuotaSimulation::tickGranter(int index) -> void {
     auto& node = nodes_[std::size_t(index)];
     auto& granter = *node.granter;
     if (granter.endsAt && now_ >= granter.endsAt && granter.term < term_) return node.granter.reset();
@@ -60,7 +60,7 @@
     if (granter.ledger->imageDue(clock(node))) sendImage(index);
 }
 
-auto QuotaWorld::collect(int index) -> void {
+auto QuotaSimulation::collect(int index) -> void {
     auto& node = nodes_[std::size_t(index)];
     auto& granter = *node.granter;
     if (granter.promisedAt && now_ - granter.promisedAt >= REMEMBER_TIMEOUT)
@@ -72,7 +72,7 @@
     for (auto i = 0; i < settings_.voters; i++) network_.send(index, i, request, now_);
 }
 
-auto QuotaWorld::activate(int index, const wire::QuotaImage* predecessors, Microseconds age) -> void {
+auto QuotaSimulation::activate(int index, const wire::QuotaImage* predecessors, Microseconds age) -> void {
     auto& node = nodes_[std::size_t(index)];
     auto& granter = *node.granter;
     auto nothing = wire::QuotaImage();
@@ -90,7 +90,7 @@
     }
 }
 
-auto QuotaWorld::sendImage(int index) -> void {
+auto QuotaSimulation::sendImage(int index) -> void {
     auto& node = nodes_[std::size_t(index)];
     auto& granter = *node.granter;
     auto image = granter.ledger->image(clock(node));
@@ -98,7 +98,7 @@
     for (auto i = 0; i < settings_.voters; i++) network_.send(index, i, image, now_);
 }
 
-auto QuotaWorld::noteHeld(Granter& granter) -> void {
+auto QuotaSimulation::noteHeld(Granter& granter) -> void {
     while (!granter.sentImages.empty()) {
         auto [sequence, sentAt] = granter.sentImages.front();
         auto holders = std::count_if(granter.held.begin(), granter.held.end(),
@@ -111,7 +111,7 @@
 
 // ---- messages
 
-auto QuotaWorld::handle(int index, int from, const wire::QuotaReport& report) -> void {
+auto QuotaSimulation::handle(int index, int from, const wire::QuotaReport& report) -> void {
     auto& node = nodes_[std::size_t(index)];
     if (!node.granter || !node.granter->ledger) return;
     auto& ledger = *node.granter->ledger;
@@ -123,12 +123,12 @@
     if (ledger.imageDue(clock(node))) sendImage(index);
 }
 
-auto QuotaWorld::handle(int index, int /*from*/, const wire::QuotaGrant& grant) -> void {
+auto QuotaSimulation::handle(int index, int /*from*/, const wire::QuotaGrant& grant) -> void {
     auto& node = nodes_[std::size_t(index)];
     (void)node.account->take(grant, clock(node));
 }
 
-auto QuotaWorld::handle(int index, int from, const wire::QuotaImage& image) -> void {
+auto QuotaSimulation::handle(int index, int from, const wire::QuotaImage& image) -> void {
     auto& node = nodes_[std::size_t(index)];
     if (image.term < node.durableTerm && !settings_.broken.ignorePromise) return;
     if (!node.replica->take(image, clock(node))) return;
@@ -138,7 +138,7 @@
     network_.send(index, from, reply, now_);
 }
 
-auto QuotaWorld::handle(int index, int from, const wire::QuotaImageReply& reply) -> void {
+auto QuotaSimulation::handle(int index, int from, const wire::QuotaImageReply& reply) -> void {
     auto& granter = nodes_[std::size_t(index)].granter;
     if (!granter || !granter->ledger || reply.term != granter->term) return;
     auto& held = granter->held[from];
@@ -146,7 +146,7 @@
     noteHeld(*granter);
 }
 
-auto QuotaWorld::handle(int index, int from, const wire::QuotaImageRequest& request) -> void {
+auto QuotaSimulation::handle(int index, int from, const wire::QuotaImageRequest& request) -> void {
     auto& node = nodes_[std::size_t(index)];
     auto answer = wire::QuotaImageAnswer();
     if (request.term < node.durableTerm) return;
@@ -155,7 +155,7 @@
     network_.send(index, from, answer, now_);
 }
 
-auto QuotaWorld::handle(int index, int from, const wire::QuotaImageAnswer& answer) -> void {
+auto QuotaSimulation::handle(int index, int from, const wire::QuotaImageAnswer& answer) -> void {
     auto& node = nodes_[std::size_t(index)];
     auto& granter = node.granter;
     if (!granter || granter->ledger || answer.term != granter->term) return;
