--- a/tests/quota/quota_broken_test.cpp
+++ b/tests/quota/quota_broken_test.cpp
@@ -19,7 +19,7 @@
 };
 
 /// Requests hold tokens for longer than unclaimed ones of a predecessor count.
-auto holdForLong(WorldSettings& settings) -> void {
+auto holdForLong(QuotaSimulationSettings& settings) -> void {
     for (auto& tenant : settings.tenants) {
         tenant.holding = 0.8;
         tenant.together = 20 * SECOND;
--- a/tests/quota/quota_cost_test.cpp
+++ b/tests/quota/quota_cost_test.cpp
@@ -24,9 +24,9 @@
 };
 
 // A few large tenants send half of all requests, the others the rest; each uses 60% of its limit.
-auto costSettings(int nodes, int tenants) -> WorldSettings {
+auto costSettings(int nodes, int tenants) -> QuotaSimulationSettings {
     constexpr auto USAGE = 0.6;
-    auto settings = WorldSettings();
+    auto settings = QuotaSimulationSettings();
     settings.nodes = nodes;
     settings.voters = 5;
     settings.checksInvariant = false;
--- a/tests/quota/quota_fault_injection.cpp
+++ b/tests/quota/quota_fault_injection.cpp
@@ -83,9 +83,9 @@
 
 }  // namespace
 
-auto troubledSettings(std::uint64_t seed) -> WorldSettings {
+auto troubledSettings(std::uint64_t seed) -> QuotaSimulationSettings {
     auto random = RandomSource{seed * 7919};
-    auto settings = WorldSettings();
+    auto settings = QuotaSimulationSettings();
     settings.seed = seed;
     settings.nodes = 4 + int(random.below(4));
     settings.voters = random.chance(0.3) ? 1 : 3;
@@ -103,7 +103,7 @@
     return settings;
 }
 
-auto playTroubledDay(const WorldSettings& settings, std::vector<Trouble> kinds) -> TroubledDay {
+auto playTroubledDay(const QuotaSimulationSettings& settings, std::vector<Trouble> kinds) -> TroubledDay {
     auto world = QuotaSimulation(settings);
     auto& network = world.network();
     auto& random = world.random();
--- a/tests/quota/quota_fault_injection.hpp
+++ b/tests/quota/quota_fault_injection.hpp
@@ -28,9 +28,9 @@
 };
 
 /// A world of a few nodes, some of whose tenants press beyond their limits.
-[[nodiscard]] auto troubledSettings(std::uint64_t seed) -> WorldSettings;
+[[nodiscard]] auto troubledSettings(std::uint64_t seed) -> QuotaSimulationSettings;
 /// Plays a day with a trouble every second or so, of these kinds; without any named, of some at random.
-[[nodiscard]] auto playTroubledDay(const WorldSettings& settings, std::vector<Trouble> kinds = {})
+[[nodiscard]] auto playTroubledDay(const QuotaSimulationSettings& settings, std::vector<Trouble> kinds = {})
     -> TroubledDay;
 
 }  // namespace duneturn
--- a/tests/quota/quota_service_test.cpp
+++ b/tests/quota/quota_service_test.cpp
@@ -15,8 +15,8 @@
 constexpr Microseconds WARM_UP = 5 * SECOND;
 
 /// Tenants of 10, 80 and 1 requests a second, each of whose clients send this part of it.
-auto calmSettings(ClientPlaces places, double usage) -> WorldSettings {
-    auto settings = WorldSettings();
+auto calmSettings(ClientPlaces places, double usage) -> QuotaSimulationSettings {
+    auto settings = QuotaSimulationSettings();
     settings.nodes = 72;
     settings.voters = 5;
     for (auto rate : {10.0, 80.0, 1.0}) {
--- a/tests/quota/quota_simulation.cpp
+++ b/tests/quota/quota_simulation.cpp
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-QuotaSimulation::QuotaSimulation(WorldSettings settings)
+QuotaSimulation::QuotaSimulation(QuotaSimulationSettings settings)
     : settings_(std::move(settings)), random_{settings_.seed}, network_(random_) {
     nodes_.resize(std::size_t(settings_.nodes));
     results_.resize(settings_.tenants.size());
--- a/tests/quota/quota_simulation.hpp
+++ b/tests/quota/quota_simulation.hpp
@@ -35,7 +35,7 @@
     Microseconds together = 5500 * MILLISECOND;  ///< Between two such moments.
 };
 
-struct WorldSettings {
+struct QuotaSimulationSettings {
     std::uint64_t seed = 1;
     int nodes = 8, voters = 3;
     Microseconds step = 20 * MILLISECOND;
@@ -57,14 +57,14 @@
 
 class QuotaSimulation {
   public:
-    explicit QuotaSimulation(WorldSettings settings);
+    explicit QuotaSimulation(QuotaSimulationSettings settings);
 
     auto runUntil(Microseconds end) -> void;
     [[nodiscard]] auto now() const -> Microseconds { return now_; }
     [[nodiscard]] auto results(std::size_t tenant) const -> const WorldResults& { return results_[tenant]; }
     [[nodiscard]] auto network() -> QuotaNetwork& { return network_; }
     [[nodiscard]] auto random() -> RandomSource& { return random_; }
-    [[nodiscard]] auto settings() const -> const WorldSettings& { return settings_; }
+    [[nodiscard]] auto settings() const -> const QuotaSimulationSettings& { return settings_; }
 
     // Troubles.
     /// A node's process starts anew, and remembers nothing but the voter's term on its disk.
@@ -142,7 +142,7 @@
     auto checkInvariant() -> void;
     [[nodiscard]] auto clientNode(const WorldTenant& tenant) -> int;
 
-    WorldSettings settings_;
+    QuotaSimulationSettings settings_;
     RandomSource random_;
     QuotaNetwork network_;
     Counters counters_;
