--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -40,7 +40,7 @@
     const std::string& body, Microseconds now, Microseconds arrived) -> std::int64_t {
     fleet_.start(now);
     auto& request = beginRequest(method, path, headers, now);
-    auto refuse = [&](const Refusal& refusal) {
+    auto refuse = [&](const RequestRejection& refusal) {
         fail(request, refusal.status, refusal.why, now);
         return request.id;
     };
@@ -101,21 +101,23 @@
 }
 
 // Why this node takes no request, or not this one, whatever its route.
-auto Edge::whyRefused(const Headers& headers, Microseconds now) const -> std::optional<Refusal> {
+auto Edge::whyRefused(const Headers& headers, Microseconds now) const -> std::optional<RequestRejection> {
     if (dialect_.clientNamesRequests)
         if (auto name = header(headers, dialect_.request); name.empty() || name.size() > MAX_NAME)
-            return Refusal{400, "the header " + dialect_.request + " is missing or too long"};
+            return RequestRejection{400, "the header " + dialect_.request + " is missing or too long"};
     if (rejectingNew_ || (draining_ && !dialect_.clientNamesRequests))
-        return Refusal{503, "this node is stopping"};
-    if (broken.rejectEverything) return Refusal{503, "broken"};
-    if (!node_.withinLease(now)) return Refusal{503, "this node has not heard a majority within its lease"};
+        return RequestRejection{503, "this node is stopping"};
+    if (broken.rejectEverything) return RequestRejection{503, "broken"};
+    if (!node_.withinLease(now))
+        return RequestRejection{503, "this node has not heard a majority within its lease"};
     auto isEvacuated = evacuatedAt_ > 0 && now - evacuatedAt_ > EVACUATION_GRACE;
-    if (isEvacuated && !dialect_.clientNamesRequests) return Refusal{503, "this district is emptied"};
+    if (isEvacuated && !dialect_.clientNamesRequests)
+        return RequestRejection{503, "this district is emptied"};
     return std::nullopt;
 }
 
 // The route and the tenant of a request that has just come in.
-auto Edge::bindAtFirst(Request& request, const Headers& headers) -> std::optional<Refusal> {
+auto Edge::bindAtFirst(Request& request, const Headers& headers) -> std::optional<RequestRejection> {
     request.received.model = header(headers, dialect_.model);
     request.tenant.key = ClientKey(headers, dialect_);
     return bind(request, routes_);
@@ -162,7 +164,7 @@
 }
 
 // A client that goes on with a stream of which it holds the beginning.
-auto Edge::readResumption(Request& request, Microseconds now) -> std::optional<Refusal> {
+auto Edge::readResumption(Request& request, Microseconds now) -> std::optional<RequestRejection> {
     auto& headers = request.received.headers;
     auto lastEventId = header(headers, dialect_.lastEvent);
     if (lastEventId.empty()) return std::nullopt;
@@ -179,11 +181,11 @@
     auto why = migration_.resumeForClient(request, lastEventId, header(headers, dialect_.weights));
     if (!why.empty()) {
         counters_.add("resumptions_denied_total");
-        return Refusal{409, why};
+        return RequestRejection{409, why};
     }
     if (budget_.allows(request, now)) return std::nullopt;
     budget_.recordShortage(now);
-    return Refusal{503, "the fleet's budget for extra sends is spent"};
+    return RequestRejection{503, "the fleet's budget for extra sends is spent"};
 }
 
 // Takes a place in the service's queue, that of a less urgent request where the queue is full.
--- a/src/routing/dispatch.cpp
+++ b/src/routing/dispatch.cpp
@@ -99,7 +99,7 @@
 }
 
 // Binds the request to the newest configuration. Returns the rejection if that no longer permits the request.
-auto Edge::rebindToNewest(Request& request) -> std::optional<Refusal> {
+auto Edge::rebindToNewest(Request& request) -> std::optional<RequestRejection> {
     auto tenant = request.tenant.name;
     auto refusal = rebind(request, routes_, dialect_, broken);
     if (request.tenant.name != tenant)
@@ -109,11 +109,11 @@
 }
 
 // Returns why the request may not be sent to any server, if it may not.
-auto Edge::whySendForbidden(Request& request) -> std::optional<Refusal> {
+auto Edge::whySendForbidden(Request& request) -> std::optional<RequestRejection> {
     if (auto refusal = rebindToNewest(request)) return refusal;
     auto why = migration_.rejectionReason(
         request, request.attempts.tracker.earlier(), MigrationCharge::AlreadyCounted);
-    return why.empty() ? std::nullopt : std::optional(Refusal{503, why});
+    return why.empty() ? std::nullopt : std::optional(RequestRejection{503, why});
 }
 
 // Returns why the request may no longer be sent to the server that was selected; empty if it may.
--- a/src/routing/edge.hpp
+++ b/src/routing/edge.hpp
@@ -154,11 +154,13 @@
     // Admission (admission.cpp).
     auto beginRequest(const std::string& method, const std::string& path, const Headers& headers,
         Microseconds now) -> Request&;
-    [[nodiscard]] auto whyRefused(const Headers& headers, Microseconds now) const -> std::optional<Refusal>;
-    [[nodiscard]] auto bindAtFirst(Request& request, const Headers& headers) -> std::optional<Refusal>;
+    [[nodiscard]] auto whyRefused(const Headers& headers, Microseconds now) const
+        -> std::optional<RequestRejection>;
+    [[nodiscard]] auto bindAtFirst(Request& request, const Headers& headers)
+        -> std::optional<RequestRejection>;
     auto readRequest(Request& request, const Headers& headers, const std::string& body, Microseconds begunAt)
         -> void;
-    auto readResumption(Request& request, Microseconds now) -> std::optional<Refusal>;
+    auto readResumption(Request& request, Microseconds now) -> std::optional<RequestRejection>;
     auto noteAcceptance(Request& request, Microseconds now) -> void;
     auto proceed(Request& request, Microseconds now) -> void;
     auto serveQuotaWaiters(Microseconds now) -> void;
@@ -172,8 +174,8 @@
     auto reserveEngineTokens(Request& request, ServerStatistics& statistics, const ServiceRule& rule) -> void;
     auto releaseServer(Request& request) -> void;
     auto releaseUnreadPrompt(Request& request) -> void;
-    [[nodiscard]] auto rebindToNewest(Request& request) -> std::optional<Refusal>;
-    [[nodiscard]] auto whySendForbidden(Request& request) -> std::optional<Refusal>;
+    [[nodiscard]] auto rebindToNewest(Request& request) -> std::optional<RequestRejection>;
+    [[nodiscard]] auto whySendForbidden(Request& request) -> std::optional<RequestRejection>;
     [[nodiscard]] auto whyServerForbidden(const Request& request, bool reused, Microseconds now)
         -> std::string;
     auto cancelUnsentAttempt(Request& request, const std::string& why, Microseconds now) -> void;
--- a/src/routing/refusal.hpp
+++ b/src/routing/refusal.hpp
@@ -4,7 +4,7 @@
 
 namespace duneturn {
 
-struct Refusal {
+struct RequestRejection {
     int status = 503;
     std::string why;  ///< For the client; never holds a key.
 };
--- a/src/routing/route_binding.cpp
+++ b/src/routing/route_binding.cpp
@@ -68,7 +68,7 @@
     return binding;
 }
 
-auto refusalAtFirst(BindingFault fault) -> Refusal {
+auto refusalAtFirst(BindingFault fault) -> RequestRejection {
     switch (fault) {
     case BindingFault::NoConfiguration: return {503, "no configuration yet"};
     case BindingFault::NoRoute: return {404, "no mapping for this path"};
@@ -79,7 +79,7 @@
 }
 
 // What may have run is not refused as if it had not.
-auto refusalUnderWay(BindingFault fault, const Request& request) -> Refusal {
+auto refusalUnderWay(BindingFault fault, const Request& request) -> RequestRejection {
     auto mayHaveRun = request.attempts.tracker.mayHaveRun();
     switch (fault) {
     case BindingFault::KeyRefused: return {mayHaveRun ? 502 : KEY_REFUSED, NO_KEY};
@@ -102,7 +102,7 @@
 
 }  // namespace
 
-auto bind(Request& request, const RouteTable& routes) -> std::optional<Refusal> {
+auto bind(Request& request, const RouteTable& routes) -> std::optional<RequestRejection> {
     auto binding = findBinding(request, routes);
     if (!binding) return refusalAtFirst(binding.error());
     take(request, std::move(*binding), routes);
@@ -110,16 +110,16 @@
 }
 
 auto rebind(Request& request, const RouteTable& routes, const Dialect& dialect, const EdgeFaults& faults)
-    -> std::optional<Refusal> {
+    -> std::optional<RequestRejection> {
     if (request.limits.routesRevision == routes.revision || faults.keepFirstConfiguration)
         return std::nullopt;
     auto binding = findBinding(request, routes);
     if (!binding) return refusalUnderWay(binding.error(), request);
     auto hasBegun = request.attempts.tracker.mayHaveRun() || request.attempts.sent > 0;
     if ((hasBegun || !dialect.clientNamesRequests) && isAnother(binding->route, request.route))
-        return Refusal{503, UNROUTED};
+        return RequestRejection{503, UNROUTED};
     if (hasBegun && nameOf(binding->tenant) != request.tenant.name)
-        return Refusal{503, "its key now belongs to another tenant"};
+        return RequestRejection{503, "its key now belongs to another tenant"};
     take(request, std::move(*binding), routes);
     request.limits.migrationDisabled =
         request.limits.migrationDisabled || request.limits.sequenceTokens > request.route.maxSequenceTokens;
--- a/src/routing/route_binding.hpp
+++ b/src/routing/route_binding.hpp
@@ -15,12 +15,12 @@
 
 /// Binds a request that has just come in; its method, host, path, model and key are known. Why it is refused,
 /// if it is.
-[[nodiscard]] auto bind(Request& request, const RouteTable& routes) -> std::optional<Refusal>;
+[[nodiscard]] auto bind(Request& request, const RouteTable& routes) -> std::optional<RequestRejection>;
 
 /// Binds a request under way to the newest configuration: what that says of its method, path and key is what
 /// counts, in all but the deadline. Why it may not be sent any more, if it may not: what has begun goes on
 /// under no other route and no other tenant.
 [[nodiscard]] auto rebind(Request& request, const RouteTable& routes, const Dialect& dialect,
-    const EdgeFaults& faults) -> std::optional<Refusal>;
+    const EdgeFaults& faults) -> std::optional<RequestRejection>;
 
 }  // namespace duneturn
