--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -44,7 +44,7 @@
         fail(request, refusal.status, refusal.why, now);
         return request.id;
     };
-    if (auto refusal = whyRefused(headers, now)) return refuse(*refusal);
+    if (auto refusal = checkAdmission(headers, now)) return refuse(*refusal);
     if (auto refusal = bindAtFirst(request, headers)) return refuse(*refusal);
     // A long body may have taken a while; the client counts from the request's beginning.
     readRequest(request, headers, body, arrived > 0 ? std::min(arrived, now) : now);
@@ -101,7 +101,7 @@
 }
 
 // Why this node takes no request, or not this one, whatever its route.
-auto Edge::whyRefused(const Headers& headers, Microseconds now) const -> std::optional<RequestRejection> {
+auto Edge::checkAdmission(const Headers& headers, Microseconds now) const -> std::optional<RequestRejection> {
     if (dialect_.clientNamesRequests)
         if (auto name = header(headers, dialect_.request); name.empty() || name.size() > MAX_NAME)
             return RequestRejection{400, "the header " + dialect_.request + " is missing or too long"};
--- a/src/routing/edge.hpp
+++ b/src/routing/edge.hpp
@@ -154,7 +154,7 @@
     // Admission (admission.cpp).
     auto beginRequest(const std::string& method, const std::string& path, const Headers& headers,
         Microseconds now) -> Request&;
-    [[nodiscard]] auto whyRefused(const Headers& headers, Microseconds now) const
+    [[nodiscard]] auto checkAdmission(const Headers& headers, Microseconds now) const
         -> std::optional<RequestRejection>;
     [[nodiscard]] auto bindAtFirst(Request& request, const Headers& headers)
         -> std::optional<RequestRejection>;
