--- a/src/routing/completion.cpp
+++ b/src/routing/completion.cpp
@@ -38,7 +38,7 @@
         countOutcome(request, "cut");
     } else {
         replyFailure(request, status, why);
-        if (status == KEY_REFUSED) counters_.add("keys_refused_total");
+        if (status == KEY_REJECTED_STATUS) counters_.add("keys_refused_total");
         countOutcome(request, mayHaveRun ? "failed" : "denied");
     }
     finish(request, "failed: " + why, now);
--- a/src/routing/retry.cpp
+++ b/src/routing/retry.cpp
@@ -57,7 +57,7 @@
     endFailedAttempt(request, execution, why, now);
     // The newest configuration decides, not the one that the request was accepted with.
     if (auto refusal = rebindToNewest(request)) {
-        auto status = refusal->status == KEY_REFUSED ? KEY_REFUSED : 502;
+        auto status = refusal->status == KEY_REJECTED_STATUS ? KEY_REJECTED_STATUS : 502;
         return fail(request, status, why + "; " + refusal->why, now);
     }
     if (auto reason = migration_.rejectionReason(request, known, charge); !reason.empty())
--- a/src/routing/route_binding.cpp
+++ b/src/routing/route_binding.cpp
@@ -72,7 +72,7 @@
     switch (fault) {
     case BindingFault::NoConfiguration: return {503, "no configuration yet"};
     case BindingFault::NoRoute: return {404, "no mapping for this path"};
-    case BindingFault::KeyRefused: return {KEY_REFUSED, NO_KEY};
+    case BindingFault::KeyRefused: return {KEY_REJECTED_STATUS, NO_KEY};
     case BindingFault::NoCommonHome: return {503, NO_COMMON_HOME};
     }
     return {};
@@ -82,7 +82,7 @@
 auto refusalUnderWay(BindingFault fault, const Request& request) -> RequestRejection {
     auto mayHaveRun = request.attempts.tracker.mayHaveRun();
     switch (fault) {
-    case BindingFault::KeyRefused: return {mayHaveRun ? 502 : KEY_REFUSED, NO_KEY};
+    case BindingFault::KeyRefused: return {mayHaveRun ? 502 : KEY_REJECTED_STATUS, NO_KEY};
     case BindingFault::NoCommonHome: return {503, NO_COMMON_HOME};
     default: return {503, UNROUTED};
     }
--- a/src/routing/route_binding.hpp
+++ b/src/routing/route_binding.hpp
@@ -11,7 +11,8 @@
 
 namespace duneturn {
 
-constexpr auto KEY_REFUSED = 401;  // the status of a request whose key is missing, unclear or not in force
+constexpr auto KEY_REJECTED_STATUS =
+    401;  // the status of a request whose key is missing, unclear or not in force
 
 /// Binds a request that has just come in; its method, host, path, model and key are known. Why it is refused,
 /// if it is.
