--- a/src/routing/prompt_prefix.cpp
+++ b/src/routing/prompt_prefix.cpp
@@ -43,7 +43,7 @@
     return prompt;
 }
 
-auto KnownBeginnings::keyOf(std::string_view body) -> std::uint64_t {
+auto PrefixHistory::keyOf(std::string_view body) -> std::uint64_t {
     auto key = std::uint64_t(0);
     for (auto length = BEGINNING_STEP; length <= body.size(); length += BEGINNING_STEP) {
         auto hash = hash64(body.substr(0, length), BEGINNING_SEED) | 1;
--- a/src/routing/prompt_prefix.hpp
+++ b/src/routing/prompt_prefix.hpp
@@ -25,7 +25,7 @@
 
 /// For prompts without named parts: where their shared part ends nobody says, so it is the longest
 /// beginning, in steps of 512 bytes, that has come before.
-class KnownBeginnings {
+class PrefixHistory {
   public:
     /// The key of the longest known beginning of `body`, 0 if there is none. All its beginnings are known
     /// from then on.
