--- a/tests/membership/fleet_fixture.hpp
+++ b/tests/membership/fleet_fixture.hpp
@@ -29,7 +29,7 @@
 
 struct Fleet;
 
-struct Box : NodePort {
+struct FleetNode : NodePort {
     Fleet& f;
     Settings st;
     bool core = false, up = false, removed = false;
@@ -43,7 +43,7 @@
     Counters ct;
     std::unique_ptr<Node> n;
     std::int64_t top = 0;
-    explicit Box(Fleet& x) : f(x) {}
+    explicit FleetNode(Fleet& x) : f(x) {}
     auto send(const std::string& addr, const wire::Envelope& e) -> void override;
     auto disk(const DiskWrite& w) -> void override;
     auto done(std::int64_t id, const Outcome& o) -> void override;
@@ -54,7 +54,7 @@
 struct Fleet {
     RandomSource r;
     Microseconds t = 0, sync = 3 * MILLISECOND;
-    std::vector<std::unique_ptr<Box>> bs;
+    std::vector<std::unique_ptr<FleetNode>> bs;
     struct Post {
         std::string to;
         std::size_t from;
@@ -76,8 +76,8 @@
 
     explicit Fleet(std::uint64_t seed) : r{seed} {}
 
-    auto add(const std::string& region, const std::string& zone, bool core, bool bootstrap) -> Box& {
-        auto& b = *bs.emplace_back(std::make_unique<Box>(*this));
+    auto add(const std::string& region, const std::string& zone, bool core, bool bootstrap) -> FleetNode& {
+        auto& b = *bs.emplace_back(std::make_unique<FleetNode>(*this));
         auto k = bs.size();
         b.core = core;
         b.st.node = fmt::format("edge-{}-{}", zone, k);
@@ -103,7 +103,7 @@
             add(ds[std::size_t(i % 3)].first, ds[std::size_t(i % 3)].second, i < cores, true);
         for (auto& b : bs) start(*b);
     }
-    auto start(Box& b) -> void {
+    auto start(FleetNode& b) -> void {
         b.up = true;
         b.life++;
         b.frozen = 0;
@@ -114,7 +114,7 @@
         b.n->addPeerHints(b.kept);
         b.n->startCore(b.held, fmt::format("disk-{}-{}", b.st.node, r.below(1000000)), t);
     }
-    auto stop(Box& b) -> void {  // power: what was not synced is lost
+    auto stop(FleetNode& b) -> void {  // power: what was not synced is lost
         b.up = false;
         b.n.reset();
         b.under.clear();
@@ -130,16 +130,16 @@
         v.resize(std::min<std::size_t>(v.size(), 3));
         if (!v.empty()) seeds = v;
     }
-    auto restart(Box& b) -> void {
+    auto restart(FleetNode& b) -> void {
         b.st.bootstrap = false;
         start(b);
     }
-    auto back(Box& b) -> void {  // with the settings as they are now
+    auto back(FleetNode& b) -> void {  // with the settings as they are now
         reseed();
         b.st.seeds = seeds;
         restart(b);
     }
-    auto wipe(Box& b) -> void {
+    auto wipe(FleetNode& b) -> void {
         b.held = {};
         b.kept.clear();
     }
@@ -147,8 +147,8 @@
         auto i = byAddr.find(addr);
         return i == byAddr.end() || bs[i->second]->removed ? -1 : int(i->second);
     }
-    auto of(const Box& b) -> std::size_t { return byAddr[b.st.peer]; }
-    auto lone(Box& b, bool on) -> void {  // cut off from all the others
+    auto of(const FleetNode& b) -> std::size_t { return byAddr[b.st.peer]; }
+    auto lone(FleetNode& b, bool on) -> void {  // cut off from all the others
         auto k = of(b);
         for (auto i = std::size_t(0); i < bs.size(); i++) {
             if (i == k) continue;
@@ -157,7 +157,7 @@
                 else cut.erase(p);
         }
     }
-    auto post(Box& b, const std::string& to, wire::Envelope e) -> void {
+    auto post(FleetNode& b, const std::string& to, wire::Envelope e) -> void {
         if (filter) filter(of(b), to, e);
         auto j = at(to);
         if (j < 0 || r.chance(loss)) return;
@@ -217,8 +217,8 @@
         }
         return f();
     }
-    auto leader() -> Box* {
-        auto x = static_cast<Box*>(nullptr);
+    auto leader() -> FleetNode* {
+        auto x = static_cast<FleetNode*>(nullptr);
         for (auto& b : bs)
             if (b->up && b->frozen <= t && b->n->voter() && b->n->voter()->ready()
                 && t - b->n->voter()->quorumAt() < SECOND
@@ -226,7 +226,7 @@
                 x = b.get();
         return x;
     }
-    auto order(Box& b, const std::string& what) -> std::int64_t {
+    auto order(FleetNode& b, const std::string& what) -> std::int64_t {
         b.n->order(++ids, "empty", "key-" + what, "{\"district\":" + jsonQuote(what) + "}", t);
         return ids;
     }
@@ -234,7 +234,7 @@
     // An operator repeats an order at other nodes until it is acknowledged.
     auto ordered(const std::string& what, Microseconds limit) -> bool {
         for (auto end = t + limit; t < end;) {
-            auto live = std::vector<Box*>();
+            auto live = std::vector<FleetNode*>();
             for (auto& b : bs)
                 if (b->up && b->frozen <= t) live.push_back(b.get());
             auto id = order(*live[r.below(live.size())], what);
@@ -258,7 +258,7 @@
         for (auto& s : leader()->n->replicatedState().voters()) v.push_back(s.disk);
         return v;
     }
-    auto seated(Box& b) -> bool {
+    auto seated(FleetNode& b) -> bool {
         auto v = leader() ? voters() : std::vector<std::string>();
         return b.n && std::find(v.begin(), v.end(), b.n->ownRecord().disk) != v.end();
     }
@@ -283,7 +283,7 @@
         }));
         run(2 * SECOND);
     }
-    auto list(Box& b, const std::vector<std::string>& names, const std::string& more = "") -> int {
+    auto list(FleetNode& b, const std::vector<std::string>& names, const std::string& more = "") -> int {
         auto s = std::string();
         for (auto& n : names)
             s += fmt::format(
@@ -292,13 +292,13 @@
         b.n->list(++ids, "{\"servers\":[" + s + "]}", t);
         return outs[ids].status;
     }
-    auto duties() -> std::vector<Box*> {
-        auto v = std::vector<Box*>();
+    auto duties() -> std::vector<FleetNode*> {
+        auto v = std::vector<FleetNode*>();
         for (auto& b : bs)
             if (b->up && b->n->hasSingletonDuty(t)) v.push_back(b.get());
         return v;
     }
-    auto state(Box& b, const std::string& s) -> int {
+    auto state(FleetNode& b, const std::string& s) -> int {
         auto i = b.n->servers().find(s);
         return i == b.n->servers().end() ? -1 : int(i->second.listing.state);
     }
@@ -307,15 +307,15 @@
     }
 };
 
-inline auto Box::send(const std::string& addr, const wire::Envelope& e) -> void {
+inline auto FleetNode::send(const std::string& addr, const wire::Envelope& e) -> void {
     f.heartbeats += e.__isset.heartbeat;
     f.post(*this, addr, e);
 }
-inline auto Box::disk(const DiskWrite& w) -> void {
+inline auto FleetNode::disk(const DiskWrite& w) -> void {
     under.emplace_back(f.t + 500 + Microseconds(f.r.below(std::uint64_t(f.sync))), w);
 }
-inline auto Box::done(std::int64_t id, const Outcome& o) -> void { f.outs[id] = o; }
-inline auto Box::probe(const std::string&, const std::string&) -> void { f.probes++; }
+inline auto FleetNode::done(std::int64_t id, const Outcome& o) -> void { f.outs[id] = o; }
+inline auto FleetNode::probe(const std::string&, const std::string&) -> void { f.probes++; }
 
 struct Quiet {
     Quiet() { muteLog(!getenv("DT_SHOW")); }
--- a/tests/membership/gossip_voters_test.cpp
+++ b/tests/membership/gossip_voters_test.cpp
@@ -94,7 +94,7 @@
             CHECK(f.ordered(what, 6 * SECOND));
             acked.push_back(what);
             // At the very moment of the acknowledgement.
-            auto cs = std::vector<Box*>{f.bs[0].get(), f.bs[1].get(), f.bs[2].get()};
+            auto cs = std::vector<FleetNode*>{f.bs[0].get(), f.bs[1].get(), f.bs[2].get()};
             auto w = f.r.below(3);
             for (auto i = 0u; i < 3; i++)
                 if (i == w || f.r.chance(.7)) f.stop(*cs[i]);
@@ -278,7 +278,7 @@
     f.standing(cores);
     auto acked = std::vector<std::string>();
     auto size = cores > 4 ? 5u : 3u;
-    auto cs = std::vector<Box*>();
+    auto cs = std::vector<FleetNode*>();
     for (auto i = 0; i < cores; i++) cs.push_back(f.bs[std::size_t(i)].get());
     for (auto k = 0; k < 12; k++) {
         auto at = fmt::format("seed {}, {} cores, round {}: ", seed, cores, k);
--- a/tests/membership/quota_voters_test.cpp
+++ b/tests/membership/quota_voters_test.cpp
@@ -24,7 +24,7 @@
 }
 
 /// Whether a request that asks now gets a token, which it spends.
-auto isGranted(Fleet& fleet, Box& box) -> bool {
+auto isGranted(Fleet& fleet, FleetNode& box) -> bool {
     auto reservation = QuotaReservation();
     auto& account = box.n->quota();
     auto answer = account.reserve(TENANT, reservation, fleet.t);
--- a/tests/membership/state_distribution_test.cpp
+++ b/tests/membership/state_distribution_test.cpp
@@ -57,7 +57,7 @@
         return sum;
     }
     /// A node without a disk.
-    auto plain() -> Box& { return *bs.back(); }
+    auto plain() -> FleetNode& { return *bs.back(); }
 };
 
 }  // namespace
--- a/tests/membership/tenant_distribution_test.cpp
+++ b/tests/membership/tenant_distribution_test.cpp
@@ -40,7 +40,7 @@
         put();
     }
     /// Whether a node takes the newest keys and none that was withdrawn.
-    auto inForceAt(Box& box) -> bool {
+    auto inForceAt(FleetNode& box) -> bool {
         auto configuration = box.n->replicatedState().configuration();
         auto& table = configuration->tenants();
         auto last = tenants - 1;
--- a/tests/platform/platform_orders_fixture.hpp
+++ b/tests/platform/platform_orders_fixture.hpp
@@ -33,7 +33,7 @@
 /// One call of an operator, running at one node.
 struct ControlCall : Shell {
     ControlFleet& site;
-    Box& box;
+    FleetNode& box;
     std::int64_t life;
     HttpRequest request;
     std::shared_ptr<asio::steady_timer> timer;
@@ -43,7 +43,7 @@
     int status = 0;            // 0: not answered yet
     std::string body;
 
-    ControlCall(ControlFleet& s, Box& b, const HttpRequest& q);
+    ControlCall(ControlFleet& s, FleetNode& b, const HttpRequest& q);
     auto await(std::function<void(std::int64_t)> begin) -> asio::awaitable<Outcome>;
     auto order(const std::string& op, const std::string& key, const std::string& body)
         -> asio::awaitable<Outcome> override;
@@ -83,7 +83,7 @@
         fleet.bootstrap(cores, nodes);
         CHECK(fleet.until(5 * SECOND, [&] { return fleet.leader() != nullptr; }));
     }
-    auto call(Box& box, http::verb verb, const std::string& target, const std::string& body = "",
+    auto call(FleetNode& box, http::verb verb, const std::string& target, const std::string& body = "",
         const std::string& base = "") -> ControlCallPtr {
         auto request = HttpRequest(verb, target, 11);
         request.body() = body;
@@ -141,7 +141,7 @@
     }
 };
 
-inline ControlCall::ControlCall(ControlFleet& s, Box& b, const HttpRequest& q)
+inline ControlCall::ControlCall(ControlFleet& s, FleetNode& b, const HttpRequest& q)
     : site(s),
       box(b),
       life(b.life),
--- a/tests/platform/platform_orders_model.hpp
+++ b/tests/platform/platform_orders_model.hpp
@@ -128,7 +128,7 @@
     }
 
   private:
-    auto cutOff(const Box& box) const -> bool {
+    auto cutOff(const FleetNode& box) const -> bool {
         auto self = site.fleet.byAddr[box.st.peer];
         auto other = self ? std::size_t(0) : std::size_t(1);
         return site.fleet.cut.count({self, other}) > 0;
@@ -261,7 +261,7 @@
     }
 
   private:
-    auto begin(Box& box, std::uint64_t kind) -> void {
+    auto begin(FleetNode& box, std::uint64_t kind) -> void {
         auto& fleet = site.fleet;
         if (kind == 0) {
             fleet.lone(box, true);
