--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -159,7 +159,7 @@
             received.sharedTokens = prompt->sharedTokens;
         }
     } else if (auto bytes = request.route.affinityBytes) {
-        received.prefixKey = beginnings_.keyOf(std::string_view(body).substr(0, bytes));
+        received.prefixKey = prefixHistory_.keyOf(std::string_view(body).substr(0, bytes));
     }
 }
 
--- a/src/routing/edge.hpp
+++ b/src/routing/edge.hpp
@@ -246,7 +246,7 @@
     QuotaAdmission quota_;
     ServerSelection selection_;
     Migration migration_;
-    PrefixHistory beginnings_;
+    PrefixHistory prefixHistory_;
     DecisionLog decisions_;
     bool draining_ = false, rejectingNew_ = false;
     // When this node's zone was evacuated; 0: it is not evacuated; -1: it is, and the next tick sets the
