--- a/src/routing/route_table.cpp
+++ b/src/routing/route_table.cpp
@@ -32,7 +32,7 @@
     table.budgetCap = jsonInteger(budget, "cap", table.budgetCap);
     table.budgetSlack = jsonNumber(budget, "slack", table.budgetSlack);
     auto& ramp = section(config, "ramp");
-    table.rampDuration = jsonInteger(ramp, "overUs", table.rampDuration);
+    table.slowStartDuration = jsonInteger(ramp, "overUs", table.slowStartDuration);
     table.rampFirstSlots = int(jsonInteger(ramp, "first", table.rampFirstSlots));
     auto& cold = section(config, "cold");
     table.coldOverrun = jsonNumber(cold, "overrun", table.coldOverrun);
--- a/src/routing/route_table.hpp
+++ b/src/routing/route_table.hpp
@@ -105,7 +105,7 @@
     std::int64_t budgetCap = 50;  ///< Attempts that a node may save up.
     double coldOverrun = 1.5;     ///< A cold server bears its rate times this,
     double coldSlack = 5;         ///< and so many requests more.
-    Microseconds rampDuration = 20 * SECOND;
+    Microseconds slowStartDuration = 20 * SECOND;
     int rampFirstSlots = 2;  ///< Slots of a server at its ramp's beginning, of all nodes.
 
     [[nodiscard]] auto tenants() const -> const TenantTable& { return configuration->tenants(); }
--- a/src/routing/slow_start.cpp
+++ b/src/routing/slow_start.cpp
@@ -25,16 +25,16 @@
     if (!server.loadReadAt) return now - server.firstSeenAt;
     // So it does where it was last seen not to answer, or nobody has read its load of late.
     if (server.load.dark || now - server.loadReadAt > LOAD_STALE_AFTER) return 0;
-    if (!server.load.cold && server.load.up >= routes_.rampDuration) return routes_.rampDuration;
+    if (!server.load.cold && server.load.up >= routes_.slowStartDuration) return routes_.slowStartDuration;
     return server.load.up + (now - server.loadReadAt);
 }
 
 auto SlowStart::rampShare(const std::string& name, const KnownServer& server, Microseconds now) -> int {
-    if (faults_.skipSlowStart || routes_.rampDuration <= 0) return NO_LIMIT;
+    if (faults_.skipSlowStart || routes_.slowStartDuration <= 0) return NO_LIMIT;
     auto elapsed = upTime(name, server, now);
-    if (elapsed >= routes_.rampDuration) return NO_LIMIT;
+    if (elapsed >= routes_.slowStartDuration) return NO_LIMIT;
     auto slots = double(std::max(1, server.listing.slots));
-    auto grown = (slots - routes_.rampFirstSlots) * double(elapsed) / double(routes_.rampDuration);
+    auto grown = (slots - routes_.rampFirstSlots) * double(elapsed) / double(routes_.slowStartDuration);
     auto all = int(routes_.rampFirstSlots + grown);
     // Each node takes its part; the remainder goes to those that rendezvous hashing puts first.
     auto nodes = node_.aliveNodes(now);
