--- a/tests/membership/fleet_fixture.hpp
+++ b/tests/membership/fleet_fixture.hpp
@@ -317,9 +317,9 @@
 inline auto FleetNode::done(std::int64_t id, const Outcome& o) -> void { f.outs[id] = o; }
 inline auto FleetNode::probe(const std::string&, const std::string&) -> void { f.probes++; }
 
-struct Quiet {
-    Quiet() { muteLog(!getenv("DT_SHOW")); }
-    ~Quiet() { muteLog(false); }
+struct MutedLog {
+    MutedLog() { muteLog(!getenv("DT_SHOW")); }
+    ~MutedLog() { muteLog(false); }
 };
 
 }  // namespace duneturn
--- a/tests/membership/gossip_bootstrap_test.cpp
+++ b/tests/membership/gossip_bootstrap_test.cpp
@@ -11,7 +11,7 @@
 namespace duneturn {
 
 TEST(GossipMembership, founds) {
-    auto q = Quiet();
+    auto q = MutedLog();
     for (auto seed = 1u; seed < 6; seed++) {
         auto f = Fleet(seed);
         f.bootstrap();
@@ -33,7 +33,7 @@
 }
 
 TEST(GossipMembership, foundsFiveOfSix) {
-    auto q = Quiet();
+    auto q = MutedLog();
     auto f = Fleet(3);
     f.bootstrap(6);
     CHECK(f.until(3 * SECOND, [&] { return f.leader() != nullptr; }));
@@ -46,7 +46,7 @@
 }
 
 TEST(GossipMembership, foundsOnlyAtTheFirstStart) {
-    auto q = Quiet();
+    auto q = MutedLog();
     auto f = Fleet(4);
     f.bootstrap();
     for (auto& b : f.bs) {
@@ -57,7 +57,7 @@
 }
 
 TEST(GossipMembership, allLosePower) {
-    auto q = Quiet();
+    auto q = MutedLog();
     for (auto seed = 60u; seed < 66; seed++) {
         auto f = Fleet(seed);
         f.standing();
@@ -79,7 +79,7 @@
 }
 
 TEST(GossipMembership, newcomerJoins) {
-    auto q = Quiet();
+    auto q = MutedLog();
     auto f = Fleet(70);
     f.standing();
     CHECK_EQ(200, f.list(*f.leader(), {"s1", "s2"}));
--- a/tests/membership/gossip_dissemination_test.cpp
+++ b/tests/membership/gossip_dissemination_test.cpp
@@ -13,7 +13,7 @@
 namespace duneturn {
 
 TEST(GossipMembership, orderIsEverywhereWithinASecond) {
-    auto q = Quiet();
+    auto q = MutedLog();
     auto f = Fleet(5);
     f.standing();
     for (auto& b : f.bs) {
@@ -24,7 +24,7 @@
 }
 
 TEST(GossipMembership, leaderLost) {
-    auto q = Quiet();
+    auto q = MutedLog();
     for (auto seed = 1u; seed < 9; seed++) {
         auto f = Fleet(seed);
         f.standing();
@@ -42,7 +42,7 @@
 
 // A node that only passes news on is lost just before an order.
 TEST(GossipMembership, relayLost) {
-    auto q = Quiet();
+    auto q = MutedLog();
     for (auto seed = 1u; seed < 4; seed++)
         for (auto i = 3u; i < 12; i++) {
             auto f = Fleet(seed);
@@ -56,7 +56,7 @@
 
 // What was lost on its way is sent again: all hold the same records and the same listing.
 TEST(GossipMembership, lossIsMadeUp) {
-    auto q = Quiet();
+    auto q = MutedLog();
     for (auto seed = 1u; seed < 13; seed++) {
         auto f = Fleet(seed);
         f.standing();
@@ -94,7 +94,7 @@
 
 // Where out of touch means to reject, requests are rejected.
 TEST(GossipMembership, cutNodeRejectsIfConfigured) {
-    auto q = Quiet();
+    auto q = MutedLog();
     auto f = Fleet(50);
     f.serveOn = false;
     f.standing();
@@ -108,7 +108,7 @@
 }
 
 TEST(GossipMembership, fewBytesBetweenRegions) {
-    auto q = Quiet();
+    auto q = MutedLog();
     auto f = Fleet(80);
     f.weigh = true;
     f.standing();
@@ -135,7 +135,7 @@
 // A larger fleet: nobody is thought gone that is not, and what a node says grows no faster than
 // the fleet.
 TEST(GossipMembership, larger) {
-    auto q = Quiet();
+    auto q = MutedLog();
     auto f = Fleet(300);
     auto nodes = getenv("DT_NODES") ? atoi(getenv("DT_NODES")) : 60;
     f.standing(3, nodes);
--- a/tests/membership/gossip_listing_test.cpp
+++ b/tests/membership/gossip_listing_test.cpp
@@ -11,7 +11,7 @@
 
 // A server that left while a node was cut off is not known there any more, nor announced anew by it.
 TEST(GossipMembership, longCutForgetsServers) {
-    auto q = Quiet();
+    auto q = MutedLog();
     for (auto i : {2u, 9u}) {
         auto f = Fleet(92);
         f.standing();
@@ -35,7 +35,7 @@
 // Two halves without a leader, each with a listing of its own, come together on the one of the
 // higher number, whole.
 TEST(GossipMembership, twoListingsBecomeOne) {
-    auto q = Quiet();
+    auto q = MutedLog();
     for (auto seed = 1u; seed < 9; seed++) {
         auto f = Fleet(seed);
         f.standing();
@@ -80,7 +80,7 @@
 }
 
 TEST(GossipMembership, oneDutyAndItsListing) {
-    auto q = Quiet();
+    auto q = MutedLog();
     auto f = Fleet(90);
     f.standing();
     CHECK_EQ(std::size_t(1), f.duties().size());
@@ -115,7 +115,7 @@
 // With no leader at all the root of the tree does the duty; a listing of the one superseded, that
 // was frozen meanwhile, undoes nothing.
 TEST(GossipMembership, dutyIsHandedOn) {
-    auto q = Quiet();
+    auto q = MutedLog();
     auto f = Fleet(91);
     f.standing();
     auto l = f.leader();
@@ -138,7 +138,7 @@
 
 // All lose power at once: nobody has a listing then, and one is asked for before there is a leader.
 TEST(GossipMembership, listingBeforeTheElection) {
-    auto q = Quiet();
+    auto q = MutedLog();
     for (auto seed = 300u; seed < 304; seed++) {
         auto f = Fleet(seed);
         f.standing();
--- a/tests/membership/gossip_voters_test.cpp
+++ b/tests/membership/gossip_voters_test.cpp
@@ -16,7 +16,7 @@
 
 // The term of a disk that is no voter deposes nobody; a voter's does.
 TEST(GossipMembership, strangersTerm) {
-    auto q = Quiet();
+    auto q = MutedLog();
     auto f = Fleet(93);
     f.standing();
     auto l = f.leader();
@@ -42,7 +42,7 @@
 
 // A disk retires only when the state it received stands behind all that its own log could hold.
 TEST(GossipMembership, retiresBehindItsLogOnly) {
-    auto q = Quiet();
+    auto q = MutedLog();
     struct Port : VoterPort {
         auto voterSend(const std::string&, wire::Envelope&) -> void override {}
         auto voterWrite(const DiskWrite&) -> void override {}
@@ -122,7 +122,7 @@
 }
 
 TEST(GossipMembership, wipedAndPowerCycledLoseNothing) {
-    auto q = Quiet();
+    auto q = MutedLog();
     for (auto seed = 1u; seed < 16; seed++)
         CHECK(wiped(seed, seed % 2 ? 3 * MILLISECOND : 300 * MILLISECOND, false));
     // The check must see voters that speak before their disk holds what they say.
@@ -133,7 +133,7 @@
 
 // The world must see it when what was acknowledged is gone: two disks of three at once.
 TEST(GossipMembership, twoWipedAreSeen) {
-    auto q = Quiet();
+    auto q = MutedLog();
     auto f = Fleet(2);
     f.standing();
     CHECK(f.ordered("z", 6 * SECOND));
@@ -151,7 +151,7 @@
 }
 
 TEST(GossipMembership, coreIsReplacedForGood) {
-    auto q = Quiet();
+    auto q = MutedLog();
     for (auto k = 0u; k < 3; k++) {
         auto f = Fleet(20 + k);
         f.standing();
@@ -173,7 +173,7 @@
 
 // A stopping voter's place passes while it still runs; without a spare nothing is waited for.
 TEST(GossipMembership, stoppingVoterPassesItsSeat) {
-    auto q = Quiet();
+    auto q = MutedLog();
     for (auto k = 0u; k < 3; k++) {
         auto f = Fleet(60 + k);
         f.standing();
@@ -198,7 +198,7 @@
 
 // A disk that was replaced and comes back is a spare: it deposes nobody, and is of use later.
 TEST(GossipMembership, replacedComesBack) {
-    auto q = Quiet();
+    auto q = MutedLog();
     for (auto seed = 30u; seed < 34; seed++) {
         auto f = Fleet(seed);
         f.standing();
@@ -228,7 +228,7 @@
 }
 
 TEST(GossipMembership, cutCoreDeposesNobody) {
-    auto q = Quiet();
+    auto q = MutedLog();
     for (auto seed = 40u; seed < 46; seed++) {
         auto f = Fleet(seed);
         f.standing();
@@ -250,7 +250,7 @@
 
 // A leader that was frozen acknowledges nothing before it has asked.
 TEST(GossipMembership, frozenLeaderWakes) {
-    auto q = Quiet();
+    auto q = MutedLog();
     for (auto seed = 100u; seed < 106; seed++) {
         auto f = Fleet(seed);
         f.standing();
@@ -333,7 +333,7 @@
 }
 
 TEST(GossipMembership, fuzz) {
-    auto q = Quiet();
+    auto q = MutedLog();
     auto more = getenv("DT_SEEDS") ? unsigned(atoi(getenv("DT_SEEDS"))) : 8u;
     for (auto seed = 200u; seed < 200 + more; seed++)
         for (auto cores : {3, 4, 6}) CHECK_EQ(std::string(), fuzz(seed, cores));
--- a/tests/membership/quota_voters_test.cpp
+++ b/tests/membership/quota_voters_test.cpp
@@ -35,7 +35,7 @@
 }  // namespace
 
 TEST(QuotaVoters, tokensAreGrantedOnceAVotersPlaceHasPassedToAnotherNode) {
-    auto quiet = Quiet();
+    auto quiet = MutedLog();
     for (auto k = 0U; k < 3; k++) {
         auto fleet = Fleet(40 + k);
         fleet.standing();
--- a/tests/membership/state_distribution_test.cpp
+++ b/tests/membership/state_distribution_test.cpp
@@ -96,7 +96,7 @@
 
 // One changed route of 2,000 is in force at 72 nodes within a second, and costs each less than 2 kB.
 TEST(StateDistribution, changeOfALargeConfigurationIsShort) {
-    auto q = Quiet();
+    auto q = MutedLog();
     auto f = ConfiguredFleet(41, 72, 2000);
     f.run(3 * SECOND);
     CHECK(f.sameEverywhere());
@@ -119,7 +119,7 @@
 
 // A node that was cut off asks from its version on, and is sent what it missed.
 TEST(StateDistribution, returningNodeIsSentWhatItMissed) {
-    auto q = Quiet();
+    auto q = MutedLog();
     auto f = ConfiguredFleet(42, 12, 200);
     f.run(2 * SECOND);
     auto& node = f.plain();
@@ -135,7 +135,7 @@
 
 // What it missed is not kept any more: the whole state comes, once.
 TEST(StateDistribution, tooOldVersionIsSentTheWholeStateOnce) {
-    auto q = Quiet();
+    auto q = MutedLog();
     auto f = ConfiguredFleet(43, 12, 200);
     f.run(2 * SECOND);
     auto& node = f.plain();
@@ -165,7 +165,7 @@
 
 // Messages with steps are lost: the gap is seen and closed.
 TEST(StateDistribution, lostChangesAreAskedFor) {
-    auto q = Quiet();
+    auto q = MutedLog();
     for (auto seed = 50u; seed < 56; seed++) {
         auto f = ConfiguredFleet(seed, 12, 100);
         f.run(SECOND);
@@ -185,7 +185,7 @@
 
 // A node whose state differs from the others' sees it by the digest, and is sent the whole state.
 TEST(StateDistribution, differentDigestBringsTheWholeState) {
-    auto q = Quiet();
+    auto q = MutedLog();
     auto f = ConfiguredFleet(44, 12, 50);
     f.run(2 * SECOND);
     auto& node = f.plain();
@@ -213,7 +213,7 @@
 
 // A node of a program before this one says nothing of changes: it is sent whole documents.
 TEST(StateDistribution, earlierProgramsAreSentDocuments) {
-    auto q = Quiet();
+    auto q = MutedLog();
     auto f = ConfiguredFleet(45, 12, 50);
     f.run(2 * SECOND);
     auto& node = f.plain();
--- a/tests/membership/tenant_distribution_test.cpp
+++ b/tests/membership/tenant_distribution_test.cpp
@@ -60,7 +60,7 @@
 }  // namespace
 
 TEST(TenantDistribution, withdrawnKeyIsGoneAtEveryNodeWithinASecond) {
-    auto quiet = Quiet();
+    auto quiet = MutedLog();
     auto fleet = TenantFleet(61, 72, 76);
     auto wholeBefore = fleet.count("whole_states_sent_total");
     fleet.weigh = true;
@@ -80,7 +80,7 @@
 }
 
 TEST(TenantDistribution, nodeThatWasCutOffLearnsOfWithdrawnKeys) {
-    auto quiet = Quiet();
+    auto quiet = MutedLog();
     auto fleet = TenantFleet(62, 12, 20);
     auto& node = *fleet.bs.back();
     fleet.lone(node, true);
@@ -93,7 +93,7 @@
 
 // Its store holds older keys; it learns of the newest ones before it counts as in touch.
 TEST(TenantDistribution, restartedVoterTakesNoWithdrawnKeyFromItsStore) {
-    auto quiet = Quiet();
+    auto quiet = MutedLog();
     for (auto seed = 63u; seed < 67; seed++) {
         auto fleet = TenantFleet(seed, 12, 20);
         auto leader = fleet.leader();
@@ -111,7 +111,7 @@
 
 // Until it knows a configuration it has none, rather than one without tenants or with older ones.
 TEST(TenantDistribution, nodeWithoutADiskStartsWithoutKeysAndThenHasTheNewest) {
-    auto quiet = Quiet();
+    auto quiet = MutedLog();
     auto fleet = TenantFleet(67, 12, 20);
     auto& node = *fleet.bs.back();
     fleet.stop(node);
@@ -125,7 +125,7 @@
 }
 
 TEST(TenantDistribution, viewsAndCountersHoldNoKey) {
-    auto quiet = Quiet();
+    auto quiet = MutedLog();
     auto fleet = TenantFleet(68, 12, 20);
     fleet.withdraw();
     fleet.run(SECOND);
@@ -138,7 +138,7 @@
 }
 
 TEST(TenantDistribution, lostMessagesDelayNoWithdrawalForLong) {
-    auto quiet = Quiet();
+    auto quiet = MutedLog();
     for (auto seed = 70u; seed < 76; seed++) {
         auto fleet = TenantFleet(seed, 12, 20);
         fleet.loss = .3;
--- a/tests/platform/platform_orders_test.cpp
+++ b/tests/platform/platform_orders_test.cpp
@@ -58,7 +58,7 @@
 }  // namespace
 
 TEST(ControlOrders, randomisedOperatorsAndTroubles) {
-    auto quiet = Quiet();
+    auto quiet = MutedLog();
     for (auto seed = std::uint64_t(1); seed <= seeds(); seed++) {
         auto faults = judged(seed, {}, 40 * SECOND);
         CPPUNIT_ASSERT_EQUAL_MESSAGE(
@@ -74,19 +74,19 @@
     return false;
 }
 TEST(ControlOrders, aMissingMemoryIsSeen) {
-    auto quiet = Quiet();
+    auto quiet = MutedLog();
     auto faults = ControlFaults();
     faults.keyPerTry = true;
     CHECK(seen(faults, "sent again, answered with 412") || seen(faults, "acknowledged and refused"));
 }
 TEST(ControlOrders, anUnfencedEvacuationIsSeen) {
-    auto quiet = Quiet();
+    auto quiet = MutedLog();
     auto faults = ControlFaults();
     faults.unfenced = faults.ageless = true;
     CHECK(seen(faults, "the zone is"));
 }
 TEST(ControlOrders, unconfirmedReadsAreSeen) {
-    auto quiet = Quiet();
+    auto quiet = MutedLog();
     auto faults = ControlFaults();
     faults.readUnconfirmed = true;
     CHECK(seen(faults, "was read after"));
@@ -141,7 +141,7 @@
     return history.judge();
 }
 TEST(ControlOrders, aCutOffLeaderHandsOutNothingOld) {
-    auto quiet = Quiet();
+    auto quiet = MutedLog();
     for (auto seed = std::uint64_t(1); seed <= 5; seed++)
         CHECK_EQ(std::size_t(0), cutOffLeader(seed, {}).size());
     auto broken = ControlFaults();
@@ -168,7 +168,7 @@
     return fleet.outs[merge].status;
 }
 TEST(ControlOrders, aRefusalRestsOnCommittedState) {
-    auto quiet = Quiet();
+    auto quiet = MutedLog();
     auto status = refusedByWhatIsNotCommitted(false);
     CHECK(status == 503 || status == 504);
     CHECK_EQ(409, refusedByWhatIsNotCommitted(true));
@@ -212,7 +212,7 @@
     return site.fleet.leader()->n->replicatedState().evacuated("x");
 }
 TEST(ControlOrders, aFrozenEvacuationIsFenced) {
-    auto quiet = Quiet();
+    auto quiet = MutedLog();
     for (auto seed = std::uint64_t(1); seed <= 4; seed++) CHECK(!frozenEvacuationCounts(seed, false));
     CHECK(frozenEvacuationCounts(1, true));
 }
@@ -241,7 +241,7 @@
     return site.fleet.leader()->n->replicatedState().evacuated("x");
 }
 TEST(ControlOrders, aCutOffEvacuationIsNotBegunLate) {
-    auto quiet = Quiet();
+    auto quiet = MutedLog();
     for (auto seed = std::uint64_t(1); seed <= 4; seed++) CHECK(!cutOffEvacuationCounts(seed, false));
     CHECK(cutOffEvacuationCounts(1, true));
     CHECK(!tooLateToBegin("config", 0, 60 * SECOND));
@@ -251,7 +251,7 @@
 
 // A caller that is gone has its order cancelled, as far as it is not sent.
 TEST(ControlOrders, ordersOfCallersThatAreGoneEnd) {
-    auto quiet = Quiet();
+    auto quiet = MutedLog();
     auto fleet = Fleet(9);
     fleet.standing(3, 5);
     auto& node = *fleet.bs[4];
@@ -268,7 +268,7 @@
 
 // After a freeze, what came by its end may have lain unread.
 TEST(ControlOrders, aFreezeIsToldToRequests) {
-    auto quiet = Quiet();
+    auto quiet = MutedLog();
     auto fleet = Fleet(10);
     fleet.standing(3, 5);
     auto& node = *fleet.bs[4];
@@ -321,7 +321,7 @@
 
 // Requests' numbers differ from life to life, for an older leader that names no life in its answers.
 TEST(ControlOrders, numbersBeginElsewhereInEachLife) {
-    auto quiet = Quiet();
+    auto quiet = MutedLog();
     auto fleet = Fleet(11);
     fleet.standing(3, 5);
     auto asked = std::set<std::int64_t>();
@@ -344,7 +344,7 @@
 
 // What surely was not logged is told apart from what may have been.
 TEST(ControlOrders, whatWasNotLoggedIsSaid) {
-    auto quiet = Quiet();
+    auto quiet = MutedLog();
     auto fleet = Fleet(12);
     fleet.standing(3, 5);
     auto leader = fleet.leader();
