--- a/src/consensus/log.cpp
+++ b/src/consensus/log.cpp
@@ -35,7 +35,7 @@
     else writes_.defer({sequence, to, envelope});
 }
 
-auto Voter::diskDone(std::int64_t sequence, bool ok, Microseconds now) -> void {
+auto Voter::onDiskWriteDone(std::int64_t sequence, bool ok, Microseconds now) -> void {
     if (auto write = writes_.complete(sequence)) {
         if (!ok) {
             writeFailed(*write, now);
--- a/src/consensus/voter.hpp
+++ b/src/consensus/voter.hpp
@@ -58,7 +58,7 @@
     virtual ~VoterPort() = default;
     /// Sends a message to the replica with this disk; it may be lost. The callee may complete `message`.
     virtual auto voterSend(const std::string& disk, wire::Envelope& message) -> void = 0;
-    /// Begins a write; Voter::diskDone reports its end. Writes are performed in their order.
+    /// Begins a write; Voter::onDiskWriteDone reports its end. Writes are performed in their order.
     virtual auto voterWrite(const DiskWrite& write) -> void = 0;
     /// The state machine advanced to `state`, which this disk holds.
     virtual auto voterApplied(const ReplicatedState& state, const AppliedEntry& applied) -> void = 0;
@@ -90,7 +90,7 @@
     /// Takes a message of another replica.
     auto handle(const wire::Envelope& message, Microseconds now) -> void;
     /// The write `sequence` (DiskWrite::seq) is on disk, or has failed. To be called in their order.
-    auto diskDone(std::int64_t sequence, bool ok, Microseconds now) -> void;
+    auto onDiskWriteDone(std::int64_t sequence, bool ok, Microseconds now) -> void;
     /// Begins a new cluster with this state on this disk alone, leaving any earlier one; the
     /// other voters are sent it as a snapshot.
     auto bootstrap(const ReplicatedState& state, std::int64_t term, Microseconds now) -> void;
--- a/src/daemon/disk_thread.cpp
+++ b/src/daemon/disk_thread.cpp
@@ -129,7 +129,7 @@
         gate_.fail(write);
     }
     auto lock = std::lock_guard(logic_.mutex);
-    logic_.node->diskDone(write.seq, bool(result), bootNow());
+    logic_.node->onDiskWriteDone(write.seq, bool(result), bootNow());
 }
 
 auto DiskThread::readPeers() const -> std::vector<std::string> {
--- a/src/daemon/disk_thread.hpp
+++ b/src/daemon/disk_thread.hpp
@@ -29,7 +29,7 @@
     /// Starts the thread, which first opens the store if that has failed so far.
     auto start() -> void;
     auto stop() -> void;
-    /// Queues a write; Node::diskDone tells of its end. With Logic::mutex held.
+    /// Queues a write; Node::onDiskWriteDone tells of its end. With Logic::mutex held.
     auto write(const DiskWrite& write) -> void;
     /// Queues the peers' addresses, which replace those not written yet. With Logic::mutex held.
     auto keepPeers(const std::vector<std::string>& addresses) -> void;
--- a/src/membership/node.hpp
+++ b/src/membership/node.hpp
@@ -51,7 +51,7 @@
     /// `wall`: calendar time.
     auto tick(Microseconds now, Microseconds wall) -> void;
     auto handle(const wire::Envelope& envelope, Microseconds now) -> void;
-    auto diskDone(std::int64_t seq, bool ok, Microseconds now) -> void;
+    auto onDiskWriteDone(std::int64_t seq, bool ok, Microseconds now) -> void;
     /// What a probe brought; `refused`: the server said itself that nobody is there.
     auto probeFinished(const std::string& server, bool ok, bool refused, const wire::ServerLoad& load,
         Microseconds now) -> void;
--- a/src/membership/node_messages.cpp
+++ b/src/membership/node_messages.cpp
@@ -33,9 +33,9 @@
     }
 }
 
-auto Node::diskDone(std::int64_t seq, bool ok, Microseconds now) -> void {
+auto Node::onDiskWriteDone(std::int64_t seq, bool ok, Microseconds now) -> void {
     noticeFreeze(now);
-    if (context_.voter) context_.voter->diskDone(seq, ok, now);
+    if (context_.voter) context_.voter->onDiskWriteDone(seq, ok, now);
     protocol_->refreshOwnRecord();
     orderService_.tick(*context_.voter, context_.wall, now);
 }
--- a/src/membership/node_port.hpp
+++ b/src/membership/node_port.hpp
@@ -14,7 +14,7 @@
     virtual ~NodePort() = default;
     /// Sends to a peer address; may be lost.
     virtual auto send(const std::string& address, const wire::Envelope& envelope) -> void = 0;
-    /// Writes the voter's state; answered through Node::diskDone.
+    /// Writes the voter's state; answered through Node::onDiskWriteDone.
     virtual auto disk(const DiskWrite& write) -> void = 0;
     /// The outcome of an operator's or the platform's request of this node.
     virtual auto done(std::int64_t id, const Outcome& outcome) -> void = 0;
--- a/src/modelcheck/replica.cpp
+++ b/src/modelcheck/replica.cpp
@@ -127,7 +127,7 @@
     auto taken = ok && gate_.takes(write);
     if (taken) diskApply(durable_, write);
     else gate_.fail(write);
-    voter_.diskDone(write.seq, taken, now_);
+    voter_.onDiskWriteDone(write.seq, taken, now_);
 }
 
 auto Replica::propose(std::uint32_t number) -> void {
--- a/src/sim/machine.cpp
+++ b/src/sim/machine.cpp
@@ -144,7 +144,7 @@
         if (ok) diskApply(dk.held, dk.under.front());
         else dk.gate.fail(dk.under.front());
         dk.under.pop_front();
-        w.to(i, l, 0, [this, seq, ok] { node->diskDone(seq, ok, now()); });
+        w.to(i, l, 0, [this, seq, ok] { node->onDiskWriteDone(seq, ok, now()); });
         diskStep();
     });
 }
--- a/src/sim/scale_fleet.cpp
+++ b/src/sim/scale_fleet.cpp
@@ -174,7 +174,8 @@
         self.writing.pop_front();
         diskApply(self.held, write);
         self.stats.syncs++;
-        self.fleet.spend(self, &Stats::other, [&] { self.node->diskDone(write.seq, true, self.fleet.now); });
+        self.fleet.spend(
+            self, &Stats::other, [&] { self.node->onDiskWriteDone(write.seq, true, self.fleet.now); });
         self.fleet.noteConfig(self);
         self.syncNext();
     });
--- a/tests/consensus/consensus_fixture.hpp
+++ b/tests/consensus/consensus_fixture.hpp
@@ -62,7 +62,7 @@
                 failNextWrite = false;
                 if (ok) diskApply(held, write);
                 else gate.fail(write);
-                voter->diskDone(write.seq, ok, cluster.now);
+                voter->onDiskWriteDone(write.seq, ok, cluster.now);
             }
         }
     };
--- a/tests/consensus/voter_test.cpp
+++ b/tests/consensus/voter_test.cpp
@@ -83,7 +83,7 @@
                 auto ok = gate.takes(write) && (cluster.calm || !cluster.random.chance(.002));
                 if (ok) diskApply(held, write);
                 else gate.fail(write);
-                voter->diskDone(write.seq, ok, cluster.now);
+                voter->onDiskWriteDone(write.seq, ok, cluster.now);
             }
         }
         // Whether it runs, and holds a whole set of voters that are all of these disks.
--- a/tests/membership/fleet_fixture.hpp
+++ b/tests/membership/fleet_fixture.hpp
@@ -198,7 +198,7 @@
                     auto w = b.under.front().second;
                     b.under.pop_front();
                     diskApply(b.held, w);
-                    b.n->diskDone(w.seq, true, t);
+                    b.n->onDiskWriteDone(w.seq, true, t);
                 }
                 if ((t / MILLISECOND + Microseconds(i) * 2) % 20 == 0)
                     b.n->tick(t, 1'700'000'000 * SECOND + t);
--- a/tests/membership/node_fixture.hpp
+++ b/tests/membership/node_fixture.hpp
@@ -65,7 +65,7 @@
             e->tick(now);
             auto q = std::move(dq);
             dq.clear();
-            for (auto& w : q) n->diskDone(w.seq, true, now);
+            for (auto& w : q) n->onDiskWriteDone(w.seq, true, now);
             auto p = std::move(probes);
             probes.clear();
             for (auto& s : p) {
--- a/tests/routing/edge_fixture.hpp
+++ b/tests/routing/edge_fixture.hpp
@@ -119,7 +119,7 @@
         edge->tick(now);
         auto q = std::move(diskWrites);
         diskWrites.clear();
-        for (auto& w : q) node->diskDone(w.seq, true, now);
+        for (auto& w : q) node->onDiskWriteDone(w.seq, true, now);
         now += 20 * MILLISECOND;
     }
     auto runFor(Microseconds d) -> void {
--- a/tests/storage/storage_full_test.cpp
+++ b/tests/storage/storage_full_test.cpp
@@ -133,7 +133,7 @@
         while (!writes.empty()) {
             auto write = std::move(writes.front());
             writes.pop_front();
-            voter.diskDone(write.seq, bool(store.write(write)), now);
+            voter.onDiskWriteDone(write.seq, bool(store.write(write)), now);
         }
     }
     auto bootstrap() -> void {
