--- a/src/routing/route_table.cpp
+++ b/src/routing/route_table.cpp
@@ -33,7 +33,7 @@
     table.budgetSlack = jsonNumber(budget, "slack", table.budgetSlack);
     auto& ramp = section(config, "ramp");
     table.slowStartDuration = jsonInteger(ramp, "overUs", table.slowStartDuration);
-    table.rampFirstSlots = int(jsonInteger(ramp, "first", table.rampFirstSlots));
+    table.slowStartInitialSlots = int(jsonInteger(ramp, "first", table.slowStartInitialSlots));
     auto& cold = section(config, "cold");
     table.coldOverrun = jsonNumber(cold, "overrun", table.coldOverrun);
     table.coldSlack = jsonNumber(cold, "slack", table.coldSlack);
--- a/src/routing/route_table.hpp
+++ b/src/routing/route_table.hpp
@@ -106,7 +106,7 @@
     double coldOverrun = 1.5;     ///< A cold server bears its rate times this,
     double coldSlack = 5;         ///< and so many requests more.
     Microseconds slowStartDuration = 20 * SECOND;
-    int rampFirstSlots = 2;  ///< Slots of a server at its ramp's beginning, of all nodes.
+    int slowStartInitialSlots = 2;  ///< Slots of a server at its ramp's beginning, of all nodes.
 
     [[nodiscard]] auto tenants() const -> const TenantTable& { return configuration->tenants(); }
     /// The index of a request's route, -1 if there is none: of its host, else of any; the longest path;
--- a/src/routing/slow_start.cpp
+++ b/src/routing/slow_start.cpp
@@ -34,8 +34,9 @@
     auto elapsed = upTime(name, server, now);
     if (elapsed >= routes_.slowStartDuration) return NO_LIMIT;
     auto slots = double(std::max(1, server.listing.slots));
-    auto grown = (slots - routes_.rampFirstSlots) * double(elapsed) / double(routes_.slowStartDuration);
-    auto all = int(routes_.rampFirstSlots + grown);
+    auto grown =
+        (slots - routes_.slowStartInitialSlots) * double(elapsed) / double(routes_.slowStartDuration);
+    auto all = int(routes_.slowStartInitialSlots + grown);
     // Each node takes its part; the remainder goes to those that rendezvous hashing puts first.
     auto nodes = node_.aliveNodes(now);
     auto before = 0;
--- a/src/routing/slow_start.hpp
+++ b/src/routing/slow_start.hpp
@@ -18,8 +18,8 @@
 enum class BucketUse { Look, Take };
 
 /// Two rules. Where the configuration says nothing of the service, a server's room grows from
-/// RouteTable::rampFirstSlots to all its slots over RouteTable::slowStartDuration. Where it names a cold
-/// rate, a cold server bears that many requests a second. Both are limits of all nodes together, and are
+/// RouteTable::slowStartInitialSlots to all its slots over RouteTable::slowStartDuration. Where it names a
+/// cold rate, a cold server bears that many requests a second. Both are limits of all nodes together, and are
 /// dealt out to nodes by rendezvous hashing, so that nobody has to ask.
 class SlowStart {
   public:
