--- a/tests/membership/fleet_fixture.hpp
+++ b/tests/membership/fleet_fixture.hpp
@@ -54,7 +54,7 @@
 struct Fleet {
     RandomSource r;
     Microseconds t = 0, sync = 3 * MILLISECOND;
-    std::vector<std::unique_ptr<FleetNode>> bs;
+    std::vector<std::unique_ptr<FleetNode>> nodes;
     struct Post {
         std::string to;
         std::size_t from;
@@ -77,8 +77,8 @@
     explicit Fleet(std::uint64_t seed) : r{seed} {}
 
     auto add(const std::string& region, const std::string& zone, bool core, bool bootstrap) -> FleetNode& {
-        auto& b = *bs.emplace_back(std::make_unique<FleetNode>(*this));
-        auto k = bs.size();
+        auto& b = *nodes.emplace_back(std::make_unique<FleetNode>(*this));
+        auto k = nodes.size();
         b.core = core;
         b.st.node = fmt::format("edge-{}-{}", zone, k);
         b.st.zone = zone;
@@ -101,7 +101,7 @@
         seeds = {"10.1.0.1:7720", "10.1.0.2:7720", "10.1.0.3:7720"};
         for (auto i = 0; i < nodes; i++)
             add(ds[std::size_t(i % 3)].first, ds[std::size_t(i % 3)].second, i < cores, true);
-        for (auto& b : bs) start(*b);
+        for (auto& b : nodes) start(*b);
     }
     auto start(FleetNode& b) -> void {
         b.up = true;
@@ -123,7 +123,7 @@
     auto reseed() -> void {
         auto v = std::vector<std::string>();
         auto gone = std::string();
-        for (auto& b : bs)
+        for (auto& b : nodes)
             if (b->core && b->removed) gone = b->st.peer;
             else if (b->core) v.push_back(b->st.peer);
         if (!gone.empty()) v.insert(v.begin() + Microseconds(r.below(3)), gone);
@@ -145,12 +145,12 @@
     }
     auto at(const std::string& addr) -> int {
         auto i = byAddr.find(addr);
-        return i == byAddr.end() || bs[i->second]->removed ? -1 : int(i->second);
+        return i == byAddr.end() || nodes[i->second]->removed ? -1 : int(i->second);
     }
     auto of(const FleetNode& b) -> std::size_t { return byAddr[b.st.peer]; }
     auto lone(FleetNode& b, bool on) -> void {  // cut off from all the others
         auto k = of(b);
-        for (auto i = std::size_t(0); i < bs.size(); i++) {
+        for (auto i = std::size_t(0); i < nodes.size(); i++) {
             if (i == k) continue;
             for (auto p : {std::pair(i, k), std::pair(k, i)})
                 if (on) cut.insert(p);
@@ -161,7 +161,7 @@
         if (filter) filter(of(b), to, e);
         auto j = at(to);
         if (j < 0 || r.chance(loss)) return;
-        auto& o = *bs[std::size_t(j)];
+        auto& o = *nodes[std::size_t(j)];
         auto d = b.st.region != o.st.region ? 55 * MILLISECOND
             : b.st.zone != o.st.zone        ? 900
                                             : Microseconds(300);
@@ -179,20 +179,20 @@
     auto run(Microseconds d) -> void {
         for (auto end = t + d; t < end && bad.empty();) {
             t += 2 * MILLISECOND;
-            for (auto& b : bs)
+            for (auto& b : nodes)
                 if (broken && b->up && b->n->voter()) b->n->voter()->broken.ackBeforeSync = true;
             while (!net.empty() && net.begin()->first <= t) {
                 auto p = net.begin()->second;
                 auto when = net.begin()->first;
                 net.erase(net.begin());
                 auto j = at(p.to);
-                if (j < 0 || !bs[std::size_t(j)]->up || cut.count({p.from, std::size_t(j)})) continue;
-                auto& b = *bs[std::size_t(j)];
+                if (j < 0 || !nodes[std::size_t(j)]->up || cut.count({p.from, std::size_t(j)})) continue;
+                auto& b = *nodes[std::size_t(j)];
                 if (b.frozen > t) net.emplace(std::max(when, b.frozen), p);
                 else b.n->handle(p.e, t);
             }
-            for (auto i = std::size_t(0); i < bs.size(); i++) {
-                auto& b = *bs[i];
+            for (auto i = std::size_t(0); i < nodes.size(); i++) {
+                auto& b = *nodes[i];
                 if (!b.up || b.frozen > t) continue;
                 while (!b.under.empty() && b.under.front().first <= t) {
                     auto w = b.under.front().second;
@@ -219,7 +219,7 @@
     }
     auto leader() -> FleetNode* {
         auto x = static_cast<FleetNode*>(nullptr);
-        for (auto& b : bs)
+        for (auto& b : nodes)
             if (b->up && b->frozen <= t && b->n->voter() && b->n->voter()->ready()
                 && t - b->n->voter()->quorumAt() < SECOND
                 && (!x || b->n->ownRecord().term > x->n->ownRecord().term))
@@ -235,7 +235,7 @@
     auto ordered(const std::string& what, Microseconds limit) -> bool {
         for (auto end = t + limit; t < end;) {
             auto live = std::vector<FleetNode*>();
-            for (auto& b : bs)
+            for (auto& b : nodes)
                 if (b->up && b->frozen <= t) live.push_back(b.get());
             auto id = order(*live[r.below(live.size())], what);
             if (until(std::min(SECOND, end - t), [&] { return ok(id); })) return true;
@@ -243,13 +243,13 @@
         return false;
     }
     auto everywhere(const std::string& what) -> bool {
-        for (auto& b : bs)
+        for (auto& b : nodes)
             if (b->up && b->frozen <= t && !b->n->replicatedState().evacuated(what)) return false;
         return true;
     }
     auto config() -> bool {
         auto id = ++ids;
-        bs[4]->n->order(id, "config", "first",
+        nodes[4]->n->order(id, "config", "first",
             R"({"base":0,"config":{"mappings":[{"name":"a","path":"/a","pool":"p","MaxTries":2}]}})", t);
         return until(3 * SECOND, [&] { return ok(id); });
     }
@@ -264,7 +264,7 @@
     }
     auto show() -> void {
         if (!getenv("DT_SHOW")) return;
-        for (auto& b : bs) {
+        for (auto& b : nodes) {
             if (!b->core || !b->n) continue;
             auto v = b->n->voter();
             fmt::print("{} disk {} role {} term {} last {} commit {} gen {} alive {} leader {} voters",
@@ -279,7 +279,7 @@
         CHECK(until(3 * SECOND, [&] { return leader() != nullptr; }));
         CHECK(config());
         CHECK(until(SECOND, [&] {
-            return std::all_of(bs.begin(), bs.end(), [&](auto& b) { return b->n->withinLease(t); });
+            return std::all_of(nodes.begin(), nodes.end(), [&](auto& b) { return b->n->withinLease(t); });
         }));
         run(2 * SECOND);
     }
@@ -294,7 +294,7 @@
     }
     auto duties() -> std::vector<FleetNode*> {
         auto v = std::vector<FleetNode*>();
-        for (auto& b : bs)
+        for (auto& b : nodes)
             if (b->up && b->n->hasSingletonDuty(t)) v.push_back(b.get());
         return v;
     }
@@ -303,7 +303,8 @@
         return i == b.n->servers().end() ? -1 : int(i->second.listing.state);
     }
     auto listed(const std::string& s, int state_) -> bool {
-        return std::all_of(bs.begin(), bs.end(), [&](auto& b) { return !b->up || state(*b, s) == state_; });
+        return std::all_of(
+            nodes.begin(), nodes.end(), [&](auto& b) { return !b->up || state(*b, s) == state_; });
     }
 };
 
--- a/tests/membership/gossip_bootstrap_test.cpp
+++ b/tests/membership/gossip_bootstrap_test.cpp
@@ -15,19 +15,20 @@
     for (auto seed = 1u; seed < 6; seed++) {
         auto f = Fleet(seed);
         f.bootstrap();
-        for (auto& b : f.bs) CHECK(!b->n->withinLease(f.t));
+        for (auto& b : f.nodes) CHECK(!b->n->withinLease(f.t));
         CHECK(f.until(3 * SECOND, [&] { return f.leader() != nullptr; }));
         CHECK_EQ(std::size_t(3), f.voters().size());
         auto a = f.t;
         CHECK(f.config());
         CHECK(f.t - a < SECOND);
         CHECK(f.until(SECOND, [&] {
-            return std::all_of(f.bs.begin(), f.bs.end(), [&](auto& b) { return b->n->withinLease(f.t); });
+            return std::all_of(
+                f.nodes.begin(), f.nodes.end(), [&](auto& b) { return b->n->withinLease(f.t); });
         }));
-        for (auto& b : f.bs) CHECK_EQ(std::size_t(12), b->n->aliveNodes(f.t).size());
+        for (auto& b : f.nodes) CHECK_EQ(std::size_t(12), b->n->aliveNodes(f.t).size());
         CHECK_EQ(std::int64_t(0), f.probes);
         auto begun = std::int64_t(0);
-        for (auto& b : f.bs) begun += b->ct.get("reigns_begun_total");
+        for (auto& b : f.nodes) begun += b->ct.get("reigns_begun_total");
         CHECK_EQ(std::int64_t(1), begun);
     }
 }
@@ -39,7 +40,7 @@
     CHECK(f.until(3 * SECOND, [&] { return f.leader() != nullptr; }));
     CHECK_EQ(std::size_t(5), f.voters().size());
     auto in = std::map<std::string, int>();
-    for (auto& b : f.bs)
+    for (auto& b : f.nodes)
         if (f.seated(*b)) in[b->st.zone]++;
     CHECK_EQ(std::size_t(3), in.size());
     for (auto& [d, n] : in) CHECK(n <= 2);
@@ -49,7 +50,7 @@
     auto q = MutedLog();
     auto f = Fleet(4);
     f.bootstrap();
-    for (auto& b : f.bs) {
+    for (auto& b : f.nodes) {
         f.stop(*b);
         f.restart(*b);
     }
@@ -62,19 +63,19 @@
         auto f = Fleet(seed);
         f.standing();
         CHECK(f.ordered("z", 4 * SECOND));
-        for (auto& b : f.bs) f.stop(*b);
+        for (auto& b : f.nodes) f.stop(*b);
         f.run(500 * MILLISECOND);
-        for (auto& b : f.bs) {
+        for (auto& b : f.nodes) {
             // The seeds that the later settings name may be dead; cores keep a book.
             if (seed % 2) b->st.seeds = {b->core ? "10.1.0.99:7720" : "10.1.0.1:7720"};
             f.restart(*b);
         }
-        for (auto i = 0u; i < 3; i++) CHECK(f.bs[i]->n->withinLease(f.t));
+        for (auto i = 0u; i < 3; i++) CHECK(f.nodes[i]->n->withinLease(f.t));
         CHECK(f.until(5 * SECOND, [&] { return f.leader() && f.everywhere("z"); }));
         CHECK(f.ordered("y", 4 * SECOND));
-        for (auto& b : f.bs) CHECK(b->n->withinLease(f.t));
+        for (auto& b : f.nodes) CHECK(b->n->withinLease(f.t));
         f.run(2 * SECOND);
-        for (auto& b : f.bs) CHECK_EQ(std::size_t(12), b->n->aliveNodes(f.t).size());
+        for (auto& b : f.nodes) CHECK_EQ(std::size_t(12), b->n->aliveNodes(f.t).size());
     }
 }
 
@@ -87,14 +88,15 @@
     f.start(n);
     CHECK(f.until(SECOND, [&] { return n.n->ready(f.t); }));
     CHECK(f.until(2 * SECOND, [&] {
-        return std::all_of(f.bs.begin(), f.bs.end(), [&](auto& b) { return b->n->alive(n.st.node, f.t); });
+        return std::all_of(
+            f.nodes.begin(), f.nodes.end(), [&](auto& b) { return b->n->alive(n.st.node, f.t); });
     }));
     f.run(3 * SECOND);
-    for (auto& b : f.bs) CHECK_EQ(std::size_t(13), b->n->aliveNodes(f.t).size());
+    for (auto& b : f.nodes) CHECK_EQ(std::size_t(13), b->n->aliveNodes(f.t).size());
     f.stop(n);
     n.removed = true;
     f.run(4 * SECOND);
-    for (auto& b : f.bs)
+    for (auto& b : f.nodes)
         if (b->up) CHECK_EQ(std::size_t(12), b->n->aliveNodes(f.t).size());
 }
 
--- a/tests/membership/gossip_dissemination_test.cpp
+++ b/tests/membership/gossip_dissemination_test.cpp
@@ -16,7 +16,7 @@
     auto q = MutedLog();
     auto f = Fleet(5);
     f.standing();
-    for (auto& b : f.bs) {
+    for (auto& b : f.nodes) {
         auto id = f.order(*b, b->st.node);
         CHECK(f.until(SECOND, [&] { return f.ok(id); }));
         CHECK(f.until(SECOND, [&] { return f.everywhere(b->st.node); }));
@@ -48,7 +48,7 @@
             auto f = Fleet(seed);
             f.standing();
             f.run(Microseconds(f.r.below(SECOND)));
-            f.stop(*f.bs[i]);
+            f.stop(*f.nodes[i]);
             CHECK(f.ordered("z", 2 * SECOND));
             CHECK(f.until(1700 * MILLISECOND, [&] { return f.everywhere("z"); }));
         }
@@ -66,14 +66,14 @@
             for (auto i = 0; i < 6; i++)
                 if (f.r.chance(.7)) ns.push_back(fmt::format("s{}", i));
             if (auto d = f.duties(); !d.empty()) f.list(*d[f.r.below(d.size())], ns);
-            if (f.r.chance(.2)) f.order(*f.bs[f.r.below(12)], fmt::format("z{}", k));
+            if (f.r.chance(.2)) f.order(*f.nodes[f.r.below(12)], fmt::format("z{}", k));
             f.run(Microseconds(f.r.below(600 * MILLISECOND)));
         }
         f.loss = 0;
         f.run(4 * SECOND);
         CHECK(f.leader() && f.leader()->n->hasSingletonDuty(f.t));
         auto& l = *f.leader()->n;
-        for (auto& b : f.bs) {
+        for (auto& b : f.nodes) {
             CHECK_EQ(std::size_t(12), b->n->aliveNodes(f.t).size());
             CHECK_EQ(l.replicatedState().version, b->n->replicatedState().version);
             CHECK_EQ(l.servers().size(), b->n->servers().size());
@@ -81,7 +81,7 @@
                 CHECK_EQ(s.listing.state, b->n->servers().at(n).listing.state);
                 CHECK_EQ(s.listing.revision, b->n->servers().at(n).listing.revision);
             }
-            for (auto& o : f.bs)
+            for (auto& o : f.nodes)
                 if (o != b) {
                     auto& r = b->n->nodes().at(o->st.node).record;
                     CHECK_EQ(o->n->ownRecord().version, r.version);
@@ -98,11 +98,11 @@
     auto f = Fleet(50);
     f.serveOn = false;
     f.standing();
-    auto& c = *f.bs[7];
+    auto& c = *f.nodes[7];
     f.lone(c, true);
     f.run(4 * SECOND);
     CHECK(!c.n->withinLease(f.t));
-    CHECK(f.bs[8]->n->withinLease(f.t));
+    CHECK(f.nodes[8]->n->withinLease(f.t));
     f.lone(c, false);
     CHECK(f.until(2 * SECOND, [&] { return c.n->withinLease(f.t); }));
 }
@@ -125,9 +125,9 @@
     CHECK(rate < 5'000);
     CHECK(f.heartbeats / 16 < 70);
     CHECK_EQ(std::int64_t(0), f.probes);
-    f.bs[0]->st.probes = true;
-    f.stop(*f.bs[0]);
-    f.restart(*f.bs[0]);
+    f.nodes[0]->st.probes = true;
+    f.stop(*f.nodes[0]);
+    f.restart(*f.nodes[0]);
     f.run(2 * SECOND);
     CHECK(f.probes > 0);
 }
@@ -143,7 +143,7 @@
     f.weigh = true;
     auto again = [&] {
         auto n = std::int64_t(0);
-        for (auto& b : f.bs) n += b->ct.get("node_heard_again_total") + b->ct.get("asked_total");
+        for (auto& b : f.nodes) n += b->ct.get("node_heard_again_total") + b->ct.get("asked_total");
         return n;
     };
     auto was = again();
@@ -154,9 +154,9 @@
             "{} nodes: {} bytes a second between regions, {} a node; {} us of work a node and second\n",
             nodes, f.between / 5, f.all / 5 / nodes, (clock() - c) / 5 / nodes);
     CHECK_EQ(was, again());
-    for (auto& b : f.bs) CHECK_EQ(std::size_t(nodes), b->n->aliveNodes(f.t).size());
+    for (auto& b : f.nodes) CHECK_EQ(std::size_t(nodes), b->n->aliveNodes(f.t).size());
     CHECK(f.all / 5 / nodes < 80 * nodes);
-    auto id = f.order(*f.bs.back(), "z");
+    auto id = f.order(*f.nodes.back(), "z");
     CHECK(f.until(SECOND, [&] { return f.ok(id); }));
     CHECK(f.until(SECOND, [&] { return f.everywhere("z"); }));
 }
--- a/tests/membership/gossip_listing_test.cpp
+++ b/tests/membership/gossip_listing_test.cpp
@@ -16,10 +16,10 @@
         auto f = Fleet(92);
         f.standing();
         auto l = f.leader();
-        if (l == f.bs[i].get()) continue;
+        if (l == f.nodes[i].get()) continue;
         CHECK_EQ(200, f.list(*l, {"s1", "s2"}));
         f.run(SECOND);
-        auto& c = *f.bs[i];
+        auto& c = *f.nodes[i];
         f.lone(c, true);
         CHECK_EQ(200, f.list(*l, {"s1"}));
         f.run(70 * SECOND);
@@ -41,12 +41,12 @@
         f.standing();
         CHECK_EQ(200, f.list(*f.leader(), {"s0"}));
         f.run(SECOND);
-        for (auto i = 0u; i < 3; i++) f.stop(*f.bs[i]);
+        for (auto i = 0u; i < 3; i++) f.stop(*f.nodes[i]);
         f.run(5 * SECOND);
         auto part = [&](bool on) {
             for (auto i = 0u; i < 12; i++)
                 for (auto j = 0u; j < 12; j++)
-                    if (f.bs[i]->st.region != f.bs[j]->st.region) {
+                    if (f.nodes[i]->st.region != f.nodes[j]->st.region) {
                         if (on) f.cut.insert({i, j});
                         else f.cut.erase({i, j});
                     }
@@ -67,7 +67,7 @@
         f.run(5 * SECOND);
         CHECK_EQ(std::size_t(1), f.duties().size());
         auto& a = *f.duties()[0]->n;
-        for (auto& b : f.bs) {
+        for (auto& b : f.nodes) {
             if (!b->up) continue;
             CHECK_EQ(a.servers().size(), b->n->servers().size());
             for (auto& [n, s] : a.servers()) {
@@ -86,10 +86,10 @@
     CHECK_EQ(std::size_t(1), f.duties().size());
     auto l = f.leader();
     CHECK(f.duties()[0] == l);
-    CHECK_EQ(409, f.list(*f.bs[8], {"x"}));
+    CHECK_EQ(409, f.list(*f.nodes[8], {"x"}));
     CHECK_EQ(200, f.list(*l, {"s1", "s2"}, R"(,"coldUs":5000000)"));
     CHECK(f.until(400 * MILLISECOND, [&] { return f.listed("s1", UP) && f.listed("s2", UP); }));
-    for (auto& b : f.bs) {
+    for (auto& b : f.nodes) {
         auto left = b->n->servers().at("s1").coldUntil - f.t;
         CHECK(left > 4 * SECOND && left <= 5 * SECOND + 300 * MILLISECOND);
     }
@@ -98,7 +98,7 @@
     CHECK(f.listed("s1", UP));
     CHECK_EQ(200, f.list(*l, {"s1"}));
     CHECK(f.until(400 * MILLISECOND, [&] { return f.listed("s2", LEAVING) && f.listed("s1", UP); }));
-    f.bs[6]->n->mark(++f.ids, "s1", 0, f.t);
+    f.nodes[6]->n->mark(++f.ids, "s1", 0, f.t);
     CHECK(f.ok(f.ids));
     f.stop(*l);
     CHECK(f.until(4 * SECOND, [&] { return f.duties().size() == 1; }));
@@ -129,7 +129,7 @@
     CHECK_EQ(409, f.list(*l, {"s1"}));
     f.run(2 * SECOND);
     CHECK(f.listed("s2", UP) && f.listed("s1", LEAVING));
-    for (auto i = 0u; i < 3; i++) f.stop(*f.bs[i]);
+    for (auto i = 0u; i < 3; i++) f.stop(*f.nodes[i]);
     f.run(6 * SECOND);
     CHECK_EQ(std::size_t(1), f.duties().size());
     CHECK_EQ(200, f.list(*f.duties()[0], {"s3"}));
@@ -144,9 +144,9 @@
         f.standing();
         CHECK_EQ(200, f.list(*f.leader(), {"s1"}));
         f.run(SECOND);
-        for (auto& b : f.bs) f.stop(*b);
+        for (auto& b : f.nodes) f.stop(*b);
         f.run(SECOND);
-        for (auto& b : f.bs) f.start(*b);
+        for (auto& b : f.nodes) f.start(*b);
         CHECK(f.until(450 * MILLISECOND, [&] { return !f.leader() && !f.duties().empty(); }));
         CHECK_EQ(200, f.list(*f.duties()[0], {"s1"}));
         CHECK(f.until(3 * SECOND, [&] { return f.listed("s1", UP); }));
--- a/tests/membership/gossip_voters_test.cpp
+++ b/tests/membership/gossip_voters_test.cpp
@@ -94,7 +94,7 @@
             CHECK(f.ordered(what, 6 * SECOND));
             acked.push_back(what);
             // At the very moment of the acknowledgement.
-            auto cs = std::vector<FleetNode*>{f.bs[0].get(), f.bs[1].get(), f.bs[2].get()};
+            auto cs = std::vector<FleetNode*>{f.nodes[0].get(), f.nodes[1].get(), f.nodes[2].get()};
             auto w = f.r.below(3);
             for (auto i = 0u; i < 3; i++)
                 if (i == w || f.r.chance(.7)) f.stop(*cs[i]);
@@ -104,7 +104,7 @@
                 if (!c->up) f.restart(*c);
             if (!f.until(6 * SECOND, [&] { return f.leader() != nullptr; })) return false;
             auto id = ++f.ids;
-            f.bs[5]->n->read(id, f.t);
+            f.nodes[5]->n->read(id, f.t);
             if (!f.until(4 * SECOND, [&] { return f.ok(id); })) return false;
             auto d = rapidjson::Document();
             CHECK(parseJson(f.outs[id].body, d));
@@ -137,15 +137,15 @@
     auto f = Fleet(2);
     f.standing();
     CHECK(f.ordered("z", 6 * SECOND));
-    for (auto i : {0, 1}) f.stop(*f.bs[std::size_t(i)]), f.wipe(*f.bs[std::size_t(i)]);
+    for (auto i : {0, 1}) f.stop(*f.nodes[std::size_t(i)]), f.wipe(*f.nodes[std::size_t(i)]);
     f.run(500 * MILLISECOND);
-    for (auto i : {0, 1}) f.restart(*f.bs[std::size_t(i)]);
+    for (auto i : {0, 1}) f.restart(*f.nodes[std::size_t(i)]);
     CHECK(!f.until(10 * SECOND, [&] { return f.leader() != nullptr; }));
     // None founds anew; what is known is served on, and a survivor can be ordered to begin.
-    for (auto i = 2u; i < 12; i++) CHECK(f.bs[i]->n->withinLease(f.t));
-    auto& w = f.bs[2]->n->newestKnownState();
-    CHECK_EQ(409, f.bs[2]->n->rescue(w.epoch, w.version - 1, f.t).status);
-    CHECK_EQ(200, f.bs[2]->n->rescue(w.epoch, w.version, f.t).status);
+    for (auto i = 2u; i < 12; i++) CHECK(f.nodes[i]->n->withinLease(f.t));
+    auto& w = f.nodes[2]->n->newestKnownState();
+    CHECK_EQ(409, f.nodes[2]->n->rescue(w.epoch, w.version - 1, f.t).status);
+    CHECK_EQ(200, f.nodes[2]->n->rescue(w.epoch, w.version, f.t).status);
     CHECK(f.until(8 * SECOND, [&] { return f.leader() != nullptr; }));
     CHECK(f.leader()->n->replicatedState().evacuated("z"));
 }
@@ -156,7 +156,7 @@
         auto f = Fleet(20 + k);
         f.standing();
         CHECK(f.ordered("a", 4 * SECOND));
-        auto& gone = *f.bs[k];
+        auto& gone = *f.nodes[k];
         f.stop(gone);
         gone.removed = true;
         f.run(f.r.below(2) ? 300 * MILLISECOND : 4 * SECOND);
@@ -165,7 +165,7 @@
         CHECK(f.until(5 * SECOND, [&] { return f.seated(n) && f.voters().size() == 3; }));
         CHECK(f.ordered("b", 4 * SECOND));
         // Then one of the old ones may go as well.
-        f.stop(*f.bs[(k + 1) % 3]);
+        f.stop(*f.nodes[(k + 1) % 3]);
         CHECK(f.ordered("c", 5 * SECOND));
         CHECK(f.until(3 * SECOND, [&] { return f.everywhere("c"); }));
     }
@@ -178,7 +178,7 @@
         auto f = Fleet(60 + k);
         f.standing();
         CHECK(f.ordered("a", 4 * SECOND));
-        auto& leaving = *f.bs[k];
+        auto& leaving = *f.nodes[k];
         CHECK(leaving.n->voteHandedOver(f.t));
         auto& spare = f.add(leaving.st.region, leaving.st.zone, true, false);
         f.start(spare);
@@ -191,7 +191,7 @@
         f.stop(leaving);
         CHECK(f.ordered("b", 4 * SECOND));
         // One more loss is borne.
-        f.stop(*f.bs[(k + 1) % 3]);
+        f.stop(*f.nodes[(k + 1) % 3]);
         CHECK(f.ordered("c", 5 * SECOND));
     }
 }
@@ -202,7 +202,7 @@
     for (auto seed = 30u; seed < 34; seed++) {
         auto f = Fleet(seed);
         f.standing();
-        auto& old = *(f.leader() == f.bs[0].get() ? f.bs[1] : f.bs[0]);
+        auto& old = *(f.leader() == f.nodes[0].get() ? f.nodes[1] : f.nodes[0]);
         auto was = old.n->ownRecord().disk;
         f.lone(old, true);
         auto& n = f.add(old.st.region, old.st.zone, true, false);
@@ -233,7 +233,7 @@
         auto f = Fleet(seed);
         f.standing();
         auto l = f.leader();
-        auto& c = *(l == f.bs[2].get() ? f.bs[1] : f.bs[2]);
+        auto& c = *(l == f.nodes[2].get() ? f.nodes[1] : f.nodes[2]);
         f.lone(c, true);
         CHECK(f.ordered("z", 4 * SECOND));
         f.run(5 * SECOND);
@@ -279,19 +279,19 @@
     auto acked = std::vector<std::string>();
     auto size = cores > 4 ? 5u : 3u;
     auto cs = std::vector<FleetNode*>();
-    for (auto i = 0; i < cores; i++) cs.push_back(f.bs[std::size_t(i)].get());
+    for (auto i = 0; i < cores; i++) cs.push_back(f.nodes[std::size_t(i)].get());
     for (auto k = 0; k < 12; k++) {
         auto at = fmt::format("seed {}, {} cores, round {}: ", seed, cores, k);
         auto what = fmt::format("z{}", k);
         if (f.ordered(what, Microseconds(f.r.below(3 * SECOND)))) acked.push_back(what);
         auto i = f.r.below(cs.size());
         auto c = cs[i];
-        auto e = f.bs[std::size_t(cores) + f.r.below(std::uint64_t(12 - cores))].get();
+        auto e = f.nodes[std::size_t(cores) + f.r.below(std::uint64_t(12 - cores))].get();
         auto fault = f.r.below(7);
         auto d = Microseconds(f.r.below(f.r.chance(.5) ? 2 * SECOND : 7 * SECOND));
         if (getenv("DT_SHOW")) fmt::print("{} {} fault {} of {}, {} us\n", f.t, at, fault, c->st.node, d);
         if (fault == 0) {
-            for (auto& b : f.bs)
+            for (auto& b : f.nodes)
                 if (b->up) f.stop(*b), f.back(*b);
         } else if (fault == 1) f.stop(*c), f.wipe(*c), f.run(d), f.back(*c);
         else if (fault == 2) {
@@ -323,7 +323,7 @@
         }
         f.run(3 * SECOND);
         if (!f.leader()) return at + "no leader";
-        for (auto& b : f.bs)
+        for (auto& b : f.nodes)
             if (b->up && !b->n->withinLease(f.t)) return at + b->st.node + " has no configuration";
         for (auto& a : acked)
             if (!f.leader()->n->replicatedState().evacuated(a) || !f.everywhere(a))
--- a/tests/membership/quota_voters_test.cpp
+++ b/tests/membership/quota_voters_test.cpp
@@ -40,15 +40,15 @@
         auto fleet = Fleet(40 + k);
         fleet.standing();
         putTenants(fleet);
-        auto& client = *fleet.bs.back();
+        auto& client = *fleet.nodes.back();
         CHECK(fleet.until(12 * SECOND, [&] { return isGranted(fleet, client); }));
-        auto& gone = *fleet.bs[k];
+        auto& gone = *fleet.nodes[k];
         fleet.stop(gone);
         gone.removed = true;
         auto& successor = fleet.add(gone.st.region, gone.st.zone, true, false);
         fleet.start(successor);
         CHECK(fleet.until(5 * SECOND, [&] { return fleet.seated(successor); }));
-        fleet.stop(*fleet.bs[(k + 1) % 3]);
+        fleet.stop(*fleet.nodes[(k + 1) % 3]);
         fleet.run(4 * SECOND);  // by then nothing is left that was granted before
         CHECK(fleet.until(16 * SECOND, [&] { return isGranted(fleet, client); }));
     }
--- a/tests/membership/state_distribution_test.cpp
+++ b/tests/membership/state_distribution_test.cpp
@@ -48,16 +48,16 @@
         auto lead = leader();
         if (!lead) return false;
         auto digest = stateDigest(lead->n->replicatedState());
-        return std::all_of(bs.begin(), bs.end(),
+        return std::all_of(nodes.begin(), nodes.end(),
             [&](auto& box) { return !box->up || stateDigest(box->n->replicatedState()) == digest; });
     }
     auto count(const char* counter) -> std::int64_t {
         auto sum = std::int64_t(0);
-        for (auto& box : bs) sum += box->ct.get(counter);
+        for (auto& box : nodes) sum += box->ct.get(counter);
         return sum;
     }
     /// A node without a disk.
-    auto plain() -> FleetNode& { return *bs.back(); }
+    auto plain() -> FleetNode& { return *nodes.back(); }
 };
 
 }  // namespace
@@ -110,7 +110,7 @@
     CHECK(f.until(SECOND - (f.t - before), [&] { return f.sameEverywhere(); }));
     auto took = f.t - before;
     f.run(SECOND - took);
-    auto bytes = (f.all - atRest) / std::int64_t(f.bs.size());
+    auto bytes = (f.all - atRest) / std::int64_t(f.nodes.size());
     if (getenv("DT_SHOW")) fmt::print("{} bytes a node, everywhere after {} us\n", bytes, took);
     CHECK(bytes > 100);  // counted at all
     CHECK(bytes < 2'000);
--- a/tests/membership/tenant_distribution_test.cpp
+++ b/tests/membership/tenant_distribution_test.cpp
@@ -48,11 +48,12 @@
             && !table.findByKey(testKey(last, revision - 1));
     }
     auto inForceEverywhere() -> bool {
-        return std::all_of(bs.begin(), bs.end(), [&](auto& box) { return !box->up || inForceAt(*box); });
+        return std::all_of(
+            nodes.begin(), nodes.end(), [&](auto& box) { return !box->up || inForceAt(*box); });
     }
     auto count(const char* counter) -> std::int64_t {
         auto sum = std::int64_t(0);
-        for (auto& box : bs) sum += box->ct.get(counter);
+        for (auto& box : nodes) sum += box->ct.get(counter);
         return sum;
     }
 };
@@ -72,7 +73,7 @@
     CHECK(fleet.until(SECOND - (fleet.t - before), [&] { return fleet.inForceEverywhere(); }));
     auto took = fleet.t - before;
     fleet.run(SECOND - took);
-    auto bytes = (fleet.all - atRest) / std::int64_t(fleet.bs.size());
+    auto bytes = (fleet.all - atRest) / std::int64_t(fleet.nodes.size());
     if (getenv("DT_SHOW")) fmt::print("{} bytes a node, everywhere after {} us\n", bytes, took);
     CHECK(bytes > 100);  // counted at all
     CHECK(bytes < 10'000);
@@ -82,7 +83,7 @@
 TEST(TenantDistribution, nodeThatWasCutOffLearnsOfWithdrawnKeys) {
     auto quiet = MutedLog();
     auto fleet = TenantFleet(62, 12, 20);
-    auto& node = *fleet.bs.back();
+    auto& node = *fleet.nodes.back();
     fleet.lone(node, true);
     for (auto i = 0; i < 4; i++) fleet.withdraw();
     fleet.run(6 * SECOND);
@@ -97,8 +98,8 @@
     for (auto seed = 63u; seed < 67; seed++) {
         auto fleet = TenantFleet(seed, 12, 20);
         auto leader = fleet.leader();
-        auto node = std::find_if(
-            fleet.bs.begin(), fleet.bs.end(), [&](auto& box) { return box->core && box.get() != leader; });
+        auto node = std::find_if(fleet.nodes.begin(), fleet.nodes.end(),
+            [&](auto& box) { return box->core && box.get() != leader; });
         fleet.stop(**node);
         for (auto i = 0; i < 3; i++) fleet.withdraw();
         fleet.run(3 * SECOND);
@@ -113,7 +114,7 @@
 TEST(TenantDistribution, nodeWithoutADiskStartsWithoutKeysAndThenHasTheNewest) {
     auto quiet = MutedLog();
     auto fleet = TenantFleet(67, 12, 20);
-    auto& node = *fleet.bs.back();
+    auto& node = *fleet.nodes.back();
     fleet.stop(node);
     for (auto i = 0; i < 3; i++) fleet.withdraw();
     CHECK(fleet.until(SECOND, [&] { return fleet.inForceEverywhere(); }));
--- a/tests/platform/platform_orders_fixture.hpp
+++ b/tests/platform/platform_orders_fixture.hpp
@@ -113,7 +113,7 @@
     }
     auto step() -> void {
         if (faults.readUnconfirmed)
-            for (auto& box : fleet.bs)
+            for (auto& box : fleet.nodes)
                 if (box->up) box->n->orderService().broken.readUnconfirmed = true;
         fleet.run(20 * MILLISECOND);
         pump();
@@ -125,7 +125,7 @@
     auto finish(http::verb verb, const std::string& target, const std::string& body, const std::string& base,
         Microseconds limit, std::string* answer = nullptr) -> int {
         for (auto end = fleet.t + limit; fleet.t < end;) {
-            auto& box = *fleet.bs[fleet.r.below(fleet.bs.size())];
+            auto& box = *fleet.nodes[fleet.r.below(fleet.nodes.size())];
             if (!box.up || box.frozen > fleet.t) {
                 run(100 * MILLISECOND);
                 continue;
--- a/tests/platform/platform_orders_model.hpp
+++ b/tests/platform/platform_orders_model.hpp
@@ -144,7 +144,7 @@
         next = now + 100 * MILLISECOND + Microseconds(random.below(400 * MILLISECOND));
     }
     auto send() -> void {
-        auto& box = *site.fleet.bs[random.below(site.fleet.bs.size())];
+        auto& box = *site.fleet.nodes[random.below(site.fleet.nodes.size())];
         sent = site.fleet.t;
         if (!box.up || box.frozen > site.fleet.t) return retry(sent + (box.up ? SECOND : 0));
         call = site.call(box, verb, target, body, base);
@@ -252,7 +252,7 @@
         }
         auto leader = site.fleet.leader();
         auto& box =
-            leader && random.chance(.7) ? *leader : *site.fleet.bs[random.below(site.fleet.bs.size())];
+            leader && random.chance(.7) ? *leader : *site.fleet.nodes[random.below(site.fleet.nodes.size())];
         begin(box, random.below(3));
     }
     auto end() -> void {
--- a/tests/platform/platform_orders_test.cpp
+++ b/tests/platform/platform_orders_test.cpp
@@ -120,9 +120,9 @@
                 record.base = last, record.version = last + 1, record.acknowledged = site.fleet.t;
                 last++;
             }
-            auto at = site.fleet.bs[0].get() == old ? 1u : 0u;
+            auto at = site.fleet.nodes[0].get() == old ? 1u : 0u;
             wrote = site.fleet.t;
-            write = site.call(*site.fleet.bs[at], http::verb::put, CONFIG, document(last + 1, last + 1),
+            write = site.call(*site.fleet.nodes[at], http::verb::put, CONFIG, document(last + 1, last + 1),
                 fmt::to_string(last));
         }
         site.step();
@@ -176,7 +176,7 @@
     auto fleet = Fleet(8);
     fleet.standing(3, 5);
     auto id = ++fleet.ids;
-    fleet.bs[4]->n->order(id, "merge", "late", R"({"base":0,"patch":{"name":"n"}})", fleet.t);
+    fleet.nodes[4]->n->order(id, "merge", "late", R"({"base":0,"patch":{"name":"n"}})", fleet.t);
     CHECK(fleet.until(SECOND, [&] { return fleet.outs.count(id) > 0; }));
     CHECK_EQ(409, fleet.outs[id].status);
 }
@@ -189,7 +189,7 @@
     auto site = ControlFleet(seed, faults);
     site.bootstrap(3, 5);
     CHECK_EQ(200, site.finish(http::verb::put, CONFIG, document(1, 1), "0", 8 * SECOND));
-    auto& held = *site.fleet.bs[4];
+    auto& held = *site.fleet.nodes[4];
     auto call = site.call(held, http::verb::post, ZONE);
     // Until the read is answered and the order is under way.
     auto read = call->pending;
@@ -198,7 +198,7 @@
     held.frozen = site.fleet.t + 3 * SECOND;
     auto others = [&](http::verb verb) {
         for (auto i = 0; i < 20; i++) {
-            auto one = site.call(*site.fleet.bs[3], verb, ZONE);
+            auto one = site.call(*site.fleet.nodes[3], verb, ZONE);
             site.run(SECOND);
             if (one->status == 200) return;
         }
@@ -226,12 +226,12 @@
     auto site = ControlFleet(seed, faults);
     site.bootstrap(3, 5);
     CHECK_EQ(200, site.finish(http::verb::put, CONFIG, document(1, 1), "0", 8 * SECOND));
-    auto& node = *site.fleet.bs[4];
+    auto& node = *site.fleet.nodes[4];
     site.fleet.lone(node, true);
     auto call = site.call(node, http::verb::post, ZONE);
     site.run(SECOND);
     for (auto verb : {http::verb::post, http::verb::delete_}) {
-        auto one = site.call(*site.fleet.bs[3], verb, ZONE);
+        auto one = site.call(*site.fleet.nodes[3], verb, ZONE);
         site.run(SECOND);
         CHECK_EQ(200, one->status);
     }
@@ -254,7 +254,7 @@
     auto quiet = MutedLog();
     auto fleet = Fleet(9);
     fleet.standing(3, 5);
-    auto& node = *fleet.bs[4];
+    auto& node = *fleet.nodes[4];
     fleet.lone(node, true);
     fleet.run(4 * SECOND);  // it knows of no leader any more
     auto id = fleet.order(node, "zone");
@@ -271,7 +271,7 @@
     auto quiet = MutedLog();
     auto fleet = Fleet(10);
     fleet.standing(3, 5);
-    auto& node = *fleet.bs[4];
+    auto& node = *fleet.nodes[4];
     CHECK(!node.n->wasFrozenSince(fleet.t, fleet.t));
     node.frozen = fleet.t + 3 * SECOND;
     auto before = fleet.t;
@@ -326,7 +326,7 @@
     fleet.standing(3, 5);
     auto asked = std::set<std::int64_t>();
     for (auto life = 0; life < 3; life++) {
-        auto& node = *fleet.bs[4];
+        auto& node = *fleet.nodes[4];
         for (auto i = 0; i < 3; i++) fleet.order(node, fmt::format("z{}-{}", life, i));
         for (auto i = 0; i < 10; i++) {
             fleet.run(2 * MILLISECOND);
