--- a/src/routing/candidate_filters.cpp
+++ b/src/routing/candidate_filters.cpp
@@ -59,7 +59,7 @@
         return false;
     auto& server = *candidate.server;
     auto isDark = server.loadReadAt && now - server.loadReadAt < LOAD_MAX_AGE && server.load.dark;
-    return !isDark && ejection.fitness(now) >= leastFitness;
+    return !isDark && ejection.healthScore(now) >= leastFitness;
 }
 
 auto hasRoom(const Candidate& candidate, const ServerStatistics& statistics, const ServiceRule& rule,
--- a/src/routing/outlier_ejection.hpp
+++ b/src/routing/outlier_ejection.hpp
@@ -13,20 +13,20 @@
 /// follows without an answer between.
 class OutlierEjection {
   public:
-    /// The time in which a server of fitness 0 is sound again by itself.
+    /// The time in which a server of healthScore 0 is sound again by itself.
     static constexpr Microseconds FITNESS_RECOVERY = 20 * SECOND;
 
-    [[nodiscard]] auto fitness(Microseconds now) const -> double {
+    [[nodiscard]] auto healthScore(Microseconds now) const -> double {
         return std::min(1.0, fitness_ + double(now - fitnessAt_) / double(FITNESS_RECOVERY));
     }
-    /// A failure: the fitness is multiplied by `factor`, which is below 1.
+    /// A failure: the healthScore is multiplied by `factor`, which is below 1.
     auto lowerFitness(double factor, Microseconds now) -> void {
-        fitness_ = fitness(now) * factor;
+        fitness_ = healthScore(now) * factor;
         fitnessAt_ = now;
     }
     /// A success.
     auto raiseFitness(Microseconds now) -> void {
-        fitness_ = std::min(1.0, fitness(now) + 0.1);
+        fitness_ = std::min(1.0, healthScore(now) + 0.1);
         fitnessAt_ = now;
     }
     auto eject(Microseconds now) -> void {
--- a/src/routing/retry.cpp
+++ b/src/routing/retry.cpp
@@ -16,7 +16,7 @@
 constexpr auto MAX_REFUSED_CONNECTIONS = 3;                // of one request, without counting as attempts
 constexpr auto MIN_CHECKED_SILENCE = 150 * MILLISECOND;    // a shorter silence never causes a retry
 constexpr auto SILENCE_CHECK_INTERVAL = 50 * MILLISECOND;  // between two checks of the same silent server
-// Factors by which a server's fitness (outlier_ejection.hpp) is multiplied.
+// Factors by which a server's healthScore (outlier_ejection.hpp) is multiplied.
 constexpr auto CONNECTION_LOST_FACTOR = 0.4;
 constexpr auto SLOW_STREAM_FACTOR = 0.5;
 
--- a/src/routing/route_table.hpp
+++ b/src/routing/route_table.hpp
@@ -36,7 +36,7 @@
     Near,       ///< In the client's region, or in one that takes its overflow.
     Pick,       ///< The one that is chosen.
 };
-/// A stage with its threshold: a fitness (Fit), an occupancy (Room, Near), or whether prompts' beginnings
+/// A stage with its threshold: a healthScore (Fit), an occupancy (Room, Near), or whether prompts' beginnings
 /// are hashed to servers (Pick).
 struct SelectionStep {
     SelectionStage stage = SelectionStage::Service;
--- a/src/routing/scoring.cpp
+++ b/src/routing/scoring.cpp
@@ -48,7 +48,7 @@
         time += (std::max(statistics.unreadTokens, others) + own) / PROMPT_TOKENS_PER_MICROSECOND;
     }
     if (candidate.server->listing.region != request.received.region) time += double(OTHER_REGION_LATENCY);
-    return time / std::max(LEAST_FITNESS, statistics.ejection.fitness(now));
+    return time / std::max(LEAST_FITNESS, statistics.ejection.healthScore(now));
 }
 
 auto Scoring::fitsInMemory(
--- a/src/routing/server_selection.cpp
+++ b/src/routing/server_selection.cpp
@@ -106,8 +106,8 @@
     auto statisticsOf(const Candidate& candidate) const -> ServerStatistics& {
         return inputs_.statistics.of(*candidate.name);
     }
-    auto fitness(const Candidate& candidate) const -> double {
-        return statisticsOf(candidate).ejection.fitness(now_);
+    auto healthScore(const Candidate& candidate) const -> double {
+        return statisticsOf(candidate).ejection.healthScore(now_);
     }
     auto isNear(const Candidate& candidate) const -> bool {
         return candidate.server->listing.region == request_.received.region;
@@ -244,7 +244,7 @@
         selection_.isOutsideRegion = !isNear(candidate);
         selection_.explanation +=
             fmt::format(", picked {} ({}, region {}, occupancy {:.2f}, fitness {:.2f})", selection_.server,
-                picked.how, candidate.server->listing.region, candidate.occupancy, fitness(candidate));
+                picked.how, candidate.server->listing.region, candidate.occupancy, healthScore(candidate));
     }
 
     // The index of the candidate with the least cost, the first of several.
@@ -310,7 +310,7 @@
 
     auto pickByOccupancy(bool byPrefix) -> Picked {
         auto cost = [&](auto& candidate) {
-            return (candidate.occupancy + 0.05) / std::max(0.05, fitness(candidate));
+            return (candidate.occupancy + 0.05) / std::max(0.05, healthScore(candidate));
         };
         auto draw = [&] { return std::size_t(inputs_.random.below(candidates_.size())); };
         if (inputs_.faults.selectRandomly) return {draw(), "random"};
