--- a/src/consensus/election.cpp
+++ b/src/consensus/election.cpp
@@ -50,7 +50,7 @@
     auto message = envelope();
     message.__set_requestVote(request);
     for (auto& disk : configuration_.disks())
-        if (disk != disk_) port_.voterSend(disk, message);
+        if (disk != disk_) port_.sendToReplica(disk, message);
     if (!hasElectionMajority()) return;
     roles_->process(PreVoteWon{}, counters_);
     beginElection(false, now);
@@ -102,7 +102,7 @@
     auto timeoutNow = wire::TimeoutNow();
     timeoutNow.term = term_;
     message.__set_timeoutNow(timeoutNow);
-    port_.voterSend(best, message);
+    port_.sendToReplica(best, message);
     transferDeadline_ = now + ELECTION_TIMEOUT;
     counters_.add("handed_over_total");
     logEvent("leadership_transferred", "to_disk={}", best);
@@ -139,7 +139,7 @@
     reply.term = reply.granted ? request.term : term_;
     auto message = envelope();
     message.__set_requestVoteReply(reply);
-    port_.voterSend(from, message);
+    port_.sendToReplica(from, message);
 }
 
 auto Voter::onRequestVote(const std::string& from, const wire::RequestVote& request, Microseconds now)
--- a/src/consensus/log.cpp
+++ b/src/consensus/log.cpp
@@ -31,7 +31,7 @@
 
 // Sends what must not leave before the disk holds what it rests on.
 auto Voter::sendAfterWrite(std::int64_t sequence, const std::string& to, wire::Envelope envelope) -> void {
-    if (broken.ackBeforeSync || writes_.isDone(sequence)) port_.voterSend(to, envelope);
+    if (broken.ackBeforeSync || writes_.isDone(sequence)) port_.sendToReplica(to, envelope);
     else writes_.defer({sequence, to, envelope});
 }
 
@@ -69,7 +69,7 @@
     if (write.lastIndex > lastSynced_ && inLog) lastSynced_ = write.lastIndex;
     for (auto& message : writes_.takeReleased(write.sequence)) {
         // A promise of an earlier epoch is stale by now; its receiver drops it, so it is spared.
-        if (message.envelope.epoch == epoch_) port_.voterSend(message.toDisk, message.envelope);
+        if (message.envelope.epoch == epoch_) port_.sendToReplica(message.toDisk, message.envelope);
     }
     if (installWrite_ && write.sequence >= installWrite_) {
         installWrite_ = 0;
--- a/src/consensus/replication.cpp
+++ b/src/consensus/replication.cpp
@@ -83,7 +83,7 @@
     if (!request.entries.empty()) progress.batchSent(request.entries.back().index, bytes, now);
     auto message = envelope();
     message.__set_appendEntries(request);
-    port_.voterSend(disk, message);
+    port_.sendToReplica(disk, message);
 }
 
 auto Voter::advanceCommit(Microseconds now) -> void {
@@ -164,7 +164,7 @@
     if (request.term < term_) {
         reply.term = term_;
         message.__set_appendEntriesReply(reply);
-        port_.voterSend(from, message);
+        port_.sendToReplica(from, message);
         return;
     }
     if (!isWellFormed(request)) return rejectMessage("append_malformed_total", from);
--- a/src/consensus/transfer.cpp
+++ b/src/consensus/transfer.cpp
@@ -28,7 +28,7 @@
     snapshot.round = heartbeatRound_;
     auto message = envelope();
     message.__set_installSnapshot(snapshot);
-    port_.voterSend(disk, message);
+    port_.sendToReplica(disk, message);
     counters_.add("snapshots_sent_whole_total");
 }
 
@@ -37,7 +37,7 @@
     chunk.round = heartbeatRound_;
     auto message = envelope();
     message.__set_snapshotChunk(chunk);
-    port_.voterSend(disk, message);
+    port_.sendToReplica(disk, message);
     counters_.add("snapshot_chunks_sent_total");
 }
 
@@ -106,7 +106,7 @@
     auto answer = envelope();
     answer.epoch = message.epoch;
     answer.__set_snapshotChunkReply(reply);
-    port_.voterSend(message.disk, answer);
+    port_.sendToReplica(message.disk, answer);
 }
 
 auto Voter::onSnapshotChunkReply(
--- a/src/consensus/voter.hpp
+++ b/src/consensus/voter.hpp
@@ -57,7 +57,7 @@
 struct VoterPort {
     virtual ~VoterPort() = default;
     /// Sends a message to the replica with this disk; it may be lost. The callee may complete `message`.
-    virtual auto voterSend(const std::string& disk, wire::Envelope& message) -> void = 0;
+    virtual auto sendToReplica(const std::string& disk, wire::Envelope& message) -> void = 0;
     /// Begins a write; Voter::onDiskWriteDone reports its end. Writes are performed in their order.
     virtual auto voterWrite(const DiskWrite& write) -> void = 0;
     /// The state machine advanced to `state`, which this disk holds.
--- a/src/membership/node_messages.cpp
+++ b/src/membership/node_messages.cpp
@@ -84,7 +84,7 @@
     orderService_.applied(applied.key, state.version, applied.outcome);
 }
 
-auto Node::voterSend(const std::string& disk, wire::Envelope& envelope) -> void {
+auto Node::sendToReplica(const std::string& disk, wire::Envelope& envelope) -> void {
     envelope.node = context_.members.own().node;
     if (auto known = context_.members.withDisk(disk)) context_.port.send(known->record.peer, envelope);
 }
--- a/src/modelcheck/replica.cpp
+++ b/src/modelcheck/replica.cpp
@@ -136,7 +136,7 @@
     if (body) voter_.propose(ENTRY_ORDER, *body, now_);
 }
 
-auto Replica::voterSend(const std::string& disk, wire::Envelope& envelope) -> void {
+auto Replica::sendToReplica(const std::string& disk, wire::Envelope& envelope) -> void {
     output_.sent.push_back({disk, envelope});
 }
 
--- a/src/modelcheck/replica.hpp
+++ b/src/modelcheck/replica.hpp
@@ -113,7 +113,7 @@
     auto diskAfterCrash(std::size_t kept) const -> DiskState;
 
   private:
-    auto voterSend(const std::string& disk, wire::Envelope& envelope) -> void override;
+    auto sendToReplica(const std::string& disk, wire::Envelope& envelope) -> void override;
     auto voterWrite(const DiskWrite& write) -> void override;
     auto voterApplied(const ReplicatedState& state, const AppliedEntry& applied) -> void override;
     auto voterRead(std::int64_t id, bool ok) -> void override;
--- a/tests/consensus/consensus_fixture.hpp
+++ b/tests/consensus/consensus_fixture.hpp
@@ -40,7 +40,7 @@
         std::map<std::int64_t, bool> reads;
 
         Member(ConsensusFixture& owner, std::string identity) : cluster(owner), disk(std::move(identity)) {}
-        auto voterSend(const std::string& to, wire::Envelope& message) -> void override {
+        auto sendToReplica(const std::string& to, wire::Envelope& message) -> void override {
             if (cluster.record) sent.emplace_back(to, message);
             cluster.post(disk, to, message);
         }
--- a/tests/consensus/voter_test.cpp
+++ b/tests/consensus/voter_test.cpp
@@ -45,7 +45,7 @@
         std::string disk;
         Microseconds wakesAt = 0;  // it is off or frozen until then
         Replica(Cluster& owner, int index) : cluster(owner), number(index) {}
-        auto voterSend(const std::string& toDisk, wire::Envelope& message) -> void override {
+        auto sendToReplica(const std::string& toDisk, wire::Envelope& message) -> void override {
             cluster.post(toDisk, message);
         }
         auto voterWrite(const DiskWrite& write) -> void override { pending.push_back(write); }
--- a/tests/storage/storage_full_test.cpp
+++ b/tests/storage/storage_full_test.cpp
@@ -117,7 +117,7 @@
         CHECK(!store.setAside());
         voter.start(*state, "d", now);
     }
-    auto voterSend(const std::string&, wire::Envelope&) -> void override {}
+    auto sendToReplica(const std::string&, wire::Envelope&) -> void override {}
     auto voterWrite(const DiskWrite& write) -> void override { writes.push_back(write); }
     auto voterApplied(const ReplicatedState&, const AppliedEntry& entry) -> void override {
         applied += !entry.key.empty() && entry.outcome.status == 200;
