--- a/src/routing/outlier_ejection.hpp
+++ b/src/routing/outlier_ejection.hpp
@@ -20,7 +20,7 @@
         return std::min(1.0, fitness_ + double(now - fitnessAt_) / double(FITNESS_RECOVERY));
     }
     /// A failure: the healthScore is multiplied by `factor`, which is below 1.
-    auto lowerFitness(double factor, Microseconds now) -> void {
+    auto lowerHealthScore(double factor, Microseconds now) -> void {
         fitness_ = healthScore(now) * factor;
         fitnessAt_ = now;
     }
--- a/src/routing/response_relay.cpp
+++ b/src/routing/response_relay.cpp
@@ -81,7 +81,7 @@
     if (firstByteTime <= MIN_SLOW_FIRST_BYTE || isNotExecuted(status, headers)) return;
     auto median = statistics_.median(request.route.service, &ServerStatistics::firstByteTime);
     if (median > 0 && statistics.firstByteTime > SLOW_FIRST_BYTE_MEDIANS * median)
-        statistics.ejection.lowerFitness(SLOW_FIRST_BYTE_FACTOR, now);
+        statistics.ejection.lowerHealthScore(SLOW_FIRST_BYTE_FACTOR, now);
 }
 
 auto Edge::onResponseHead(std::int64_t id, int attempt, int status, const Headers& headers, Microseconds now)
@@ -121,7 +121,7 @@
 }
 
 auto Edge::onWrongIdentity(Request& request, Microseconds now) -> void {
-    statistics_.of(request.attempts.server).ejection.lowerFitness(WRONG_IDENTITY_FACTOR, now);
+    statistics_.of(request.attempts.server).ejection.lowerHealthScore(WRONG_IDENTITY_FACTOR, now);
     counters_.add("wrong_exchange_total");
     retryElsewhere(
         request, AttemptEvent::WrongIdentity, "the server sent a response to another request", now);
@@ -192,7 +192,7 @@
     if (check == EventCheck::NonNumericId)
         return fail(request, 502,
             fmt::format("the event after id {} has id {}, which is not a number", lastId, event.id), now);
-    statistics_.of(request.attempts.server).ejection.lowerFitness(MALFORMED_EVENT_FACTOR, now);
+    statistics_.of(request.attempts.server).ejection.lowerHealthScore(MALFORMED_EVENT_FACTOR, now);
     counters_.add(check == EventCheck::OutOfOrder ? "events_out_of_line_total" : "events_unsound_total");
     if (dialect_.clientNamesRequests && !request.relayed.headSent)
         return retryElsewhere(request, AttemptEvent::MalformedResponse, "the first event is malformed", now);
@@ -268,7 +268,7 @@
     counters_.add("server_denied_total");
     auto& statistics = statistics_.of(request.attempts.server);
     if (!dialect_.clientNamesRequests) {
-        statistics.ejection.lowerFitness(NOT_EXECUTED_FACTOR, now);
+        statistics.ejection.lowerHealthScore(NOT_EXECUTED_FACTOR, now);
     } else if (status == MISDIRECTED) {
         // The address now belongs to another server, but the old listing may be valid for a while.
         if (auto server = node_.servers().find(request.attempts.server); server != node_.servers().end())
@@ -289,7 +289,7 @@
         return fmt::format("the server did not resume the stream (status {})", status);
     if (request.route.stream && status == 200 && !dialect_.passHeaders) return "the response is not a stream";
     auto& ejection = statistics_.of(request.attempts.server).ejection;
-    if (status >= 500) ejection.lowerFitness(SERVER_ERROR_FACTOR, now);
+    if (status >= 500) ejection.lowerHealthScore(SERVER_ERROR_FACTOR, now);
     else ejection.raiseFitness(now);
     if (!dialect_.clientNamesRequests) return "";
     auto isRepeatable = request.retryRights().repeatable;
--- a/src/routing/retry.cpp
+++ b/src/routing/retry.cpp
@@ -115,7 +115,7 @@
     if (attempts.tracker.written())
         return onConnectionLost(id, attempt, "the connection failed while the request was being sent", now);
     auto& statistics = statistics_.of(attempts.server);
-    statistics.ejection.lowerFitness(CONNECTION_LOST_FACTOR, now);
+    statistics.ejection.lowerHealthScore(CONNECTION_LOST_FACTOR, now);
     statistics.ejection.eject(now);
     statistics.lastFailureAt = now;
     statistics.prefixCache.clear();
@@ -136,7 +136,7 @@
     auto request = currentAttempt(id, attempt);
     if (!request) return;
     auto& statistics = statistics_.of(request->attempts.server);
-    statistics.ejection.lowerFitness(CONNECTION_LOST_FACTOR, now);
+    statistics.ejection.lowerHealthScore(CONNECTION_LOST_FACTOR, now);
     auto isUnanswered = statistics.unansweredSince > statistics.lastReceivedAt;
     if (isUnanswered || now - statistics.lastReceivedAt > SECOND) statistics.ejection.eject(now);
     statistics.lastFailureAt = now;
@@ -147,7 +147,7 @@
 // A server that was silent for the route's idle timeout counts as lost.
 auto Edge::checkIdleTimeout(Request& request, Microseconds now) -> void {
     if (now - request.attempts.lastActivityAt < request.route.idleTimeout) return;
-    statistics_.of(request.attempts.server).ejection.lowerFitness(CONNECTION_LOST_FACTOR, now);
+    statistics_.of(request.attempts.server).ejection.lowerHealthScore(CONNECTION_LOST_FACTOR, now);
     counters_.add("stalls_total");
     retryElsewhere(
         request, AttemptEvent::ServerSilent, fmt::format("silent for {} us", request.route.idleTimeout), now);
@@ -172,7 +172,7 @@
     if (!mayMove || silence < migration_.silenceTimeout(request)) return;
     attempts.nextStallCheckAt = now + SILENCE_CHECK_INTERVAL;
     if (!canRetryElsewhere(request, AttemptEvent::ServerSilent, now)) return;
-    statistics_.of(attempts.server).ejection.lowerFitness(CONNECTION_LOST_FACTOR, now);
+    statistics_.of(attempts.server).ejection.lowerHealthScore(CONNECTION_LOST_FACTOR, now);
     counters_.add("stalls_total");
     retryElsewhere(request, AttemptEvent::ServerSilent, fmt::format("silent for {} us", silence), now);
 }
@@ -185,7 +185,7 @@
     statistics.recordEventGap(gap);
     auto why = migration_.slowServerReason(request, gap);
     if (!why) return;
-    statistics.ejection.lowerFitness(SLOW_STREAM_FACTOR, now);
+    statistics.ejection.lowerHealthScore(SLOW_STREAM_FACTOR, now);
     if (!budget_.allows(request, now) || rebindToNewest(request)) return;
     if (now >= request.limits.deadline) return;
     if (!migration_.rejectionReason(request, Execution::MayHaveRun, MigrationCharge::NotYetCounted).empty())
