--- a/tests/membership/fleet_fixture.hpp
+++ b/tests/membership/fleet_fixture.hpp
@@ -274,7 +274,7 @@
             fmt::print("\n");
         }
     }
-    auto standing(int cores = 3, int nodes = 12) -> void {
+    auto startCluster(int cores = 3, int nodes = 12) -> void {
         bootstrap(cores, nodes);
         CHECK(until(3 * SECOND, [&] { return leader() != nullptr; }));
         CHECK(config());
--- a/tests/membership/gossip_bootstrap_test.cpp
+++ b/tests/membership/gossip_bootstrap_test.cpp
@@ -61,7 +61,7 @@
     auto q = MutedLog();
     for (auto seed = 60u; seed < 66; seed++) {
         auto f = Fleet(seed);
-        f.standing();
+        f.startCluster();
         CHECK(f.ordered("z", 4 * SECOND));
         for (auto& b : f.nodes) f.stop(*b);
         f.run(500 * MILLISECOND);
@@ -82,7 +82,7 @@
 TEST(GossipMembership, newcomerJoins) {
     auto q = MutedLog();
     auto f = Fleet(70);
-    f.standing();
+    f.startCluster();
     CHECK_EQ(200, f.list(*f.leader(), {"s1", "s2"}));
     auto& n = f.add("sindh", "khi-hall", false, false);
     f.start(n);
--- a/tests/membership/gossip_dissemination_test.cpp
+++ b/tests/membership/gossip_dissemination_test.cpp
@@ -15,7 +15,7 @@
 TEST(GossipMembership, orderIsEverywhereWithinASecond) {
     auto q = MutedLog();
     auto f = Fleet(5);
-    f.standing();
+    f.startCluster();
     for (auto& b : f.nodes) {
         auto id = f.order(*b, b->st.node);
         CHECK(f.until(SECOND, [&] { return f.ok(id); }));
@@ -27,7 +27,7 @@
     auto q = MutedLog();
     for (auto seed = 1u; seed < 9; seed++) {
         auto f = Fleet(seed);
-        f.standing();
+        f.startCluster();
         auto l = f.leader();
         f.stop(*l);
         auto a = f.t;
@@ -46,7 +46,7 @@
     for (auto seed = 1u; seed < 4; seed++)
         for (auto i = 3u; i < 12; i++) {
             auto f = Fleet(seed);
-            f.standing();
+            f.startCluster();
             f.run(Microseconds(f.r.below(SECOND)));
             f.stop(*f.nodes[i]);
             CHECK(f.ordered("z", 2 * SECOND));
@@ -59,7 +59,7 @@
     auto q = MutedLog();
     for (auto seed = 1u; seed < 13; seed++) {
         auto f = Fleet(seed);
-        f.standing();
+        f.startCluster();
         f.loss = .3;
         for (auto k = 0; k < 30; k++) {
             auto ns = std::vector<std::string>();
@@ -97,7 +97,7 @@
     auto q = MutedLog();
     auto f = Fleet(50);
     f.serveOn = false;
-    f.standing();
+    f.startCluster();
     auto& c = *f.nodes[7];
     f.lone(c, true);
     f.run(4 * SECOND);
@@ -111,7 +111,7 @@
     auto q = MutedLog();
     auto f = Fleet(80);
     f.weigh = true;
-    f.standing();
+    f.startCluster();
     for (auto i = 0; i < 20; i++) {
         auto ns = std::vector<std::string>();
         for (auto k = 0; k < 14; k++) ns.push_back(fmt::format("server-{}", k));
@@ -138,7 +138,7 @@
     auto q = MutedLog();
     auto f = Fleet(300);
     auto nodes = getenv("DT_NODES") ? atoi(getenv("DT_NODES")) : 60;
-    f.standing(3, nodes);
+    f.startCluster(3, nodes);
     f.run((2 + nodes / 100) * SECOND);  // hundreds that start at once take a while to settle
     f.weigh = true;
     auto again = [&] {
--- a/tests/membership/gossip_listing_test.cpp
+++ b/tests/membership/gossip_listing_test.cpp
@@ -14,7 +14,7 @@
     auto q = MutedLog();
     for (auto i : {2u, 9u}) {
         auto f = Fleet(92);
-        f.standing();
+        f.startCluster();
         auto l = f.leader();
         if (l == f.nodes[i].get()) continue;
         CHECK_EQ(200, f.list(*l, {"s1", "s2"}));
@@ -38,7 +38,7 @@
     auto q = MutedLog();
     for (auto seed = 1u; seed < 9; seed++) {
         auto f = Fleet(seed);
-        f.standing();
+        f.startCluster();
         CHECK_EQ(200, f.list(*f.leader(), {"s0"}));
         f.run(SECOND);
         for (auto i = 0u; i < 3; i++) f.stop(*f.nodes[i]);
@@ -82,7 +82,7 @@
 TEST(GossipMembership, oneDutyAndItsListing) {
     auto q = MutedLog();
     auto f = Fleet(90);
-    f.standing();
+    f.startCluster();
     CHECK_EQ(std::size_t(1), f.duties().size());
     auto l = f.leader();
     CHECK(f.duties()[0] == l);
@@ -117,7 +117,7 @@
 TEST(GossipMembership, dutyIsHandedOn) {
     auto q = MutedLog();
     auto f = Fleet(91);
-    f.standing();
+    f.startCluster();
     auto l = f.leader();
     CHECK_EQ(200, f.list(*l, {"s1"}));
     f.run(SECOND);
@@ -141,7 +141,7 @@
     auto q = MutedLog();
     for (auto seed = 300u; seed < 304; seed++) {
         auto f = Fleet(seed);
-        f.standing();
+        f.startCluster();
         CHECK_EQ(200, f.list(*f.leader(), {"s1"}));
         f.run(SECOND);
         for (auto& b : f.nodes) f.stop(*b);
--- a/tests/membership/gossip_voters_test.cpp
+++ b/tests/membership/gossip_voters_test.cpp
@@ -18,7 +18,7 @@
 TEST(GossipMembership, strangersTerm) {
     auto q = MutedLog();
     auto f = Fleet(93);
-    f.standing();
+    f.startCluster();
     auto l = f.leader();
     auto other = std::string();
     for (auto& d : f.voters())
@@ -86,7 +86,7 @@
     {
         auto f = Fleet(seed);
         f.broken = broken;
-        f.standing();
+        f.startCluster();
         f.sync = sync;
         auto acked = std::vector<std::string>();
         for (auto round = 0; round < 3; round++) {
@@ -135,7 +135,7 @@
 TEST(GossipMembership, twoWipedAreSeen) {
     auto q = MutedLog();
     auto f = Fleet(2);
-    f.standing();
+    f.startCluster();
     CHECK(f.ordered("z", 6 * SECOND));
     for (auto i : {0, 1}) f.stop(*f.nodes[std::size_t(i)]), f.wipe(*f.nodes[std::size_t(i)]);
     f.run(500 * MILLISECOND);
@@ -154,7 +154,7 @@
     auto q = MutedLog();
     for (auto k = 0u; k < 3; k++) {
         auto f = Fleet(20 + k);
-        f.standing();
+        f.startCluster();
         CHECK(f.ordered("a", 4 * SECOND));
         auto& gone = *f.nodes[k];
         f.stop(gone);
@@ -176,7 +176,7 @@
     auto q = MutedLog();
     for (auto k = 0u; k < 3; k++) {
         auto f = Fleet(60 + k);
-        f.standing();
+        f.startCluster();
         CHECK(f.ordered("a", 4 * SECOND));
         auto& leaving = *f.nodes[k];
         CHECK(leaving.n->voteHandedOver(f.t));
@@ -201,7 +201,7 @@
     auto q = MutedLog();
     for (auto seed = 30u; seed < 34; seed++) {
         auto f = Fleet(seed);
-        f.standing();
+        f.startCluster();
         auto& old = *(f.leader() == f.nodes[0].get() ? f.nodes[1] : f.nodes[0]);
         auto was = old.n->ownRecord().disk;
         f.lone(old, true);
@@ -231,7 +231,7 @@
     auto q = MutedLog();
     for (auto seed = 40u; seed < 46; seed++) {
         auto f = Fleet(seed);
-        f.standing();
+        f.startCluster();
         auto l = f.leader();
         auto& c = *(l == f.nodes[2].get() ? f.nodes[1] : f.nodes[2]);
         f.lone(c, true);
@@ -253,7 +253,7 @@
     auto q = MutedLog();
     for (auto seed = 100u; seed < 106; seed++) {
         auto f = Fleet(seed);
-        f.standing();
+        f.startCluster();
         auto l = f.leader();
         l->frozen = f.t + 3 * SECOND;
         CHECK(f.ordered("z", 3 * SECOND));
@@ -275,7 +275,7 @@
 // `cores` with a disk, three or five of them voters: one beyond that is a spare.
 static auto fuzz(unsigned seed, int cores) -> std::string {
     auto f = Fleet(seed);
-    f.standing(cores);
+    f.startCluster(cores);
     auto acked = std::vector<std::string>();
     auto size = cores > 4 ? 5u : 3u;
     auto cs = std::vector<FleetNode*>();
--- a/tests/membership/quota_voters_test.cpp
+++ b/tests/membership/quota_voters_test.cpp
@@ -38,7 +38,7 @@
     auto quiet = MutedLog();
     for (auto k = 0U; k < 3; k++) {
         auto fleet = Fleet(40 + k);
-        fleet.standing();
+        fleet.startCluster();
         putTenants(fleet);
         auto& client = *fleet.nodes.back();
         CHECK(fleet.until(12 * SECOND, [&] { return isGranted(fleet, client); }));
--- a/tests/membership/state_distribution_test.cpp
+++ b/tests/membership/state_distribution_test.cpp
@@ -30,7 +30,7 @@
     int number = 0;
     int routes;
     ConfiguredFleet(std::uint64_t seed, int nodes, int routeCount) : Fleet(seed), routes(routeCount) {
-        standing(3, nodes);
+        startCluster(3, nodes);
         change(2);
     }
     auto version() -> std::int64_t { return leader()->n->replicatedState().configVersion(); }
--- a/tests/membership/tenant_distribution_test.cpp
+++ b/tests/membership/tenant_distribution_test.cpp
@@ -22,7 +22,7 @@
     int revision = 1;  // of the last tenant's keys
 
     TenantFleet(std::uint64_t seed, int nodes, int tenantCount) : Fleet(seed), tenants(tenantCount) {
-        standing(3, nodes);
+        startCluster(3, nodes);
         put();
         CHECK(until(2 * SECOND, [&] { return inForceEverywhere(); }));
     }
--- a/tests/platform/platform_orders_test.cpp
+++ b/tests/platform/platform_orders_test.cpp
@@ -155,7 +155,7 @@
 // out of date to it. Returns the status that the order is answered with there.
 static auto refusedByWhatIsNotCommitted(bool broken) -> int {
     auto fleet = Fleet(7);
-    fleet.standing(3, 5);
+    fleet.startCluster(3, 5);
     auto leader = fleet.leader();
     leader->n->orderService().broken.refuseFromLog = broken;
     fleet.lone(*leader, true);
@@ -174,7 +174,7 @@
     CHECK_EQ(409, refusedByWhatIsNotCommitted(true));
     // In touch with a majority it is refused, after one more round.
     auto fleet = Fleet(8);
-    fleet.standing(3, 5);
+    fleet.startCluster(3, 5);
     auto id = ++fleet.ids;
     fleet.nodes[4]->n->order(id, "merge", "late", R"({"base":0,"patch":{"name":"n"}})", fleet.t);
     CHECK(fleet.until(SECOND, [&] { return fleet.outs.count(id) > 0; }));
@@ -253,7 +253,7 @@
 TEST(ControlOrders, ordersOfCallersThatAreGoneEnd) {
     auto quiet = MutedLog();
     auto fleet = Fleet(9);
-    fleet.standing(3, 5);
+    fleet.startCluster(3, 5);
     auto& node = *fleet.nodes[4];
     fleet.lone(node, true);
     fleet.run(4 * SECOND);  // it knows of no leader any more
@@ -270,7 +270,7 @@
 TEST(ControlOrders, aFreezeIsToldToRequests) {
     auto quiet = MutedLog();
     auto fleet = Fleet(10);
-    fleet.standing(3, 5);
+    fleet.startCluster(3, 5);
     auto& node = *fleet.nodes[4];
     CHECK(!node.n->wasFrozenSince(fleet.t, fleet.t));
     node.frozen = fleet.t + 3 * SECOND;
@@ -323,7 +323,7 @@
 TEST(ControlOrders, numbersBeginElsewhereInEachLife) {
     auto quiet = MutedLog();
     auto fleet = Fleet(11);
-    fleet.standing(3, 5);
+    fleet.startCluster(3, 5);
     auto asked = std::set<std::int64_t>();
     for (auto life = 0; life < 3; life++) {
         auto& node = *fleet.nodes[4];
@@ -346,7 +346,7 @@
 TEST(ControlOrders, whatWasNotLoggedIsSaid) {
     auto quiet = MutedLog();
     auto fleet = Fleet(12);
-    fleet.standing(3, 5);
+    fleet.startCluster(3, 5);
     auto leader = fleet.leader();
     fleet.lone(*leader, true);
     auto logged = fleet.order(*leader, "zone");
