--- a/src/routing/outlier_ejection.hpp
+++ b/src/routing/outlier_ejection.hpp
@@ -25,7 +25,7 @@
         fitnessAt_ = now;
     }
     /// A success.
-    auto raiseFitness(Microseconds now) -> void {
+    auto raiseHealthScore(Microseconds now) -> void {
         fitness_ = std::min(1.0, healthScore(now) + 0.1);
         fitnessAt_ = now;
     }
--- a/src/routing/response_relay.cpp
+++ b/src/routing/response_relay.cpp
@@ -224,7 +224,7 @@
 }
 
 auto Edge::completeStream(Request& request, Microseconds now) -> void {
-    statistics_.of(request.attempts.server).ejection.raiseFitness(now);
+    statistics_.of(request.attempts.server).ejection.raiseHealthScore(now);
     applyAttemptEvent(request, AttemptEvent::ResponseCompleted);
     port_.endStream(request.id, true);
     countOutcome(request, request.attempts.sent > 1 ? "whole_moved" : "whole");
@@ -290,7 +290,7 @@
     if (request.route.stream && status == 200 && !dialect_.passHeaders) return "the response is not a stream";
     auto& ejection = statistics_.of(request.attempts.server).ejection;
     if (status >= 500) ejection.lowerHealthScore(SERVER_ERROR_FACTOR, now);
-    else ejection.raiseFitness(now);
+    else ejection.raiseHealthScore(now);
     if (!dialect_.clientNamesRequests) return "";
     auto isRepeatable = request.retryRights().repeatable;
     if (status >= 500 && isRepeatable && canRetryElsewhere(request, AttemptEvent::ResponseUnusable, now))
