--- a/src/consensus/log.cpp
+++ b/src/consensus/log.cpp
@@ -20,7 +20,7 @@
     write.meta.snapshotTerm = snapshot_.term;
     auto issued = writes_.issue(std::move(write), last(), log_.lastTerm(), *snapshot_.document, now);
     counters_.add("disk_writes_total");
-    port_.voterWrite(issued);
+    port_.writeToDisk(issued);
     return writes_.newest();
 }
 
--- a/src/consensus/voter.hpp
+++ b/src/consensus/voter.hpp
@@ -59,7 +59,7 @@
     /// Sends a message to the replica with this disk; it may be lost. The callee may complete `message`.
     virtual auto sendToReplica(const std::string& disk, wire::Envelope& message) -> void = 0;
     /// Begins a write; Voter::onDiskWriteDone reports its end. Writes are performed in their order.
-    virtual auto voterWrite(const DiskWrite& write) -> void = 0;
+    virtual auto writeToDisk(const DiskWrite& write) -> void = 0;
     /// The state machine advanced to `state`, which this disk holds.
     virtual auto voterApplied(const ReplicatedState& state, const AppliedEntry& applied) -> void = 0;
     /// Answers Voter::read: `ok` if this was the leader after the question came, and the state has what
--- a/src/membership/node_messages.cpp
+++ b/src/membership/node_messages.cpp
@@ -89,7 +89,7 @@
     if (auto known = context_.members.withDisk(disk)) context_.port.send(known->record.peer, envelope);
 }
 
-auto Node::voterWrite(const DiskWrite& write) -> void { context_.port.disk(write); }
+auto Node::writeToDisk(const DiskWrite& write) -> void { context_.port.disk(write); }
 
 auto Node::voterRead(std::int64_t id, bool ok) -> void { orderService_.readDone(*context_.voter, id, ok); }
 
--- a/src/modelcheck/replica.cpp
+++ b/src/modelcheck/replica.cpp
@@ -140,7 +140,7 @@
     output_.sent.push_back({disk, envelope});
 }
 
-auto Replica::voterWrite(const DiskWrite& write) -> void {
+auto Replica::writeToDisk(const DiskWrite& write) -> void {
     if (write.truncateFrom >= 0) output_.cuts.push_back(write.truncateFrom);
     pending_.push_back(write);
 }
--- a/tests/consensus/consensus_fixture.hpp
+++ b/tests/consensus/consensus_fixture.hpp
@@ -44,7 +44,7 @@
             if (cluster.record) sent.emplace_back(to, message);
             cluster.post(disk, to, message);
         }
-        auto voterWrite(const DiskWrite& write) -> void override { pending.push_back(write); }
+        auto writeToDisk(const DiskWrite& write) -> void override { pending.push_back(write); }
         auto voterApplied(const ReplicatedState&, const AppliedEntry&) -> void override {}
         auto voterRead(std::int64_t id, bool ok) -> void override { reads[id] = ok; }
         auto start() -> void {
--- a/tests/consensus/voter_test.cpp
+++ b/tests/consensus/voter_test.cpp
@@ -48,7 +48,7 @@
         auto sendToReplica(const std::string& toDisk, wire::Envelope& message) -> void override {
             cluster.post(toDisk, message);
         }
-        auto voterWrite(const DiskWrite& write) -> void override { pending.push_back(write); }
+        auto writeToDisk(const DiskWrite& write) -> void override { pending.push_back(write); }
         auto voterApplied(const ReplicatedState& state, const AppliedEntry& entry) -> void override {
             auto& key = entry.key;
             cluster.applied(state);
--- a/tests/membership/gossip_voters_test.cpp
+++ b/tests/membership/gossip_voters_test.cpp
@@ -45,7 +45,7 @@
     auto q = MutedLog();
     struct Port : VoterPort {
         auto sendToReplica(const std::string&, wire::Envelope&) -> void override {}
-        auto voterWrite(const DiskWrite&) -> void override {}
+        auto writeToDisk(const DiskWrite&) -> void override {}
         auto voterApplied(const ReplicatedState&, const AppliedEntry&) -> void override {}
         auto voterRead(std::int64_t, bool) -> void override {}
     } p;
--- a/tests/storage/storage_full_test.cpp
+++ b/tests/storage/storage_full_test.cpp
@@ -118,7 +118,7 @@
         voter.start(*state, "d", now);
     }
     auto sendToReplica(const std::string&, wire::Envelope&) -> void override {}
-    auto voterWrite(const DiskWrite& write) -> void override { writes.push_back(write); }
+    auto writeToDisk(const DiskWrite& write) -> void override { writes.push_back(write); }
     auto voterApplied(const ReplicatedState&, const AppliedEntry& entry) -> void override {
         applied += !entry.key.empty() && entry.outcome.status == 200;
     }
