--- a/tests/membership/fleet_fixture.hpp
+++ b/tests/membership/fleet_fixture.hpp
@@ -64,7 +64,7 @@
     std::map<std::pair<std::size_t, std::string>, Microseconds>
         last;  // of a link: what is said stays in order
     std::set<std::pair<std::size_t, std::size_t>> cut;
-    std::map<std::int64_t, Outcome> outs;
+    std::map<std::int64_t, Outcome> outcomes;
     std::vector<std::string> seeds;
     std::map<std::string, std::size_t> byAddr;
     std::int64_t ids = 0, between = 0, all = 0, probes = 0, heartbeats = 0;
@@ -230,7 +230,7 @@
         b.n->order(++ids, "empty", "key-" + what, "{\"district\":" + jsonQuote(what) + "}", t);
         return ids;
     }
-    auto ok(std::int64_t id) -> bool { return outs.count(id) && outs[id].status == 200; }
+    auto ok(std::int64_t id) -> bool { return outcomes.count(id) && outcomes[id].status == 200; }
     // An operator repeats an order at other nodes until it is acknowledged.
     auto ordered(const std::string& what, Microseconds limit) -> bool {
         for (auto end = t + limit; t < end;) {
@@ -290,7 +290,7 @@
                 R"({}{{"name":"{}","address":"10.9.0.1:80","region":"punjab","district":"lhr-hall","pool":"p"{}}})",
                 s.empty() ? "" : ",", n, more);
         b.n->list(++ids, "{\"servers\":[" + s + "]}", t);
-        return outs[ids].status;
+        return outcomes[ids].status;
     }
     auto duties() -> std::vector<FleetNode*> {
         auto v = std::vector<FleetNode*>();
@@ -315,7 +315,7 @@
 inline auto FleetNode::disk(const DiskWrite& w) -> void {
     under.emplace_back(f.t + 500 + Microseconds(f.r.below(std::uint64_t(f.sync))), w);
 }
-inline auto FleetNode::done(std::int64_t id, const Outcome& o) -> void { f.outs[id] = o; }
+inline auto FleetNode::done(std::int64_t id, const Outcome& o) -> void { f.outcomes[id] = o; }
 inline auto FleetNode::probe(const std::string&, const std::string&) -> void { f.probes++; }
 
 struct MutedLog {
--- a/tests/membership/gossip_voters_test.cpp
+++ b/tests/membership/gossip_voters_test.cpp
@@ -107,7 +107,7 @@
             f.nodes[5]->n->read(id, f.t);
             if (!f.until(4 * SECOND, [&] { return f.ok(id); })) return false;
             auto d = rapidjson::Document();
-            CHECK(parseJson(f.outs[id].body, d));
+            CHECK(parseJson(f.outcomes[id].body, d));
             for (auto& a : acked)
                 if (!d["empties"].HasMember(a.c_str())) return false;
             // The wiped one is a voter again before the next.
@@ -265,7 +265,7 @@
         CHECK(f.ok(id));
         CHECK(f.ok(rd));
         auto d = rapidjson::Document();
-        CHECK(parseJson(f.outs[rd].body, d));
+        CHECK(parseJson(f.outcomes[rd].body, d));
         CHECK(d["empties"].HasMember("z"));
         CHECK(f.until(2 * SECOND, [&] { return f.everywhere("z") && f.everywhere("y"); }));
     }
--- a/tests/membership/node_fixture.hpp
+++ b/tests/membership/node_fixture.hpp
@@ -28,7 +28,7 @@
     std::unique_ptr<Edge> e;
     std::deque<DiskWrite> dq;
     Microseconds now = 10 * SECOND;
-    std::map<std::int64_t, Outcome> outs;
+    std::map<std::int64_t, Outcome> outcomes;
     std::vector<std::pair<std::int64_t, std::string>> sends;  // exchange, server
     std::map<std::int64_t, std::pair<int, std::string>> replies;
     std::map<std::int64_t, Headers> heads;
@@ -45,7 +45,7 @@
     }
     auto send(const std::string&, const wire::Envelope&) -> void override {}
     auto disk(const DiskWrite& w) -> void override { dq.push_back(w); }
-    auto done(std::int64_t id, const Outcome& o) -> void override { outs[id] = o; }
+    auto done(std::int64_t id, const Outcome& o) -> void override { outcomes[id] = o; }
     auto savePeerHints(const std::vector<std::string>&) -> void override {}
     auto probe(const std::string& s, const std::string&) -> void override { probes.push_back(s); }
     std::vector<std::string> probes;
@@ -80,7 +80,7 @@
         n->order(id, "config", fmt::format("k{}", id),
             fmt::format("{{\"base\":{},\"config\":{}}}", n->replicatedState().configVersion(), c), now);
         run(2 * SECOND);
-        return outs[id].status;
+        return outcomes[id].status;
     }
     RandomSource rng{3};
     auto list(const std::vector<std::array<std::string, 5>>& v)
--- a/tests/membership/node_test.cpp
+++ b/tests/membership/node_test.cpp
@@ -48,17 +48,17 @@
             rev, st);
     };
     r.n->list(1, l(10, "up"), r.now);
-    CHECK_EQ(200, r.outs[1].status);
+    CHECK_EQ(200, r.outcomes[1].status);
     r.n->mark(2, "x", 12, r.now);
     r.run(SECOND);
-    CHECK_EQ(200, r.outs[2].status);
+    CHECK_EQ(200, r.outcomes[2].status);
     r.n->list(3, l(11, "up"), r.now);
-    CHECK_EQ(409, r.outs[3].status);
+    CHECK_EQ(409, r.outcomes[3].status);
     CHECK_EQ(int(LEAVING), int(r.n->servers().at("x").listing.state));
     r.n->mark(4, "x", 9, r.now);
-    CHECK_EQ(409, r.outs[4].status);
+    CHECK_EQ(409, r.outcomes[4].status);
     r.n->list(5, l(13, "up"), r.now);
-    CHECK_EQ(200, r.outs[5].status);
+    CHECK_EQ(200, r.outcomes[5].status);
     CHECK_EQ(int(UP), int(r.n->servers().at("x").listing.state));
 }
 
--- a/tests/platform/platform_orders_fixture.hpp
+++ b/tests/platform/platform_orders_fixture.hpp
@@ -106,7 +106,8 @@
     }
     auto pump() -> void {
         for (auto& call : calls)
-            if (call->pending && (fleet.outs.count(call->pending) || !call->alive())) call->timer->cancel();
+            if (call->pending && (fleet.outcomes.count(call->pending) || !call->alive()))
+                call->timer->cancel();
         io.restart();
         io.poll();
         std::erase_if(calls, [](auto& call) { return call->status != 0; });
@@ -154,12 +155,12 @@
     if (!alive() || gone) co_return unknown;
     pending = ++site.fleet.ids;
     begin(pending);
-    while (alive() && !site.fleet.outs.count(pending)) {
+    while (alive() && !site.fleet.outcomes.count(pending)) {
         timer->expires_at(asio::steady_timer::time_point::max());
         auto failed = boost::system::error_code();
         co_await timer->async_wait(asio::redirect_error(asio::use_awaitable, failed));
     }
-    auto outcome = alive() ? site.fleet.outs[pending] : unknown;
+    auto outcome = alive() ? site.fleet.outcomes[pending] : unknown;
     pending = 0;
     co_return outcome;
 }
--- a/tests/platform/platform_orders_test.cpp
+++ b/tests/platform/platform_orders_test.cpp
@@ -164,8 +164,8 @@
     fleet.run(60 * MILLISECOND);
     auto merge = ++fleet.ids;
     leader->n->order(merge, "merge", "merge", R"({"base":1,"patch":{"name":"n"}})", fleet.t);
-    fleet.until(6 * SECOND, [&] { return fleet.outs.count(merge) > 0; });
-    return fleet.outs[merge].status;
+    fleet.until(6 * SECOND, [&] { return fleet.outcomes.count(merge) > 0; });
+    return fleet.outcomes[merge].status;
 }
 TEST(ControlOrders, aRefusalRestsOnCommittedState) {
     auto quiet = MutedLog();
@@ -177,8 +177,8 @@
     fleet.startCluster(3, 5);
     auto id = ++fleet.ids;
     fleet.nodes[4]->n->order(id, "merge", "late", R"({"base":0,"patch":{"name":"n"}})", fleet.t);
-    CHECK(fleet.until(SECOND, [&] { return fleet.outs.count(id) > 0; }));
-    CHECK_EQ(409, fleet.outs[id].status);
+    CHECK(fleet.until(SECOND, [&] { return fleet.outcomes.count(id) > 0; }));
+    CHECK_EQ(409, fleet.outcomes[id].status);
 }
 
 // An evacuation that was read at a node, and whose order is held up by a freeze of that node, while the
@@ -260,7 +260,7 @@
     auto id = fleet.order(node, "zone");
     fleet.run(200 * MILLISECOND);
     node.n->cancelOrder(id);
-    CHECK_EQ(504, fleet.outs[id].status);
+    CHECK_EQ(504, fleet.outcomes[id].status);
     fleet.lone(node, false);
     fleet.run(5 * SECOND);
     CHECK(!fleet.leader()->n->replicatedState().evacuated("zone"));
@@ -351,10 +351,10 @@
     fleet.lone(*leader, true);
     auto logged = fleet.order(*leader, "zone");
     fleet.run(6 * SECOND);
-    CHECK_EQ(504, fleet.outs[logged].status);
+    CHECK_EQ(504, fleet.outcomes[logged].status);
     auto unsent = fleet.order(*leader, "other");
     fleet.run(6 * SECOND);
-    CHECK_EQ(503, fleet.outs[unsent].status);
+    CHECK_EQ(503, fleet.outcomes[unsent].status);
 }
 
 }  // namespace duneturn
