--- a/src/routing/request.hpp
+++ b/src/routing/request.hpp
@@ -92,7 +92,7 @@
 };
 
 /// A slot in a service's queue.
-struct QueuePlace {
+struct QueueEntry {
     std::string service;     ///< Empty: the request has no slot.
     Microseconds until = 0;  ///< When the request leaves the queue at the latest.
 };
@@ -120,7 +120,7 @@
     RequestAttempts attempts;
     RelayedStream relayed;
     RequestLimits limits;
-    QueuePlace queuePlace;
+    QueueEntry queuePlace;
     QuotaClaim quota;
     std::vector<std::string> trace;  ///< The decisions about the request, one line each, for operators.
     std::unique_ptr<RequestMachine> machine;
