--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -215,7 +215,7 @@
     rebindQueue(now);
     auto failures = std::map<PlacesOfRoute, int>();
     for (auto request : backlog_.inOrder()) {
-        if (now >= request->queuePlace.until) {
+        if (now >= request->queueEntry.until) {
             fail(*request, 503, "no server had room in time", now);
             continue;
         }
--- a/src/routing/backlog.cpp
+++ b/src/routing/backlog.cpp
@@ -36,7 +36,7 @@
     if (slots == 0) return false;
     auto before = 0;
     for (auto& [id, other] : requests_)
-        before += other.queuePlace.service == service && !request.isMoreUrgentThan(other);
+        before += other.queueEntry.service == service && !request.isMoreUrgentThan(other);
     auto wait = holdTime * before * double(fleet_.nodes()) / slots;
     return wait > double(std::min(request.limits.deadline - now, request.route.queueTimeout));
 }
@@ -44,7 +44,7 @@
 auto Backlog::lessUrgent(const Request& request) -> Request* {
     auto found = (Request*)nullptr;
     for (auto& [id, other] : requests_) {
-        if (other.queuePlace.service != request.route.service) continue;
+        if (other.queueEntry.service != request.route.service) continue;
         if (!request.isMoreUrgentThan(other)) continue;
         if (!found || goesBefore(other, *found)) found = &other;
     }
@@ -56,20 +56,20 @@
     auto before = places_[route.service]++;
     // A stream whose beginning was relayed waits a little longer: a late event is better than a cut.
     auto patience = request.relayed.headSent ? std::max(route.queueTimeout, SECOND) : route.queueTimeout;
-    request.queuePlace = {route.service, std::min(request.limits.deadline, now + patience)};
+    request.queueEntry = {route.service, std::min(request.limits.deadline, now + patience)};
     return before;
 }
 
 auto Backlog::leave(Request& request) -> void {
-    if (request.queuePlace.service.empty()) return;
-    places_[faults_.leakQueueSlots ? request.route.service + "?" : request.queuePlace.service]--;
-    request.queuePlace = {};
+    if (request.queueEntry.service.empty()) return;
+    places_[faults_.leakQueueSlots ? request.route.service + "?" : request.queueEntry.service]--;
+    request.queueEntry = {};
 }
 
 auto Backlog::inOrder() -> std::vector<Request*> {
     auto waiting = std::vector<Request*>();
     for (auto& [id, request] : requests_)
-        if (request.phase() == Phase::Queued && request.queuePlace.until) waiting.push_back(&request);
+        if (request.phase() == Phase::Queued && request.queueEntry.until) waiting.push_back(&request);
     std::stable_sort(waiting.begin(), waiting.end(), [](auto left, auto right) {
         if (left->isMoreUrgentThan(*right)) return true;
         return !right->isMoreUrgentThan(*left) && left->limits.deadline < right->limits.deadline;
--- a/src/routing/request.hpp
+++ b/src/routing/request.hpp
@@ -120,7 +120,7 @@
     RequestAttempts attempts;
     RelayedStream relayed;
     RequestLimits limits;
-    QueueEntry queuePlace;
+    QueueEntry queueEntry;
     QuotaClaim quota;
     std::vector<std::string> trace;  ///< The decisions about the request, one line each, for operators.
     std::unique_ptr<RequestMachine> machine;
