--- a/src/consensus/log.cpp
+++ b/src/consensus/log.cpp
@@ -73,7 +73,7 @@
     }
     if (installWrite_ && write.sequence >= installWrite_) {
         installWrite_ = 0;
-        if (!blank()) port_.voterApplied(replicatedState_, {});
+        if (!blank()) port_.onStateApplied(replicatedState_, {});
     }
     if (!blank()) applyCommitted(std::min(write.commit, commitIndex_), now);
     // A candidate's own vote counts once its own disk holds it.
--- a/src/consensus/membership.cpp
+++ b/src/consensus/membership.cpp
@@ -28,13 +28,13 @@
         auto command = decodeCommand(entry.body);
         auto outcome = command ? replicatedState_.apply(*command) : replicatedState_.apply(entry.body);
         counters_.add("orders_applied_total");
-        port_.voterApplied(replicatedState_, {&entry, command ? command->key : "", outcome});
+        port_.onStateApplied(replicatedState_, {&entry, command ? command->key : "", outcome});
     } else if (entry.kind == ENTRY_JOINT) {
         appliedJoint_ = true;
     } else if (entry.kind == ENTRY_VOTERS) {
         appliedJoint_ = false;
         replicatedState_.applyVoters(VoterConfiguration::ofEntry(entry).voters());
-        port_.voterApplied(replicatedState_, {&entry, "", {}});
+        port_.onStateApplied(replicatedState_, {&entry, "", {}});
     }
 }
 
--- a/src/consensus/voter.cpp
+++ b/src/consensus/voter.cpp
@@ -47,7 +47,7 @@
     roles_->process(Initialized{}, counters_);
     refreshConfiguration();
     applyCommitted(commitIndex_, now);
-    port_.voterApplied(replicatedState_, {});
+    port_.onStateApplied(replicatedState_, {});
 }
 
 auto Voter::envelope() const -> wire::Envelope {
--- a/src/consensus/voter.hpp
+++ b/src/consensus/voter.hpp
@@ -61,7 +61,7 @@
     /// Begins a write; Voter::onDiskWriteDone reports its end. Writes are performed in their order.
     virtual auto writeToDisk(const DiskWrite& write) -> void = 0;
     /// The state machine advanced to `state`, which this disk holds.
-    virtual auto voterApplied(const ReplicatedState& state, const AppliedEntry& applied) -> void = 0;
+    virtual auto onStateApplied(const ReplicatedState& state, const AppliedEntry& applied) -> void = 0;
     /// Answers Voter::read: `ok` if this was the leader after the question came, and the state has what
     /// was committed then.
     virtual auto voterRead(std::int64_t id, bool ok) -> void = 0;
--- a/src/membership/node.hpp
+++ b/src/membership/node.hpp
@@ -141,7 +141,7 @@
     // VoterPort.
     auto sendToReplica(const std::string& disk, wire::Envelope& envelope) -> void override;
     auto writeToDisk(const DiskWrite& write) -> void override;
-    auto voterApplied(const ReplicatedState& state, const AppliedEntry& applied) -> void override;
+    auto onStateApplied(const ReplicatedState& state, const AppliedEntry& applied) -> void override;
     auto voterRead(std::int64_t id, bool ok) -> void override;
     // OrderServicePort.
     auto answer(const Requester& to, const Outcome& outcome) -> void override;
--- a/src/membership/node_messages.cpp
+++ b/src/membership/node_messages.cpp
@@ -76,7 +76,7 @@
     announceState();
 }
 
-auto Node::voterApplied(const ReplicatedState& state, const AppliedEntry& applied) -> void {
+auto Node::onStateApplied(const ReplicatedState& state, const AppliedEntry& applied) -> void {
     if (takeNewerState(state)) {
         if (applied.entry) context_.statePublisher.noteEntry(*applied.entry);
         announceState();
--- a/src/modelcheck/replica.cpp
+++ b/src/modelcheck/replica.cpp
@@ -145,7 +145,7 @@
     pending_.push_back(write);
 }
 
-auto Replica::voterApplied(const ReplicatedState& state, const AppliedEntry&) -> void {
+auto Replica::onStateApplied(const ReplicatedState& state, const AppliedEntry&) -> void {
     output_.applied.push_back({state.version, hash64(state.text())});
 }
 
--- a/src/modelcheck/replica.hpp
+++ b/src/modelcheck/replica.hpp
@@ -115,7 +115,7 @@
   private:
     auto sendToReplica(const std::string& disk, wire::Envelope& envelope) -> void override;
     auto writeToDisk(const DiskWrite& write) -> void override;
-    auto voterApplied(const ReplicatedState& state, const AppliedEntry& applied) -> void override;
+    auto onStateApplied(const ReplicatedState& state, const AppliedEntry& applied) -> void override;
     auto voterRead(std::int64_t id, bool ok) -> void override;
     auto electionTimeout() -> void;
     auto finishWrite(bool ok) -> void;
--- a/tests/consensus/consensus_fixture.hpp
+++ b/tests/consensus/consensus_fixture.hpp
@@ -45,7 +45,7 @@
             cluster.post(disk, to, message);
         }
         auto writeToDisk(const DiskWrite& write) -> void override { pending.push_back(write); }
-        auto voterApplied(const ReplicatedState&, const AppliedEntry&) -> void override {}
+        auto onStateApplied(const ReplicatedState&, const AppliedEntry&) -> void override {}
         auto voterRead(std::int64_t id, bool ok) -> void override { reads[id] = ok; }
         auto start() -> void {
             pending.clear();
--- a/tests/consensus/voter_test.cpp
+++ b/tests/consensus/voter_test.cpp
@@ -49,7 +49,7 @@
             cluster.post(toDisk, message);
         }
         auto writeToDisk(const DiskWrite& write) -> void override { pending.push_back(write); }
-        auto voterApplied(const ReplicatedState& state, const AppliedEntry& entry) -> void override {
+        auto onStateApplied(const ReplicatedState& state, const AppliedEntry& entry) -> void override {
             auto& key = entry.key;
             cluster.applied(state);
             // The one who proposed it learns of it: from here on it is acknowledged.
--- a/tests/membership/gossip_voters_test.cpp
+++ b/tests/membership/gossip_voters_test.cpp
@@ -46,7 +46,7 @@
     struct Port : VoterPort {
         auto sendToReplica(const std::string&, wire::Envelope&) -> void override {}
         auto writeToDisk(const DiskWrite&) -> void override {}
-        auto voterApplied(const ReplicatedState&, const AppliedEntry&) -> void override {}
+        auto onStateApplied(const ReplicatedState&, const AppliedEntry&) -> void override {}
         auto voterRead(std::int64_t, bool) -> void override {}
     } p;
     auto ct = Counters();
--- a/tests/storage/storage_full_test.cpp
+++ b/tests/storage/storage_full_test.cpp
@@ -119,7 +119,7 @@
     }
     auto sendToReplica(const std::string&, wire::Envelope&) -> void override {}
     auto writeToDisk(const DiskWrite& write) -> void override { writes.push_back(write); }
-    auto voterApplied(const ReplicatedState&, const AppliedEntry& entry) -> void override {
+    auto onStateApplied(const ReplicatedState&, const AppliedEntry& entry) -> void override {
         applied += !entry.key.empty() && entry.outcome.status == 200;
     }
     auto voterRead(std::int64_t, bool) -> void override {}
