--- a/src/sim/faults.cpp
+++ b/src/sim/faults.cpp
@@ -74,9 +74,9 @@
 // Another machine sits in its place, at another address. Its settings name the seeds as they
 // are by then; those of the others do not.
 auto World::moveCore(Machine& k) -> void {
-    byAddr.erase(k.st.peer);
+    indexByAddress.erase(k.st.peer);
     k.st.peer = fmt::format("127.0.0.1:{}", parseAddress(k.st.peer)->port + 1000 + int(frng.below(1000)));
-    byAddr[k.st.peer] = k.i;
+    indexByAddress[k.st.peer] = k.i;
     k.st.seeds.clear();
     for (auto& x : ms)
         if (x->core) k.st.seeds.push_back(x->st.peer);
--- a/src/sim/machine.cpp
+++ b/src/sim/machine.cpp
@@ -104,8 +104,8 @@
 }
 
 auto Machine::send(const std::string& addr, const wire::Envelope& e) -> void {
-    auto j = w.byAddr.find(addr);
-    if (j == w.byAddr.end()) return;
+    auto j = w.indexByAddress.find(addr);
+    if (j == w.indexByAddress.end()) return;
     auto to = j->second;
     if (to == i) return;
     if (w.cut[std::size_t(i)][std::size_t(to)] > 0 || (w.loss > 0 && w.net.chance(w.loss))) return;
--- a/src/sim/simulate.cpp
+++ b/src/sim/simulate.cpp
@@ -661,7 +661,7 @@
         m->core = !s->data.empty();
         m->bootOff = Microseconds(rng.below(1000)) * 1000 * SECOND;
         m->wallOff = 1800000000LL * SECOND + Microseconds(rng.below(SECOND)) - SECOND / 2;
-        byAddr[s->peer] = m->i;
+        indexByAddress[s->peer] = m->i;
         ms.push_back(std::move(m));
     }
     cut.assign(ms.size(), std::vector<int>(ms.size(), 0));
--- a/src/sim/world.hpp
+++ b/src/sim/world.hpp
@@ -149,7 +149,7 @@
     std::priority_queue<Ev, std::vector<Ev>, Later> q;
     std::int64_t evs = 0;
     std::vector<std::unique_ptr<Machine>> ms;
-    std::map<std::string, int> byAddr;
+    std::map<std::string, int> indexByAddress;
     std::vector<SimServer> ss;
     std::map<std::string, int> sByAddr;
     std::vector<Kind> ks;
--- a/tests/membership/fleet_fixture.hpp
+++ b/tests/membership/fleet_fixture.hpp
@@ -66,7 +66,7 @@
     std::set<std::pair<std::size_t, std::size_t>> cut;
     std::map<std::int64_t, Outcome> outcomes;
     std::vector<std::string> seeds;
-    std::map<std::string, std::size_t> byAddr;
+    std::map<std::string, std::size_t> indexByAddress;
     std::int64_t ids = 0, between = 0, all = 0, probes = 0, heartbeats = 0;
     std::string bad;
     double loss = 0;
@@ -86,7 +86,7 @@
         b.st.peer = fmt::format("10.1.{}.{}:7720", k / 250, k % 250);
         b.st.clientAddress = fmt::format("10.1.{}.{}:8161", k / 250, k % 250);
         b.st.operatorAddress = fmt::format("10.1.{}.{}:8166", k / 250, k % 250);
-        byAddr[b.st.peer] = k - 1;
+        indexByAddress[b.st.peer] = k - 1;
         b.st.seeds = seeds;
         b.st.gossip = true;
         b.st.bootstrap = bootstrap;
@@ -144,10 +144,10 @@
         b.kept.clear();
     }
     auto at(const std::string& addr) -> int {
-        auto i = byAddr.find(addr);
-        return i == byAddr.end() || nodes[i->second]->removed ? -1 : int(i->second);
+        auto i = indexByAddress.find(addr);
+        return i == indexByAddress.end() || nodes[i->second]->removed ? -1 : int(i->second);
     }
-    auto of(const FleetNode& b) -> std::size_t { return byAddr[b.st.peer]; }
+    auto of(const FleetNode& b) -> std::size_t { return indexByAddress[b.st.peer]; }
     auto lone(FleetNode& b, bool on) -> void {  // cut off from all the others
         auto k = of(b);
         for (auto i = std::size_t(0); i < nodes.size(); i++) {
--- a/tests/platform/platform_orders_model.hpp
+++ b/tests/platform/platform_orders_model.hpp
@@ -129,7 +129,7 @@
 
   private:
     auto cutOff(const FleetNode& box) const -> bool {
-        auto self = site.fleet.byAddr[box.st.peer];
+        auto self = site.fleet.indexByAddress[box.st.peer];
         auto other = self ? std::size_t(0) : std::size_t(1);
         return site.fleet.cut.count({self, other}) > 0;
     }
