--- a/src/routing/dispatch.cpp
+++ b/src/routing/dispatch.cpp
@@ -72,7 +72,7 @@
     auto& received = request.received;
     request.attempts.unreadTokens = unreadPromptTokens(statistics, received, PrefixAssumption::AsRecorded);
     statistics.unreadTokens += double(request.attempts.unreadTokens);
-    statistics.heldTokens += double(received.ownTokens());
+    statistics.reservedTokens += double(received.ownTokens());
     statistics_.ofService(request.route.service).recordOwnTokens(received.ownTokens());
     auto capacity = rule.memoryTokens ? rule.memoryTokens : DEFAULT_MEMORY_TOKENS;
     for (auto& [part, tokens] : received.promptParts) statistics.prefixCache.add(part, tokens, capacity);
@@ -85,8 +85,8 @@
     request.attempts.countedInflight = false;
     auto& statistics = statistics_.of(request.attempts.server);
     statistics.inflight--;
-    auto remaining = std::max(0.0, statistics.heldTokens - double(request.received.ownTokens()));
-    statistics.heldTokens = statistics.inflight ? remaining : 0;
+    auto remaining = std::max(0.0, statistics.reservedTokens - double(request.received.ownTokens()));
+    statistics.reservedTokens = statistics.inflight ? remaining : 0;
 }
 
 // Stops counting the prompt as unread, since the server has read it or never will.
--- a/src/routing/scoring.cpp
+++ b/src/routing/scoring.cpp
@@ -59,7 +59,7 @@
     if (statistics.inflight + others < 1) return true;
     auto room = MEMORY_SHARE * double(rule.memoryTokens) - double(request.received.sharedTokens);
     auto ofOthers = others * statistics_.ofService(request.route.service).ownTokens;
-    return statistics.heldTokens + ofOthers + double(request.received.ownTokens()) <= room;
+    return statistics.reservedTokens + ofOthers + double(request.received.ownTokens()) <= room;
 }
 
 }  // namespace duneturn
--- a/src/routing/server_statistics.hpp
+++ b/src/routing/server_statistics.hpp
@@ -44,7 +44,7 @@
     Microseconds coldUntil = 0;     ///< As it said itself.
     double coldBucket = 1;          ///< Requests that a cold one may still be sent; see SlowStart.
     Microseconds coldBucketAt = 0;  ///< When the bucket was last filled.
-    double heldTokens = 0;          ///< Of its memory that ours hold, beside what they share.
+    double reservedTokens = 0;      ///< Of its memory that ours hold, beside what they share.
     double unreadTokens = 0;        ///< Of prompts sent to it that it has not begun to answer.
     PrefixCache prefixCache;
 
