--- a/src/routing/dispatch.cpp
+++ b/src/routing/dispatch.cpp
@@ -70,8 +70,9 @@
 auto Edge::reserveEngineTokens(Request& request, ServerStatistics& statistics, const ServiceRule& rule)
     -> void {
     auto& received = request.received;
-    request.attempts.unreadTokens = unreadPromptTokens(statistics, received, PrefixAssumption::AsRecorded);
-    statistics.unreadTokens += double(request.attempts.unreadTokens);
+    request.attempts.pendingPromptTokens =
+        unreadPromptTokens(statistics, received, PrefixAssumption::AsRecorded);
+    statistics.pendingPromptTokens += double(request.attempts.pendingPromptTokens);
     statistics.reservedTokens += double(received.ownTokens());
     statistics_.ofService(request.route.service).recordOwnTokens(received.ownTokens());
     auto capacity = rule.memoryTokens ? rule.memoryTokens : DEFAULT_MEMORY_TOKENS;
@@ -91,10 +92,10 @@
 
 // Stops counting the prompt as unread, since the server has read it or never will.
 auto Edge::releaseUnreadPrompt(Request& request) -> void {
-    auto& unread = request.attempts.unreadTokens;
+    auto& unread = request.attempts.pendingPromptTokens;
     if (!unread) return;
     auto& statistics = statistics_.of(request.attempts.server);
-    statistics.unreadTokens = std::max(0.0, statistics.unreadTokens - double(unread));
+    statistics.pendingPromptTokens = std::max(0.0, statistics.pendingPromptTokens - double(unread));
     unread = 0;
 }
 
--- a/src/routing/migration.cpp
+++ b/src/routing/migration.cpp
@@ -104,8 +104,9 @@
     auto timeout = std::max({FIRST_BYTE_TARGET_SHARE * double(route.firstByteTarget),
         FIRST_BYTE_MEDIANS * statistics_.median(route.service, &ServerStatistics::firstByteTime),
         MIN_FIRST_BYTE_TIMEOUT});
-    auto unreadTokens = double(request.attempts.unreadTokens);
-    return Microseconds(timeout + PROMPT_READING_MARGIN * unreadTokens / PROMPT_TOKENS_PER_MICROSECOND);
+    auto pendingPromptTokens = double(request.attempts.pendingPromptTokens);
+    return Microseconds(
+        timeout + PROMPT_READING_MARGIN * pendingPromptTokens / PROMPT_TOKENS_PER_MICROSECOND);
 }
 
 auto Migration::slowServerReason(Request& request, Microseconds gap) const -> std::optional<std::string> {
--- a/src/routing/request.hpp
+++ b/src/routing/request.hpp
@@ -53,11 +53,11 @@
     /// When the server was selected, the send began, the server last sent something or the client was last
     /// found to read slower than the server sends, whichever came last.
     Microseconds lastActivityAt = 0;
-    Microseconds nextStallCheckAt = 0;  ///< The server's silence is not checked again before.
-    bool countedInflight = false;       ///< The attempt counts as in flight at its server.
-    std::int64_t unreadTokens = 0;      ///< Tokens of the prompt that the server has not read yet.
-    bool onReusedConnection = false;    ///< Another request was sent on this connection before.
-    double eventGap = 0;                ///< Smoothed time between events, in microseconds.
+    Microseconds nextStallCheckAt = 0;     ///< The server's silence is not checked again before.
+    bool countedInflight = false;          ///< The attempt counts as in flight at its server.
+    std::int64_t pendingPromptTokens = 0;  ///< Tokens of the prompt that the server has not read yet.
+    bool onReusedConnection = false;       ///< Another request was sent on this connection before.
+    double eventGap = 0;                   ///< Smoothed time between events, in microseconds.
     int eventGapSamples = 0;
     int headReceivedOf = 0;               ///< The number of the attempt whose response head was received.
     AttemptTracker tracker;               ///< The state of the current attempt, with the earlier outcomes.
--- a/src/routing/scoring.cpp
+++ b/src/routing/scoring.cpp
@@ -45,7 +45,7 @@
         auto others =
             now - statistics.loadAt < LOAD_FRESHNESS ? double(statistics.waiting) * WAITING_TOKENS : 0.0;
         auto own = double(unreadPromptTokens(statistics, request.received, assumption));
-        time += (std::max(statistics.unreadTokens, others) + own) / PROMPT_TOKENS_PER_MICROSECOND;
+        time += (std::max(statistics.pendingPromptTokens, others) + own) / PROMPT_TOKENS_PER_MICROSECOND;
     }
     if (candidate.server->listing.region != request.received.region) time += double(OTHER_REGION_LATENCY);
     return time / std::max(LEAST_FITNESS, statistics.ejection.healthScore(now));
