--- a/src/consensus/election.cpp
+++ b/src/consensus/election.cpp
@@ -12,7 +12,7 @@
 auto Voter::becomeFollower(Microseconds now) -> void {
     if (leads()) {
         logEvent("leader_stepped_down", "term={}", term_);
-        for (auto id : reads_.takeAll()) port_.voterRead(id, false);
+        for (auto id : reads_.takeAll()) port_.onReadDone(id, false);
     }
     if (role() != Role::Follower && !blank()) roles_->process(LeaderSeen{}, counters_);
     restartElectionTimer(now);
--- a/src/consensus/replication.cpp
+++ b/src/consensus/replication.cpp
@@ -36,7 +36,7 @@
 
 auto Voter::read(std::int64_t id, Microseconds now) -> void {
     if (!ready()) {
-        port_.voterRead(id, false);
+        port_.onReadDone(id, false);
         return;
     }
     reads_.add({id, ++heartbeatRound_, commitIndex_});
@@ -111,7 +111,7 @@
         };
         return hasMajority(confirms) || broken.skipReadQuorum;
     };
-    while (auto id = reads_.takeAnswerable(lastApplied_, isConfirmed)) port_.voterRead(*id, true);
+    while (auto id = reads_.takeAnswerable(lastApplied_, isConfirmed)) port_.onReadDone(*id, true);
 }
 
 auto Voter::applyCommitted(std::int64_t index, Microseconds now) -> void {
--- a/src/consensus/voter.hpp
+++ b/src/consensus/voter.hpp
@@ -64,7 +64,7 @@
     virtual auto onStateApplied(const ReplicatedState& state, const AppliedEntry& applied) -> void = 0;
     /// Answers Voter::read: `ok` if this was the leader after the question came, and the state has what
     /// was committed then.
-    virtual auto voterRead(std::int64_t id, bool ok) -> void = 0;
+    virtual auto onReadDone(std::int64_t id, bool ok) -> void = 0;
 };
 
 struct RoleMachine;
@@ -99,7 +99,7 @@
     auto propose(int kind, const std::string& body, Microseconds now) -> bool;
     /// Of a leader: whether every voter that answers reads entries of kind ENTRY_COMPACT.
     auto allReadCompact() const -> bool;
-    /// Asks whether this is still the leader; answered through voterRead with this id.
+    /// Asks whether this is still the leader; answered through onReadDone with this id.
     auto read(std::int64_t id, Microseconds now) -> void;
     /// Spare disks that could take the place of a voter's, as (node, disk).
     auto setSpareDisks(const std::vector<std::pair<std::string, std::string>>& spares) -> void {
--- a/src/membership/node.hpp
+++ b/src/membership/node.hpp
@@ -142,7 +142,7 @@
     auto sendToReplica(const std::string& disk, wire::Envelope& envelope) -> void override;
     auto writeToDisk(const DiskWrite& write) -> void override;
     auto onStateApplied(const ReplicatedState& state, const AppliedEntry& applied) -> void override;
-    auto voterRead(std::int64_t id, bool ok) -> void override;
+    auto onReadDone(std::int64_t id, bool ok) -> void override;
     // OrderServicePort.
     auto answer(const Requester& to, const Outcome& outcome) -> void override;
     auto acknowledged(MajorityProof& proof, std::int64_t version, Microseconds now) -> bool override;
--- a/src/membership/node_messages.cpp
+++ b/src/membership/node_messages.cpp
@@ -91,7 +91,7 @@
 
 auto Node::writeToDisk(const DiskWrite& write) -> void { context_.port.disk(write); }
 
-auto Node::voterRead(std::int64_t id, bool ok) -> void { orderService_.readDone(*context_.voter, id, ok); }
+auto Node::onReadDone(std::int64_t id, bool ok) -> void { orderService_.readDone(*context_.voter, id, ok); }
 
 // ---- orders
 
--- a/src/modelcheck/replica.cpp
+++ b/src/modelcheck/replica.cpp
@@ -149,7 +149,7 @@
     output_.applied.push_back({state.version, hash64(state.text())});
 }
 
-auto Replica::voterRead(std::int64_t id, bool ok) -> void {
+auto Replica::onReadDone(std::int64_t id, bool ok) -> void {
     auto visible = std::uint32_t(0);
     for (auto number = 0u; number < MAX_ORDERS; number++)
         if (voter_.replicatedState().outcome(orderKey(number)).status == 200) visible |= 1u << number;
--- a/src/modelcheck/replica.hpp
+++ b/src/modelcheck/replica.hpp
@@ -116,7 +116,7 @@
     auto sendToReplica(const std::string& disk, wire::Envelope& envelope) -> void override;
     auto writeToDisk(const DiskWrite& write) -> void override;
     auto onStateApplied(const ReplicatedState& state, const AppliedEntry& applied) -> void override;
-    auto voterRead(std::int64_t id, bool ok) -> void override;
+    auto onReadDone(std::int64_t id, bool ok) -> void override;
     auto electionTimeout() -> void;
     auto finishWrite(bool ok) -> void;
     auto propose(std::uint32_t number) -> void;
--- a/tests/consensus/consensus_fixture.hpp
+++ b/tests/consensus/consensus_fixture.hpp
@@ -46,7 +46,7 @@
         }
         auto writeToDisk(const DiskWrite& write) -> void override { pending.push_back(write); }
         auto onStateApplied(const ReplicatedState&, const AppliedEntry&) -> void override {}
-        auto voterRead(std::int64_t id, bool ok) -> void override { reads[id] = ok; }
+        auto onReadDone(std::int64_t id, bool ok) -> void override { reads[id] = ok; }
         auto start() -> void {
             pending.clear();
             gate = {};
--- a/tests/consensus/voter_test.cpp
+++ b/tests/consensus/voter_test.cpp
@@ -56,7 +56,7 @@
             if (!key.empty() && entry.outcome.status == 200 && voter && voter->leads())
                 cluster.acknowledged.push_back(key);
         }
-        auto voterRead(std::int64_t id, bool ok) -> void override {
+        auto onReadDone(std::int64_t id, bool ok) -> void override {
             if (!ok) return;
             auto known = cluster.versionAtRead[id];
             auto version = voter->replicatedState().version;
--- a/tests/membership/gossip_voters_test.cpp
+++ b/tests/membership/gossip_voters_test.cpp
@@ -47,7 +47,7 @@
         auto sendToReplica(const std::string&, wire::Envelope&) -> void override {}
         auto writeToDisk(const DiskWrite&) -> void override {}
         auto onStateApplied(const ReplicatedState&, const AppliedEntry&) -> void override {}
-        auto voterRead(std::int64_t, bool) -> void override {}
+        auto onReadDone(std::int64_t, bool) -> void override {}
     } p;
     auto ct = Counters();
     auto v = Voter(p, ct, 1);
--- a/tests/storage/storage_full_test.cpp
+++ b/tests/storage/storage_full_test.cpp
@@ -122,7 +122,7 @@
     auto onStateApplied(const ReplicatedState&, const AppliedEntry& entry) -> void override {
         applied += !entry.key.empty() && entry.outcome.status == 200;
     }
-    auto voterRead(std::int64_t, bool) -> void override {}
+    auto onReadDone(std::int64_t, bool) -> void override {}
     auto run(Microseconds duration) -> void {
         for (auto end = now + duration; now < end; now += 50 * MILLISECOND) {
             voter.tick(now);
