--- a/src/membership/node.hpp
+++ b/src/membership/node.hpp
@@ -120,7 +120,7 @@
     /// This node's retry budget and its want of more, for its record.
     auto setCredit(std::int64_t credit, std::int64_t want) -> void;
     /// A grant that another node gave to this one, taken once.
-    std::function<void(std::int64_t)> onGrant;
+    std::function<void(std::int64_t)> onCreditGrant;
     std::function<void()> onStateChange;
 
     /// The tokens of tenants' quotas that this node may spend.
--- a/src/membership/node_messages.cpp
+++ b/src/membership/node_messages.cpp
@@ -155,7 +155,7 @@
     auto& taken = grantsTaken_[from];
     if (grant.seq <= taken) return;
     taken = grant.seq;
-    if (onGrant) onGrant(grant.credit);
+    if (onCreditGrant) onCreditGrant(grant.credit);
 }
 
 auto Node::setCredit(std::int64_t credit, std::int64_t want) -> void {
--- a/src/routing/edge.cpp
+++ b/src/routing/edge.cpp
@@ -29,7 +29,7 @@
       selection_({node, routes_, dialect_, fleet_, broken, statistics_, slowStart_, random_}),
       migration_(routes_, dialect_, statistics_, broken) {
     node_.onStateChange = [this] { applyReplicatedState(); };
-    node_.onGrant = [this](std::int64_t credit) { budget_.receiveGrant(credit); };
+    node_.onCreditGrant = [this](std::int64_t credit) { budget_.receiveGrant(credit); };
     node_.onQuotaAnswer = [this](Microseconds now) { serveQuotaWaiters(now); };
     applyReplicatedState();
 }
