--- a/src/routing/dispatch.cpp
+++ b/src/routing/dispatch.cpp
@@ -71,7 +71,7 @@
     -> void {
     auto& received = request.received;
     request.attempts.pendingPromptTokens =
-        unreadPromptTokens(statistics, received, PrefixAssumption::AsRecorded);
+        uncachedPromptTokens(statistics, received, PrefixAssumption::AsRecorded);
     statistics.pendingPromptTokens += double(request.attempts.pendingPromptTokens);
     statistics.reservedTokens += double(received.ownTokens());
     statistics_.ofService(request.route.service).recordOwnTokens(received.ownTokens());
--- a/src/routing/scoring.cpp
+++ b/src/routing/scoring.cpp
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-auto unreadPromptTokens(const ServerStatistics& statistics, const ReceivedRequest& request,
+auto uncachedPromptTokens(const ServerStatistics& statistics, const ReceivedRequest& request,
     PrefixAssumption assumption) -> std::int64_t {
     auto held = std::int64_t(0), all = std::int64_t(0);
     auto isLeading = true;
@@ -44,7 +44,7 @@
         // Those that wait while slots are free are being read.
         auto others =
             now - statistics.loadAt < LOAD_FRESHNESS ? double(statistics.waiting) * WAITING_TOKENS : 0.0;
-        auto own = double(unreadPromptTokens(statistics, request.received, assumption));
+        auto own = double(uncachedPromptTokens(statistics, request.received, assumption));
         time += (std::max(statistics.pendingPromptTokens, others) + own) / PROMPT_TOKENS_PER_MICROSECOND;
     }
     if (candidate.server->listing.region != request.received.region) time += double(OTHER_REGION_LATENCY);
--- a/src/routing/scoring.hpp
+++ b/src/routing/scoring.hpp
@@ -17,7 +17,7 @@
 };
 
 /// The prompt's tokens that a server would have to read: all but the leading parts that it holds.
-[[nodiscard]] auto unreadPromptTokens(const ServerStatistics& statistics, const ReceivedRequest& request,
+[[nodiscard]] auto uncachedPromptTokens(const ServerStatistics& statistics, const ReceivedRequest& request,
     PrefixAssumption assumption) -> std::int64_t;
 
 /// Scores of servers by what is known of them.
