--- a/src/consensus/disk.cpp
+++ b/src/consensus/disk.cpp
@@ -4,7 +4,7 @@
 
 namespace duneturn {
 
-auto diskApply(DiskState& state, const DiskWrite& write) -> void {
+auto applyDiskWrite(DiskState& state, const DiskWrite& write) -> void {
     if (write.reset) state = DiskState();
     auto snapshotIndex = write.hasSnapshot ? write.meta.snapshotIndex : state.snapshotIndex;
     auto snapshotTerm = write.hasSnapshot ? write.meta.snapshotTerm : state.snapshotTerm;
--- a/src/consensus/disk.hpp
+++ b/src/consensus/disk.hpp
@@ -45,6 +45,6 @@
 };
 
 /// Applies a write to a state, as a store must.
-auto diskApply(DiskState& state, const DiskWrite& write) -> void;
+auto applyDiskWrite(DiskState& state, const DiskWrite& write) -> void;
 
 }  // namespace duneturn
--- a/src/modelcheck/replica.cpp
+++ b/src/modelcheck/replica.cpp
@@ -125,7 +125,7 @@
     auto write = pending_.front();
     pending_.pop_front();
     auto taken = ok && gate_.takes(write);
-    if (taken) diskApply(durable_, write);
+    if (taken) applyDiskWrite(durable_, write);
     else gate_.fail(write);
     voter_.onDiskWriteDone(write.seq, taken, now_);
 }
@@ -160,7 +160,7 @@
     auto state = durable_;
     auto gate = gate_;
     for (auto i = std::size_t(0); i < kept && i < pending_.size(); i++)
-        if (gate.takes(pending_[i])) diskApply(state, pending_[i]);
+        if (gate.takes(pending_[i])) applyDiskWrite(state, pending_[i]);
     return state;
 }
 
--- a/src/sim/machine.cpp
+++ b/src/sim/machine.cpp
@@ -88,7 +88,7 @@
     // Under a kill alone the machine may still sync what the process had begun to write.
     if (!power)
         while (!dk.under.empty() && !dk.full && !dk.stalled && w.rng.chance(.5)) {
-            diskApply(dk.held, dk.under.front());
+            applyDiskWrite(dk.held, dk.under.front());
             dk.under.pop_front();
         }
     dk.under.clear();
@@ -141,7 +141,7 @@
             return;
         }
         auto ok = !dk.full && dk.gate.takes(dk.under.front());
-        if (ok) diskApply(dk.held, dk.under.front());
+        if (ok) applyDiskWrite(dk.held, dk.under.front());
         else dk.gate.fail(dk.under.front());
         dk.under.pop_front();
         w.to(i, l, 0, [this, seq, ok] { node->onDiskWriteDone(seq, ok, now()); });
--- a/src/sim/scale_fleet.cpp
+++ b/src/sim/scale_fleet.cpp
@@ -172,7 +172,7 @@
     fleet.atNode(*this, SYNC_TIME + Microseconds(fleet.rng.below(SYNC_TIME)), [](HollowNode& self) {
         auto write = std::move(self.writing.front());
         self.writing.pop_front();
-        diskApply(self.held, write);
+        applyDiskWrite(self.held, write);
         self.stats.syncs++;
         self.fleet.spend(
             self, &Stats::other, [&] { self.node->onDiskWriteDone(write.seq, true, self.fleet.now); });
--- a/tests/consensus/consensus_fixture.hpp
+++ b/tests/consensus/consensus_fixture.hpp
@@ -60,7 +60,7 @@
                 pending.pop_front();
                 auto ok = gate.takes(write) && !failNextWrite;
                 failNextWrite = false;
-                if (ok) diskApply(held, write);
+                if (ok) applyDiskWrite(held, write);
                 else gate.fail(write);
                 voter->onDiskWriteDone(write.seq, ok, cluster.now);
             }
--- a/tests/consensus/voter_test.cpp
+++ b/tests/consensus/voter_test.cpp
@@ -81,7 +81,7 @@
                 auto write = pending.front();
                 pending.pop_front();
                 auto ok = gate.takes(write) && (cluster.calm || !cluster.random.chance(.002));
-                if (ok) diskApply(held, write);
+                if (ok) applyDiskWrite(held, write);
                 else gate.fail(write);
                 voter->onDiskWriteDone(write.seq, ok, cluster.now);
             }
--- a/tests/membership/fleet_fixture.hpp
+++ b/tests/membership/fleet_fixture.hpp
@@ -197,7 +197,7 @@
                 while (!b.under.empty() && b.under.front().first <= t) {
                     auto w = b.under.front().second;
                     b.under.pop_front();
-                    diskApply(b.held, w);
+                    applyDiskWrite(b.held, w);
                     b.n->onDiskWriteDone(w.seq, true, t);
                 }
                 if ((t / MILLISECOND + Microseconds(i) * 2) % 20 == 0)
--- a/tests/storage/storage_full_test.cpp
+++ b/tests/storage/storage_full_test.cpp
@@ -30,7 +30,7 @@
 
     auto write(DiskWrite write) -> bool {
         auto written = bool(store->write(write));
-        if (written) diskApply(state, write);
+        if (written) applyDiskWrite(state, write);
         return written;
     }
     auto base() const -> DiskWrite {
--- a/tests/storage/storage_power_test.cpp
+++ b/tests/storage/storage_power_test.cpp
@@ -44,7 +44,7 @@
     }
     auto open() -> bool { return bool(store.open(files.folder())); }
     auto write(const DiskWrite& write) -> bool {
-        diskApply(underWay, write);
+        applyDiskWrite(underWay, write);
         auto written = bool(store.write(write));
         if (written) promised = underWay;
         checkImages();
--- a/tests/storage/store_failure_test.cpp
+++ b/tests/storage/store_failure_test.cpp
@@ -27,7 +27,7 @@
 
 auto writeAndApply(Store& store, DiskState& state, const DiskWrite& write) -> void {
     CHECK(bool(store.write(write)));
-    diskApply(state, write);
+    applyDiskWrite(state, write);
 }
 
 }  // namespace
@@ -53,7 +53,7 @@
             CHECK(!store->write(snapshot));
             CHECK(!store->write(snapshot));
         }
-        diskApply(state, snapshot);
+        applyDiskWrite(state, snapshot);
         auto next = writeAfter(state);
         next.meta.term = 2;
         next.truncateFrom = 10;
@@ -98,7 +98,7 @@
     next.document.clear();
     next.meta.vote = "v";
     auto state = DiskState();
-    diskApply(state, reset);
+    applyDiskWrite(state, reset);
     writeAndApply(*store, state, next);
     store = std::make_unique<Store>();
     auto read = store->open(directory.path);
--- a/tests/storage/store_test.cpp
+++ b/tests/storage/store_test.cpp
@@ -62,7 +62,7 @@
         result.before = result.after;
         result.bytesBefore = directory.storeBytes();
         CHECK(bool(store.write(write)));
-        diskApply(result.after, write);
+        applyDiskWrite(result.after, write);
     }
     result.bytesAfter = directory.storeBytes();
     result.bytesBefore.resize(std::max(result.bytesBefore.size(), result.bytesAfter.size()));
@@ -116,7 +116,7 @@
         for (auto i = 0; i < 60; i++) {
             auto write = randomWrite(state, random);
             CHECK(bool(store->write(write)));
-            diskApply(state, write);
+            applyDiskWrite(state, write);
             if (!random.chance(.2)) continue;
             store.reset();
             CHECK(sameState(openSound(directory.path), state));
@@ -171,7 +171,7 @@
         auto write = writeInTerm(index);
         write.entries = {makeEntry(index, index, 20000)};
         auto written = bool(store->write(write));
-        if (written) diskApply(state, write);
+        if (written) applyDiskWrite(state, write);
         return written;
     };
     CHECK(put(1));
@@ -203,7 +203,7 @@
                 write.entries.back().body = std::string(700, 'x');
             }
             CHECK(bool(store.write(write)));
-            diskApply(state, write);
+            applyDiskWrite(state, write);
         }
         auto bytes = directory.storeBytes();
         damageEntries(bytes, random);
