--- a/src/routing/backlog.cpp
+++ b/src/routing/backlog.cpp
@@ -27,8 +27,8 @@
 auto Backlog::wouldWaitTooLong(const Request& request, Microseconds now) -> bool {
     auto& service = request.route.service;
     auto rule = serviceRuleOf(routes_, dialect_, service);
-    auto holdTime = statistics_.ofService(service).holdTime;
-    if (!rule || holdTime <= 0) return false;
+    auto requestDuration = statistics_.ofService(service).requestDuration;
+    if (!rule || requestDuration <= 0) return false;
     auto slots = 0;
     for (auto& [name, server] : node_.servers())
         if (server.listing.serviceName == service && server.listing.state == UP)
@@ -37,7 +37,7 @@
     auto before = 0;
     for (auto& [id, other] : requests_)
         before += other.queueEntry.service == service && !request.isMoreUrgentThan(other);
-    auto wait = holdTime * before * double(fleet_.nodes()) / slots;
+    auto wait = requestDuration * before * double(fleet_.nodes()) / slots;
     return wait > double(std::min(request.limits.deadline - now, request.route.queueTimeout));
 }
 
--- a/src/routing/scoring.cpp
+++ b/src/routing/scoring.cpp
@@ -36,10 +36,10 @@
     PrefixAssumption assumption, Microseconds now) -> double {
     auto& statistics = statistics_.of(*candidate.name);
     auto slots = double(statistics_.slots(*candidate.name, *candidate.server, rule));
-    auto holdTime = statistics_.ofService(request.route.service).holdTime;
-    if (holdTime <= 0) holdTime = DEFAULT_HOLD_TIME;
+    auto requestDuration = statistics_.ofService(request.route.service).requestDuration;
+    if (requestDuration <= 0) requestDuration = DEFAULT_HOLD_TIME;
     auto time = candidate.occupancy * OCCUPANCY_COST;
-    if (candidate.occupancy >= 1) time += (candidate.occupancy * slots - slots + 1) * holdTime / slots;
+    if (candidate.occupancy >= 1) time += (candidate.occupancy * slots - slots + 1) * requestDuration / slots;
     if (rule.isEngine) {
         // Those that wait while slots are free are being read.
         auto others =
--- a/src/routing/server_statistics.cpp
+++ b/src/routing/server_statistics.cpp
@@ -39,7 +39,7 @@
 }
 
 auto ServiceStatistics::recordHoldTime(Microseconds taken) -> void {
-    holdTime = HOLD_TIME_SMOOTHING.next(holdTime, double(taken));
+    requestDuration = HOLD_TIME_SMOOTHING.next(requestDuration, double(taken));
 }
 
 auto ServiceStatistics::recordOwnTokens(std::int64_t tokens) -> void {
@@ -82,7 +82,7 @@
     if (!statistics.loadAt) return own + service.requestsOfOthers;
     auto others = double(std::max(0, statistics.running + statistics.waiting - statistics.inflightAtLoad));
     auto age = double(now - statistics.loadAt);
-    auto still = std::exp(-age / std::max(service.holdTime, double(20 * MILLISECOND)));
+    auto still = std::exp(-age / std::max(service.requestDuration, double(20 * MILLISECOND)));
     auto expected = own + others * still + service.requestsOfOthers * (1 - still);
     auto trust = age <= double(LOAD_BELIEVED_FOR)
         ? 1
--- a/src/routing/server_statistics.hpp
+++ b/src/routing/server_statistics.hpp
@@ -58,9 +58,9 @@
 
 /// Figures of one service's requests, as this node sees them.
 struct ServiceStatistics {
-    double holdTime = 0;        ///< Smoothed: how long a request takes a server, in microseconds.
-    double ownTokens = 0;       ///< Smoothed: the tokens that only one request needs.
-    double recentRequests = 0;  ///< Requests of late; older ones count less and less.
+    double requestDuration = 0;  ///< Smoothed: how long a request takes a server, in microseconds.
+    double ownTokens = 0;        ///< Smoothed: the tokens that only one request needs.
+    double recentRequests = 0;   ///< Requests of late; older ones count less and less.
     std::map<std::string, double> boundByRegion;  ///< Those of them that only one region may serve.
     std::int64_t loadReports = 0;
     double requestsOfOthers = 0;  ///< Smoothed: what a server holds of other nodes' requests.
