--- a/src/routing/completion.cpp
+++ b/src/routing/completion.cpp
@@ -78,7 +78,7 @@
 auto Edge::finish(Request& request, const std::string& how, Microseconds now) -> void {
     auto& attempts = request.attempts;
     if (attempts.countedInflight && attempts.tracker.written())
-        statistics_.ofService(request.route.service).recordHoldTime(now - attempts.serverSelectedAt);
+        statistics_.ofService(request.route.service).recordRequestDuration(now - attempts.serverSelectedAt);
     releaseServer(request);
     backlog_.leave(request);
     quota_.release(request, now);
--- a/src/routing/server_statistics.cpp
+++ b/src/routing/server_statistics.cpp
@@ -38,7 +38,7 @@
     eventGap = EVENT_GAP_SMOOTHING.next(eventGap, double(gap));
 }
 
-auto ServiceStatistics::recordHoldTime(Microseconds taken) -> void {
+auto ServiceStatistics::recordRequestDuration(Microseconds taken) -> void {
     requestDuration = HOLD_TIME_SMOOTHING.next(requestDuration, double(taken));
 }
 
--- a/src/routing/server_statistics.hpp
+++ b/src/routing/server_statistics.hpp
@@ -65,7 +65,7 @@
     std::int64_t loadReports = 0;
     double requestsOfOthers = 0;  ///< Smoothed: what a server holds of other nodes' requests.
 
-    auto recordHoldTime(Microseconds taken) -> void;
+    auto recordRequestDuration(Microseconds taken) -> void;
     auto recordOwnTokens(std::int64_t tokens) -> void;
     /// A request was accepted that only `region` may serve; empty: that several may.
     auto recordRequest(const std::string& region) -> void;
