--- a/src/consensus/disk.hpp
+++ b/src/consensus/disk.hpp
@@ -38,7 +38,7 @@
 
 /// After a failed write, refuses the writes that were issued before the voter learnt of the
 /// failure: their entries would follow entries that are missing.
-struct DiskGate {
+struct DiskWriteFence {
     std::int64_t failed = -1;
     [[nodiscard]] auto takes(const DiskWrite& write) const -> bool { return write.writeEpoch > failed; }
     auto fail(const DiskWrite& write) -> void { failed = std::max(failed, write.writeEpoch); }
--- a/src/consensus/write_queue.hpp
+++ b/src/consensus/write_queue.hpp
@@ -3,7 +3,7 @@
 // not leave before a write is on disk. Raft's safety rests on that order: no answer is given on a term, a
 // vote, an entry or a snapshot that a loss of power could take back (Ongaro 2014, 3.8).
 //
-// A failed write takes all writes behind it with it (see DiskGate), since their entries would follow
+// A failed write takes all writes behind it with it (see DiskWriteFence), since their entries would follow
 // entries that are missing. What they were to bring beside entries is owed, and comes with the next write.
 #include <cstdint>
 #include <deque>
--- a/src/daemon/disk_thread.hpp
+++ b/src/daemon/disk_thread.hpp
@@ -47,7 +47,7 @@
     std::thread thread_;
     // The thread's own once it runs.
     Store store_;
-    DiskGate gate_;
+    DiskWriteFence gate_;
     bool opened_ = false;
     // Guarded by mutex_.
     std::mutex mutex_;
--- a/src/modelcheck/replica.hpp
+++ b/src/modelcheck/replica.hpp
@@ -124,7 +124,7 @@
     Counters counters_;
     DiskState durable_;
     std::deque<DiskWrite> pending_;
-    DiskGate gate_;
+    DiskWriteFence gate_;
     StepOutput output_;
     Microseconds now_;
     Voter voter_;
--- a/src/sim/world.hpp
+++ b/src/sim/world.hpp
@@ -31,7 +31,7 @@
     DiskState held;               // what survives the loss of power
     std::deque<DiskWrite> under;  // written, not yet synced
     Microseconds lat = 2 * MILLISECOND;
-    DiskGate gate;
+    DiskWriteFence gate;
     bool full = false, stalled = false, busy = false;
 };
 
--- a/tests/consensus/consensus_fixture.hpp
+++ b/tests/consensus/consensus_fixture.hpp
@@ -33,7 +33,7 @@
         Counters counters;
         DiskState held;
         std::deque<DiskWrite> pending;
-        DiskGate gate;
+        DiskWriteFence gate;
         std::unique_ptr<Voter> voter;
         bool diskHangs = false, failNextWrite = false;
         std::vector<std::pair<std::string, wire::Envelope>> sent;  // kept while `record`
--- a/tests/consensus/voter_test.cpp
+++ b/tests/consensus/voter_test.cpp
@@ -40,7 +40,7 @@
         Counters counters;
         DiskState held;
         std::deque<DiskWrite> pending;
-        DiskGate gate;
+        DiskWriteFence gate;
         std::unique_ptr<Voter> voter;  // none while the power is off
         std::string disk;
         Microseconds wakesAt = 0;  // it is off or frozen until then
--- a/tests/membership/fleet_fixture.hpp
+++ b/tests/membership/fleet_fixture.hpp
@@ -37,7 +37,7 @@
     Microseconds frozen = 0;
     DiskState held;
     std::deque<std::pair<Microseconds, DiskWrite>> under;
-    DiskGate gate;
+    DiskWriteFence gate;
     std::string fresh;
     std::vector<std::string> kept;
     Counters ct;
