--- a/src/routing/dispatch.cpp
+++ b/src/routing/dispatch.cpp
@@ -73,8 +73,8 @@
     request.attempts.pendingPromptTokens =
         uncachedPromptTokens(statistics, received, PrefixAssumption::AsRecorded);
     statistics.pendingPromptTokens += double(request.attempts.pendingPromptTokens);
-    statistics.reservedTokens += double(received.ownTokens());
-    statistics_.ofService(request.route.service).recordOwnTokens(received.ownTokens());
+    statistics.reservedTokens += double(received.unsharedTokens());
+    statistics_.ofService(request.route.service).recordOwnTokens(received.unsharedTokens());
     auto capacity = rule.memoryTokens ? rule.memoryTokens : DEFAULT_MEMORY_TOKENS;
     for (auto& [part, tokens] : received.promptParts) statistics.prefixCache.add(part, tokens, capacity);
 }
@@ -86,7 +86,7 @@
     request.attempts.countedInflight = false;
     auto& statistics = statistics_.of(request.attempts.server);
     statistics.inflight--;
-    auto remaining = std::max(0.0, statistics.reservedTokens - double(request.received.ownTokens()));
+    auto remaining = std::max(0.0, statistics.reservedTokens - double(request.received.unsharedTokens()));
     statistics.reservedTokens = statistics.inflight ? remaining : 0;
 }
 
--- a/src/routing/request.hpp
+++ b/src/routing/request.hpp
@@ -40,7 +40,7 @@
     std::uint64_t prefixKey = 0;  ///< Identifies the shared prefix of the prompt; 0: unknown.
     std::int64_t promptTokens = 0, outputTokens = 0, sharedTokens = 0;
     /// The tokens that no other request shares.
-    [[nodiscard]] auto ownTokens() const -> std::int64_t {
+    [[nodiscard]] auto unsharedTokens() const -> std::int64_t {
         return std::max<std::int64_t>(0, promptTokens - sharedTokens) + outputTokens;
     }
 };
--- a/src/routing/scoring.cpp
+++ b/src/routing/scoring.cpp
@@ -58,8 +58,8 @@
         std::max(0.0, statistics_.load(*candidate.name, *candidate.server, now) - statistics.inflight);
     if (statistics.inflight + others < 1) return true;
     auto room = MEMORY_SHARE * double(rule.memoryTokens) - double(request.received.sharedTokens);
-    auto ofOthers = others * statistics_.ofService(request.route.service).ownTokens;
-    return statistics.reservedTokens + ofOthers + double(request.received.ownTokens()) <= room;
+    auto ofOthers = others * statistics_.ofService(request.route.service).unsharedTokens;
+    return statistics.reservedTokens + ofOthers + double(request.received.unsharedTokens()) <= room;
 }
 
 }  // namespace duneturn
--- a/src/routing/server_statistics.cpp
+++ b/src/routing/server_statistics.cpp
@@ -43,7 +43,7 @@
 }
 
 auto ServiceStatistics::recordOwnTokens(std::int64_t tokens) -> void {
-    ownTokens = OWN_TOKENS_SMOOTHING.next(ownTokens, double(tokens));
+    unsharedTokens = OWN_TOKENS_SMOOTHING.next(unsharedTokens, double(tokens));
 }
 
 auto ServiceStatistics::recordRequest(const std::string& region) -> void {
--- a/src/routing/server_statistics.hpp
+++ b/src/routing/server_statistics.hpp
@@ -59,7 +59,7 @@
 /// Figures of one service's requests, as this node sees them.
 struct ServiceStatistics {
     double requestDuration = 0;  ///< Smoothed: how long a request takes a server, in microseconds.
-    double ownTokens = 0;        ///< Smoothed: the tokens that only one request needs.
+    double unsharedTokens = 0;   ///< Smoothed: the tokens that only one request needs.
     double recentRequests = 0;   ///< Requests of late; older ones count less and less.
     std::map<std::string, double> boundByRegion;  ///< Those of them that only one region may serve.
     std::int64_t loadReports = 0;
