--- a/src/consensus/voter.hpp
+++ b/src/consensus/voter.hpp
@@ -142,7 +142,7 @@
     /// The index of the last entry in the log.
     auto last() const -> std::int64_t { return log_.last(); }
     /// When this leader last had contact to a majority.
-    auto quorumAt() const -> Microseconds { return lastQuorumContact_; }
+    auto lastQuorumContact() const -> Microseconds { return lastQuorumContact_; }
     /// Whether the disk has failed or stalled, and has not worked since.
     auto diskBad() const -> bool { return writes_.isDiskBad(); }
     /// The newest set in the log, committed or not.
--- a/src/membership/singleton_duty.cpp
+++ b/src/membership/singleton_duty.cpp
@@ -16,7 +16,7 @@
 
 auto SingletonDuty::isHeld(const NodeContext& context, bool hasListing, Microseconds now) const -> bool {
     auto& voter = context.voter;
-    if (voter && voter->leads()) return now - voter->quorumAt() < QUORUM_AGE;
+    if (voter && voter->leads()) return now - voter->lastQuorumContact() < QUORUM_AGE;
     auto leaderKnown = !context.members.leaderNode(now).empty();
     // After a start of all at once there is no leader yet and nobody has a listing: each voter that has none
     // fetches it, and the root of what is known by then doesn't wait for the election.
--- a/tests/membership/fleet_fixture.hpp
+++ b/tests/membership/fleet_fixture.hpp
@@ -221,7 +221,7 @@
         auto x = static_cast<FleetNode*>(nullptr);
         for (auto& b : nodes)
             if (b->up && b->frozen <= t && b->n->voter() && b->n->voter()->ready()
-                && t - b->n->voter()->quorumAt() < SECOND
+                && t - b->n->voter()->lastQuorumContact() < SECOND
                 && (!x || b->n->ownRecord().term > x->n->ownRecord().term))
                 x = b.get();
         return x;
