--- a/src/routing/dispatch.cpp
+++ b/src/routing/dispatch.cpp
@@ -75,7 +75,7 @@
     statistics.pendingPromptTokens += double(request.attempts.pendingPromptTokens);
     statistics.reservedTokens += double(received.unsharedTokens());
     statistics_.ofService(request.route.service).recordOwnTokens(received.unsharedTokens());
-    auto capacity = rule.memoryTokens ? rule.memoryTokens : DEFAULT_MEMORY_TOKENS;
+    auto capacity = rule.kvCacheTokens ? rule.kvCacheTokens : DEFAULT_MEMORY_TOKENS;
     for (auto& [part, tokens] : received.promptParts) statistics.prefixCache.add(part, tokens, capacity);
 }
 
--- a/src/routing/route_table.cpp
+++ b/src/routing/route_table.cpp
@@ -47,7 +47,7 @@
         rule.eventTokens = int(jsonInteger(member.value, "stride"));
         rule.coldDuration = jsonInteger(member.value, "coldUs");
         rule.coldRate = jsonNumber(member.value, "coldRate");
-        rule.memoryTokens = jsonInteger(member.value, "kvTokens");
+        rule.kvCacheTokens = jsonInteger(member.value, "kvTokens");
         rule.isEngine = jsonBool(member.value, "engine");
     }
 }
--- a/src/routing/route_table.hpp
+++ b/src/routing/route_table.hpp
@@ -45,13 +45,13 @@
 
 /// What the configuration says of a service's servers. 0: nothing.
 struct ServiceRule {
-    int maxConnections = 0;         ///< That one server accepts, of all nodes.
-    int slots = 0;                  ///< Requests that one server runs at once.
-    int eventTokens = 0;            ///< Tokens in one event of a stream.
-    Microseconds coldDuration = 0;  ///< How long a server that has just started is cold.
-    double coldRate = 0;            ///< Requests a second that a cold server bears, of all nodes.
-    std::int64_t memoryTokens = 0;  ///< Tokens that one server's memory holds.
-    bool isEngine = false;          ///< The servers run a model, and queue by themselves.
+    int maxConnections = 0;          ///< That one server accepts, of all nodes.
+    int slots = 0;                   ///< Requests that one server runs at once.
+    int eventTokens = 0;             ///< Tokens in one event of a stream.
+    Microseconds coldDuration = 0;   ///< How long a server that has just started is cold.
+    double coldRate = 0;             ///< Requests a second that a cold server bears, of all nodes.
+    std::int64_t kvCacheTokens = 0;  ///< Tokens that one server's memory holds.
+    bool isEngine = false;           ///< The servers run a model, and queue by themselves.
 };
 
 /// What the configuration says of a model; see docs/source-design.md.
--- a/src/routing/scoring.cpp
+++ b/src/routing/scoring.cpp
@@ -57,7 +57,7 @@
     auto others =
         std::max(0.0, statistics_.load(*candidate.name, *candidate.server, now) - statistics.inflight);
     if (statistics.inflight + others < 1) return true;
-    auto room = MEMORY_SHARE * double(rule.memoryTokens) - double(request.received.sharedTokens);
+    auto room = MEMORY_SHARE * double(rule.kvCacheTokens) - double(request.received.sharedTokens);
     auto ofOthers = others * statistics_.ofService(request.route.service).unsharedTokens;
     return statistics.reservedTokens + ofOthers + double(request.received.unsharedTokens()) <= room;
 }
--- a/src/routing/server_selection.cpp
+++ b/src/routing/server_selection.cpp
@@ -159,7 +159,7 @@
                 statistics.load(*candidate.name, *candidate.server, now_) / slots(candidate);
         auto share = std::size_t(rule_->maxConnections) / inputs_.fleet.nodes();
         auto connectionShare = std::max<std::size_t>(2, share);
-        auto isBoundByMemory = rule_->isEngine && rule_->memoryTokens > 0;
+        auto isBoundByMemory = rule_->isEngine && rule_->kvCacheTokens > 0;
         keep("room", [&](auto& candidate) {
             if (isBoundByMemory && !scoring_.fitsInMemory(candidate, request_, *rule_, now_)) return false;
             return hasRoom(
