--- a/src/routing/migration.cpp
+++ b/src/routing/migration.cpp
@@ -72,15 +72,15 @@
     return "";
 }
 
-auto Migration::eventTokens(const Request& request, const ServerSentEvent& event) const -> int {
+auto Migration::tokensPerEvent(const Request& request, const ServerSentEvent& event) const -> int {
     if (dialect_.clientNamesRequests && event.id.empty()) return 0;
     auto rule = serviceRuleOf(routes_, dialect_, request.route.service);
-    return rule && rule->eventTokens > 0 ? rule->eventTokens : 1;
+    return rule && rule->tokensPerEvent > 0 ? rule->tokensPerEvent : 1;
 }
 
 auto Migration::recordRelayed(Request& request, const ServerSentEvent& event) const -> bool {
     auto& limits = request.limits;
-    limits.sequenceTokens += eventTokens(request, event);
+    limits.sequenceTokens += tokensPerEvent(request, event);
     if (limits.sequenceTokens > request.route.maxSequenceTokens) {
         auto wasMovable = !limits.migrationDisabled;
         limits.migrationDisabled = true;
--- a/src/routing/migration.hpp
+++ b/src/routing/migration.hpp
@@ -61,7 +61,7 @@
         -> std::optional<std::string>;
 
   private:
-    [[nodiscard]] auto eventTokens(const Request& request, const ServerSentEvent& event) const -> int;
+    [[nodiscard]] auto tokensPerEvent(const Request& request, const ServerSentEvent& event) const -> int;
 
     const RouteTable& routes_;
     const Dialect& dialect_;
--- a/src/routing/route_table.cpp
+++ b/src/routing/route_table.cpp
@@ -44,7 +44,7 @@
         auto& rule = table.services[member.name.GetString()];
         rule.maxConnections = int(jsonInteger(member.value, "maxConns"));
         rule.slots = int(jsonInteger(member.value, "slots"));
-        rule.eventTokens = int(jsonInteger(member.value, "stride"));
+        rule.tokensPerEvent = int(jsonInteger(member.value, "stride"));
         rule.coldDuration = jsonInteger(member.value, "coldUs");
         rule.coldRate = jsonNumber(member.value, "coldRate");
         rule.kvCacheTokens = jsonInteger(member.value, "kvTokens");
--- a/src/routing/route_table.hpp
+++ b/src/routing/route_table.hpp
@@ -47,7 +47,7 @@
 struct ServiceRule {
     int maxConnections = 0;          ///< That one server accepts, of all nodes.
     int slots = 0;                   ///< Requests that one server runs at once.
-    int eventTokens = 0;             ///< Tokens in one event of a stream.
+    int tokensPerEvent = 0;          ///< Tokens in one event of a stream.
     Microseconds coldDuration = 0;   ///< How long a server that has just started is cold.
     double coldRate = 0;             ///< Requests a second that a cold server bears, of all nodes.
     std::int64_t kvCacheTokens = 0;  ///< Tokens that one server's memory holds.
