--- a/src/consensus/voter.hpp
+++ b/src/consensus/voter.hpp
@@ -118,7 +118,7 @@
     /// When this leader last heard from a disk; 0 if never.
     auto lastContact(const std::string& disk) const -> Microseconds;
     /// Since when this leads; of a former leader, when its last term as such began.
-    auto leadSince() const -> Microseconds { return leaderSince_; }
+    auto leaderSince() const -> Microseconds { return leaderSince_; }
 
     auto role() const -> Role;
     auto blank() const -> bool { return role() == Role::Blank; }
--- a/src/membership/voter_placement.cpp
+++ b/src/membership/voter_placement.cpp
@@ -56,7 +56,7 @@
     auto& own = context.members.own();
     auto& voter = *context.voter;
     auto isOwn = identity.disk == own.disk;
-    auto lastContactAt = std::max(voter.lastContact(identity.disk), voter.leadSince());
+    auto lastContactAt = std::max(voter.lastContact(identity.disk), voter.leaderSince());
     auto judged = JudgedVoter{VoterHealth::Well, isOwn ? &own : nullptr};
     for (auto& [name, known] : context.members.others())
         if (known.record.disk == identity.disk) {
