--- a/src/routing/dispatch.cpp
+++ b/src/routing/dispatch.cpp
@@ -198,7 +198,8 @@
 auto Edge::requestHeaders(const Request& request, Microseconds now) const -> Headers {
     auto headers = endToEnd(request.received.headers);
     auto drop = [&](std::string_view name) {
-        if (!name.empty()) std::erase_if(headers, [&](auto& entry) { return sameName(entry.first, name); });
+        if (!name.empty())
+            std::erase_if(headers, [&](auto& entry) { return equalsIgnoreCase(entry.first, name); });
     };
     auto set = [&](const std::string& name, std::string value) {
         if (name.empty()) return;
--- a/src/routing/headers.cpp
+++ b/src/routing/headers.cpp
@@ -18,8 +18,8 @@
     constexpr auto PROXY = std::string_view("proxy-");
     for (auto own : {"connection", "keep-alive", "transfer-encoding", "content-length", "te", "trailer",
              "upgrade", "expect"})
-        if (sameName(name, own)) return true;
-    return name.size() > PROXY.size() && sameName(name.substr(0, PROXY.size()), PROXY);
+        if (equalsIgnoreCase(name, own)) return true;
+    return name.size() > PROXY.size() && equalsIgnoreCase(name.substr(0, PROXY.size()), PROXY);
 }
 
 // The names in a value of Connection.
@@ -41,7 +41,7 @@
     return lower;
 }
 
-auto sameName(std::string_view left, std::string_view right) -> bool {
+auto equalsIgnoreCase(std::string_view left, std::string_view right) -> bool {
     return left.size() == right.size()
         && std::equal(left.begin(), left.end(), right.begin(),
             [](char one, char other) { return std::tolower(one) == std::tolower(other); });
@@ -50,18 +50,18 @@
 auto header(const Headers& headers, std::string_view name) -> std::string {
     if (name.empty()) return "";
     for (auto& [key, value] : headers)
-        if (sameName(key, name)) return value;
+        if (equalsIgnoreCase(key, name)) return value;
     return "";
 }
 
 auto endToEnd(const Headers& headers) -> Headers {
     auto listed = std::vector<std::string>();  // by Connection itself
     for (auto& [name, value] : headers)
-        if (sameName(name, "connection")) addListedNames(value, listed);
+        if (equalsIgnoreCase(name, "connection")) addListedNames(value, listed);
     auto passed = Headers();
     for (auto& entry : headers) {
         auto isListed = std::any_of(
-            listed.begin(), listed.end(), [&](auto& name) { return sameName(name, entry.first); });
+            listed.begin(), listed.end(), [&](auto& name) { return equalsIgnoreCase(name, entry.first); });
         if (!concernsConnection(entry.first) && !isListed) passed.push_back(entry);
     }
     return passed;
--- a/src/routing/headers.hpp
+++ b/src/routing/headers.hpp
@@ -14,7 +14,7 @@
 /// The value of the first header of this name, whatever its case; empty if there is none.
 [[nodiscard]] auto header(const Headers& headers, std::string_view name) -> std::string;
 /// Whether two names of headers are the same.
-[[nodiscard]] auto sameName(std::string_view left, std::string_view right) -> bool;
+[[nodiscard]] auto equalsIgnoreCase(std::string_view left, std::string_view right) -> bool;
 /// The headers less those that concern one connection only, and those that Connection names.
 [[nodiscard]] auto endToEnd(const Headers& headers) -> Headers;
 /// A whole number of at most 18 digits; -1 if the text is none.
--- a/src/routing/tenant_admission.cpp
+++ b/src/routing/tenant_admission.cpp
@@ -7,7 +7,7 @@
 namespace duneturn {
 
 ClientKey::ClientKey(const Headers& headers, const Dialect& dialect) {
-    auto isKey = [&](auto& entry) { return sameName(entry.first, dialect.apiKey); };
+    auto isKey = [&](auto& entry) { return equalsIgnoreCase(entry.first, dialect.apiKey); };
     if (std::count_if(headers.begin(), headers.end(), isKey) != 1) return;
     text_ = std::find_if(headers.begin(), headers.end(), isKey)->second;
 }
@@ -27,7 +27,7 @@
 auto withoutTenantHeaders(const Headers& headers, const Dialect& dialect) -> Headers {
     auto kept = headers;
     std::erase_if(kept, [&](auto& entry) {
-        return sameName(entry.first, dialect.apiKey) || sameName(entry.first, dialect.tenant);
+        return equalsIgnoreCase(entry.first, dialect.apiKey) || equalsIgnoreCase(entry.first, dialect.tenant);
     });
     return kept;
 }
--- a/src/state/state_codec.cpp
+++ b/src/state/state_codec.cpp
@@ -228,8 +228,11 @@
         auto known = std::find(STATE_MEMBERS.begin(), STATE_MEMBERS.end(), name) != STATE_MEMBERS.end();
         members->push_back({name, known ? nullptr : std::make_shared<const JsonFragment>(member.value)});
     }
-    auto sameName = [](const StateLayout::Member& member, const char* name) { return member.name == name; };
-    if (std::equal(members->begin(), members->end(), STATE_MEMBERS.begin(), STATE_MEMBERS.end(), sameName))
+    auto equalsIgnoreCase = [](const StateLayout::Member& member, const char* name) {
+        return member.name == name;
+    };
+    if (std::equal(
+            members->begin(), members->end(), STATE_MEMBERS.begin(), STATE_MEMBERS.end(), equalsIgnoreCase))
         return {};
     return {std::move(members)};
 }
