--- a/src/consensus/voter.hpp
+++ b/src/consensus/voter.hpp
@@ -106,7 +106,7 @@
         spareDisks_ = spares;
     }
     /// Voters' disks that say they are blank.
-    auto setBlankVoters(const std::vector<std::string>& disks) -> void { blankVoters_ = disks; }
+    auto setUninitializedVoters(const std::vector<std::string>& disks) -> void { blankVoters_ = disks; }
     /// Transfers leadership to the voter that is furthest along; for a planned stop. False if there is
     /// none that has all that this disk has.
     auto transferLeadership(Microseconds now) -> bool;
--- a/src/membership/node.cpp
+++ b/src/membership/node.cpp
@@ -170,7 +170,7 @@
 auto Node::tickVoter(Microseconds now, Microseconds wall) -> void {
     auto& voter = *context_.voter;
     protocol_->placeVoters(now);
-    voter.setBlankVoters(blankVoterDisks(context_, now));
+    voter.setUninitializedVoters(blankVoterDisks(context_, now));
     scheduler_.tick(context_, wall, now);
     protocol_->beginEpochIfDue(now);
     orderService_.tick(voter, context_.wall, now);
--- a/tests/consensus/consensus_fixture.hpp
+++ b/tests/consensus/consensus_fixture.hpp
@@ -146,7 +146,7 @@
         for (auto& [disk, member] : members) {
             member->sync();
             if (!member->voter) continue;
-            member->voter->setBlankVoters(blank);
+            member->voter->setUninitializedVoters(blank);
             member->voter->setSpareDisks(spares);
             member->voter->tick(now);
         }
--- a/tests/consensus/voter_test.cpp
+++ b/tests/consensus/voter_test.cpp
@@ -206,7 +206,7 @@
             if (other->voter->blank()) blank.push_back(other->disk);
             spares.emplace_back(fmt::format("s{}", other->number), other->disk);
         }
-        replica.voter->setBlankVoters(blank);
+        replica.voter->setUninitializedVoters(blank);
         replica.voter->setSpareDisks(spares);
         replica.voter->tick(now);
         if (replica.voter->leads()) useLeader(replica);
