--- a/src/routing/dispatch.cpp
+++ b/src/routing/dispatch.cpp
@@ -196,7 +196,7 @@
 }
 
 auto Edge::requestHeaders(const Request& request, Microseconds now) const -> Headers {
-    auto headers = endToEnd(request.received.headers);
+    auto headers = endToEndHeaders(request.received.headers);
     auto drop = [&](std::string_view name) {
         if (!name.empty())
             std::erase_if(headers, [&](auto& entry) { return equalsIgnoreCase(entry.first, name); });
--- a/src/routing/headers.cpp
+++ b/src/routing/headers.cpp
@@ -54,7 +54,7 @@
     return "";
 }
 
-auto endToEnd(const Headers& headers) -> Headers {
+auto endToEndHeaders(const Headers& headers) -> Headers {
     auto listed = std::vector<std::string>();  // by Connection itself
     for (auto& [name, value] : headers)
         if (equalsIgnoreCase(name, "connection")) addListedNames(value, listed);
--- a/src/routing/headers.hpp
+++ b/src/routing/headers.hpp
@@ -16,7 +16,7 @@
 /// Whether two names of headers are the same.
 [[nodiscard]] auto equalsIgnoreCase(std::string_view left, std::string_view right) -> bool;
 /// The headers less those that concern one connection only, and those that Connection names.
-[[nodiscard]] auto endToEnd(const Headers& headers) -> Headers;
+[[nodiscard]] auto endToEndHeaders(const Headers& headers) -> Headers;
 /// A whole number of at most 18 digits; -1 if the text is none.
 [[nodiscard]] auto parseNumber(const std::string& text) -> std::int64_t;
 /// Whole numbers separated by commas; nothing if one is none.
--- a/src/routing/response_relay.cpp
+++ b/src/routing/response_relay.cpp
@@ -115,7 +115,7 @@
     }
     if (!relayed.headSent && dialect_.passHeaders) {
         relayed.status = status;
-        relayed.headers = endToEnd(headers);
+        relayed.headers = endToEndHeaders(headers);
     }
     return true;
 }
@@ -305,7 +305,7 @@
     Request& request, int status, const Headers& headers, const std::string& body, Microseconds now) -> void {
     auto forwarded = Headers{{dialect_.request, request.received.name}};
     if (dialect_.passHeaders) {
-        forwarded = endToEnd(headers);
+        forwarded = endToEndHeaders(headers);
     } else {
         for (auto name : {"Content-Type", "Retry-After", "Cache-Control", "ETag"})
             if (auto value = header(headers, name); !value.empty()) forwarded.emplace_back(name, value);
