--- a/src/routing/server_selection.cpp
+++ b/src/routing/server_selection.cpp
@@ -135,7 +135,7 @@
         auto& slowStart = inputs_.slowStart;
         if (rule_)
             return keep("cold", [&](auto& candidate) {
-                return slowStart.admits(*candidate.name, *candidate.server, *rule_, now_, BucketUse::Look);
+                return slowStart.admits(*candidate.name, *candidate.server, *rule_, now_, BucketUse::Peek);
             });
         keep("ramp", [&](auto& candidate) {
             return statisticsOf(candidate).inflight
