--- a/src/consensus/role.hpp
+++ b/src/consensus/role.hpp
@@ -22,30 +22,30 @@
 
 /// The state machine's definition. States stand in the order of Voter::Role.
 struct RoleTable : msm::front::state_machine_def<RoleTable> {
-    struct Blank : msm::front::state<> {};
+    struct Uninitialized : msm::front::state<> {};
     struct Follower : msm::front::state<> {};
     struct PreCandidate : msm::front::state<> {};
     struct Candidate : msm::front::state<> {};
     struct Leader : msm::front::state<> {};
-    using initial_state = Blank;
+    using initial_state = Uninitialized;
     template <class From, class Event, class To>
     using Row = msm::front::Row<From, Event, To, msm::front::none, msm::front::none>;
     // clang-format off
     // NOLINTNEXTLINE(readability-identifier-naming): the name that Boost.MSM looks for
     struct transition_table : mpl::vector<
-        Row<Blank,        Initialized,        Follower>,
+        Row<Uninitialized,        Initialized,        Follower>,
         Row<Follower,     ElectionTimeout,    PreCandidate>,
         Row<Follower,     LeadershipReceived, Candidate>,
         Row<Follower,     LeaderSeen,         Follower>,
-        Row<Follower,     Erased,             Blank>,
+        Row<Follower,     Erased,             Uninitialized>,
         Row<PreCandidate, ElectionTimeout,    PreCandidate>,
         Row<PreCandidate, PreVoteWon,         Candidate>,
         Row<PreCandidate, LeaderSeen,         Follower>,
-        Row<PreCandidate, Erased,             Blank>,
+        Row<PreCandidate, Erased,             Uninitialized>,
         Row<Candidate,    ElectionTimeout,    PreCandidate>,
         Row<Candidate,    ElectionWon,        Leader>,
         Row<Candidate,    LeaderSeen,         Follower>,
-        Row<Candidate,    Erased,             Blank>,
+        Row<Candidate,    Erased,             Uninitialized>,
         Row<Leader,       LeaderSeen,         Follower>> {};
     // clang-format on
     template <class Machine, class Event>
--- a/src/consensus/voter.hpp
+++ b/src/consensus/voter.hpp
@@ -73,7 +73,7 @@
 class Voter {
   public:
     enum class Role {
-        Blank,  // belongs to no cluster
+        Uninitialized,  // belongs to no cluster
         Follower,
         PreCandidate,
         Candidate,
@@ -121,7 +121,7 @@
     auto leaderSince() const -> Microseconds { return leaderSince_; }
 
     auto role() const -> Role;
-    auto blank() const -> bool { return role() == Role::Blank; }
+    auto blank() const -> bool { return role() == Role::Uninitialized; }
     auto leads() const -> bool { return role() == Role::Leader; }
     /// Leads, and has applied an entry of its own term.
     auto ready() const -> bool { return leads() && lastApplied_ >= firstIndexOfTerm_; }
--- a/src/modelcheck/invariants.cpp
+++ b/src/modelcheck/invariants.cpp
@@ -119,7 +119,7 @@
 // A commit index doesn't go back in a life. A failed write may take back entries that this disk
 // never held; what was applied stays.
 auto Check::commitIndex() -> void {
-    if (!step.sameLife || seen().role == Voter::Role::Blank || seen().disk != before().disk) return;
+    if (!step.sameLife || seen().role == Voter::Role::Uninitialized || seen().disk != before().disk) return;
     if (seen().commit < before().commit && !step.writeFailed)
         fail(fmt::format(
             "commit index: {} went from {} back to {}", seen().disk, before().commit, seen().commit));
--- a/src/modelcheck/model.cpp
+++ b/src/modelcheck/model.cpp
@@ -60,7 +60,7 @@
 
 auto roleName(Voter::Role role) -> std::string_view {
     switch (role) {
-    case Voter::Role::Blank: return "blank";
+    case Voter::Role::Uninitialized: return "blank";
     case Voter::Role::Follower: return "follower";
     case Voter::Role::PreCandidate: return "pre-candidate";
     case Voter::Role::Candidate: return "candidate";
@@ -207,7 +207,7 @@
         actions.push_back({ActionKind::Sync, replica, 0, 0});
         actions.push_back({ActionKind::FailWrite, replica, 0, 0});
     }
-    if (observed.role == Voter::Role::Blank) return;
+    if (observed.role == Voter::Role::Uninitialized) return;
     auto leads = observed.role == Voter::Role::Leader;
     if (leads || contains(observed.newestVoters, observed.disk))
         actions.push_back({ActionKind::Timeout, replica, 0, 0});
@@ -219,7 +219,7 @@
     actions.push_back({ActionKind::TransferLeadership, replica, 0, 0});
     for (auto node = std::uint8_t(0); node < VOTERS; node++)
         for (auto spare = std::uint8_t(0); spare < REPLICAS; spare++)
-            if (seen(state, spare).role == Voter::Role::Blank)
+            if (seen(state, spare).role == Voter::Role::Uninitialized)
                 actions.push_back({ActionKind::OfferSpare, replica, node, spare});
 }
 
@@ -228,7 +228,7 @@
     auto& observed = seen(state, replica);
     for (auto kept = std::uint8_t(0); kept <= observed.pendingWrites; kept++)
         actions.push_back({ActionKind::Restart, replica, 0, kept});
-    if (observed.role != Voter::Role::Blank) actions.push_back({ActionKind::Wipe, replica, 0, 0});
+    if (observed.role != Voter::Role::Uninitialized) actions.push_back({ActionKind::Wipe, replica, 0, 0});
     if (options_.eagerDisks && !state.lagging[replica]) actions.push_back({ActionKind::Delay, replica, 0, 0});
 }
 
@@ -237,7 +237,7 @@
     auto newest = std::int64_t(0);
     for (auto i = std::size_t(0); i < REPLICAS; i++) {
         auto& other = seen(state, i);
-        if (i == replica || other.role == Voter::Role::Blank) continue;
+        if (i == replica || other.role == Voter::Role::Uninitialized) continue;
         if (!contains(other.appliedVoters, seen(state, replica).disk))
             newest = std::max(newest, other.version);
     }
--- a/src/modelcheck/replica.hpp
+++ b/src/modelcheck/replica.hpp
@@ -89,7 +89,7 @@
 /// What can be seen of a replica between two steps.
 struct Observation {
     std::string disk;
-    Voter::Role role = Voter::Role::Blank;
+    Voter::Role role = Voter::Role::Uninitialized;
     bool ready = false;
     std::int64_t term = 0, commit = 0, version = 0;
     std::uint32_t ordersApplied = 0;  // bit sets of order numbers
