--- a/src/routing/dispatch.cpp
+++ b/src/routing/dispatch.cpp
@@ -57,7 +57,7 @@
     attempts.countedInflight = true;
     auto& server = node_.servers().at(serverName);
     if (auto rule = serviceRule(request)) {
-        slowStart_.admits(serverName, server, *rule, now, BucketUse::Take);
+        slowStart_.admits(serverName, server, *rule, now, BucketUse::Consume);
         if (rule->isEngine) reserveEngineTokens(request, statistics, *rule);
     }
     applyPhaseEvent(request, counters_, PhaseEvent::AttemptStarted);
@@ -128,7 +128,8 @@
         return "the request is no longer repeatable and the connection was used before";
     auto rule = serviceRule(request);
     auto isDelayed = now - request.attempts.serverSelectedAt > MAX_SEND_DELAY;
-    if (rule && isDelayed && !slowStart_.admits(server->first, server->second, *rule, now, BucketUse::Take))
+    if (rule && isDelayed
+        && !slowStart_.admits(server->first, server->second, *rule, now, BucketUse::Consume))
         return "the send was delayed and slow start does not admit it now";
     return "";
 }
--- a/src/routing/slow_start.cpp
+++ b/src/routing/slow_start.cpp
@@ -77,7 +77,7 @@
         std::min(1.0, statistics.coldBucket + elapsed * RATE_SHARE * rule.coldRate / double(sharers));
     statistics.coldBucketAt = now;
     if (statistics.coldBucket < 1) return false;
-    if (use == BucketUse::Take) statistics.coldBucket -= 1;
+    if (use == BucketUse::Consume) statistics.coldBucket -= 1;
     return true;
 }
 
--- a/src/routing/slow_start.hpp
+++ b/src/routing/slow_start.hpp
@@ -15,7 +15,7 @@
 namespace duneturn {
 
 /// Whether an answer about a cold server's bucket takes from it.
-enum class BucketUse { Peek, Take };
+enum class BucketUse { Peek, Consume };
 
 /// Two rules. Where the configuration says nothing of the service, a server's room grows from
 /// RouteTable::slowStartInitialSlots to all its slots over RouteTable::slowStartDuration. Where it names a
