--- a/src/consensus/configuration.cpp
+++ b/src/consensus/configuration.cpp
@@ -62,7 +62,7 @@
     return "[" + list + "]";
 }
 
-auto entryKnown(const wire::Entry& entry) -> bool {
+auto isReadableEntry(const wire::Entry& entry) -> bool {
     switch (entry.kind) {
     case ENTRY_NOOP:
     case ENTRY_ORDER:
--- a/src/consensus/configuration.hpp
+++ b/src/consensus/configuration.hpp
@@ -27,7 +27,7 @@
 constexpr std::int32_t ENTRY_COMPACT = 4;
 
 /// Whether this program can read an entry; one that it can't is not taken into the log.
-[[nodiscard]] auto entryKnown(const wire::Entry& entry) -> bool;
+[[nodiscard]] auto isReadableEntry(const wire::Entry& entry) -> bool;
 /// Whether an entry holds a command of the replicated state.
 [[nodiscard]] auto isCommandEntry(const wire::Entry& entry) -> bool;
 /// The kind of the entry that holds a command in this form.
--- a/src/consensus/replication.cpp
+++ b/src/consensus/replication.cpp
@@ -142,7 +142,7 @@
     auto term = request.prevLogTerm;
     for (auto& entry : request.entries) {
         if (entry.index != ++index || entry.term < term || entry.term > request.term) return false;
-        if (!entryKnown(entry)) return false;
+        if (!isReadableEntry(entry)) return false;
         term = entry.term;
     }
     return true;
--- a/src/membership/state_receiver.cpp
+++ b/src/membership/state_receiver.cpp
@@ -46,7 +46,7 @@
     auto entry = wire::Entry();
     entry.kind = step.kind;
     entry.body = step.body;
-    if (!entryKnown(entry)) return false;
+    if (!isReadableEntry(entry)) return false;
     if (isCommandEntry(entry)) state.apply(entry.body);
     else if (entry.kind == ENTRY_VOTERS) state.applyVoters(VoterConfiguration::ofEntry(entry).voters());
     else return false;
--- a/tests/storage/stored_format_test.cpp
+++ b/tests/storage/stored_format_test.cpp
@@ -273,7 +273,7 @@
     for (auto i = std::size_t(0); i < entries.size(); i++) {
         checkPinned<wire::Entry>(fromHex(entries[i][1]), fromHex(entries[i][0]));
         CHECK_EQ(fromHex(entries[i][0]), valuesText(state.log[i]));
-        CHECK(entryKnown(state.log[i]));
+        CHECK(isReadableEntry(state.log[i]));
     }
     CHECK_EQ(recordsText(pinnedRecords()), recordsText(dumpStore(directory.path)));
 }
@@ -417,9 +417,9 @@
         auto entry = wire::Entry();
         entry.kind = kind;
         entry.body = fromHex(line[1]);
-        CHECK(entryKnown(entry));
+        CHECK(isReadableEntry(entry));
         entry.body.pop_back();
-        CHECK(!entryKnown(entry));
+        CHECK(!isReadableEntry(entry));
     }
 }
 
