--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -45,7 +45,7 @@
         return request.id;
     };
     if (auto refusal = checkAdmission(headers, now)) return refuse(*refusal);
-    if (auto refusal = bindAtFirst(request, headers)) return refuse(*refusal);
+    if (auto refusal = bindNewRequest(request, headers)) return refuse(*refusal);
     // A long body may have taken a while; the client counts from the request's beginning.
     readRequest(request, headers, body, arrived > 0 ? std::min(arrived, now) : now);
     if (auto refusal = readResumption(request, now)) return refuse(*refusal);
@@ -117,7 +117,7 @@
 }
 
 // The route and the tenant of a request that has just come in.
-auto Edge::bindAtFirst(Request& request, const Headers& headers) -> std::optional<RequestRejection> {
+auto Edge::bindNewRequest(Request& request, const Headers& headers) -> std::optional<RequestRejection> {
     request.received.model = header(headers, dialect_.model);
     request.tenant.key = ClientKey(headers, dialect_);
     return bind(request, routes_);
--- a/src/routing/edge.hpp
+++ b/src/routing/edge.hpp
@@ -156,7 +156,7 @@
         Microseconds now) -> Request&;
     [[nodiscard]] auto checkAdmission(const Headers& headers, Microseconds now) const
         -> std::optional<RequestRejection>;
-    [[nodiscard]] auto bindAtFirst(Request& request, const Headers& headers)
+    [[nodiscard]] auto bindNewRequest(Request& request, const Headers& headers)
         -> std::optional<RequestRejection>;
     auto readRequest(Request& request, const Headers& headers, const std::string& body, Microseconds begunAt)
         -> void;
