--- a/src/control/request_watch.hpp
+++ b/src/control/request_watch.hpp
@@ -22,10 +22,11 @@
 }
 
 /// Of one request. Used on its connection's executor only.
-class RequestWatch : public std::enable_shared_from_this<RequestWatch> {
+class OperatorConnectionWatch : public std::enable_shared_from_this<OperatorConnectionWatch> {
   public:
     /// `arrived`: when the request was read; `onGone` is called once, if the caller goes.
-    RequestWatch(tcp::socket& socket, Microseconds arrived, std::function<void(RequestWatch&)> onGone)
+    OperatorConnectionWatch(
+        tcp::socket& socket, Microseconds arrived, std::function<void(OperatorConnectionWatch&)> onGone)
         : arrived(arrived), socket_(socket), onGone_(std::move(onGone)) {}
 
     auto start() -> void {
@@ -53,7 +54,7 @@
     }
 
     tcp::socket& socket_;
-    std::function<void(RequestWatch&)> onGone_;
+    std::function<void(OperatorConnectionWatch&)> onGone_;
     bool gone_ = false, over_ = false;
 };
 
--- a/src/daemon/client_session.cpp
+++ b/src/daemon/client_session.cpp
@@ -195,8 +195,8 @@
 
 // A request that this process answers itself.
 auto ClientSession::serveHere(const HttpRequest& request) -> asio::awaitable<bool> {
-    auto watch = std::make_shared<RequestWatch>(
-        stream_->socket(), bootNow(), [&calls = context_.calls](RequestWatch& gone) { calls.cancel(gone); });
+    auto watch = std::make_shared<OperatorConnectionWatch>(stream_->socket(), bootNow(),
+        [&calls = context_.calls](OperatorConnectionWatch& gone) { calls.cancel(gone); });
     watch->start();
     auto shell = NodeShell(context_.logic, context_.calls, context_.settings, watch.get());
     auto response = HttpResponse();
--- a/src/daemon/node_calls.cpp
+++ b/src/daemon/node_calls.cpp
@@ -8,7 +8,7 @@
 
 namespace duneturn {
 
-auto NodeCalls::run(Begin begin, RequestWatch* watch) -> asio::awaitable<Outcome> {
+auto NodeCalls::run(Begin begin, OperatorConnectionWatch* watch) -> asio::awaitable<Outcome> {
     auto executor = co_await asio::this_coro::executor;
     auto done = std::make_shared<asio::steady_timer>(executor, asio::steady_timer::time_point::max());
     auto result = std::make_shared<Outcome>();
@@ -34,7 +34,7 @@
     if (!waiting.empty()) waiting.mapped()(outcome);
 }
 
-auto NodeCalls::cancel(const RequestWatch& watch) -> void {
+auto NodeCalls::cancel(const OperatorConnectionWatch& watch) -> void {
     auto lock = std::lock_guard(logic_.mutex);
     if (watch.call) logic_.node->cancelOrder(watch.call);
 }
--- a/src/daemon/node_calls.hpp
+++ b/src/daemon/node_calls.hpp
@@ -18,11 +18,11 @@
     explicit NodeCalls(Logic& logic) : logic_(logic) {}
 
     /// Begins a call and waits for its outcome. `watch`, if there is one, knows the call's number meanwhile.
-    auto run(Begin begin, RequestWatch* watch = nullptr) -> asio::awaitable<Outcome>;
+    auto run(Begin begin, OperatorConnectionWatch* watch = nullptr) -> asio::awaitable<Outcome>;
     /// The outcome of a call (NodePort::done). With Logic::mutex held.
     auto finish(std::int64_t call, const Outcome& outcome) -> void;
     /// The caller of a watched request is gone: the call under way, if any, ends.
-    auto cancel(const RequestWatch& watch) -> void;
+    auto cancel(const OperatorConnectionWatch& watch) -> void;
 
   private:
     Logic& logic_;
--- a/src/daemon/node_shell.hpp
+++ b/src/daemon/node_shell.hpp
@@ -16,7 +16,8 @@
 /// With a watch, the shell as that one request sees it: orders and reads end when its caller is gone.
 class NodeShell : public Shell {
   public:
-    NodeShell(Logic& logic, NodeCalls& calls, const Settings& settings, RequestWatch* watch = nullptr)
+    NodeShell(
+        Logic& logic, NodeCalls& calls, const Settings& settings, OperatorConnectionWatch* watch = nullptr)
         : logic_(logic), calls_(calls), settings_(settings), watch_(watch) {}
 
     auto order(const std::string& operation, const std::string& key, const std::string& body)
@@ -42,7 +43,7 @@
     Logic& logic_;
     NodeCalls& calls_;
     const Settings& settings_;
-    RequestWatch* watch_;
+    OperatorConnectionWatch* watch_;
 };
 
 }  // namespace duneturn
