--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -52,7 +52,7 @@
     auto& limits = request.limits;
     limits.migrationDisabled =
         limits.sequenceTokens > request.route.maxSequenceTokens || !request.relayed.hasOrderedIds;
-    noteAcceptance(request, now);
+    traceAcceptance(request, now);
     counters_.add("accepted_total");
     auto answer = quota_.ask(request, now);
     if (answer == QuotaDecision::Refused) return refuse({429, BEYOND_QUOTA});
@@ -123,7 +123,7 @@
     return bind(request, routes_);
 }
 
-auto Edge::noteAcceptance(Request& request, Microseconds now) -> void {
+auto Edge::traceAcceptance(Request& request, Microseconds now) -> void {
     auto& limits = request.limits;
     auto& tenant = request.tenant;
     note(request,
--- a/src/routing/edge.hpp
+++ b/src/routing/edge.hpp
@@ -161,7 +161,7 @@
     auto readRequest(Request& request, const Headers& headers, const std::string& body, Microseconds begunAt)
         -> void;
     auto readResumption(Request& request, Microseconds now) -> std::optional<RequestRejection>;
-    auto noteAcceptance(Request& request, Microseconds now) -> void;
+    auto traceAcceptance(Request& request, Microseconds now) -> void;
     auto proceed(Request& request, Microseconds now) -> void;
     auto serveQuotaWaiters(Microseconds now) -> void;
     auto enqueue(Request& request, Microseconds now) -> bool;
