--- a/src/control/request_watch.hpp
+++ b/src/control/request_watch.hpp
@@ -38,7 +38,7 @@
     }
     /// The request is answered, and its connection may go.
     auto stop() -> void { over_ = true; }
-    auto callerGone() -> bool {
+    auto isCallerGone() -> bool {
         if (!gone_ && peerClosed(socket_.native_handle())) leave();
         return gone_;
     }
--- a/src/daemon/node_shell.cpp
+++ b/src/daemon/node_shell.cpp
@@ -15,7 +15,7 @@
 // served elsewhere since: what it asks for now could undo that. Empty if the order may begin.
 auto NodeShell::whyNotBegun(const std::string& operation) -> std::string {
     if (!watch_) return "";
-    if (watch_->callerGone()) return "the caller is gone";
+    if (watch_->isCallerGone()) return "the caller is gone";
     if (tooLateToBegin(operation, watch_->arrived, bootNow()))
         return "it took too long to begin; send it again";
     auto lock = std::lock_guard(logic_.mutex);
@@ -33,7 +33,7 @@
 }
 
 auto NodeShell::runRead(StateQuery query) -> asio::awaitable<Outcome> {
-    if (watch_ && watch_->callerGone()) co_return order_answer::readUnconfirmed("the caller is gone");
+    if (watch_ && watch_->isCallerGone()) co_return order_answer::readUnconfirmed("the caller is gone");
     auto begin = NodeCalls::Begin([&](std::int64_t call) { logic_.node->read(call, query, bootNow()); });
     co_return co_await calls_.run(begin, watch_);
 }
