--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -48,7 +48,7 @@
     if (auto refusal = bindNewRequest(request, headers)) return refuse(*refusal);
     // A long body may have taken a while; the client counts from the request's beginning.
     readRequest(request, headers, body, arrived > 0 ? std::min(arrived, now) : now);
-    if (auto refusal = readResumption(request, now)) return refuse(*refusal);
+    if (auto refusal = admitResumption(request, now)) return refuse(*refusal);
     auto& limits = request.limits;
     limits.migrationDisabled =
         limits.sequenceTokens > request.route.maxSequenceTokens || !request.relayed.hasOrderedIds;
@@ -164,7 +164,7 @@
 }
 
 // A client that goes on with a stream of which it holds the beginning.
-auto Edge::readResumption(Request& request, Microseconds now) -> std::optional<RequestRejection> {
+auto Edge::admitResumption(Request& request, Microseconds now) -> std::optional<RequestRejection> {
     auto& headers = request.received.headers;
     auto lastEventId = header(headers, dialect_.lastEvent);
     if (lastEventId.empty()) return std::nullopt;
--- a/src/routing/edge.hpp
+++ b/src/routing/edge.hpp
@@ -160,7 +160,7 @@
         -> std::optional<RequestRejection>;
     auto readRequest(Request& request, const Headers& headers, const std::string& body, Microseconds begunAt)
         -> void;
-    auto readResumption(Request& request, Microseconds now) -> std::optional<RequestRejection>;
+    auto admitResumption(Request& request, Microseconds now) -> std::optional<RequestRejection>;
     auto traceAcceptance(Request& request, Microseconds now) -> void;
     auto proceed(Request& request, Microseconds now) -> void;
     auto serveQuotaWaiters(Microseconds now) -> void;
