--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -204,7 +204,7 @@
 }
 
 // A newer configuration binds those who wait too: it may refuse them, or change their order.
-auto Edge::rebindQueue(Microseconds now) -> void {
+auto Edge::rebindQueuedRequests(Microseconds now) -> void {
     if (queueRevision_ == routes_.revision) return;
     queueRevision_ = routes_.revision;
     for (auto request : backlog_.inOrder())
@@ -212,7 +212,7 @@
 }
 
 auto Edge::serveQueue(Microseconds now) -> void {
-    rebindQueue(now);
+    rebindQueuedRequests(now);
     auto failures = std::map<PlacesOfRoute, int>();
     for (auto request : backlog_.inOrder()) {
         if (now >= request->queueEntry.until) {
--- a/src/routing/edge.hpp
+++ b/src/routing/edge.hpp
@@ -165,7 +165,7 @@
     auto proceed(Request& request, Microseconds now) -> void;
     auto serveQuotaWaiters(Microseconds now) -> void;
     auto enqueue(Request& request, Microseconds now) -> bool;
-    auto rebindQueue(Microseconds now) -> void;
+    auto rebindQueuedRequests(Microseconds now) -> void;
     auto serveQueue(Microseconds now) -> void;
 
     // Dispatch (dispatch.cpp).
