--- a/src/control/request_age.hpp
+++ b/src/control/request_age.hpp
@@ -13,7 +13,7 @@
 /// Whether the caller of a request that came at `arrived` may have given up, so that `operation` must not
 /// be begun any more. A configuration may: it names its base, so one that is begun late undoes nothing, and
 /// callers wait longer for a large one.
-inline auto tooLateToBegin(std::string_view operation, Microseconds arrived, Microseconds now) -> bool {
+inline auto isTooLateToStart(std::string_view operation, Microseconds arrived, Microseconds now) -> bool {
     auto evacuation = operation == "empty" || operation == "give-back";
     return evacuation && now - arrived > CALLER_PATIENCE;
 }
--- a/src/daemon/node_shell.cpp
+++ b/src/daemon/node_shell.cpp
@@ -16,7 +16,7 @@
 auto NodeShell::whyNotBegun(const std::string& operation) -> std::string {
     if (!watch_) return "";
     if (watch_->isCallerGone()) return "the caller is gone";
-    if (tooLateToBegin(operation, watch_->arrived, bootNow()))
+    if (isTooLateToStart(operation, watch_->arrived, bootNow()))
         return "it took too long to begin; send it again";
     auto lock = std::lock_guard(logic_.mutex);
     if (!logic_.node->wasFrozenSince(watch_->arrived, bootNow())) return "";
--- a/tests/platform/platform_orders_fixture.hpp
+++ b/tests/platform/platform_orders_fixture.hpp
@@ -167,7 +167,7 @@
 
 inline auto ControlCall::order(const std::string& op, const std::string& key, const std::string& body)
     -> asio::awaitable<Outcome> {
-    auto late = !site.faults.ageless && tooLateToBegin(op, arrived, site.fleet.t);
+    auto late = !site.faults.ageless && isTooLateToStart(op, arrived, site.fleet.t);
     if (late) co_return Outcome{503, "{}"};
     auto text = body;
     auto name = key;
