--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -211,7 +211,7 @@
         if (auto refusal = rebindToNewest(*request)) fail(*request, refusal->status, refusal->why, now);
 }
 
-auto Edge::serveQueue(Microseconds now) -> void {
+auto Edge::dispatchQueuedRequests(Microseconds now) -> void {
     rebindQueuedRequests(now);
     auto failures = std::map<PlacesOfRoute, int>();
     for (auto request : backlog_.inOrder()) {
--- a/src/routing/edge.cpp
+++ b/src/routing/edge.cpp
@@ -86,7 +86,7 @@
     for (auto& [id, request] : requests_)
         if (request.phase() != Phase::Finished) tickRequest(request, now);
     serveQuotaWaiters(now);
-    serveQueue(now);
+    dispatchQueuedRequests(now);
     for (auto id : finished_) requests_.erase(id);
     finished_.clear();
     budget_.tick(node_, now);
--- a/src/routing/edge.hpp
+++ b/src/routing/edge.hpp
@@ -166,7 +166,7 @@
     auto serveQuotaWaiters(Microseconds now) -> void;
     auto enqueue(Request& request, Microseconds now) -> bool;
     auto rebindQueuedRequests(Microseconds now) -> void;
-    auto serveQueue(Microseconds now) -> void;
+    auto dispatchQueuedRequests(Microseconds now) -> void;
 
     // Dispatch (dispatch.cpp).
     auto dispatch(Request& request, Microseconds now) -> bool;
--- a/src/routing/response_relay.cpp
+++ b/src/routing/response_relay.cpp
@@ -241,7 +241,7 @@
     applyPhaseEvent(*request, counters_, PhaseEvent::BytesForwarded);
     statistics_.of(request->attempts.server).lastReceivedAt = now;
     completeStream(*request, now);
-    serveQueue(now);
+    dispatchQueuedRequests(now);
 }
 
 auto Edge::onResponse(std::int64_t id, int attempt, int status, const Headers& headers,
@@ -316,7 +316,7 @@
     auto success = request.attempts.sent > 1 ? "whole_moved" : "whole";
     countOutcome(request, status < 400 ? success : "server_error");
     finish(request, fmt::format("response with status {}", status), now);
-    if (dialect_.clientNamesRequests) serveQueue(now);
+    if (dialect_.clientNamesRequests) dispatchQueuedRequests(now);
 }
 
 }  // namespace duneturn
