--- a/tests/platform/platform_orders_test.cpp
+++ b/tests/platform/platform_orders_test.cpp
@@ -245,8 +245,8 @@
     for (auto seed = std::uint64_t(1); seed <= 4; seed++) CHECK(!cutOffEvacuationCounts(seed, false));
     CHECK(cutOffEvacuationCounts(1, true));
     CHECK(!isTooLateToStart("config", 0, 60 * SECOND));
-    CHECK(!isTooLateToStart("empty", 0, CALLER_PATIENCE));
-    CHECK(isTooLateToStart("give-back", 0, CALLER_PATIENCE + 1));
+    CHECK(!isTooLateToStart("empty", 0, MAX_START_DELAY));
+    CHECK(isTooLateToStart("give-back", 0, MAX_START_DELAY + 1));
 }
 
 // A caller that is gone has its order cancelled, as far as it is not sent.
