--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -69,7 +69,7 @@
         fail(request, 503, "the servers are full and so is the queue", now);
 }
 
-auto Edge::serveQuotaWaiters(Microseconds now) -> void {
+auto Edge::serveRequestsAwaitingQuota(Microseconds now) -> void {
     auto settle = [&](Request& request, QuotaVerdict verdict) {
         if (verdict == QuotaVerdict::Admitted) return proceed(request, now);
         if (verdict == QuotaVerdict::Refused) return fail(request, 429, BEYOND_QUOTA, now);
--- a/src/routing/edge.cpp
+++ b/src/routing/edge.cpp
@@ -30,7 +30,7 @@
       migration_(routes_, dialect_, statistics_, broken) {
     node_.onStateChange = [this] { applyReplicatedState(); };
     node_.onCreditGrant = [this](std::int64_t credit) { budget_.receiveGrant(credit); };
-    node_.onQuotaAnswer = [this](Microseconds now) { serveQuotaWaiters(now); };
+    node_.onQuotaAnswer = [this](Microseconds now) { serveRequestsAwaitingQuota(now); };
     applyReplicatedState();
 }
 
@@ -85,7 +85,7 @@
     }
     for (auto& [id, request] : requests_)
         if (request.phase() != Phase::Finished) tickRequest(request, now);
-    serveQuotaWaiters(now);
+    serveRequestsAwaitingQuota(now);
     dispatchQueuedRequests(now);
     for (auto id : finished_) requests_.erase(id);
     finished_.clear();
--- a/src/routing/edge.hpp
+++ b/src/routing/edge.hpp
@@ -163,7 +163,7 @@
     auto admitResumption(Request& request, Microseconds now) -> std::optional<RequestRejection>;
     auto traceAcceptance(Request& request, Microseconds now) -> void;
     auto proceed(Request& request, Microseconds now) -> void;
-    auto serveQuotaWaiters(Microseconds now) -> void;
+    auto serveRequestsAwaitingQuota(Microseconds now) -> void;
     auto enqueue(Request& request, Microseconds now) -> bool;
     auto rebindQueuedRequests(Microseconds now) -> void;
     auto dispatchQueuedRequests(Microseconds now) -> void;
