--- a/src/control/order_client.cpp
+++ b/src/control/order_client.cpp
@@ -47,7 +47,7 @@
     if (found == pending_.end()) return;
     auto id = found->id;
     pending_.erase(found);
-    port_.orderDone(id, outcome);
+    port_.onOrderDone(id, outcome);
 }
 
 auto OrderClient::cancel(std::int64_t id) -> void {
--- a/src/control/order_client.hpp
+++ b/src/control/order_client.hpp
@@ -35,7 +35,7 @@
     virtual auto sendOrder(const std::string& node, wire::OrderRequest& request, Microseconds now)
         -> void = 0;
     /// The outcome of the command or read that the caller knows as `id`.
-    virtual auto orderDone(std::int64_t id, const Outcome& outcome) -> void = 0;
+    virtual auto onOrderDone(std::int64_t id, const Outcome& outcome) -> void = 0;
 };
 
 class OrderClient {
@@ -44,7 +44,7 @@
     OrderClient(OrderClientPort& port, OrderRetry retry, std::int64_t firstRequest)
         : port_(port), retry_(retry), lastRequest_(firstRequest) {}
 
-    /// Begins a command or a read, known to the caller as `id`; answered through orderDone.
+    /// Begins a command or a read, known to the caller as `id`; answered through onOrderDone.
     auto order(std::int64_t id, const std::string& operation, const std::string& key, const std::string& body,
         Microseconds now) -> void;
     auto read(std::int64_t id, const StateQuery& query, Microseconds now) -> void;
--- a/src/membership/node.hpp
+++ b/src/membership/node.hpp
@@ -150,7 +150,7 @@
     auto findLeader(Microseconds now) -> std::string override;
     auto lastLeader() -> std::string override;
     auto sendOrder(const std::string& node, wire::OrderRequest& ask, Microseconds now) -> void override;
-    auto orderDone(std::int64_t id, const Outcome& outcome) -> void override;
+    auto onOrderDone(std::int64_t id, const Outcome& outcome) -> void override;
 
   private:
     auto noticeFreeze(Microseconds now) -> void;
--- a/src/membership/node_messages.cpp
+++ b/src/membership/node_messages.cpp
@@ -133,7 +133,7 @@
     context_.port.send(record->peer, envelope);
 }
 
-auto Node::orderDone(std::int64_t id, const Outcome& outcome) -> void { context_.port.done(id, outcome); }
+auto Node::onOrderDone(std::int64_t id, const Outcome& outcome) -> void { context_.port.done(id, outcome); }
 
 // ---- retry budget
 
--- a/tests/platform/platform_orders_test.cpp
+++ b/tests/platform/platform_orders_test.cpp
@@ -296,7 +296,7 @@
         auto sendOrder(const std::string&, wire::OrderRequest& ask, Microseconds) -> void override {
             sent.push_back(ask);
         }
-        auto orderDone(std::int64_t id, const Outcome& outcome) -> void override { done[id] = outcome; }
+        auto onOrderDone(std::int64_t id, const Outcome& outcome) -> void override { done[id] = outcome; }
     };
     auto port = Port();
     auto client = OrderClient(port, {}, 100);
