--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -39,7 +39,7 @@
 auto Edge::accept(const std::string& method, const std::string& path, const Headers& headers,
     const std::string& body, Microseconds now, Microseconds arrived) -> std::int64_t {
     fleet_.start(now);
-    auto& request = beginRequest(method, path, headers, now);
+    auto& request = createRequest(method, path, headers, now);
     auto refuse = [&](const RequestRejection& refusal) {
         fail(request, refusal.status, refusal.why, now);
         return request.id;
@@ -79,7 +79,7 @@
 }
 
 // What is known of a request before anything of it is checked.
-auto Edge::beginRequest(const std::string& method, const std::string& path, const Headers& headers,
+auto Edge::createRequest(const std::string& method, const std::string& path, const Headers& headers,
     Microseconds now) -> Request& {
     auto id = ++lastRequestId_;
     auto& request = requests_[id];
--- a/src/routing/edge.hpp
+++ b/src/routing/edge.hpp
@@ -152,7 +152,7 @@
     };
 
     // Admission (admission.cpp).
-    auto beginRequest(const std::string& method, const std::string& path, const Headers& headers,
+    auto createRequest(const std::string& method, const std::string& path, const Headers& headers,
         Microseconds now) -> Request&;
     [[nodiscard]] auto checkAdmission(const Headers& headers, Microseconds now) const
         -> std::optional<RequestRejection>;
