--- a/src/control/order_service.hpp
+++ b/src/control/order_service.hpp
@@ -32,7 +32,7 @@
 /// holding it by `begun`, and again, in the same boot, after `begun`.
 struct MajorityProof {
     Microseconds begun = 0;
-    std::map<std::string, std::int64_t> boots;
+    std::map<std::string, std::int64_t> incarnations;
 };
 
 /// Answers that the order service gives beside the state's own outcomes.
--- a/src/membership/lease.cpp
+++ b/src/membership/lease.cpp
@@ -51,9 +51,9 @@
     if (!majoritiesWhere(context, held, now)) return;
     auto& own = context.members.own();
     proof.begun = now;
-    proof.boots[own.node] = own.boot;
+    proof.incarnations[own.node] = own.boot;
     for (auto& [name, known] : context.members.others())
-        if (holds(known.record)) proof.boots[name] = known.record.boot;
+        if (holds(known.record)) proof.incarnations[name] = known.record.boot;
 }
 
 auto majorityHolds(const NodeContext& context, MajorityProof& proof,
@@ -65,8 +65,9 @@
     }
     auto stillHeld = [&](const wire::NodeRecord& record, Microseconds acknowledgedSince) {
         if (!holds(record)) return false;
-        auto seen = proof.boots.find(record.node);
-        return seen != proof.boots.end() && seen->second == record.boot && acknowledgedSince >= proof.begun;
+        auto seen = proof.incarnations.find(record.node);
+        return seen != proof.incarnations.end() && seen->second == record.boot
+            && acknowledgedSince >= proof.begun;
     };
     auto proven = majoritiesWhere(context, stillHeld, now);
     if (!proven && now - proof.begun > PROOF_TIMEOUT) proof = {};
