--- a/src/routing/dialect.hpp
+++ b/src/routing/dialect.hpp
@@ -17,7 +17,8 @@
     /// and 503 is a promise that nothing ran.
     bool clientNamesRequests = false;
     bool passHeaders = false;  ///< A server's headers go to the client unchanged, and nothing is added.
-    bool doneEvent = true;     ///< A stream is whole with its last event, not with its HTTP message.
+    bool streamEndsWithDoneEvent =
+        true;  ///< A stream is whole with its last event, not with its HTTP message.
 };
 
 }  // namespace duneturn
--- a/src/routing/response_relay.cpp
+++ b/src/routing/response_relay.cpp
@@ -219,7 +219,7 @@
             fmt::format("+{} us maximum sequence length exceeded: no further migration",
                 now - request->received.acceptedAt));
     port_.sendStreamBytes(id, event.raw);
-    if (dialect_.doneEvent && event.done()) completeStream(*request, now);
+    if (dialect_.streamEndsWithDoneEvent && event.done()) completeStream(*request, now);
     else if (request->relayed.lastEventId > 0) migrateIfServerSlow(*request, gap, now);
 }
 
@@ -234,7 +234,7 @@
 auto Edge::onStreamEnd(std::int64_t id, int attempt, Microseconds now) -> void {
     auto request = currentAttempt(id, attempt);
     if (!request) return;
-    if (dialect_.doneEvent)
+    if (dialect_.streamEndsWithDoneEvent)
         return onConnectionLost(id, attempt, "the stream ended without its completion event", now);
     recordResponseHead(*request, 200, {});
     sendHeadOnce(*request);
--- a/tests/platform/platform_settings_test.cpp
+++ b/tests/platform/platform_settings_test.cpp
@@ -105,7 +105,7 @@
 TEST(PlatformSettings, equalAddressesAreOne) {
     auto a = PlatformAdapter(*parsePlatformSettings(SETTINGS), "");
     CHECK_EQ(std::size_t(2), a.listens.size());
-    CHECK(a.dialect.clientNamesRequests && a.dialect.passHeaders && !a.dialect.doneEvent);
+    CHECK(a.dialect.clientNamesRequests && a.dialect.passHeaders && !a.dialect.streamEndsWithDoneEvent);
 }
 
 TEST(PlatformSettings, aCoreIsACountedMachineWithADisk) {
--- a/tests/routing/edge_fixture.hpp
+++ b/tests/routing/edge_fixture.hpp
@@ -30,7 +30,7 @@
     d.deadlineMs = "X-Left", d.urgency = "X-Urgency", d.load = "X-Load", d.serverId = "X-Server";
     d.coldMs = "X-Cold", d.parts = "X-Parts", d.tokens = "X-Tokens", d.model = "X-Model";
     d.clientNamesRequests = d.passHeaders = true;
-    d.doneEvent = false;
+    d.streamEndsWithDoneEvent = false;
     return d;
 }
 
