--- a/src/daemon/client_session.cpp
+++ b/src/daemon/client_session.cpp
@@ -12,7 +12,7 @@
 
 #include "base/json.hpp"
 #include "base/time.hpp"
-#include "control/request_watch.hpp"
+#include "control/operator_connection_watch.hpp"
 #include "daemon/limits.hpp"
 #include "daemon/node_shell.hpp"
 #include "net/socket.hpp"
--- a/src/daemon/node_calls.hpp
+++ b/src/daemon/node_calls.hpp
@@ -4,7 +4,7 @@
 #include <functional>
 #include <map>
 
-#include "control/request_watch.hpp"
+#include "control/operator_connection_watch.hpp"
 #include "daemon/logic.hpp"
 #include "net/http.hpp"
 
--- a/src/daemon/node_shell.hpp
+++ b/src/daemon/node_shell.hpp
@@ -5,7 +5,7 @@
 #include <tl/expected.hpp>
 
 #include "base/settings.hpp"
-#include "control/request_watch.hpp"
+#include "control/operator_connection_watch.hpp"
 #include "daemon/logic.hpp"
 #include "daemon/node_calls.hpp"
 #include "daemon/shell.hpp"
