--- a/src/daemon/node_shell.cpp
+++ b/src/daemon/node_shell.cpp
@@ -7,7 +7,7 @@
 #include <tl/expected.hpp>
 
 #include "base/time.hpp"
-#include "control/request_age.hpp"
+#include "control/start_delay.hpp"
 
 namespace duneturn {
 
--- a/tests/platform/platform_orders_fixture.hpp
+++ b/tests/platform/platform_orders_fixture.hpp
@@ -14,7 +14,7 @@
 #include "base/json.hpp"
 #include "base/settings.hpp"
 #include "base/time.hpp"
-#include "control/request_age.hpp"
+#include "control/start_delay.hpp"
 #include "membership/fleet_fixture.hpp"
 #include "platform.hpp"
 
