--- a/src/daemon/client_request.cpp
+++ b/src/daemon/client_request.cpp
@@ -164,7 +164,7 @@
     auto text = std::string();
     if (!headWritten_) {
         text = responseHead(progress);
-        if (!services_.logic.edge->dialect().passHeaders) text += "Cache-Control: no-cache\r\n";
+        if (!services_.logic.edge->dialect().passThroughHeaders) text += "Cache-Control: no-cache\r\n";
         text += isHttp10_ ? "\r\n" : "Transfer-Encoding: chunked\r\n\r\n";
     }
     headWritten_ = true;
--- a/src/routing/completion.cpp
+++ b/src/routing/completion.cpp
@@ -46,7 +46,7 @@
 
 // Ends the client's stream so that it is visibly incomplete.
 auto Edge::truncateStream(Request& request, const std::string& why) -> void {
-    if (!dialect_.passHeaders)
+    if (!dialect_.passThroughHeaders)
         port_.sendStreamBytes(request.id,
             fmt::format("event: failed\ndata: {}\n\n",
                 bodyOf({{"error", jsonQuote(why)},
--- a/src/routing/dialect.hpp
+++ b/src/routing/dialect.hpp
@@ -16,7 +16,8 @@
     /// such a wire: a further try of the client's is another request, ids of events rise but not by one,
     /// and 503 is a promise that nothing ran.
     bool clientNamesRequests = false;
-    bool passHeaders = false;  ///< A server's headers go to the client unchanged, and nothing is added.
+    bool passThroughHeaders =
+        false;  ///< A server's headers go to the client unchanged, and nothing is added.
     bool streamEndsWithDoneEvent =
         true;  ///< A stream is whole with its last event, not with its HTTP message.
 };
--- a/src/routing/response_relay.cpp
+++ b/src/routing/response_relay.cpp
@@ -113,7 +113,7 @@
             return false;
         }
     }
-    if (!relayed.headSent && dialect_.passHeaders) {
+    if (!relayed.headSent && dialect_.passThroughHeaders) {
         relayed.status = status;
         relayed.headers = endToEndHeaders(headers);
     }
@@ -138,7 +138,7 @@
     if (relayed.headSent) return;
     relayed.headSent = true;
     if (!request.limits.resumedByClient) relayed.weights = request.attempts.weights;
-    if (dialect_.passHeaders) return port_.sendHead(request.id, relayed.status, relayed.headers);
+    if (dialect_.passThroughHeaders) return port_.sendHead(request.id, relayed.status, relayed.headers);
     port_.sendHead(request.id, 200,
         {{"Content-Type", "text/event-stream"}, {dialect_.request, request.received.name},
             {dialect_.weights, relayed.weights}});
@@ -287,7 +287,8 @@
 auto Edge::whyResponseUnusable(Request& request, int status, Microseconds now) -> std::string {
     if (request.relayed.headSent)
         return fmt::format("the server did not resume the stream (status {})", status);
-    if (request.route.stream && status == 200 && !dialect_.passHeaders) return "the response is not a stream";
+    if (request.route.stream && status == 200 && !dialect_.passThroughHeaders)
+        return "the response is not a stream";
     auto& ejection = statistics_.of(request.attempts.server).ejection;
     if (status >= 500) ejection.lowerHealthScore(SERVER_ERROR_FACTOR, now);
     else ejection.raiseHealthScore(now);
@@ -304,7 +305,7 @@
 auto Edge::relayResponse(
     Request& request, int status, const Headers& headers, const std::string& body, Microseconds now) -> void {
     auto forwarded = Headers{{dialect_.request, request.received.name}};
-    if (dialect_.passHeaders) {
+    if (dialect_.passThroughHeaders) {
         forwarded = endToEndHeaders(headers);
     } else {
         for (auto name : {"Content-Type", "Retry-After", "Cache-Control", "ETag"})
--- a/tests/platform/platform_settings_test.cpp
+++ b/tests/platform/platform_settings_test.cpp
@@ -105,7 +105,8 @@
 TEST(PlatformSettings, equalAddressesAreOne) {
     auto a = PlatformAdapter(*parsePlatformSettings(SETTINGS), "");
     CHECK_EQ(std::size_t(2), a.listens.size());
-    CHECK(a.dialect.clientNamesRequests && a.dialect.passHeaders && !a.dialect.streamEndsWithDoneEvent);
+    CHECK(
+        a.dialect.clientNamesRequests && a.dialect.passThroughHeaders && !a.dialect.streamEndsWithDoneEvent);
 }
 
 TEST(PlatformSettings, aCoreIsACountedMachineWithADisk) {
--- a/tests/routing/edge_fixture.hpp
+++ b/tests/routing/edge_fixture.hpp
@@ -29,7 +29,7 @@
     d.request = "X-Try", d.notExecuted = "X-Not-Run", d.weights = "", d.target = "X-For";
     d.deadlineMs = "X-Left", d.urgency = "X-Urgency", d.load = "X-Load", d.serverId = "X-Server";
     d.coldMs = "X-Cold", d.parts = "X-Parts", d.tokens = "X-Tokens", d.model = "X-Model";
-    d.clientNamesRequests = d.passHeaders = true;
+    d.clientNamesRequests = d.passThroughHeaders = true;
     d.streamEndsWithDoneEvent = false;
     return d;
 }
