--- a/src/routing/edge.hpp
+++ b/src/routing/edge.hpp
@@ -37,7 +37,7 @@
 #include "routing/migration.hpp"
 #include "routing/prompt_prefix.hpp"
 #include "routing/quota_admission.hpp"
-#include "routing/refusal.hpp"
+#include "routing/request_rejection.hpp"
 #include "routing/request.hpp"
 #include "routing/retry_budget.hpp"
 #include "routing/route_table.hpp"
--- a/src/routing/route_binding.hpp
+++ b/src/routing/route_binding.hpp
@@ -5,7 +5,7 @@
 
 #include "routing/dialect.hpp"
 #include "routing/edge_faults.hpp"
-#include "routing/refusal.hpp"
+#include "routing/request_rejection.hpp"
 #include "routing/request.hpp"
 #include "routing/route_table.hpp"
 
