--- a/src/consensus/configuration.cpp
+++ b/src/consensus/configuration.cpp
@@ -95,7 +95,7 @@
     return configuration;
 }
 
-auto VoterConfiguration::ofEntry(const wire::Entry& entry) -> VoterConfiguration {
+auto VoterConfiguration::fromEntry(const wire::Entry& entry) -> VoterConfiguration {
     return entry.kind == ENTRY_JOINT ? jointParse(entry.body) : VoterConfiguration(votersParse(entry.body));
 }
 
--- a/src/consensus/configuration.hpp
+++ b/src/consensus/configuration.hpp
@@ -51,7 +51,7 @@
     static auto joint(std::vector<VoterIdentity> outgoing, std::vector<VoterIdentity> incoming)
         -> VoterConfiguration;
     /// What an entry of kind ENTRY_VOTERS or ENTRY_JOINT says.
-    static auto ofEntry(const wire::Entry& entry) -> VoterConfiguration;
+    static auto fromEntry(const wire::Entry& entry) -> VoterConfiguration;
 
     /// The voters; of a joint configuration those after the change.
     [[nodiscard]] auto voters() const -> const std::vector<VoterIdentity>& { return voters_; }
--- a/src/consensus/membership.cpp
+++ b/src/consensus/membership.cpp
@@ -19,7 +19,7 @@
 // The configuration in force is the newest in the log, committed or not.
 auto Voter::refreshConfiguration() -> void {
     auto entry = log_.newestConfigurationEntry();
-    configuration_ = entry ? VoterConfiguration::ofEntry(*entry) : VoterConfiguration(snapshot_.voters);
+    configuration_ = entry ? VoterConfiguration::fromEntry(*entry) : VoterConfiguration(snapshot_.voters);
     configurationIndex_ = entry ? entry->index : snapshot_.index;
 }
 
@@ -33,7 +33,7 @@
         appliedJoint_ = true;
     } else if (entry.kind == ENTRY_VOTERS) {
         appliedJoint_ = false;
-        replicatedState_.applyVoters(VoterConfiguration::ofEntry(entry).voters());
+        replicatedState_.applyVoters(VoterConfiguration::fromEntry(entry).voters());
         port_.onStateApplied(replicatedState_, {&entry, "", {}});
     }
 }
--- a/src/membership/state_receiver.cpp
+++ b/src/membership/state_receiver.cpp
@@ -48,7 +48,7 @@
     entry.body = step.body;
     if (!isReadableEntry(entry)) return false;
     if (isCommandEntry(entry)) state.apply(entry.body);
-    else if (entry.kind == ENTRY_VOTERS) state.applyVoters(VoterConfiguration::ofEntry(entry).voters());
+    else if (entry.kind == ENTRY_VOTERS) state.applyVoters(VoterConfiguration::fromEntry(entry).voters());
     else return false;
     return state.version == step.version;
 }
