--- a/src/routing/migration.cpp
+++ b/src/routing/migration.cpp
@@ -22,7 +22,7 @@
 constexpr auto PROMPT_READING_MARGIN = 2;  // times the time that the engine needs to read the prompt
 
 // When a stream migrates away from a slow server.
-constexpr auto GAP_SMOOTHING = Smoothing{0.8, 0.2};
+constexpr auto GAP_SMOOTHING = ExponentialSmoothing{0.8, 0.2};
 constexpr auto MIN_GAP_SAMPLES = 8;  // events of an attempt before its smoothed gap is compared
 constexpr auto MIN_SLOW_GAP = double(100 * MILLISECOND);  // a shorter gap is never too slow
 constexpr auto SLOW_STREAM_MEDIANS = 5;  // a gap of this many times the service's median is too slow
--- a/src/routing/server_statistics.cpp
+++ b/src/routing/server_statistics.cpp
@@ -14,10 +14,10 @@
 namespace duneturn {
 namespace {
 
-constexpr auto FIRST_BYTE_SMOOTHING = Smoothing{0.8, 0.2};
-constexpr auto EVENT_GAP_SMOOTHING = Smoothing{0.9, 0.1};
-constexpr auto HOLD_TIME_SMOOTHING = Smoothing{0.95, 0.05};
-constexpr auto OWN_TOKENS_SMOOTHING = Smoothing{0.98, 0.02};
+constexpr auto FIRST_BYTE_SMOOTHING = ExponentialSmoothing{0.8, 0.2};
+constexpr auto EVENT_GAP_SMOOTHING = ExponentialSmoothing{0.9, 0.1};
+constexpr auto HOLD_TIME_SMOOTHING = ExponentialSmoothing{0.95, 0.05};
+constexpr auto OWN_TOKENS_SMOOTHING = ExponentialSmoothing{0.98, 0.02};
 // What is left of the weight of earlier requests with each new one: some hundreds of them count.
 constexpr auto RECENT_REQUESTS_DECAY = 0.995;
 constexpr auto MOST_REPORTED = std::int64_t(1 << 20);  // a server's number beyond it is believed no further
--- a/src/routing/server_statistics.hpp
+++ b/src/routing/server_statistics.hpp
@@ -17,7 +17,7 @@
 
 /// The weights of an exponentially smoothed figure: what is kept of the old value, what is taken of a
 /// new one. 0 stands for "no value yet".
-struct Smoothing {
+struct ExponentialSmoothing {
     double keep, take;
     [[nodiscard]] auto next(double previous, double sample) const -> double {
         return previous > 0 ? previous * keep + sample * take : sample;
