--- a/src/control/order_service.cpp
+++ b/src/control/order_service.cpp
@@ -67,7 +67,7 @@
     }
     auto command = prepareCommand(voter.latestState(), request.operation, request.key, request.body, wall);
     if (command) return propose(voter, from, *command, now);
-    if (command.error().dependsOnState && !broken.refuseFromLog)
+    if (command.error().dependsOnState && !broken.rejectFromLog)
         return confirmRefusal(voter, from, request, now);
     refuse(from, command.error());
 }
--- a/src/control/order_service.hpp
+++ b/src/control/order_service.hpp
@@ -72,7 +72,7 @@
 
     /// Deliberate faults that the tests' oracles must see; none is set outside tests.
     struct Broken {
-        bool refuseFromLog = false;    // refuses by entries that are not committed, unconfirmed
+        bool rejectFromLog = false;    // refuses by entries that are not committed, unconfirmed
         bool readUnconfirmed = false;  // reads are answered at once
     };
     Broken broken;
--- a/tests/platform/platform_orders_test.cpp
+++ b/tests/platform/platform_orders_test.cpp
@@ -157,7 +157,7 @@
     auto fleet = Fleet(7);
     fleet.startCluster(3, 5);
     auto leader = fleet.leader();
-    leader->n->orderService().broken.refuseFromLog = broken;
+    leader->n->orderService().broken.rejectFromLog = broken;
     fleet.lone(*leader, true);
     auto lost = ++fleet.ids;
     leader->n->order(lost, "config", "lost", R"({"base":1,"config":{"mappings":[]}})", fleet.t);
