--- a/src/consensus/election.cpp
+++ b/src/consensus/election.cpp
@@ -135,7 +135,7 @@
     auto reply = wire::RequestVoteReply();
     reply.preVote = true;
     reply.granted = request.term > term_ && isUpToDate(request) && candidateReadsConfiguration(request)
-        && !leaderStands && !precedes && !diskBad();
+        && !leaderStands && !precedes && !isDiskFaulty();
     reply.term = reply.granted ? request.term : term_;
     auto message = envelope();
     message.__set_requestVoteReply(reply);
@@ -150,7 +150,7 @@
     adoptTerm(request.term, now);
     auto mayVote = votedFor_.empty() || votedFor_ == from || broken.voteTwice;
     auto isFit = isUpToDate(request) && candidateReadsConfiguration(request);
-    if (request.term == term_ && isFit && mayVote && !leads() && !diskBad()) {
+    if (request.term == term_ && isFit && mayVote && !leads() && !isDiskFaulty()) {
         votedFor_ = from;
         reply.granted = true;
         restartElectionTimer(now);
@@ -179,7 +179,7 @@
 
 auto Voter::onTimeoutNow(const std::string& from, const wire::TimeoutNow& message, Microseconds now) -> void {
     if (from != leaderDisk_) return rejectMessage("transfer_refused_total", from);
-    if (message.term != term_ || role() != Role::Follower || !isVoter(disk_) || diskBad()) return;
+    if (message.term != term_ || role() != Role::Follower || !isVoter(disk_) || isDiskFaulty()) return;
     if (roles_->process(LeadershipReceived{}, counters_)) beginElection(true, now);
 }
 
--- a/src/consensus/membership.cpp
+++ b/src/consensus/membership.cpp
@@ -110,7 +110,7 @@
 // is ended first.
 auto Voter::advanceConfigurationChange(Microseconds now) -> void {
     auto mayChange = broken.changeBeforeNoop ? leads() : ready();
-    if (!mayChange || diskBad() || configurationIndex_ > commitIndex_) return;
+    if (!mayChange || isDiskFaulty() || configurationIndex_ > commitIndex_) return;
     if (joint()) {
         auto final = VoterConfiguration(configuration_.voters());
         logEvent("voters_change_ends", "voters={}", final.entryBody());
--- a/src/consensus/replication.cpp
+++ b/src/consensus/replication.cpp
@@ -29,7 +29,7 @@
 }
 
 auto Voter::propose(int kind, const std::string& body, Microseconds now) -> bool {
-    if (!leads() || diskBad() || transferDeadline_ > now) return false;
+    if (!leads() || isDiskFaulty() || transferDeadline_ > now) return false;
     append(kind, body, now);
     return true;
 }
--- a/src/consensus/snapshot.cpp
+++ b/src/consensus/snapshot.cpp
@@ -58,7 +58,7 @@
     if (isNeeded && !state) return rejectMessage("snapshot_malformed_total", from);
     if (isOther && !blank() && !leaveCluster(false, now)) return;
     if (blank()) {
-        if (diskBad() || !roles_->process(Initialized{}, counters_)) return;
+        if (isDiskFaulty() || !roles_->process(Initialized{}, counters_)) return;
         epoch_ = epoch;
         votedFor_.clear();
         term_ = 0;
--- a/src/consensus/snapshot_chunks.cpp
+++ b/src/consensus/snapshot_chunks.cpp
@@ -58,7 +58,7 @@
         counters_.add("snapshot_chunk_old_term_total");
         return replyToChunk(message, 0, true);
     }
-    if ((blank() && diskBad()) || (isOurs && leads() && chunk.term == term_)) return;
+    if ((blank() && isDiskFaulty()) || (isOurs && leads() && chunk.term == term_)) return;
     if (!isOurs) return assembleSnapshot(message, now);
     if (!isBehind(chunk.lastIncludedIndex, chunk.lastIncludedTerm)) {
         followLeader(chunk.term, now);
--- a/src/consensus/voter.cpp
+++ b/src/consensus/voter.cpp
@@ -99,8 +99,8 @@
     };
     if (hasMajority(hasContact)) lastQuorumContact_ = now;
     auto quorumLost = now - lastQuorumContact_ > QUORUM_TIMEOUT;
-    if (diskBad() || quorumLost) {
-        counters_.add(diskBad() ? "leader_gave_up_disk_total" : "leader_lost_quorum_total");
+    if (isDiskFaulty() || quorumLost) {
+        counters_.add(isDiskFaulty() ? "leader_gave_up_disk_total" : "leader_lost_quorum_total");
         auto transferred = transferLeadership(now);
         becomeFollower(now);
         if (!transferred || quorumLost) leaderDisk_.clear();
@@ -116,7 +116,7 @@
 auto Voter::tickFollower(Microseconds now) -> void {
     initializeBlankVoters(now);
     if (now < electionDeadline_) return;
-    if (!isVoter(disk_) || diskBad()) electionDeadline_ = now + ELECTION_TIMEOUT;
+    if (!isVoter(disk_) || isDiskFaulty()) electionDeadline_ = now + ELECTION_TIMEOUT;
     else if (roles_->process(ElectionTimeout{}, counters_)) beginPreVote(now);
 }
 
--- a/src/consensus/voter.hpp
+++ b/src/consensus/voter.hpp
@@ -144,7 +144,7 @@
     /// When this leader last had contact to a majority.
     auto lastQuorumContact() const -> Microseconds { return lastQuorumContact_; }
     /// Whether the disk has failed or stalled, and has not worked since.
-    auto diskBad() const -> bool { return writes_.isDiskBad(); }
+    auto isDiskFaulty() const -> bool { return writes_.isDiskBad(); }
     /// The newest set in the log, committed or not.
     auto voters() const -> const std::vector<VoterIdentity>& { return configuration_.voters(); }
     /// While a change is under way, the voters before it; their majority is needed too.
--- a/src/membership/node.cpp
+++ b/src/membership/node.cpp
@@ -177,7 +177,7 @@
     context_.counters.set("core_leader", voter.leads());
     context_.counters.set("core_term", voter.term());
     context_.counters.set("core_commit", voter.commit());
-    context_.counters.set("disk_bad", voter.diskBad());
+    context_.counters.set("disk_bad", voter.isDiskFaulty());
 }
 
 auto Node::publishCounters(Microseconds now) -> void {
--- a/src/sim/oracles.cpp
+++ b/src/sim/oracles.cpp
@@ -226,7 +226,7 @@
                     for (auto& x : v->voters()) o += x.disk.substr(0, 4) + " ";
                     return o;
                 }(),
-                int(v->role()), v->disk(), v->diskBad(), v->epoch(), v->term(), v->last(), v->commit(),
+                int(v->role()), v->disk(), v->isDiskFaulty(), v->epoch(), v->term(), v->last(), v->commit(),
                 m->dk.under.size())
               : ""));
     }
--- a/tests/consensus/consensus_test.cpp
+++ b/tests/consensus/consensus_test.cpp
@@ -165,7 +165,7 @@
     member.failNextWrite = true;
     member.voter->handle(message, cluster.now);
     member.sync();
-    CHECK(member.voter->diskBad());
+    CHECK(member.voter->isDiskFaulty());
     member.diskHangs = true;
     cluster.record = true;
     member.sent.clear();
@@ -217,9 +217,9 @@
     member.failNextWrite = true;
     member.diskHangs = false;
     member.sync();
-    CHECK(member.voter->diskBad());
+    CHECK(member.voter->isDiskFaulty());
     cluster.run(5 * SECOND);
-    CHECK(!member.voter->diskBad());
+    CHECK(!member.voter->isDiskFaulty());
     CHECK_EQ(cluster.at(leader).commit(), member.voter->commit());
     auto again = ConsensusFixture();
     again.members["x"] = std::make_unique<ConsensusFixture::Member>(again, "x");
--- a/tests/consensus/voter_test.cpp
+++ b/tests/consensus/voter_test.cpp
@@ -277,7 +277,7 @@
             return fmt::format(" [{} without power, {} writes]", replica.disk, replica.pending.size());
         auto& voter = *replica.voter;
         auto text = fmt::format(" [{} role {} term {} last {} commit {} bad {} writes {} voters",
-            replica.disk, int(voter.role()), voter.term(), voter.last(), voter.commit(), voter.diskBad(),
+            replica.disk, int(voter.role()), voter.term(), voter.last(), voter.commit(), voter.isDiskFaulty(),
             replica.pending.size());
         for (auto& identity : voter.voters()) text += " " + identity.disk;
         return text + "]";
