--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -208,7 +208,8 @@
     if (queueRevision_ == routes_.revision) return;
     queueRevision_ = routes_.revision;
     for (auto request : backlog_.inOrder())
-        if (auto refusal = rebindToNewest(*request)) fail(*request, refusal->status, refusal->why, now);
+        if (auto refusal = rebindToNewestConfiguration(*request))
+            fail(*request, refusal->status, refusal->why, now);
 }
 
 auto Edge::dispatchQueuedRequests(Microseconds now) -> void {
--- a/src/routing/dispatch.cpp
+++ b/src/routing/dispatch.cpp
@@ -29,7 +29,7 @@
 // Starts an attempt if a server can take the request now; returns whether it did. If it did not, the request
 // may have ended.
 auto Edge::dispatch(Request& request, Microseconds now) -> bool {
-    if (auto refusal = rebindToNewest(request)) {
+    if (auto refusal = rebindToNewestConfiguration(request)) {
         fail(request, refusal->status, refusal->why, now);
         return false;
     }
@@ -100,7 +100,7 @@
 }
 
 // Binds the request to the newest configuration. Returns the rejection if that no longer permits the request.
-auto Edge::rebindToNewest(Request& request) -> std::optional<RequestRejection> {
+auto Edge::rebindToNewestConfiguration(Request& request) -> std::optional<RequestRejection> {
     auto tenant = request.tenant.name;
     auto refusal = rebind(request, routes_, dialect_, broken);
     if (request.tenant.name != tenant)
@@ -111,7 +111,7 @@
 
 // Returns why the request may not be sent to any server, if it may not.
 auto Edge::whySendForbidden(Request& request) -> std::optional<RequestRejection> {
-    if (auto refusal = rebindToNewest(request)) return refusal;
+    if (auto refusal = rebindToNewestConfiguration(request)) return refusal;
     auto why = migration_.rejectionReason(
         request, request.attempts.tracker.earlier(), MigrationCharge::AlreadyCounted);
     return why.empty() ? std::nullopt : std::optional(RequestRejection{503, why});
--- a/src/routing/edge.hpp
+++ b/src/routing/edge.hpp
@@ -174,7 +174,7 @@
     auto reserveEngineTokens(Request& request, ServerStatistics& statistics, const ServiceRule& rule) -> void;
     auto releaseServer(Request& request) -> void;
     auto releaseUnreadPrompt(Request& request) -> void;
-    [[nodiscard]] auto rebindToNewest(Request& request) -> std::optional<RequestRejection>;
+    [[nodiscard]] auto rebindToNewestConfiguration(Request& request) -> std::optional<RequestRejection>;
     [[nodiscard]] auto whySendForbidden(Request& request) -> std::optional<RequestRejection>;
     [[nodiscard]] auto whyServerForbidden(const Request& request, bool reused, Microseconds now)
         -> std::string;
--- a/src/routing/retry.cpp
+++ b/src/routing/retry.cpp
@@ -31,7 +31,7 @@
     auto known = std::max(execution, attempts.tracker.earlier());
     auto isCharged = budget_.isCharged(execution);
     auto charge = isCharged ? MigrationCharge::NotYetCounted : MigrationCharge::AlreadyCounted;
-    if (rebindToNewest(request) || now >= request.limits.deadline) return false;
+    if (rebindToNewestConfiguration(request) || now >= request.limits.deadline) return false;
     if (!migration_.rejectionReason(request, known, charge).empty()) return false;
     if (isCharged && !budget_.allows(request, now)) return false;
     attempts.tried.push_back(attempts.server);
@@ -56,7 +56,7 @@
     auto charge = isCharged ? MigrationCharge::NotYetCounted : MigrationCharge::AlreadyCounted;
     endFailedAttempt(request, execution, why, now);
     // The newest configuration decides, not the one that the request was accepted with.
-    if (auto refusal = rebindToNewest(request)) {
+    if (auto refusal = rebindToNewestConfiguration(request)) {
         auto status = refusal->status == KEY_REJECTED_STATUS ? KEY_REJECTED_STATUS : 502;
         return fail(request, status, why + "; " + refusal->why, now);
     }
@@ -186,7 +186,7 @@
     auto why = migration_.slowServerReason(request, gap);
     if (!why) return;
     statistics.ejection.lowerHealthScore(SLOW_STREAM_FACTOR, now);
-    if (!budget_.allows(request, now) || rebindToNewest(request)) return;
+    if (!budget_.allows(request, now) || rebindToNewestConfiguration(request)) return;
     if (now >= request.limits.deadline) return;
     if (!migration_.rejectionReason(request, Execution::MayHaveRun, MigrationCharge::NotYetCounted).empty())
         return;
