--- a/src/routing/dispatch.cpp
+++ b/src/routing/dispatch.cpp
@@ -29,8 +29,8 @@
 // Starts an attempt if a server can take the request now; returns whether it did. If it did not, the request
 // may have ended.
 auto Edge::dispatch(Request& request, Microseconds now) -> bool {
-    if (auto refusal = rebindToNewestConfiguration(request)) {
-        fail(request, refusal->status, refusal->why, now);
+    if (auto rejection = rebindToNewestConfiguration(request)) {
+        fail(request, rejection->status, rejection->why, now);
         return false;
     }
     if (!node_.withinLease(now)) {
@@ -65,8 +65,8 @@
     port_.startAttempt(request.id, attempts.current, serverName, server.listing.address);
 }
 
-// Counts the request's tokens at an engine: the prompt as not read yet, its own tokens as occupied memory,
-// and the parts of the prompt as cached.
+// Counts the request's tokens at an engine: the uncached tokens of the prompt as pending, the unshared tokens
+// as reserved memory, and the parts of the prompt as cached.
 auto Edge::reserveEngineTokens(Request& request, ServerStatistics& statistics, const ServiceRule& rule)
     -> void {
     auto& received = request.received;
@@ -81,7 +81,7 @@
 
 // Stops counting the current attempt at its server.
 auto Edge::releaseServer(Request& request) -> void {
-    releaseUnreadPrompt(request);
+    releasePendingPrompt(request);
     if (!request.attempts.countedInflight) return;
     request.attempts.countedInflight = false;
     auto& statistics = statistics_.of(request.attempts.server);
@@ -90,28 +90,28 @@
     statistics.reservedTokens = statistics.inflight ? remaining : 0;
 }
 
-// Stops counting the prompt as unread, since the server has read it or never will.
-auto Edge::releaseUnreadPrompt(Request& request) -> void {
-    auto& unread = request.attempts.pendingPromptTokens;
-    if (!unread) return;
+// Stops counting the prompt as pending, since the server has read it or never will.
+auto Edge::releasePendingPrompt(Request& request) -> void {
+    auto& pendingTokens = request.attempts.pendingPromptTokens;
+    if (!pendingTokens) return;
     auto& statistics = statistics_.of(request.attempts.server);
-    statistics.pendingPromptTokens = std::max(0.0, statistics.pendingPromptTokens - double(unread));
-    unread = 0;
+    statistics.pendingPromptTokens = std::max(0.0, statistics.pendingPromptTokens - double(pendingTokens));
+    pendingTokens = 0;
 }
 
 // Binds the request to the newest configuration. Returns the rejection if that no longer permits the request.
 auto Edge::rebindToNewestConfiguration(Request& request) -> std::optional<RequestRejection> {
     auto tenant = request.tenant.name;
-    auto refusal = rebind(request, routes_, dialect_, broken);
+    auto rejection = rebind(request, routes_, dialect_, broken);
     if (request.tenant.name != tenant)
         note(request,
             "the API key now belongs to " + (request.tenant.isKnown() ? request.tenant.name : "no tenant"));
-    return refusal;
+    return rejection;
 }
 
 // Returns why the request may not be sent to any server, if it may not.
 auto Edge::whySendForbidden(Request& request) -> std::optional<RequestRejection> {
-    if (auto refusal = rebindToNewestConfiguration(request)) return refusal;
+    if (auto rejection = rebindToNewestConfiguration(request)) return rejection;
     auto why = migration_.rejectionReason(
         request, request.attempts.tracker.earlier(), MigrationCharge::AlreadyCounted);
     return why.empty() ? std::nullopt : std::optional(RequestRejection{503, why});
@@ -139,9 +139,9 @@
     auto request = currentAttempt(id, attempt);
     if (!request) return false;
     // Selecting another server would not help here, so the request fails.
-    if (auto refusal = whySendForbidden(*request)) {
-        cancelUnsentAttempt(*request, refusal->why, now);
-        fail(*request, refusal->status, refusal->why, now);
+    if (auto rejection = whySendForbidden(*request)) {
+        cancelUnsentAttempt(*request, rejection->why, now);
+        fail(*request, rejection->status, rejection->why, now);
         return false;
     }
     if (auto why = whyServerForbidden(*request, reused, now); !why.empty()) {
--- a/src/routing/edge.hpp
+++ b/src/routing/edge.hpp
@@ -173,7 +173,7 @@
     auto beginAttempt(Request& request, const std::string& server, Microseconds now) -> void;
     auto reserveEngineTokens(Request& request, ServerStatistics& statistics, const ServiceRule& rule) -> void;
     auto releaseServer(Request& request) -> void;
-    auto releaseUnreadPrompt(Request& request) -> void;
+    auto releasePendingPrompt(Request& request) -> void;
     [[nodiscard]] auto rebindToNewestConfiguration(Request& request) -> std::optional<RequestRejection>;
     [[nodiscard]] auto whySendForbidden(Request& request) -> std::optional<RequestRejection>;
     [[nodiscard]] auto whyServerForbidden(const Request& request, bool reused, Microseconds now)
--- a/src/routing/request.hpp
+++ b/src/routing/request.hpp
@@ -47,8 +47,9 @@
 
 /// The attempts of a request. Each is one send of the request to one server.
 struct RequestAttempts {
-    int current = 0;  ///< The number of the current attempt; reports about any other number are ignored.
-    std::string server, weights;
+    int current = 0;      ///< The number of the current attempt; reports about any other number are ignored.
+    std::string server;   ///< The server of the current attempt.
+    std::string weights;  ///< The version of the weights that it runs.
     Microseconds serverSelectedAt = 0;
     /// When the server was selected, the send began, the server last sent something or the client was last
     /// found to read slower than the server sends, whichever came last.
@@ -74,9 +75,9 @@
 /// The part of a streamed response that was forwarded to the client.
 struct RelayedStream {
     bool headSent = false;
-    int status = 200;  ///< Of the response whose head was forwarded.
-    Headers headers;   ///< Of the same response.
-    std::string weights;
+    int status = 200;                 ///< Of the response whose head was forwarded.
+    Headers headers;                  ///< Of the same response.
+    std::string weights;              ///< The version of the weights that the stream is bound to.
     std::int64_t lastEventId = -1;    ///< The id of the newest forwarded event; -1: none was forwarded.
     bool hasOrderedIds = true;        ///< All ids so far were numbers in the expected order.
     std::vector<std::string> events;  ///< Forwarded events, kept while the request may still migrate.
--- a/src/routing/response_relay.cpp
+++ b/src/routing/response_relay.cpp
@@ -18,7 +18,7 @@
 constexpr auto FULL_SERVER_PAUSE = 150 * MILLISECOND;
 constexpr auto MIN_SLOW_FIRST_BYTE = 200 * MILLISECOND;  // a shorter time to the first byte is never slow
 constexpr auto SLOW_FIRST_BYTE_MEDIANS = 5;  // a time of so many times the service's median is slow
-// Factors by which a server's healthScore (outlier_ejection.hpp) is multiplied.
+// Factors by which a server's health score (outlier_ejection.hpp) is multiplied.
 constexpr auto SLOW_FIRST_BYTE_FACTOR = 0.9;
 constexpr auto NOT_EXECUTED_FACTOR = 0.8;
 constexpr auto SERVER_ERROR_FACTOR = 0.7;
@@ -71,7 +71,7 @@
         request, isNotExecuted(status, headers) ? AttemptEvent::NotExecutedHead : AttemptEvent::FinalHead);
 }
 
-// Records the time to the first byte, and lowers the healthScore of a server that is slow compared with the
+// Records the time to the first byte, and lowers the health score of a server that is slow compared with the
 // median of its service.
 auto Edge::recordFirstByteTime(const Request& request, int status, const Headers& headers, Microseconds now)
     -> void {
@@ -98,7 +98,7 @@
         return false;
     }
     recordResponseHead(*request, status, headers);
-    releaseUnreadPrompt(*request);
+    releasePendingPrompt(*request);
     auto isMisdirected = dialect_.clientNamesRequests && status == MISDIRECTED;
     if (!isMisdirected) statistics_.readAnswer(attempts.server, headers, dialect_, now);
     attempts.headReceivedOf = attempt;
@@ -250,7 +250,7 @@
     if (!request) return;
     if (belongsToAnotherRequest(*request, headers, status)) return onWrongIdentity(*request, now);
     recordResponseHead(*request, status, headers);
-    releaseUnreadPrompt(*request);
+    releasePendingPrompt(*request);
     auto& attempts = request->attempts;
     auto isMisdirected = dialect_.clientNamesRequests && status == MISDIRECTED;
     if (attempts.headReceivedOf != attempt && !isMisdirected)
@@ -283,7 +283,7 @@
 }
 
 // Returns why a complete response cannot be forwarded as it is; empty if it can. Adjusts the server's
-// healthScore by the status.
+// health score by the status.
 auto Edge::whyResponseUnusable(Request& request, int status, Microseconds now) -> std::string {
     if (request.relayed.headSent)
         return fmt::format("the server did not resume the stream (status {})", status);
--- a/src/routing/retry.cpp
+++ b/src/routing/retry.cpp
@@ -16,7 +16,7 @@
 constexpr auto MAX_REFUSED_CONNECTIONS = 3;                // of one request, without counting as attempts
 constexpr auto MIN_CHECKED_SILENCE = 150 * MILLISECOND;    // a shorter silence never causes a retry
 constexpr auto SILENCE_CHECK_INTERVAL = 50 * MILLISECOND;  // between two checks of the same silent server
-// Factors by which a server's healthScore (outlier_ejection.hpp) is multiplied.
+// Factors by which a server's health score (outlier_ejection.hpp) is multiplied.
 constexpr auto CONNECTION_LOST_FACTOR = 0.4;
 constexpr auto SLOW_STREAM_FACTOR = 0.5;
 
@@ -56,9 +56,9 @@
     auto charge = isCharged ? MigrationCharge::NotYetCounted : MigrationCharge::AlreadyCounted;
     endFailedAttempt(request, execution, why, now);
     // The newest configuration decides, not the one that the request was accepted with.
-    if (auto refusal = rebindToNewestConfiguration(request)) {
-        auto status = refusal->status == KEY_REJECTED_STATUS ? KEY_REJECTED_STATUS : 502;
-        return fail(request, status, why + "; " + refusal->why, now);
+    if (auto rejection = rebindToNewestConfiguration(request)) {
+        auto status = rejection->status == KEY_REJECTED_STATUS ? KEY_REJECTED_STATUS : 502;
+        return fail(request, status, why + "; " + rejection->why, now);
     }
     if (auto reason = migration_.rejectionReason(request, known, charge); !reason.empty())
         return fail(request, 502, why + "; " + reason, now);
