--- a/src/routing/completion.cpp
+++ b/src/routing/completion.cpp
@@ -22,6 +22,7 @@
 
 // Ends the request without a complete response. Where clients name requests, 503 promises that the request
 // did not run and never will, so it is sent exactly where that is certain; other statuses promise nothing.
+// The simulators hash `why` as part of their trace, so a reworded text changes the digests in tests/pinned/.
 auto Edge::fail(Request& request, int status, const std::string& why, Microseconds now) -> void {
     releaseServer(request);
     if (request.phase() == Phase::Sending || request.phase() == Phase::Delivering) {
--- a/src/routing/dispatch.cpp
+++ b/src/routing/dispatch.cpp
@@ -18,11 +18,11 @@
 namespace duneturn {
 namespace {
 
-constexpr auto DEFAULT_MEMORY_TOKENS = std::int64_t(1 << 18);  // of an engine that is configured without
+constexpr auto DEFAULT_KV_CACHE_TOKENS = std::int64_t(1 << 18);  // of an engine that is configured without
 // If a send is delayed for longer than this, the slow-start limit of a cold server is checked again.
 constexpr auto MAX_SEND_DELAY = 250 * MILLISECOND;
 constexpr auto MAX_WITHHELD_SENDS = 3;  // per request
-constexpr auto QUOTA_TOKEN_EXPIRED = "the quota token reserved for the request has expired";
+constexpr auto QUOTA_TOKEN_EXPIRED = "its token of its tenant's quota has lapsed";
 
 }  // namespace
 
@@ -34,7 +34,7 @@
         return false;
     }
     if (!node_.withinLease(now)) {
-        fail(request, 503, "this node is outside its lease: no recent contact with a majority", now);
+        fail(request, 503, "this node has not heard a majority within its lease", now);
         return false;
     }
     auto selection = select(request, now);
@@ -75,7 +75,7 @@
     statistics.pendingPromptTokens += double(request.attempts.pendingPromptTokens);
     statistics.reservedTokens += double(received.unsharedTokens());
     statistics_.ofService(request.route.service).recordOwnTokens(received.unsharedTokens());
-    auto capacity = rule.kvCacheTokens ? rule.kvCacheTokens : DEFAULT_MEMORY_TOKENS;
+    auto capacity = rule.kvCacheTokens ? rule.kvCacheTokens : DEFAULT_KV_CACHE_TOKENS;
     for (auto& [part, tokens] : received.promptParts) statistics.prefixCache.add(part, tokens, capacity);
 }
 
@@ -189,10 +189,10 @@
     cancelUnsentAttempt(request, why, now);
     auto& attempts = request.attempts;
     if (++attempts.withheldSends > MAX_WITHHELD_SENDS || now >= request.limits.deadline)
-        return fail(request, 503, "sends to all selected servers were withheld", now);
+        return fail(request, 503, "no server may take it now", now);
     if (dispatch(request, now) || request.phase() == Phase::Finished) return;
     if (!selection_.mayFindServerLater(request) || !enqueue(request, now))
-        return fail(request, 503, "no server has free capacity", now);
+        return fail(request, 503, "no server has room", now);
     applyPhaseEvent(request, counters_, PhaseEvent::Requeued);
 }
 
--- a/src/routing/edge.cpp
+++ b/src/routing/edge.cpp
@@ -101,7 +101,7 @@
             if (auto& statistics = statistics_.of(attempts.server); statistics.isSilent(now))
                 statistics.ejection.eject(now);
         applyAttemptEvent(request, AttemptEvent::DeadlineExceeded);
-        return fail(request, 504, "the deadline of the request has passed", now);
+        return fail(request, 504, "its time is over", now);
     }
     if (request.phase() != Phase::Sending && request.phase() != Phase::Delivering) return;
     if (dialect_.clientNamesRequests) checkSilenceOfNamedRequest(request, now);
--- a/src/routing/migration.cpp
+++ b/src/routing/migration.cpp
@@ -36,10 +36,10 @@
         auto step = stepAfterFailure(Execution::MayHaveRun, relayed.headSent);
         if (!mayAttemptAgain(step, request.retryRights()))
             return relayed.headSent && request.retryRights().repeatable
-                ? "a part of the response was forwarded and the route is not resumable"
-                : "the request may have run and is not repeatable";
+                ? "its beginning was delivered, and nothing can be joined to it"
+                : "it may have run, and what may not be repeated never runs twice";
         if (relayed.headSent && !relayed.hasOrderedIds)
-            return "the stream cannot be resumed because its event ids are not in order";
+            return "its events cannot be counted, so they cannot be joined";
     }
     auto isNotYetCounted = charge == MigrationCharge::NotYetCounted;
     auto migrations = request.attempts.migrations + isNotYetCounted;
@@ -47,8 +47,8 @@
     auto& route = request.route;
     auto isLimited = !route.model.empty() || (dialect_.clientNamesRequests && route.stream);
     auto isSpent = migrations > route.migrationLimit || (isNotYetCounted && request.limits.migrationDisabled);
-    if (isLimited && migrations > 0 && isSpent) return "the migration limit is reached";
-    if (request.attempts.sent >= route.maxAttempts) return "the limit of attempts (MaxTries) is reached";
+    if (isLimited && migrations > 0 && isSpent) return "no migration is left";
+    if (request.attempts.sent >= route.maxAttempts) return "MaxTries is reached";
     return "";
 }
 
@@ -119,8 +119,7 @@
         return std::nullopt;
     auto median = statistics_.median(request.route.service, &ServerStatistics::eventGap);
     if (median <= 0 || attempts.eventGap < SLOW_STREAM_MEDIANS * median) return std::nullopt;
-    return fmt::format(
-        "the server sends an event every {:.0f} us, the median is {:.0f} us", attempts.eventGap, median);
+    return fmt::format("an event every {:.0f} us, where others need {:.0f}", attempts.eventGap, median);
 }
 
 }  // namespace duneturn
--- a/src/routing/migration.hpp
+++ b/src/routing/migration.hpp
@@ -50,9 +50,9 @@
     /// longer migrate.
     auto recordRelayed(Request& request, const ServerSentEvent& event) const -> bool;
 
-    /// Returns after how long a silence of its server a request that may migrate does so. Unless the
-    /// configuration sets it, the time is short enough to still meet the latency target at another server,
-    /// but is not exceeded by the usual response times of the service.
+    /// Returns how long the server of a request that may migrate can be silent before the request migrates.
+    /// Unless the configuration sets the time, it is short enough that another server can still meet the
+    /// latency target, but longer than the usual response times of the service.
     [[nodiscard]] auto silenceTimeout(const Request& request) const -> Microseconds;
     /// Records that an event of the current attempt arrived `gap` after the previous activity. If the server
     /// is so much slower than the median of its service that the stream should migrate, returns the reason.
--- a/src/routing/response_relay.cpp
+++ b/src/routing/response_relay.cpp
@@ -108,8 +108,8 @@
         auto isBound = relayed.lastEventId >= 0 && !relayed.weights.empty() && !broken.ignoreWeightsVersion;
         if (isBound && weights != relayed.weights) {
             counters_.add("wrong_weights_total");
-            retryElsewhere(*request, AttemptEvent::ResponseUnusable,
-                "the server now runs another version of the weights", now);
+            retryElsewhere(
+                *request, AttemptEvent::ResponseUnusable, "the server runs other weights by now", now);
             return false;
         }
     }
@@ -123,8 +123,7 @@
 auto Edge::onWrongIdentity(Request& request, Microseconds now) -> void {
     statistics_.of(request.attempts.server).ejection.lowerHealthScore(WRONG_IDENTITY_FACTOR, now);
     counters_.add("wrong_exchange_total");
-    retryElsewhere(
-        request, AttemptEvent::WrongIdentity, "the server sent a response to another request", now);
+    retryElsewhere(request, AttemptEvent::WrongIdentity, "the server sent another exchange's reply", now);
 }
 
 auto Edge::onClientSlow(std::int64_t id, int attempt, Microseconds now) -> void {
@@ -190,14 +189,13 @@
     -> void {
     auto lastId = request.relayed.lastEventId;
     if (check == EventCheck::NonNumericId)
-        return fail(request, 502,
-            fmt::format("the event after id {} has id {}, which is not a number", lastId, event.id), now);
+        return fail(request, 502, fmt::format("the event after {} came as {}", lastId, event.id), now);
     statistics_.of(request.attempts.server).ejection.lowerHealthScore(MALFORMED_EVENT_FACTOR, now);
     counters_.add(check == EventCheck::OutOfOrder ? "events_out_of_line_total" : "events_unsound_total");
     if (dialect_.clientNamesRequests && !request.relayed.headSent)
         return retryElsewhere(request, AttemptEvent::MalformedResponse, "the first event is malformed", now);
-    auto received = event.id.empty() ? "has no id" : "has id " + event.id;
-    fail(request, 502, fmt::format("the event after id {} {}", lastId, received), now);
+    auto receivedId = event.id.empty() ? "garbage" : event.id;
+    fail(request, 502, fmt::format("the event after {} came as {}", lastId, receivedId), now);
 }
 
 auto Edge::onStreamEvent(std::int64_t id, int attempt, const ServerSentEvent& event, Microseconds now)
@@ -235,7 +233,7 @@
     auto request = currentAttempt(id, attempt);
     if (!request) return;
     if (dialect_.streamEndsWithDoneEvent)
-        return onConnectionLost(id, attempt, "the stream ended without its completion event", now);
+        return onConnectionLost(id, attempt, "the stream ended without its completion mark", now);
     recordResponseHead(*request, 200, {});
     sendHeadOnce(*request);
     applyPhaseEvent(*request, counters_, PhaseEvent::BytesForwarded);
@@ -278,17 +276,15 @@
     } else {
         statistics.fullUntil = now + FULL_SERVER_PAUSE;
     }
-    retryElsewhere(request, AttemptEvent::ResponseUnusable,
-        fmt::format("the server rejected it with status {}", status), now);
+    retryElsewhere(
+        request, AttemptEvent::ResponseUnusable, fmt::format("denied by the server with {}", status), now);
 }
 
 // Returns why a complete response cannot be forwarded as it is; empty if it can. Adjusts the server's
 // health score by the status.
 auto Edge::whyResponseUnusable(Request& request, int status, Microseconds now) -> std::string {
-    if (request.relayed.headSent)
-        return fmt::format("the server did not resume the stream (status {})", status);
-    if (request.route.stream && status == 200 && !dialect_.passThroughHeaders)
-        return "the response is not a stream";
+    if (request.relayed.headSent) return fmt::format("the resumed stream was not one (status {})", status);
+    if (request.route.stream && status == 200 && !dialect_.passThroughHeaders) return "not a stream";
     auto& ejection = statistics_.of(request.attempts.server).ejection;
     if (status >= 500) ejection.lowerHealthScore(SERVER_ERROR_FACTOR, now);
     else ejection.raiseHealthScore(now);
--- a/src/routing/retry.cpp
+++ b/src/routing/retry.cpp
@@ -62,18 +62,17 @@
     }
     if (auto reason = migration_.rejectionReason(request, known, charge); !reason.empty())
         return fail(request, 502, why + "; " + reason, now);
-    if (now >= request.limits.deadline)
-        return fail(request, 504, why + "; the deadline of the request has passed", now);
+    if (now >= request.limits.deadline) return fail(request, 504, why + "; its time is over", now);
     if (isCharged && !budget_.allows(request, now)) {
         budget_.recordShortage(now);
-        return fail(request, 503, why + "; the retry budget is exhausted", now);
+        return fail(request, 503, why + "; the fleet's budget for extra sends is spent", now);
     }
     auto isSent = dispatch(request, now);
     if (request.phase() == Phase::Finished) return;
     if (!isSent) {
         // If a server may have free capacity soon, waiting for it is better than failing the request.
         if (!selection_.mayFindServerLater(request) || !enqueue(request, now))
-            return fail(request, 503, why + "; no other server has free capacity", now);
+            return fail(request, 503, why + "; no other server has room", now);
         applyPhaseEvent(request, counters_, PhaseEvent::Requeued);
     }
     recordRetry(request, execution, now);
@@ -113,7 +112,7 @@
     if (!request) return;
     auto& attempts = request->attempts;
     if (attempts.tracker.written())
-        return onConnectionLost(id, attempt, "the connection failed while the request was being sent", now);
+        return onConnectionLost(id, attempt, "the connection broke while sending", now);
     auto& statistics = statistics_.of(attempts.server);
     statistics.ejection.lowerHealthScore(CONNECTION_LOST_FACTOR, now);
     statistics.ejection.eject(now);
--- a/tests/routing/server_model.cpp
+++ b/tests/routing/server_model.cpp
@@ -21,42 +21,43 @@
 
 auto isStream(const std::string& path) -> bool { return path == "/stream" || path == "/resumable"; }
 auto isRepeatable(const std::string& path) -> bool { return path == "/safe" || path == "/resumable"; }
-auto isPromise(int status) -> bool {
+auto promisesNoRun(int status) -> bool {
     return status == 503 || status == 429 || status == 408 || status == 421;
 }
-auto streamText(const std::string& id, int after) -> std::string {
+// The events of a stream after the event with id `after`.
+auto eventsText(const std::string& requestName, int after) -> std::string {
     auto text = std::string();
     for (auto number = after + 1; number <= ServerModel::EVENTS; number++)
-        text += fmt::format("id: {0}\ndata: {1}/{0}\n\n", number, id);
+        text += fmt::format("id: {0}\ndata: {1}/{0}\n\n", number, requestName);
     return text;
 }
 auto chunk(const std::string& text) -> std::string {
     return fmt::format("{:x}\r\n{}\r\n", text.size(), text);
 }
 
-// Each event in a chunk of its own.
+// Puts each event into a chunk of its own.
 auto chunked(const std::string& text) -> std::string {
-    auto out = std::string();
-    for (auto from = std::size_t(0); from < text.size();) {
-        auto to = text.find("\n\n", from) + 2;
-        out += chunk(text.substr(from, to - from));
-        from = to;
+    auto chunks = std::string();
+    for (auto start = std::size_t(0); start < text.size();) {
+        auto end = text.find("\n\n", start) + 2;
+        chunks += chunk(text.substr(start, end - start));
+        start = end;
     }
-    return out + "0\r\n\r\n";
+    return chunks + "0\r\n\r\n";
 }
 
-// The bytes of an answer. An empty `id`: it names no request.
-auto answerText(const std::string& id, int status, const std::string& seal, const std::string& body,
-    bool stream, bool unframed, bool declined = false) -> std::string {
+// The bytes of a response. With an empty `requestName` it names no request.
+auto responseText(const std::string& requestName, int status, const std::string& seal,
+    const std::string& body, bool isStreamRequested, bool unframed, bool isDeclined = false) -> std::string {
     auto text = fmt::format("HTTP/1.1 {} Status\r\n", status);
-    if (!id.empty()) text += "X-Try: " + id + "\r\n";
+    if (!requestName.empty()) text += "X-Try: " + requestName + "\r\n";
     text += "X-Seal: " + seal + "\r\n";
-    if (declined) text += "X-Not-Run: 1\r\n";
-    auto asEvents = stream && status == 200;
-    if (asEvents) text += "Content-Type: text/event-stream\r\n";
+    if (isDeclined) text += "X-Not-Run: 1\r\n";
+    auto isEventStream = isStreamRequested && status == 200;
+    if (isEventStream) text += "Content-Type: text/event-stream\r\n";
     if (status == NO_CONTENT) return text + "\r\n";
     if (unframed) return text + "Connection: close\r\n\r\n" + body;
-    if (asEvents) return text + "Transfer-Encoding: chunked\r\n\r\n" + chunked(body);
+    if (isEventStream) return text + "Transfer-Encoding: chunked\r\n\r\n" + chunked(body);
     return text + fmt::format("Content-Length: {}\r\n\r\n", body.size()) + body;
 }
 
@@ -64,8 +65,8 @@
 
 ServerModel::ServerModel() : EdgeFixture() {
     constexpr auto COMMON = R"("pool":"p","MaxTries":3,"deadlineUs":2000000,"idleUs":300000)";
-    auto route = [&](const char* name, const char* more) {
-        return fmt::format(R"({{"name":"{0}","path":"/{0}",{1}{2}}})", name, COMMON, more);
+    auto route = [&](const char* name, const char* fields) {
+        return fmt::format(R"({{"name":"{0}","path":"/{0}",{1}{2}}})", name, COMMON, fields);
     };
     CHECK_EQ(200,
         orderConfig(R"({"budget":{"slack":4000,"share":0.2},"models":{"m":{"migrationLimit":3}},"mappings":[)"
@@ -75,263 +76,278 @@
     listServers({{"x", "near", "p", "z", 9}, {"y", "near", "p", "z", 9}, {"w", "near", "p", "z", 9}});
 }
 
-// ---- the daemon's part: connections and the reading of answers
+// ---- The edge's side: connections and the parsing of responses.
 
-auto ServerModel::startAttempt(std::int64_t x, int a, const std::string& server, const std::string&) -> void {
+auto ServerModel::startAttempt(
+    std::int64_t request, int number, const std::string& server, const std::string&) -> void {
     auto attempt = std::make_shared<Attempt>();
-    attempt->request = x;
-    attempt->number = a;
+    attempt->request = request;
+    attempt->number = number;
     attempt->server = server;
-    attempts_[{x, a}] = attempt;
+    attempts_[{request, number}] = attempt;
 }
 
-auto ServerModel::cancelAttempt(std::int64_t x, int a) -> void {
-    auto i = attempts_.find({x, a});
-    if (i == attempts_.end()) return;
-    i->second->over = true;
-    if (i->second->link) i->second->link->open = false;
-    attempts_.erase(i);
+auto ServerModel::cancelAttempt(std::int64_t request, int number) -> void {
+    auto found = attempts_.find({request, number});
+    if (found == attempts_.end()) return;
+    auto& attempt = *found->second;
+    attempt.isOver = true;
+    if (attempt.connection) attempt.connection->isOpen = false;
+    attempts_.erase(found);
 }
 
+// Takes an idle connection or opens a new one; returns false if that is refused.
 auto ServerModel::connect(Attempt& attempt) -> bool {
     auto request = edge->find(attempt.request);
     if (request && edge->mayReuseConnection(*request))
-        if (auto link = kept_.take(attempt.server, now)) {
-            attempt.link = *link;
-            reused++;
+        if (auto connection = idleConnections_.take(attempt.server, now)) {
+            attempt.connection = *connection;
+            reusedConnections++;
             return true;
         }
-    if (!script_.empty() && script_.front().kind == Kind::Refuse) {
+    if (!script_.empty() && script_.front().kind == Kind::RefuseConnection) {
         script_.erase(script_.begin());
         edge->onConnectionRefused(attempt.request, attempt.number, now);
         return false;
     }
-    attempt.link = std::make_shared<Link>();
+    attempt.connection = std::make_shared<Connection>();
     return true;
 }
 
-// Sends the request, if it may be sent; false if nothing comes of the attempt.
-auto ServerModel::begin(Attempt& attempt) -> bool {
+// Sends the request if the edge still confirms that; returns false if the attempt has ended.
+auto ServerModel::sendAttempt(Attempt& attempt) -> bool {
     if (!connect(attempt)) return false;
     auto request = edge->find(attempt.request);
-    if (!request || !edge->confirmSend(attempt.request, attempt.number, now, attempt.link->used))
+    if (!request || !edge->confirmSend(attempt.request, attempt.number, now, attempt.connection->isReused))
         return false;
-    if (left_) sendsAfterLeaving_++;
+    if (isClientDisconnected_) sendsAfterDisconnect_++;
     auto head = requestHead(request->received.method, request->received.path,
         edge->requestHeaders(*request, now), request->received.body.size(), "", true);
     auto options = AnswerOptions();
     options.mayEndByClose = true;
     options.notExecuted = edge->dialect().notExecuted;
     attempt.reader = std::make_unique<AnswerReader>(options);
-    for (auto bytes : {&attempt.link->unasked, &attempt.link->atNextSend})
+    for (auto bytes : {&attempt.connection->unreadBytes, &attempt.connection->bytesAfterNextSend})
         if (!bytes->empty()) attempt.pieces.push_back(std::exchange(*bytes, ""));
-    serve(attempt, head + request->received.body);
+    serveRequest(attempt, head + request->received.body);
     edge->onRequestWritten(attempt.request, attempt.number);
     return true;
 }
 
-// One piece of the answer, or the connection's end; false if the attempt is over.
-auto ServerModel::progress(Attempt& attempt) -> bool {
+// Receives one piece of the response or the end of the connection; returns false if the attempt has ended.
+auto ServerModel::receive(Attempt& attempt) -> bool {
     auto& reader = *attempt.reader;
     if (!attempt.pieces.empty()) {
         auto piece = std::move(attempt.pieces.front());
         attempt.pieces.erase(attempt.pieces.begin());
         reader.feed(piece);
     } else {
-        auto reset = *attempt.end == ConnectionEnd::Reset && !faults.closeIsAlwaysWhole;
-        reader.end(reset ? ConnectionEnd::Reset : ConnectionEnd::Closed);
-        attempt.link->open = false;
+        auto isReset = *attempt.end == ConnectionEnd::Reset && !faults.treatResetAsClose;
+        reader.end(isReset ? ConnectionEnd::Reset : ConnectionEnd::Closed);
+        attempt.connection->isOpen = false;
     }
     auto delivery = deliver(reader, *edge, attempt.request, attempt.number, now);
     if (delivery == Delivery::Reading) return true;
-    if (delivery == Delivery::Whole && !attempt.over) {
-        attempt.link->used = true;
-        auto life = faults.keepAnyConnection ? SECOND : reader.keepFor();
-        kept_.put(attempt.server, attempt.link, life, now, 4);
-        for (auto& piece : attempt.pieces) attempt.link->unasked += piece;  // late, while it rests
+    if (delivery == Delivery::Whole && !attempt.isOver) {
+        attempt.connection->isReused = true;
+        constexpr auto MAX_IDLE_CONNECTIONS = 4;
+        auto keepFor = faults.reuseAnyConnection ? SECOND : reader.keepFor();
+        idleConnections_.put(attempt.server, attempt.connection, keepFor, now, MAX_IDLE_CONNECTIONS);
+        // Pieces that follow the complete response arrive while the connection is idle.
+        for (auto& piece : attempt.pieces) attempt.connection->unreadBytes += piece;
     }
     return false;
 }
 
-// Lets each attempt take a step; false if none can until time passes.
-auto ServerModel::advance() -> bool {
-    auto moved = false;
-    auto present = std::vector<std::shared_ptr<Attempt>>();
-    for (auto& [key, attempt] : attempts_) present.push_back(attempt);
-    for (auto& attempt : present) {
-        if (attempt->over) continue;
-        auto begun = attempt->reader != nullptr;
-        if (begun && attempt->pieces.empty() && !attempt->end) continue;
-        moved = true;
-        auto goesOn = begun ? progress(*attempt) : begin(*attempt);
-        if (!goesOn) attempts_.erase({attempt->request, attempt->number});
+// Advances each attempt by one step; returns false if none can proceed until time passes.
+auto ServerModel::advanceAttempts() -> bool {
+    auto isAnyAdvanced = false;
+    auto current = std::vector<std::shared_ptr<Attempt>>();
+    for (auto& [key, attempt] : attempts_) current.push_back(attempt);
+    for (auto& attempt : current) {
+        if (attempt->isOver) continue;
+        auto isSent = attempt->reader != nullptr;
+        if (isSent && attempt->pieces.empty() && !attempt->end) continue;
+        isAnyAdvanced = true;
+        auto continues = isSent ? receive(*attempt) : sendAttempt(*attempt);
+        if (!continues) attempts_.erase({attempt->request, attempt->number});
     }
-    return moved;
+    return isAnyAdvanced;
 }
 
-// ---- the servers' part
+// ---- The servers' side.
 
 auto ServerModel::parseRequest(const std::string& bytes) -> std::optional<ParsedRequest> {
     auto parser = http::request_parser<http::string_body>();
-    auto ec = beast::error_code();
+    auto error = beast::error_code();
     parser.eager(true);
-    auto used = parser.put(asio::buffer(bytes), ec);
-    if (ec || !parser.is_done() || used != bytes.size()) return std::nullopt;
-    auto& q = parser.get();
-    return ParsedRequest{std::string(q["X-Try"]), std::string(q.method_string()), std::string(q.target()),
-        q.body(), std::string(q["Last-Event-Id"]), std::string(q["X-Left"])};
+    auto used = parser.put(asio::buffer(bytes), error);
+    if (error || !parser.is_done() || used != bytes.size()) return std::nullopt;
+    auto& request = parser.get();
+    return ParsedRequest{std::string(request["X-Try"]), std::string(request.method_string()),
+        std::string(request.target()), request.body(), std::string(request["Last-Event-Id"]),
+        std::string(request["X-Left"])};
 }
 
-auto ServerModel::execute(const ParsedRequest& request, const ServerBehaviour& how) -> Run {
+auto ServerModel::execute(const ParsedRequest& request, const ServerBehaviour& behaviour) -> Run {
     auto run = Run();
-    run.status = how.status;
-    run.executed = how.status != MISDIRECTED;  // by which a server says that it did not run it
-    run.seal = fmt::format("seal-{}-{}", request.id, runs_.size());
-    if (isStream(path_) && how.status == 200) {
-        auto after = request.lastEvent.empty() ? 0 : std::stoi(request.lastEvent);
-        run.body = streamText(request.id, after);
-    } else if (how.status != NO_CONTENT) run.body = fmt::format("run {} of {}", runs_.size(), request.id);
+    run.status = behaviour.status;
+    // By this status a server states that it did not run the request.
+    run.isExecuted = behaviour.status != MISDIRECTED;
+    run.seal = fmt::format("seal-{}-{}", request.name, runs_.size());
+    if (isStream(path_) && behaviour.status == 200) {
+        auto after = request.lastEventId.empty() ? 0 : std::stoi(request.lastEventId);
+        run.body = eventsText(request.name, after);
+    } else if (behaviour.status != NO_CONTENT)
+        run.body = fmt::format("run {} of {}", runs_.size(), request.name);
     runs_.push_back(run);
     return run;
 }
 
-// What a server sees of a request, and what it does.
-auto ServerModel::serve(Attempt& attempt, const std::string& bytes) -> void {
-    auto how = ServerBehaviour();
+// Checks the bytes of a request that reached a server, and responds by the script.
+auto ServerModel::serveRequest(Attempt& attempt, const std::string& bytes) -> void {
+    auto behaviour = ServerBehaviour();
     if (!script_.empty()) {
-        how = script_.front();
+        behaviour = script_.front();
         script_.erase(script_.begin());
     }
     auto request = parseRequest(bytes);
-    if (!request) return complain("the bytes sent are not one request");
-    if (request->id != id_ || request->method != "POST" || request->target != path_
+    if (!request) return reportViolation("the bytes sent are not exactly one request");
+    if (request->name != requestName_ || request->method != "POST" || request->target != path_
         || request->body != "body")
-        complain("a request of another identity or content was sent");
-    auto left = std::max<Microseconds>(1, (askedAt_ + DEADLINE - now) / MILLISECOND);
-    if (request->left.empty() || std::stoll(request->left) > left)
-        complain("more time was given than is left");
-    switch (how.kind) {
-    case Kind::Refuse:
-    case Kind::CutRequest: attempt.end = ConnectionEnd::Reset; return;
+        reportViolation("the request sent has another name or other content");
+    auto remainingMs = std::max<Microseconds>(1, (requestedAt_ + DEADLINE - now) / MILLISECOND);
+    if (request->remainingMs.empty() || std::stoll(request->remainingMs) > remainingMs)
+        reportViolation("the time limit sent is later than the client's deadline");
+    switch (behaviour.kind) {
+    case Kind::RefuseConnection:
+    case Kind::ResetRequest: attempt.end = ConnectionEnd::Reset; return;
     case Kind::Garbage:
         attempt.pieces.push_back("\x01\x02 no answer\r\n\r\n");
-        attempt.end = how.end;
+        attempt.end = behaviour.end;
         return;
-    default: return serveAnswer(attempt, *request, how);
+    default: return sendResponse(attempt, *request, behaviour);
     }
 }
 
-auto ServerModel::serveAnswer(Attempt& attempt, const ParsedRequest& request, const ServerBehaviour& how)
-    -> void {
-    auto run = Run{how.status, "seal-declined", "declined", false};
-    auto declined = how.kind == Kind::Decline;
-    if (declined) runs_.push_back(run);
-    else run = execute(request, how);
-    auto name = how.kind == Kind::OtherIdentity ? std::string("another")
-        : how.kind == Kind::NoIdentity          ? ""
-                                                : request.id;
-    auto make = [&](const std::string& id) {
-        return answerText(id, run.status, run.seal, run.body, isStream(path_), how.unframed, declined);
+auto ServerModel::sendResponse(
+    Attempt& attempt, const ParsedRequest& request, const ServerBehaviour& behaviour) -> void {
+    auto run = Run{behaviour.status, "seal-declined", "declined", false};
+    auto isDeclined = behaviour.kind == Kind::Decline;
+    if (isDeclined) runs_.push_back(run);
+    else run = execute(request, behaviour);
+    auto name = behaviour.kind == Kind::WrongIdentity ? std::string("another")
+        : behaviour.kind == Kind::NoIdentity          ? ""
+                                                      : request.name;
+    auto responseNaming = [&](const std::string& requestName) {
+        return responseText(
+            requestName, run.status, run.seal, run.body, isStream(path_), behaviour.unframed, isDeclined);
     };
-    auto text = make(name), second = make(how.nameless ? "" : name);
-    auto cut = std::min(how.at, text.size());
-    if (cut > 0) attempt.pieces.push_back(text.substr(0, cut));
-    switch (how.kind) {
-    case Kind::CutAnswer:
+    auto response = responseNaming(name), second = responseNaming(behaviour.isSecondUnnamed ? "" : name);
+    auto firstLength = std::min(behaviour.offset, response.size());
+    if (firstLength > 0) attempt.pieces.push_back(response.substr(0, firstLength));
+    switch (behaviour.kind) {
+    case Kind::TruncateResponse:
     case Kind::Decline:
-        if (how.at != std::string::npos || how.unframed) attempt.end = how.end;
+        if (behaviour.offset != std::string::npos || behaviour.unframed) attempt.end = behaviour.end;
         return;
-    case Kind::StallAnswer: return;
-    case Kind::AnswerTwice: attempt.pieces.back() += second; return;
-    case Kind::AnswerLate: attempt.pieces.push_back(second); return;
-    case Kind::AnswerLateOn: attempt.link->atNextSend = second; return;
+    case Kind::StallResponse: return;
+    case Kind::RespondTwice: attempt.pieces.back() += second; return;
+    case Kind::RespondAgainWhenIdle: attempt.pieces.push_back(second); return;
+    case Kind::RespondAgainOnReuse: attempt.connection->bytesAfterNextSend = second; return;
     default:
-        if (cut < text.size()) attempt.pieces.push_back(text.substr(cut));
-        if (how.unframed) attempt.end = ConnectionEnd::Closed;
+        if (firstLength < response.size()) attempt.pieces.push_back(response.substr(firstLength));
+        if (behaviour.unframed) attempt.end = ConnectionEnd::Closed;
     }
 }
 
-auto ServerModel::answerLength(const std::string& path, const ServerBehaviour& how) -> std::size_t {
-    auto id = fmt::format("t{}", requestCount + 1);
-    auto declined = how.kind == Kind::Decline;
-    auto stream = isStream(path);
-    auto body = declined              ? std::string("declined")
-        : stream && how.status == 200 ? streamText(id, 0)
-                                      : fmt::format("run 0 of {}", id);
-    auto seal = declined ? std::string("seal-declined") : fmt::format("seal-{}-0", id);
-    return answerText(id, how.status, seal, body, stream, how.unframed, declined).size();
+auto ServerModel::responseLength(const std::string& path, const ServerBehaviour& behaviour) -> std::size_t {
+    auto name = fmt::format("t{}", requestCount + 1);
+    auto isDeclined = behaviour.kind == Kind::Decline;
+    auto hasEvents = isStream(path) && behaviour.status == 200;
+    auto body = isDeclined ? std::string("declined")
+        : hasEvents        ? eventsText(name, 0)
+                           : fmt::format("run 0 of {}", name);
+    auto seal = isDeclined ? std::string("seal-declined") : fmt::format("seal-{}-0", name);
+    return responseText(name, behaviour.status, seal, body, isStream(path), behaviour.unframed, isDeclined)
+        .size();
 }
 
-// ---- the client's part, and the judge
+// ---- The client's side, and the checker.
 
-auto ServerModel::leave() -> void {
-    left_ = true;
-    edge->clientClosed(request_, now);
+auto ServerModel::disconnectClient() -> void {
+    isClientDisconnected_ = true;
+    edge->clientClosed(requestId_, now);
     for (auto& [key, attempt] : attempts_)
-        if (key.first == request_) complain("a send lives on though its client has left");
+        if (key.first == requestId_)
+            reportViolation("an attempt is still in flight although its client has disconnected");
 }
 
-auto ServerModel::play(const std::string& path, std::vector<ServerBehaviour> script, int leaveAfter)
+auto ServerModel::run(const std::string& path, std::vector<ServerBehaviour> script, int disconnectAfter)
     -> std::string {
-    constexpr auto MOST_STEPS = 400, AFTERWARDS = 3;
+    constexpr auto MAX_STEPS = 400, STEPS_AFTER_END = 3;
     script_ = std::move(script);
     path_ = path;
     runs_.clear();
-    complaint_.clear();
-    left_ = false;
-    sendsAfterLeaving_ = 0;
-    askedAt_ = now;
-    id_ = fmt::format("t{}", requestCount + 1);
-    request_ = sendRequest(path, isStream(path) ? Headers{{"X-Model", "m"}} : Headers{});
-    for (auto step = 0; step < MOST_STEPS && !outcome(request_) && !left_; step++) {
-        if (step == leaveAfter) leave();
-        else if (!advance()) EdgeFixture::step();
+    violation_.clear();
+    isClientDisconnected_ = false;
+    sendsAfterDisconnect_ = 0;
+    requestedAt_ = now;
+    requestName_ = fmt::format("t{}", requestCount + 1);
+    requestId_ = sendRequest(path, isStream(path) ? Headers{{"X-Model", "m"}} : Headers{});
+    for (auto step = 0; step < MAX_STEPS && !outcome(requestId_) && !isClientDisconnected_; step++) {
+        if (step == disconnectAfter) disconnectClient();
+        else if (!advanceAttempts()) EdgeFixture::step();
     }
-    // What was promised must hold afterwards, too.
-    for (auto i = 0; i < AFTERWARDS; i++)
-        if (!advance()) EdgeFixture::step();
-    return judge();
+    // A promise that the request did not run must also hold after its end.
+    for (auto i = 0; i < STEPS_AFTER_END; i++)
+        if (!advanceAttempts()) EdgeFixture::step();
+    return checkRequest();
 }
 
 auto ServerModel::executions() const -> int {
-    return int(std::count_if(runs_.begin(), runs_.end(), [](auto& run) { return run.executed; }));
+    return int(std::count_if(runs_.begin(), runs_.end(), [](auto& run) { return run.isExecuted; }));
 }
 
-auto ServerModel::judge() -> std::string {
-    lastFate_ = outcome(request_);
-    if (!isRepeatable(path_) && executions() > 1) complain("what may not be repeated ran twice");
-    if (sendsAfterLeaving_) complain("it was sent after its client had left");
-    if (counters.get("illegal_transitions_total")) complain("an illegal transition");
-    if (left_) return complaint_;
-    if (!lastFate_) complain("it never ended");
-    if (now > askedAt_ + DEADLINE + 250 * MILLISECOND) complain("it ended too late");
-    if (heads.count(request_)) judgeStream(whole.count(request_) > 0);
-    else if (replies.count(request_)) judgeReply(replies[request_]);
-    return complaint_;
+auto ServerModel::checkRequest() -> std::string {
+    lastOutcome_ = outcome(requestId_);
+    if (!isRepeatable(path_) && executions() > 1)
+        reportViolation("a request that is not repeatable ran twice");
+    if (sendsAfterDisconnect_) reportViolation("the request was sent after its client had disconnected");
+    if (counters.get("illegal_transitions_total")) reportViolation("an illegal transition was counted");
+    if (isClientDisconnected_) return violation_;
+    if (!lastOutcome_) reportViolation("the request never ended");
+    constexpr auto TOLERANCE = 250 * MILLISECOND;
+    if (now > requestedAt_ + DEADLINE + TOLERANCE) reportViolation("the request ended after its deadline");
+    if (heads.count(requestId_)) checkStream(whole.count(requestId_) > 0);
+    else if (replies.count(requestId_)) checkReply(replies[requestId_]);
+    return violation_;
 }
 
-auto ServerModel::judgeReply(const Reply& reply) -> void {
-    if (isPromise(reply.status) && !isRepeatable(path_) && executions() > 0)
-        complain("a promise was given of what has run");
+auto ServerModel::checkReply(const Reply& reply) -> void {
+    if (promisesNoRun(reply.status) && !isRepeatable(path_) && executions() > 0)
+        reportViolation("the status promises that the request did not run, but it ran");
     auto seal = headerOf(reply.headers, "X-Seal");
     if (seal == "-") {
-        if (reply.status < 400) complain("a success that is no server's");
+        if (reply.status < 400) reportViolation("the client received a success that no server sent");
         return;
     }
-    auto own = std::any_of(runs_.begin(), runs_.end(),
+    auto isFromServer = std::any_of(runs_.begin(), runs_.end(),
         [&](auto& run) { return run.seal == seal && run.status == reply.status && run.body == reply.body; });
-    if (!own) complain("the answer is not one that a server gave to this request");
+    if (!isFromServer) reportViolation("no server sent this response to this request");
 }
 
-auto ServerModel::judgeStream(bool isWhole) -> void {
-    auto seal = headerOf(heads[request_].second, "X-Seal");
-    auto own = std::any_of(runs_.begin(), runs_.end(), [&](auto& run) { return run.seal == seal; });
-    if (!own) complain("the head is not one that a server gave to this request");
-    auto& got = parts[request_];
-    auto expected = streamText(id_, 0);
-    if (isWhole && got != expected) complain("a stream looks whole and is not");
-    if (!expected.starts_with(got)) complain("events are missing, doubled, out of order or another's");
-    if (!got.empty() && !got.ends_with("\n\n")) complain("a part of an event was passed on");
+auto ServerModel::checkStream(bool isComplete) -> void {
+    auto seal = headerOf(heads[requestId_].second, "X-Seal");
+    auto isFromServer = std::any_of(runs_.begin(), runs_.end(), [&](auto& run) { return run.seal == seal; });
+    if (!isFromServer) reportViolation("no server sent this head to this request");
+    auto& received = parts[requestId_];
+    auto expected = eventsText(requestName_, 0);
+    if (isComplete && received != expected) reportViolation("a truncated stream ended like a complete one");
+    if (!expected.starts_with(received))
+        reportViolation("events are missing, repeated, out of order or of another request");
+    if (!received.empty() && !received.ends_with("\n\n"))
+        reportViolation("an incomplete event was forwarded");
 }
 
 }  // namespace duneturn
--- a/tests/routing/server_model.hpp
+++ b/tests/routing/server_model.hpp
@@ -1,7 +1,7 @@
 #pragma once
-// A model of servers that misbehave, joined to the real edge, the real reader of answers and the
-// real store of kept connections, without sockets. A script says what each server does next; a
-// judge that knows only the bytes on both sides says whether a request was treated properly.
+// Misbehaving servers connected to the real edge, the real response parser and the real pool of connections,
+// without sockets. A script states what each server does next. A checker that sees only the bytes on both
+// sides of the edge decides whether a request was handled correctly.
 #include <cstdint>
 #include <map>
 #include <memory>
@@ -20,111 +20,116 @@
 /// What a server does with the next request that reaches it.
 struct ServerBehaviour {
     enum Kind {
-        Answer,         ///< Answers in full; the first piece of the answer ends at `at`.
-        CutAnswer,      ///< Runs it, sends `at` bytes of the answer, and ends the connection.
-        StallAnswer,    ///< Runs it, sends `at` bytes of the answer, and says nothing more.
-        CutRequest,     ///< Resets once `at` bytes of the request were read; it did not run.
-        Decline,        ///< Says that it did not run it; ends the connection after `at` bytes, if told.
-        AnswerTwice,    ///< Sends the whole answer twice, at once.
-        AnswerLate,     ///< Answers, and again when the connection rests.
-        AnswerLateOn,   ///< Answers, and again just after the next request was written on it.
-        OtherIdentity,  ///< Answers in another request's name.
-        NoIdentity,     ///< Answers with a failure that names no request.
-        Garbage,        ///< Sends bytes that are no answer.
-        Refuse,         ///< Accepts no connection; one that rests ends unseen.
+        Respond,           ///< Responds completely; the first piece of the response ends at `offset`.
+        TruncateResponse,  ///< Runs the request, sends `offset` bytes of the response, ends the connection.
+        StallResponse,     ///< Runs the request, sends `offset` bytes of the response, then nothing more.
+        ResetRequest,      ///< Resets the connection before the request ran.
+        Decline,           ///< States that the request did not run; may end the connection at `offset`.
+        RespondTwice,      ///< Sends the complete response twice in one piece.
+        RespondAgainWhenIdle,  ///< Responds, and again when the connection is idle.
+        RespondAgainOnReuse,   ///< Responds, and again directly after the next request was written.
+        WrongIdentity,         ///< Responds in the name of another request.
+        NoIdentity,            ///< Responds without naming a request.
+        Garbage,               ///< Sends bytes that are not a response.
+        RefuseConnection,      ///< Refuses a new connection; resets a reused one.
     };
-    Kind kind = Answer;
-    std::size_t at = std::string::npos;
+    Kind kind = Respond;
+    std::size_t offset = std::string::npos;
     ConnectionEnd end = ConnectionEnd::Reset;
-    bool unframed = false;  ///< The answer has no length and ends with its connection.
+    bool unframed = false;  ///< The response has no length and ends with its connection.
     int status = 200;
-    bool nameless = false;  ///< The second answer names no request.
+    bool isSecondUnnamed = false;  ///< The second response names no request.
 };
 
-/// The model. One request is under way at a time; earlier ones leave connections and late bytes.
+/// The model. One request is in flight at a time; earlier ones leave idle connections and late bytes behind.
 class ServerModel : public EdgeFixture {
   public:
-    /// Faults of the daemon's part of the work, for seeing that they are found.
+    /// Injected faults of the connection code, to verify that the checker detects them.
     struct Faults {
-        bool keepAnyConnection = false;   ///< Connections are kept and reused unseen.
-        bool closeIsAlwaysWhole = false;  ///< A reset ends an answer as a close does.
+        bool reuseAnyConnection = false;  ///< Connections are kept and reused without a check.
+        bool treatResetAsClose = false;   ///< A reset ends a response like an orderly close.
     };
     Faults faults;
 
     ServerModel();
-    /// Plays one request of `path` against the servers' script until it ends, and judges it. Empty
-    /// if all was proper, else what was not.
-    /// `leaveAfter`: the client leaves after so many steps of the model.
-    auto play(const std::string& path, std::vector<ServerBehaviour> script, int leaveAfter = NEVER)
+    /// Sends one request for `path`, lets the servers follow the script until the request ends, and checks
+    /// how it was handled. Returns the first violation; empty if there was none. `disconnectAfter`: the
+    /// client disconnects after so many steps of the model.
+    auto run(const std::string& path, std::vector<ServerBehaviour> script, int disconnectAfter = NEVER)
         -> std::string;
-    /// How long the answer of a server that behaves so to a first run is, in bytes.
-    auto answerLength(const std::string& path, const ServerBehaviour& how = {}) -> std::size_t;
-    /// How the last request ended: its status, 1 for a whole stream, 2 for a cut one.
-    auto lastFate() const -> int { return lastFate_; }
-    /// Executions of the last request.
-    auto lastRuns() const -> int { return executions(); }
-    /// Connections that carried a further request.
-    int reused = 0;
+    /// The length in bytes of the response of a server that behaves like this to the first run of the next
+    /// request.
+    auto responseLength(const std::string& path, const ServerBehaviour& behaviour = {}) -> std::size_t;
+    /// How the last request ended: the status of the response, 1 for a complete stream, 2 for a truncated
+    /// one.
+    auto lastOutcome() const -> int { return lastOutcome_; }
+    /// How often the last request was executed.
+    auto lastExecutions() const -> int { return executions(); }
+    /// How often a connection was reused.
+    int reusedConnections = 0;
 
-    auto startAttempt(std::int64_t x, int a, const std::string& server, const std::string& addr)
-        -> void override;
-    auto cancelAttempt(std::int64_t x, int a) -> void override;
+    auto startAttempt(std::int64_t request, int attempt, const std::string& server,
+        const std::string& address) -> void override;
+    auto cancelAttempt(std::int64_t request, int attempt) -> void override;
 
-    static constexpr int EVENTS = 3;
+    static constexpr int EVENTS = 3;  // of a complete stream
     static constexpr int NEVER = 1 << 20;
 
   private:
-    struct Link {
-        bool open = true, used = false;
-        std::string unasked;     // what has come while nobody reads
-        std::string atNextSend;  // what comes right after the next request was written
+    struct Connection {
+        bool isOpen = true, isReused = false;
+        std::string unreadBytes;         // received while the connection was idle
+        std::string bytesAfterNextSend;  // arrive directly after the next request was written
     };
     struct Run {
         int status = 200;
-        std::string seal, body;
-        bool executed = true;
+        std::string seal;  // the value of the header X-Seal, unique for each run
+        std::string body;
+        bool isExecuted = true;
     };
     struct Attempt {
         std::int64_t request = 0;
         int number = 0;
         std::string server;
-        bool over = false;
-        std::shared_ptr<Link> link;
+        bool isOver = false;
+        std::shared_ptr<Connection> connection;
         std::unique_ptr<AnswerReader> reader;
-        std::vector<std::string> pieces;  // still to come
+        std::vector<std::string> pieces;  // of the response, not received yet
         std::optional<ConnectionEnd> end;
     };
     struct ParsedRequest {
-        std::string id, method, target, body, lastEvent, left;
+        std::string name, method, target, body, lastEventId, remainingMs;
     };
 
     auto connect(Attempt& attempt) -> bool;
-    auto begin(Attempt& attempt) -> bool;
-    auto serve(Attempt& attempt, const std::string& bytes) -> void;
-    auto serveAnswer(Attempt& attempt, const ParsedRequest& request, const ServerBehaviour& how) -> void;
-    auto execute(const ParsedRequest& request, const ServerBehaviour& how) -> Run;
+    auto sendAttempt(Attempt& attempt) -> bool;
+    auto serveRequest(Attempt& attempt, const std::string& bytes) -> void;
+    auto sendResponse(Attempt& attempt, const ParsedRequest& request, const ServerBehaviour& behaviour)
+        -> void;
+    auto execute(const ParsedRequest& request, const ServerBehaviour& behaviour) -> Run;
     auto parseRequest(const std::string& bytes) -> std::optional<ParsedRequest>;
-    auto progress(Attempt& attempt) -> bool;
-    auto advance() -> bool;
-    auto leave() -> void;
+    auto receive(Attempt& attempt) -> bool;
+    auto advanceAttempts() -> bool;
+    auto disconnectClient() -> void;
     auto executions() const -> int;
-    auto judge() -> std::string;
-    auto judgeStream(bool whole) -> void;
-    auto judgeReply(const Reply& reply) -> void;
-    auto complain(const std::string& what) -> void {
-        if (complaint_.empty()) complaint_ = what;
+    auto checkRequest() -> std::string;
+    auto checkStream(bool isComplete) -> void;
+    auto checkReply(const Reply& reply) -> void;
+    auto reportViolation(const std::string& what) -> void {
+        if (violation_.empty()) violation_ = what;
     }
 
-    ConnectionPool<std::shared_ptr<Link>> kept_{
-        [this](auto& link) { return faults.keepAnyConnection || (link->open && link->unasked.empty()); }};
+    ConnectionPool<std::shared_ptr<Connection>> idleConnections_{[this](auto& connection) {
+        return faults.reuseAnyConnection || (connection->isOpen && connection->unreadBytes.empty());
+    }};
     std::vector<ServerBehaviour> script_;
     std::map<std::pair<std::int64_t, int>, std::shared_ptr<Attempt>> attempts_;
     std::vector<Run> runs_;
-    std::int64_t request_ = 0;
-    std::string path_, id_, complaint_;
-    Microseconds askedAt_ = 0;
-    int lastFate_ = 0, sendsAfterLeaving_ = 0;
-    bool left_ = false;
+    std::int64_t requestId_ = 0;
+    std::string path_, requestName_, violation_;
+    Microseconds requestedAt_ = 0;
+    int lastOutcome_ = 0, sendsAfterDisconnect_ = 0;
+    bool isClientDisconnected_ = false;
 };
 
 }  // namespace duneturn
--- a/tests/routing/server_model_test.cpp
+++ b/tests/routing/server_model_test.cpp
@@ -1,5 +1,5 @@
-// Servers that cut, reset, stall, decline, answer twice and answer late, at every byte of their
-// answers, for requests that may be repeated, that may not, and that may be resumed.
+// Servers that truncate, reset, stall or decline at every byte of a response, or that respond twice or late,
+// for requests that are repeatable, not repeatable, and resumable.
 #include <cstdint>
 #include <functional>
 #include <map>
@@ -19,201 +19,209 @@
 using Script = std::vector<ServerBehaviour>;
 
 constexpr auto PATHS = std::array{"/once", "/safe", "/stream", "/resumable"};
-// A model's budget of further sends is finite, and its clock runs on.
-constexpr auto PLAYS_EACH = 400;
+// A model is replaced after so many requests, since its retry budget is finite and its virtual time advances.
+constexpr auto REQUESTS_PER_MODEL = 400;
 
-// Plays many requests, on a fresh model now and then, and sums up how they ended.
-class Campaign {
+// Runs many requests, with a new model from time to time, and counts how they ended.
+class ModelRunner {
   public:
     using Setup = std::function<void(ServerModel&)>;
-    explicit Campaign(Setup setup = {}) : setup_(std::move(setup)) { renew(); }
-
-    auto play(const std::string& path, const Script& script, int leaveAfter = ServerModel::NEVER) -> void {
-        if (++plays_ % PLAYS_EACH == 0) renew();
-        auto complaint = model_->play(path, script, leaveAfter);
-        fates[path][model_->lastFate()]++;
-        if (complaint.empty()) return;
-        faults++;
-        if (first.empty()) {
-            first = fmt::format("{}: {}, with", path, complaint);
-            for (auto& b : script)
-                first += fmt::format(" kind {} at {} end {} unframed {} status {}", int(b.kind),
-                    std::int64_t(b.at), int(b.end), b.unframed, b.status);
-        }
+    explicit ModelRunner(Setup setup = {}) : setup_(std::move(setup)) { renewModel(); }
+
+    auto run(const std::string& path, const Script& script, int disconnectAfter = ServerModel::NEVER)
+        -> void {
+        if (++requests_ % REQUESTS_PER_MODEL == 0) renewModel();
+        auto violation = model_->run(path, script, disconnectAfter);
+        outcomes[path][model_->lastOutcome()]++;
+        if (violation.empty()) return;
+        violations++;
+        if (!firstViolation.empty()) return;
+        firstViolation = fmt::format("{}: {}, with", path, violation);
+        for (auto& behaviour : script)
+            firstViolation +=
+                fmt::format(" kind {} offset {} end {} unframed {} status {}", int(behaviour.kind),
+                    std::int64_t(behaviour.offset), int(behaviour.end), behaviour.unframed, behaviour.status);
     }
     auto model() -> ServerModel& { return *model_; }
-    /// Requests that were treated wrongly, and what was wrong of the first.
-    int faults = 0;
-    std::string first;
-    std::map<std::string, std::map<int, int>> fates;
-    int reused = 0;
+    /// Requests that were handled incorrectly, and a description of the first.
+    int violations = 0;
+    std::string firstViolation;
+    std::map<std::string, std::map<int, int>> outcomes;  // counts by path and outcome
+    int reusedConnections = 0;                           // in the models that were replaced
 
   private:
-    auto renew() -> void {
-        if (model_) reused += model_->reused;
+    auto renewModel() -> void {
+        if (model_) reusedConnections += model_->reusedConnections;
         model_ = std::make_unique<ServerModel>();
         if (setup_) setup_(*model_);
     }
     Setup setup_;
     std::unique_ptr<ServerModel> model_;
-    int plays_ = 0;
+    int requests_ = 0;
 };
 
-// Every place at which an answer may be cut, and how.
-auto cutEverywhere(Campaign& c, const Script& afterwards) -> void {
+// Truncates the response after each number of bytes, in each way.
+auto truncateEverywhere(ModelRunner& runner, const Script& afterwards) -> void {
     for (std::string path : PATHS)
         for (auto unframed : {false, true}) {
-            auto whole = c.model().answerLength(path, {Kind::CutAnswer, 0, ConnectionEnd::Reset, unframed});
-            for (auto at = std::size_t(0); at <= whole; at++)
+            auto length = runner.model().responseLength(
+                path, {Kind::TruncateResponse, 0, ConnectionEnd::Reset, unframed});
+            for (auto offset = std::size_t(0); offset <= length; offset++)
                 for (auto end : {ConnectionEnd::Reset, ConnectionEnd::Closed}) {
-                    // An answer without a length that is closed early cannot be told from a whole one.
+                    // A response without a length that is closed early looks like a complete one.
                     if (unframed && end == ConnectionEnd::Closed) continue;
-                    auto script = Script{{Kind::CutAnswer, at, end, unframed}};
+                    auto script = Script{{Kind::TruncateResponse, offset, end, unframed}};
                     script.insert(script.end(), afterwards.begin(), afterwards.end());
-                    c.play(path, script);
+                    runner.run(path, script);
                 }
         }
 }
 
-auto declineEverywhere(Campaign& c) -> void {
+auto declineEverywhere(ModelRunner& runner) -> void {
     for (std::string path : PATHS) {
-        auto whole = c.model().answerLength(path, {Kind::Decline, 0, ConnectionEnd::Reset, false, 503});
-        for (auto at = std::size_t(0); at <= whole; at++)
+        auto length =
+            runner.model().responseLength(path, {Kind::Decline, 0, ConnectionEnd::Reset, false, 503});
+        for (auto offset = std::size_t(0); offset <= length; offset++)
             for (auto end : {ConnectionEnd::Reset, ConnectionEnd::Closed})
-                c.play(path, {{Kind::Decline, at, end, false, 503}});
+                runner.run(path, {{Kind::Decline, offset, end, false, 503}});
     }
 }
 
-auto splitEverywhere(Campaign& c) -> void {
+auto splitEverywhere(ModelRunner& runner) -> void {
     for (std::string path : PATHS)
         for (auto unframed : {false, true}) {
-            auto whole = c.model().answerLength(path, {Kind::Answer, 0, ConnectionEnd::Closed, unframed});
-            for (auto at = std::size_t(0); at <= whole; at++)
-                c.play(path, {{Kind::Answer, at, ConnectionEnd::Closed, unframed}});
+            auto length =
+                runner.model().responseLength(path, {Kind::Respond, 0, ConnectionEnd::Closed, unframed});
+            for (auto offset = std::size_t(0); offset <= length; offset++)
+                runner.run(path, {{Kind::Respond, offset, ConnectionEnd::Closed, unframed}});
         }
 }
 
-auto stallEverywhere(Campaign& c) -> void {
+auto stallEverywhere(ModelRunner& runner) -> void {
     for (std::string path : PATHS) {
-        auto whole = c.model().answerLength(path);
-        for (auto at = std::size_t(0); at < whole; at++) c.play(path, {{Kind::StallAnswer, at}});
+        auto length = runner.model().responseLength(path);
+        for (auto offset = std::size_t(0); offset < length; offset++)
+            runner.run(path, {{Kind::StallResponse, offset}});
     }
 }
 
-// One request leaves something behind on its connection; the next one finds it.
-auto surplusOnReuse(Campaign& c) -> void {
-    for (auto kind : {Kind::AnswerTwice, Kind::AnswerLate, Kind::AnswerLateOn})
+// One request leaves surplus bytes on its connection, which the next request on it finds.
+auto surplusOnReuse(ModelRunner& runner) -> void {
+    for (auto kind : {Kind::RespondTwice, Kind::RespondAgainWhenIdle, Kind::RespondAgainOnReuse})
         for (std::string before : {"/safe", "/resumable", "/once"})
             for (std::string path : PATHS)
                 for (auto status : {200, 500, 404})
-                    for (auto nameless : {false, true}) {
+                    for (auto isSecondUnnamed : {false, true}) {
                         auto first =
                             ServerBehaviour{kind, std::string::npos, ConnectionEnd::Reset, false, status};
-                        first.nameless = nameless;
-                        for (auto i = 0; i < 3; i++) c.play(before, {first});
-                        for (auto i = 0; i < 3; i++) c.play(path, {});
-                        c.play(path, {{Kind::CutRequest}, {Kind::CutRequest}});
+                        first.isSecondUnnamed = isSecondUnnamed;
+                        for (auto i = 0; i < 3; i++) runner.run(before, {first});
+                        for (auto i = 0; i < 3; i++) runner.run(path, {});
+                        runner.run(path, {{Kind::ResetRequest}, {Kind::ResetRequest}});
                     }
 }
 
-auto otherFaults(Campaign& c) -> void {
+auto otherFaults(ModelRunner& runner) -> void {
     for (std::string path : PATHS)
-        for (auto kind :
-            {Kind::OtherIdentity, Kind::NoIdentity, Kind::Garbage, Kind::Refuse, Kind::CutRequest})
+        for (auto kind : {Kind::WrongIdentity, Kind::NoIdentity, Kind::Garbage, Kind::RefuseConnection,
+                 Kind::ResetRequest})
             for (auto status : {200, 204, 400, 408, 421, 429, 500, 503})
-                for (auto second : {Kind::Answer, Kind::Refuse, Kind::CutAnswer, Kind::Garbage}) {
+                for (auto second :
+                    {Kind::Respond, Kind::RefuseConnection, Kind::TruncateResponse, Kind::Garbage}) {
                     auto one = ServerBehaviour{kind, std::string::npos, ConnectionEnd::Closed, false, status};
                     auto two = ServerBehaviour{second, 30, ConnectionEnd::Reset, false, 200};
-                    c.play(path, {one, two});
-                    c.play(path, {two, one});
-                    c.play(
-                        path, {{Kind::Answer, std::string::npos, ConnectionEnd::Closed, false, status}, one});
+                    runner.run(path, {one, two});
+                    runner.run(path, {two, one});
+                    runner.run(path,
+                        {{Kind::Respond, std::string::npos, ConnectionEnd::Closed, false, status}, one});
                 }
 }
 
-auto clientsLeave(Campaign& c) -> void {
+auto clientsDisconnect(ModelRunner& runner) -> void {
     for (std::string path : PATHS)
         for (auto steps = 0; steps < 12; steps++)
-            for (auto kind : {Kind::Answer, Kind::StallAnswer, Kind::CutAnswer, Kind::Refuse})
-                c.play(path, {{kind, 60}, {Kind::StallAnswer, 90}}, steps);
+            for (auto kind :
+                {Kind::Respond, Kind::StallResponse, Kind::TruncateResponse, Kind::RefuseConnection})
+                runner.run(path, {{kind, 60}, {Kind::StallResponse, 90}}, steps);
 }
 
-auto everything(Campaign& c) -> void {
-    cutEverywhere(c, {});
-    cutEverywhere(c, {{Kind::CutAnswer, 120}});
-    declineEverywhere(c);
-    splitEverywhere(c);
-    surplusOnReuse(c);
-    otherFaults(c);
-    clientsLeave(c);
+auto allFaults(ModelRunner& runner) -> void {
+    truncateEverywhere(runner, {});
+    truncateEverywhere(runner, {{Kind::TruncateResponse, 120}});
+    declineEverywhere(runner);
+    splitEverywhere(runner);
+    surplusOnReuse(runner);
+    otherFaults(runner);
+    clientsDisconnect(runner);
 }
 
 }  // namespace
 
-TEST(ServerModel, everyByte) {
-    auto c = Campaign();
-    everything(c);
-    stallEverywhere(c);
-    CPPUNIT_ASSERT_EQUAL_MESSAGE(c.first, 0, c.faults);
-    // The model reaches what it is for.
-    CHECK(c.reused > 100);
+// Whatever the servers do, no request is handled incorrectly.
+TEST(ServerModel, everyFaultAtEveryByte) {
+    auto runner = ModelRunner();
+    allFaults(runner);
+    stallEverywhere(runner);
+    CPPUNIT_ASSERT_EQUAL_MESSAGE(runner.firstViolation, 0, runner.violations);
+    // The scripts reach all kinds of outcomes.
+    CHECK(runner.reusedConnections > 100);
     for (std::string path : PATHS) {
-        auto stream = path == "/stream" || path == "/resumable";
-        CHECK(c.fates[path][stream ? 1 : 200] > 300);
+        auto isStream = path == "/stream" || path == "/resumable";
+        CHECK(runner.outcomes[path][isStream ? 1 : 200] > 300);
     }
-    CHECK(c.fates["/once"][502] > 300);
-    CHECK(c.fates["/stream"][2] > 100);
-    CHECK(c.fates["/resumable"][1] > c.fates["/stream"][1]);
+    CHECK(runner.outcomes["/once"][502] > 300);
+    CHECK(runner.outcomes["/stream"][2] > 100);
+    CHECK(runner.outcomes["/resumable"][1] > runner.outcomes["/stream"][1]);
 }
 
-// What the servers' faults lead to, one by one.
-TEST(ServerModel, endings) {
-    auto c = Campaign();
-    auto& m = c.model();
-    auto fate = [&](const std::string& path, const Script& script) {
-        CHECK_EQ(std::string(), m.play(path, script));
-        return m.lastFate();
+// The outcome of each kind of fault.
+TEST(ServerModel, outcomesOfSingleFaults) {
+    auto runner = ModelRunner();
+    auto& model = runner.model();
+    auto outcomeOf = [&](const std::string& path, const Script& script) {
+        CHECK_EQ(std::string(), model.run(path, script));
+        return model.lastOutcome();
     };
-    // An answer without a length ends with its connection; a reset one is not complete.
-    auto unframed = ServerBehaviour{Kind::Answer, std::string::npos, ConnectionEnd::Closed, true};
-    CHECK_EQ(200, fate("/once", {unframed}));
-    CHECK_EQ(1, fate("/stream", {unframed}));
-    auto reset = ServerBehaviour{Kind::CutAnswer, std::string::npos, ConnectionEnd::Reset, true};
-    CHECK_EQ(502, fate("/once", {reset}));
-    CHECK_EQ(2, fate("/stream", {reset}));
-    CHECK_EQ(200, fate("/safe", {reset}));
-    // The head of a declined request says enough, whatever becomes of the rest.
+    // A response without a length ends when its connection is closed; after a reset it is not complete.
+    auto unframed = ServerBehaviour{Kind::Respond, std::string::npos, ConnectionEnd::Closed, true};
+    CHECK_EQ(200, outcomeOf("/once", {unframed}));
+    CHECK_EQ(1, outcomeOf("/stream", {unframed}));
+    auto reset = ServerBehaviour{Kind::TruncateResponse, std::string::npos, ConnectionEnd::Reset, true};
+    CHECK_EQ(502, outcomeOf("/once", {reset}));
+    CHECK_EQ(2, outcomeOf("/stream", {reset}));
+    CHECK_EQ(200, outcomeOf("/safe", {reset}));
+    // The head of the response proves that the request was declined, even if the rest is lost.
     auto declined = ServerBehaviour{Kind::Decline, 0, ConnectionEnd::Reset, false, 503};
-    declined.at = m.answerLength("/once", declined) - 3;
-    CHECK_EQ(200, fate("/once", {declined}));
-    CHECK_EQ(1, fate("/stream", {declined, declined}));
-    CHECK_EQ(503, fate("/once", {declined, declined, declined}));
-    // After a reset nothing tells.
-    CHECK_EQ(502, fate("/once", {{Kind::CutRequest}}));
-    CHECK_EQ(200, fate("/safe", {{Kind::CutRequest}}));
-    // Silence ends nothing of what may not be repeated before its time.
-    CHECK_EQ(504, fate("/once", {{Kind::StallAnswer, 0}}));
-    CHECK_EQ(200, fate("/safe", {{Kind::StallAnswer, 0}}));
+    declined.offset = model.responseLength("/once", declined) - 3;
+    CHECK_EQ(200, outcomeOf("/once", {declined}));
+    CHECK_EQ(1, outcomeOf("/stream", {declined, declined}));
+    CHECK_EQ(503, outcomeOf("/once", {declined, declined, declined}));
+    // After a reset it is unknown whether the request ran.
+    CHECK_EQ(502, outcomeOf("/once", {{Kind::ResetRequest}}));
+    CHECK_EQ(200, outcomeOf("/safe", {{Kind::ResetRequest}}));
+    // A silent server does not end a request that is not repeatable before its deadline.
+    CHECK_EQ(504, outcomeOf("/once", {{Kind::StallResponse, 0}}));
+    CHECK_EQ(200, outcomeOf("/safe", {{Kind::StallResponse, 0}}));
 }
 
-// Each fault that the model is for is found.
-TEST(BrokenServerModel, isSeen) {
-    auto found = [](const Campaign::Setup& setup) {
-        auto c = Campaign(setup);
-        everything(c);
-        c.play("/once", {{Kind::StallAnswer, 0}});
-        return c.faults;
+// The checker detects each injected fault.
+TEST(BrokenServerModel, injectedFaultsAreDetected) {
+    auto countViolations = [](const ModelRunner::Setup& setup) {
+        auto runner = ModelRunner(setup);
+        allFaults(runner);
+        runner.run("/once", {{Kind::StallResponse, 0}});
+        return runner.violations;
     };
-    CHECK(found([](auto& m) { m.edge->broken.retryNonRepeatable = true; }) > 0);
-    CHECK(found([](auto& m) { m.edge->broken.silenceMeansNotArrived = true; }) > 0);
-    CHECK(found([](auto& m) { m.edge->broken.ignoreRequestIdentity = true; }) > 0);
-    CHECK(found([](auto& m) {
-        m.edge->broken.joinUnorderedEvents = true, m.edge->broken.retryNonRepeatable = true;
+    CHECK(countViolations([](auto& model) { model.edge->broken.retryNonRepeatable = true; }) > 0);
+    CHECK(countViolations([](auto& model) { model.edge->broken.silenceMeansNotArrived = true; }) > 0);
+    CHECK(countViolations([](auto& model) { model.edge->broken.ignoreRequestIdentity = true; }) > 0);
+    CHECK(countViolations([](auto& model) {
+        model.edge->broken.joinUnorderedEvents = true, model.edge->broken.retryNonRepeatable = true;
     }) > 0);
-    CHECK(found([](auto& m) { m.edge->broken.truncatedLooksComplete = true; }) > 0);
-    CHECK(found([](auto& m) { m.faults.closeIsAlwaysWhole = true; }) > 0);
-    CHECK(found([](auto& m) {
-        m.faults.keepAnyConnection = true, m.edge->broken.ignoreRequestIdentity = true;
+    CHECK(countViolations([](auto& model) { model.edge->broken.truncatedLooksComplete = true; }) > 0);
+    CHECK(countViolations([](auto& model) { model.faults.treatResetAsClose = true; }) > 0);
+    CHECK(countViolations([](auto& model) {
+        model.faults.reuseAnyConnection = true, model.edge->broken.ignoreRequestIdentity = true;
     }) > 0);
 }
 
