--- a/src/routing/migration.cpp
+++ b/src/routing/migration.cpp
@@ -11,8 +11,8 @@
 namespace duneturn {
 namespace {
 
-// How long a server may be silent where the configuration does not say: a share of the latency target, but at
-// least some multiple of the service's median, and never less than a minimum.
+// How long a server may be silent if the configuration does not set an idle timeout: a share of the latency
+// target, but not less than a multiple of the service's median or than a minimum.
 constexpr auto EVENT_GAP_TARGET_SHARE = 0.6;
 constexpr auto EVENT_GAP_MEDIANS = 8;
 constexpr auto MIN_EVENT_GAP_TIMEOUT = double(150 * MILLISECOND);
@@ -21,7 +21,7 @@
 constexpr auto MIN_FIRST_BYTE_TIMEOUT = double(200 * MILLISECOND);
 constexpr auto PROMPT_READING_MARGIN = 2;  // times the time that the engine needs to read the prompt
 
-// When a stream migrates away from a slow server.
+// When a server counts as so slow that a stream migrates away from it.
 constexpr auto GAP_SMOOTHING = ExponentialSmoothing{0.8, 0.2};
 constexpr auto MIN_GAP_SAMPLES = 8;  // events of an attempt before its smoothed gap is compared
 constexpr auto MIN_SLOW_GAP = double(100 * MILLISECOND);  // a shorter gap is never too slow
@@ -54,17 +54,17 @@
 
 auto Migration::resumeForClient(
     Request& request, const std::string& lastEventId, const std::string& weights) const -> std::string {
-    auto last = parseNumber(lastEventId);
+    auto lastId = parseNumber(lastEventId);
     request.limits.resumedByClient = true;
     request.attempts.sent = request.attempts.migrations = 1;
-    request.relayed.lastEventId = last;
+    request.relayed.lastEventId = lastId;
     request.relayed.weights = weights;
-    request.limits.sequenceTokens += std::max<std::int64_t>(0, last);
+    request.limits.sequenceTokens += std::max<std::int64_t>(0, lastId);
     if (faults_.resumeUnchecked) return "";
     auto& route = request.route;
     if (!route.resumable)
         return "streams of this route are not resumable; send the request again without Last-Event-Id";
-    if (last < 0) return "Last-Event-Id is not the number of an event";
+    if (lastId < 0) return "Last-Event-Id is not the number of an event";
     if (weights.empty()) return "the header X-Weights, with the value received with the stream, is missing";
     if (route.migrationLimit < 1 || route.maxAttempts < 2) return "streams of this route may not migrate";
     if (request.limits.sequenceTokens > route.maxSequenceTokens)
@@ -82,10 +82,10 @@
     auto& limits = request.limits;
     limits.sequenceTokens += tokensPerEvent(request, event);
     if (limits.sequenceTokens > request.route.maxSequenceTokens) {
-        auto wasMovable = !limits.migrationDisabled;
+        auto couldMigrate = !limits.migrationDisabled;
         limits.migrationDisabled = true;
         request.relayed.events.clear();
-        return wasMovable;
+        return couldMigrate;
     }
     if (request.migrationsLeft() > 0) request.relayed.events.push_back(event.raw);
     return false;
--- a/src/routing/retry.cpp
+++ b/src/routing/retry.cpp
@@ -167,8 +167,8 @@
             onConnectionRefused(request.id, attempts.current, now);
         return;
     }
-    auto mayMove = request.retryRights().repeatable || broken.silenceMeansNotArrived;
-    if (!mayMove || silence < migration_.silenceTimeout(request)) return;
+    auto mayMigrate = request.retryRights().repeatable || broken.silenceMeansNotArrived;
+    if (!mayMigrate || silence < migration_.silenceTimeout(request)) return;
     attempts.nextStallCheckAt = now + SILENCE_CHECK_INTERVAL;
     if (!canRetryElsewhere(request, AttemptEvent::ServerSilent, now)) return;
     statistics_.of(attempts.server).ejection.lowerHealthScore(CONNECTION_LOST_FACTOR, now);
