--- a/src/membership/node_context.hpp
+++ b/src/membership/node_context.hpp
@@ -24,14 +24,14 @@
 
 /// Deliberate faults that the tests' oracles must see; none is set outside tests.
 struct MembershipFaults {
-    bool noLease = false;          // acts on what it holds without any confirmation
-    bool ackEarly = false;         // acknowledges before the majorities hold a change
-    bool acceptOldState = false;   // lets an older replicated state replace a newer one
-    bool lateUp = false;           // takes a listing that a newer one has superseded
-    bool wholeStatesOnly = false;  // sends the state whole, as programs before StateChange do
-    bool applyAnyBase = false;     // applies steps of the state to another version than they rest on
-    bool ignoreDigest = false;     // takes what steps lead to without comparing its digest
-    bool oldBoot = false;          // keeps an incarnation number that peers have already seen
+    bool noLease = false;                  // acts on what it holds without any confirmation
+    bool ackEarly = false;                 // acknowledges before the majorities hold a change
+    bool acceptOldState = false;           // lets an older replicated state replace a newer one
+    bool acceptSupersededListing = false;  // takes a listing that a newer one has superseded
+    bool wholeStatesOnly = false;          // sends the state whole, as programs before StateChange do
+    bool applyAnyBase = false;             // applies steps of the state to another version than they rest on
+    bool ignoreDigest = false;             // takes what steps lead to without comparing its digest
+    bool oldBoot = false;                  // keeps an incarnation number that peers have already seen
 };
 
 /// The members whose majorities count, by the replicated state held here.
--- a/src/membership/roster_membership.cpp
+++ b/src/membership/roster_membership.cpp
@@ -291,7 +291,7 @@
 /// newer is known, so that this was held up on its way.
 auto RosterMembership::nextRevision(std::int64_t platformRevision) const -> std::int64_t {
     auto top = context_.directory.topRevision();
-    if (!platformRevision || context_.faults.lateUp) return top + 1;
+    if (!platformRevision || context_.faults.acceptSupersededListing) return top + 1;
     return platformRevision > top ? platformRevision : -1;
 }
 
--- a/src/sim/machine.cpp
+++ b/src/sim/machine.cpp
@@ -57,7 +57,7 @@
     edge->broken.resumeUnchecked = b == "resume-any";
     edge->broken.leakQueueSlots = b == "queue-leak";
     edge->broken.ignoreWeightsVersion = b == "any-weights";
-    node->broken.lateUp = b == "late-up";
+    node->broken.acceptSupersededListing = b == "late-up";
     edge->broken.rejectEverything = b == "no-serve" && w.t > 30 * SECOND;
     edge->broken.illegalPhaseChange = b == "bad-step";
     node->broken.oldBoot = b == "old-boot";
