--- a/src/membership/lease.cpp
+++ b/src/membership/lease.cpp
@@ -58,7 +58,7 @@
 
 auto majorityHolds(const NodeContext& context, MajorityProof& proof,
     const std::function<bool(const wire::NodeRecord&)>& holds, Microseconds now) -> bool {
-    if (context.faults.ackEarly) return true;
+    if (context.faults.ackBeforeMajorities) return true;
     if (!proof.begun) {
         beginProof(context, proof, holds, now);
         return false;
--- a/src/membership/node_context.hpp
+++ b/src/membership/node_context.hpp
@@ -25,7 +25,7 @@
 /// Deliberate faults that the tests' oracles must see; none is set outside tests.
 struct MembershipFaults {
     bool noLease = false;                  // acts on what it holds without any confirmation
-    bool ackEarly = false;                 // acknowledges before the majorities hold a change
+    bool ackBeforeMajorities = false;      // acknowledges before the majorities hold a change
     bool acceptOldState = false;           // lets an older replicated state replace a newer one
     bool acceptSupersededListing = false;  // takes a listing that a newer one has superseded
     bool wholeStatesOnly = false;          // sends the state whole, as programs before StateChange do
--- a/src/sim/machine.cpp
+++ b/src/sim/machine.cpp
@@ -44,7 +44,7 @@
         *node, *this, *ct, hash64(st.node, w.op.seed * 1000 + 500 + std::uint64_t(life)));
     auto& b = w.op.broken;
     node->broken.noLease = b == "no-lease";
-    node->broken.ackEarly = b == "ack-early";
+    node->broken.ackBeforeMajorities = b == "ack-early";
     node->broken.acceptOldState = b == "old-word";
     edge->broken.retryNonRepeatable = b == "resend-any";
     edge->broken.joinUnorderedEvents = b == "join-any";
