--- a/src/membership/node_context.cpp
+++ b/src/membership/node_context.cpp
@@ -94,7 +94,7 @@
     if (std::pair(boot, heartbeat) <= std::pair(own.boot, own.heartbeat)) return;
     if (!peer.empty() && peer != own.peer) counters.add("own_name_elsewhere_total");
     counters.add("boot_raised_total");
-    if (!faults.oldBoot) own.boot = boot + 1;
+    if (!faults.reuseIncarnation) own.boot = boot + 1;
 }
 
 }  // namespace duneturn
--- a/src/membership/node_context.hpp
+++ b/src/membership/node_context.hpp
@@ -31,7 +31,7 @@
     bool wholeStatesOnly = false;          // sends the state whole, as programs before StateChange do
     bool applyAnyBase = false;             // applies steps of the state to another version than they rest on
     bool ignoreDigest = false;             // takes what steps lead to without comparing its digest
-    bool oldBoot = false;                  // keeps an incarnation number that peers have already seen
+    bool reuseIncarnation = false;         // keeps an incarnation number that peers have already seen
 };
 
 /// The members whose majorities count, by the replicated state held here.
--- a/src/sim/machine.cpp
+++ b/src/sim/machine.cpp
@@ -60,7 +60,7 @@
     node->broken.acceptSupersededListing = b == "late-up";
     edge->broken.rejectEverything = b == "no-serve" && w.t > 30 * SECOND;
     edge->broken.illegalPhaseChange = b == "bad-step";
-    node->broken.oldBoot = b == "old-boot";
+    node->broken.reuseIncarnation = b == "old-boot";
     edge->broken.selectRandomly = w.op.place == "random";
     edge->broken.selectLeastLoaded = w.op.place == "least";
     top = {0, 0};
