--- a/src/membership/gossip_membership.cpp
+++ b/src/membership/gossip_membership.cpp
@@ -96,7 +96,7 @@
 
 auto GossipMembership::withinLease(Microseconds now) const -> bool {
     auto& state = context_.state;
-    if (context_.faults.noLease) return state.version > 0;
+    if (context_.faults.ignoreLease) return state.version > 0;
     if (context_.settings.serveOn) return state.configVersion() > 0;
     return state.version > 0 && context_.members.own().settled
         && majorityConfirms(context_, VotersCounted::SettledOnly, now);
--- a/src/membership/node_context.hpp
+++ b/src/membership/node_context.hpp
@@ -24,7 +24,7 @@
 
 /// Deliberate faults that the tests' oracles must see; none is set outside tests.
 struct MembershipFaults {
-    bool noLease = false;                  // acts on what it holds without any confirmation
+    bool ignoreLease = false;              // acts on what it holds without any confirmation
     bool ackBeforeMajorities = false;      // acknowledges before the majorities hold a change
     bool acceptOldState = false;           // lets an older replicated state replace a newer one
     bool acceptSupersededListing = false;  // takes a listing that a newer one has superseded
--- a/src/membership/roster_membership.cpp
+++ b/src/membership/roster_membership.cpp
@@ -267,7 +267,7 @@
 // ---- replicated state
 
 auto RosterMembership::withinLease(Microseconds now) const -> bool {
-    if (context_.faults.noLease) return context_.state.version > 0;
+    if (context_.faults.ignoreLease) return context_.state.version > 0;
     return context_.state.version > 0 && context_.members.own().settled
         && majorityConfirms(context_, VotersCounted::SettledOnly, now);
 }
--- a/src/sim/machine.cpp
+++ b/src/sim/machine.cpp
@@ -43,7 +43,7 @@
     edge = std::make_unique<Edge>(
         *node, *this, *ct, hash64(st.node, w.op.seed * 1000 + 500 + std::uint64_t(life)));
     auto& b = w.op.broken;
-    node->broken.noLease = b == "no-lease";
+    node->broken.ignoreLease = b == "no-lease";
     node->broken.ackBeforeMajorities = b == "ack-early";
     node->broken.acceptOldState = b == "old-word";
     edge->broken.retryNonRepeatable = b == "resend-any";
