--- a/src/membership/gossip_listing.cpp
+++ b/src/membership/gossip_listing.cpp
@@ -49,16 +49,16 @@
     listing.revision = server.listing.revision;
     listing.age = server.listing.age;
     listing.cold = server.listing.cold;
-    auto coldUntil = entry.coldMicroseconds > 0 ? now + entry.coldMicroseconds : 0;
-    auto heldColdUntil = server.coldUntil > now ? server.coldUntil : 0;
-    auto same = listing == server.listing && std::abs(coldUntil - heldColdUntil) < COLD_TOLERANCE;
+    auto slowStartUntil = entry.coldMicroseconds > 0 ? now + entry.coldMicroseconds : 0;
+    auto heldColdUntil = server.slowStartUntil > now ? server.slowStartUntil : 0;
+    auto same = listing == server.listing && std::abs(slowStartUntil - heldColdUntil) < COLD_TOLERANCE;
     server.listedAt = now;
     if (same && !server.listing.server.empty()) return;
     noteIncarnation(server, listing.inc, now);
     if (!raised) raised = raise();
     server.listing = listing;
     server.listing.revision = raised;
-    server.coldUntil = coldUntil;
+    server.slowStartUntil = slowStartUntil;
 }
 
 auto GossipListing::take(const PlatformListing& listing, Microseconds now) -> bool {
@@ -86,7 +86,7 @@
     noteIncarnation(server, listing.inc, now);
     server.listing = listing;
     server.listedAt = now - std::max<Microseconds>(0, listing.age);
-    server.coldUntil = listing.cold > 0 ? now + listing.cold : 0;
+    server.slowStartUntil = listing.cold > 0 ? now + listing.cold : 0;
 }
 
 auto GossipListing::merge(const wire::Heartbeat& heartbeat, Microseconds now) -> bool {
--- a/src/membership/roster_membership.cpp
+++ b/src/membership/roster_membership.cpp
@@ -213,7 +213,7 @@
     noteIncarnation(server, listing.inc, now);
     held = listing;
     server.listedAt = now - listing.age;
-    server.coldUntil = listing.cold > 0 ? now + listing.cold : 0;
+    server.slowStartUntil = listing.cold > 0 ? now + listing.cold : 0;
     listingTakenAt_ = std::max(listingTakenAt_, server.listedAt);
 }
 
@@ -317,7 +317,7 @@
     server.listing = entry.listing;
     server.listing.revision = revision;
     server.listedAt = now;
-    server.coldUntil = entry.coldMicroseconds >= 0 ? now + entry.coldMicroseconds : 0;
+    server.slowStartUntil = entry.coldMicroseconds >= 0 ? now + entry.coldMicroseconds : 0;
     return server.listing.state == LEAVING && !wasLeaving;
 }
 
--- a/src/membership/server_directory.cpp
+++ b/src/membership/server_directory.cpp
@@ -130,7 +130,7 @@
 auto agedListing(const KnownServer& server, Microseconds now) -> wire::ServerListing {
     auto listing = server.listing;
     listing.age = now - server.listedAt;
-    listing.cold = std::max<Microseconds>(0, server.coldUntil - now);
+    listing.cold = std::max<Microseconds>(0, server.slowStartUntil - now);
     return listing;
 }
 
--- a/src/membership/server_directory.hpp
+++ b/src/membership/server_directory.hpp
@@ -26,7 +26,7 @@
     wire::ServerLoad load;
     Microseconds loadReadAt = 0;      // when the load was read at the server; 0 if never
     int failedProbes = 0;             // one after another, by this node
-    Microseconds coldUntil = 0;       // as the platform said, on the clock of this node; 0 if it did not
+    Microseconds slowStartUntil = 0;  // as the platform said, on the clock of this node; 0 if it did not
     Microseconds loadReceivedAt = 0;  // gossip: when the load came here
     std::string loadReceivedFrom;     // gossip: who passed the load on
 };
--- a/src/routing/server_statistics.cpp
+++ b/src/routing/server_statistics.cpp
@@ -117,7 +117,7 @@
     if (auto text = header(headers, dialect.load); !text.empty()) readLoad(name, text, now);
     if (auto text = header(headers, dialect.coldMs); !text.empty())
         if (auto number = parseNumber(text); number >= 0)
-            statistics.coldUntil = number ? now + std::min(number, MOST_COLD_MS) * MILLISECOND : 0;
+            statistics.slowStartUntil = number ? now + std::min(number, MOST_COLD_MS) * MILLISECOND : 0;
 }
 
 // "RUNNING,WAITING,SLOTS".
--- a/src/routing/server_statistics.hpp
+++ b/src/routing/server_statistics.hpp
@@ -41,11 +41,11 @@
     Microseconds lastReceivedAt = 0;   ///< When it last answered.
     /// The revision of the listing under which another server answered at its address.
     std::int64_t wrongAddressRevision = -1;
-    Microseconds coldUntil = 0;      ///< As it said itself.
-    double coldBucket = 1;           ///< Requests that a cold one may still be sent; see SlowStart.
-    Microseconds coldBucketAt = 0;   ///< When the bucket was last filled.
-    double reservedTokens = 0;       ///< Of its memory that ours hold, beside what they share.
-    double pendingPromptTokens = 0;  ///< Of prompts sent to it that it has not begun to answer.
+    Microseconds slowStartUntil = 0;  ///< As it said itself.
+    double coldBucket = 1;            ///< Requests that a cold one may still be sent; see SlowStart.
+    Microseconds coldBucketAt = 0;    ///< When the bucket was last filled.
+    double reservedTokens = 0;        ///< Of its memory that ours hold, beside what they share.
+    double pendingPromptTokens = 0;   ///< Of prompts sent to it that it has not begun to answer.
     PrefixCache prefixCache;
 
     /// It was sent something that it has not answered for much longer than it usually takes.
--- a/src/routing/slow_start.cpp
+++ b/src/routing/slow_start.cpp
@@ -48,11 +48,11 @@
 auto SlowStart::isCold(
     const std::string& name, const KnownServer& server, const ServiceRule& rule, Microseconds now) -> bool {
     auto& statistics = statistics_.of(name);
-    if (server.coldUntil > server.listedAt && now < server.coldUntil + COLD_MARGIN) return true;
-    if (now < statistics.coldUntil + COLD_MARGIN && statistics.coldUntil > 0) return true;
+    if (server.slowStartUntil > server.listedAt && now < server.slowStartUntil + COLD_MARGIN) return true;
+    if (now < statistics.slowStartUntil + COLD_MARGIN && statistics.slowStartUntil > 0) return true;
     // New in our time, and nobody says how it is.
     auto isNew = listedAt_ && server.firstSeenAt > listedAt_ + SECOND;
-    if (!server.coldUntil && isNew && now < server.firstSeenAt + rule.coldDuration) return true;
+    if (!server.slowStartUntil && isNew && now < server.firstSeenAt + rule.coldDuration) return true;
     // Servers of a zone that is restored may have turned cold just before.
     auto restored = restoredZones_.find(server.listing.zone);
     return restored != restoredZones_.end()
--- a/tests/membership/gossip_listing_test.cpp
+++ b/tests/membership/gossip_listing_test.cpp
@@ -90,7 +90,7 @@
     CHECK_EQ(200, f.list(*l, {"s1", "s2"}, R"(,"coldUs":5000000)"));
     CHECK(f.until(400 * MILLISECOND, [&] { return f.listed("s1", UP) && f.listed("s2", UP); }));
     for (auto& b : f.nodes) {
-        auto left = b->n->servers().at("s1").coldUntil - f.t;
+        auto left = b->n->servers().at("s1").slowStartUntil - f.t;
         CHECK(left > 4 * SECOND && left <= 5 * SECOND + 300 * MILLISECOND);
     }
     // Without confirmation it still stands: the platform may be out of reach.
--- a/tests/routing/edge_fixture.hpp
+++ b/tests/routing/edge_fixture.hpp
@@ -145,7 +145,7 @@
                 + bodyOf({{"name", jsonQuote(s.name)}, {"address", "\"127.0.0.1:9\""},
                     {"region", jsonQuote(s.region)}, {"district", jsonQuote(s.zone)},
                     {"pool", jsonQuote(s.service)}, {"slots", fmt::to_string(s.slots)}});
-        for (auto& [s, till] : coldUntil)  // named for those alone whose cold time is known
+        for (auto& [s, till] : slowStartUntil)  // named for those alone whose cold time is known
             if (auto i = o.find(bodyOf({{"name", jsonQuote(s)}}).substr(1, s.size() + 9));
                 i != std::string::npos)
                 o.insert(i, fmt::format("\"coldUs\":{},", std::max<Microseconds>(0, till - now)));
@@ -154,10 +154,10 @@
     }
     /// A server's cold time, as a listing would name it.
     auto setColdUntil(const std::string& s, Microseconds till) -> void {
-        coldUntil[s] = till;
+        slowStartUntil[s] = till;
         listServers(std::vector<ListedServer>(listed), 0);
     }
-    std::map<std::string, Microseconds> coldUntil;  // named by every listing
+    std::map<std::string, Microseconds> slowStartUntil;  // named by every listing
     auto sendRequest(const std::string& path, Headers h = {}, const std::string& host = "h.example")
         -> std::int64_t {
         h.emplace_back("Host", host);
