--- a/src/routing/dispatch.cpp
+++ b/src/routing/dispatch.cpp
@@ -74,7 +74,7 @@
         uncachedPromptTokens(statistics, received, PrefixAssumption::AsRecorded);
     statistics.pendingPromptTokens += double(request.attempts.pendingPromptTokens);
     statistics.reservedTokens += double(received.unsharedTokens());
-    statistics_.ofService(request.route.service).recordOwnTokens(received.unsharedTokens());
+    statistics_.ofService(request.route.service).recordUnsharedTokens(received.unsharedTokens());
     auto capacity = rule.kvCacheTokens ? rule.kvCacheTokens : DEFAULT_KV_CACHE_TOKENS;
     for (auto& [part, tokens] : received.promptParts) statistics.prefixCache.add(part, tokens, capacity);
 }
