--- a/src/routing/migration.cpp
+++ b/src/routing/migration.cpp
@@ -11,14 +11,25 @@
 namespace duneturn {
 namespace {
 
-constexpr auto PACE_SMOOTHING = ExponentialSmoothing{0.8, 0.2};
-constexpr auto PACE_SAMPLES = 8;                               // events before an attempt's pace is judged
-constexpr auto SLOWEST_SOUND_GAP = double(100 * MILLISECOND);  // a pace that nobody is moved for
-constexpr auto CRAWL_FACTOR = 5;                               // times the median of its like
+// How long a server may be silent if the configuration does not set an idle timeout: a share of the latency
+// target, but not less than a multiple of the service's median or than a minimum.
+constexpr auto EVENT_GAP_TARGET_SHARE = 0.6;
+constexpr auto EVENT_GAP_MEDIANS = 8;
+constexpr auto MIN_EVENT_GAP_TIMEOUT = double(150 * MILLISECOND);
+constexpr auto FIRST_BYTE_TARGET_SHARE = 0.7;
+constexpr auto FIRST_BYTE_MEDIANS = 4;
+constexpr auto MIN_FIRST_BYTE_TIMEOUT = double(200 * MILLISECOND);
+constexpr auto PROMPT_READING_MARGIN = 2;  // times the time that the engine needs to read the prompt
+
+// When a server counts as so slow that a stream migrates away from it.
+constexpr auto GAP_SMOOTHING = ExponentialSmoothing{0.8, 0.2};
+constexpr auto MIN_GAP_SAMPLES = 8;  // events of an attempt before its smoothed gap is compared
+constexpr auto MIN_SLOW_GAP = double(100 * MILLISECOND);  // a shorter gap is never too slow
+constexpr auto SLOW_STREAM_MEDIANS = 5;  // a gap of this many times the service's median is too slow
 
 }  // namespace
 
-auto Migration::objection(const Request& request, Execution earlier, AttemptGrant grant) const
+auto Migration::rejectionReason(const Request& request, Execution earlier, MigrationCharge charge) const
     -> std::string {
     auto& relayed = request.relayed;
     if (earlier >= Execution::MayHaveRun && !faults_.retryNonRepeatable) {
@@ -30,12 +41,12 @@
         if (relayed.headSent && !relayed.hasOrderedIds)
             return "its events cannot be counted, so they cannot be joined";
     }
-    auto isFurther = grant == AttemptGrant::Further;
-    auto migrations = request.attempts.migrations + isFurther;
-    // A stream of no model has the limit that is the default: none.
+    auto isNotYetCounted = charge == MigrationCharge::NotYetCounted;
+    auto migrations = request.attempts.migrations + isNotYetCounted;
+    // A stream without a model has the default migration limit, which is 0.
     auto& route = request.route;
     auto isLimited = !route.model.empty() || (dialect_.clientNamesRequests && route.stream);
-    auto isSpent = migrations > route.migrationLimit || (isFurther && request.limits.migrationDisabled);
+    auto isSpent = migrations > route.migrationLimit || (isNotYetCounted && request.limits.migrationDisabled);
     if (isLimited && migrations > 0 && isSpent) return "no migration is left";
     if (request.attempts.sent >= route.maxAttempts) return "MaxTries is reached";
     return "";
@@ -43,21 +54,21 @@
 
 auto Migration::resumeForClient(
     Request& request, const std::string& lastEventId, const std::string& weights) const -> std::string {
-    auto last = parseNumber(lastEventId);
+    auto lastId = parseNumber(lastEventId);
     request.limits.resumedByClient = true;
     request.attempts.sent = request.attempts.migrations = 1;
-    request.relayed.lastEventId = last;
+    request.relayed.lastEventId = lastId;
     request.relayed.weights = weights;
-    request.limits.sequenceTokens += std::max<std::int64_t>(0, last);
+    request.limits.sequenceTokens += std::max<std::int64_t>(0, lastId);
     if (faults_.resumeUnchecked) return "";
     auto& route = request.route;
     if (!route.resumable)
-        return "streams of this mapping cannot be resumed; send it anew without Last-Event-Id";
-    if (last < 0) return "Last-Event-Id is not the number of an event";
-    if (weights.empty()) return "X-Weights, as it came with the stream, is missing";
-    if (route.migrationLimit < 1 || route.maxAttempts < 2) return "streams of this mapping may not move";
+        return "streams of this route are not resumable; send the request again without Last-Event-Id";
+    if (lastId < 0) return "Last-Event-Id is not the number of an event";
+    if (weights.empty()) return "the header X-Weights, with the value received with the stream, is missing";
+    if (route.migrationLimit < 1 || route.maxAttempts < 2) return "streams of this route may not migrate";
     if (request.limits.sequenceTokens > route.maxSequenceTokens)
-        return "the stream is past the maximum sequence length";
+        return "the stream exceeds the maximum sequence length";
     return "";
 }
 
@@ -71,40 +82,43 @@
     auto& limits = request.limits;
     limits.sequenceTokens += tokensPerEvent(request, event);
     if (limits.sequenceTokens > request.route.maxSequenceTokens) {
-        auto wasMovable = !limits.migrationDisabled;
+        auto couldMigrate = !limits.migrationDisabled;
         limits.migrationDisabled = true;
         request.relayed.events.clear();
-        return wasMovable;
+        return couldMigrate;
     }
     if (request.migrationsLeft() > 0) request.relayed.events.push_back(event.raw);
     return false;
 }
 
-auto Migration::silenceLimit(const Request& request) const -> Microseconds {
+auto Migration::silenceTimeout(const Request& request) const -> Microseconds {
     auto& route = request.route;
     if (route.idleTimeoutConfigured) return route.idleTimeout;
     if (request.phase() == Phase::Delivering) {
         if (!route.eventGapTarget) return route.idleTimeout;
-        return Microseconds(std::max({0.6 * double(route.eventGapTarget),
-            8 * statistics_.median(route.service, &ServerStatistics::eventGap), double(150 * MILLISECOND)}));
+        return Microseconds(std::max({EVENT_GAP_TARGET_SHARE * double(route.eventGapTarget),
+            EVENT_GAP_MEDIANS * statistics_.median(route.service, &ServerStatistics::eventGap),
+            MIN_EVENT_GAP_TIMEOUT}));
     }
     if (!route.firstByteTarget) return route.idleTimeout;
-    auto usual = std::max({0.7 * double(route.firstByteTarget),
-        4 * statistics_.median(route.service, &ServerStatistics::firstByteTime), double(200 * MILLISECOND)});
+    auto timeout = std::max({FIRST_BYTE_TARGET_SHARE * double(route.firstByteTarget),
+        FIRST_BYTE_MEDIANS * statistics_.median(route.service, &ServerStatistics::firstByteTime),
+        MIN_FIRST_BYTE_TIMEOUT});
+    auto pendingPromptTokens = double(request.attempts.pendingPromptTokens);
     return Microseconds(
-        usual + 2 * double(request.attempts.pendingPromptTokens) / PROMPT_TOKENS_PER_MICROSECOND);
+        timeout + PROMPT_READING_MARGIN * pendingPromptTokens / PROMPT_TOKENS_PER_MICROSECOND);
 }
 
-auto Migration::crawls(Request& request, Microseconds gap) const -> std::optional<std::string> {
+auto Migration::slowServerReason(Request& request, Microseconds gap) const -> std::optional<std::string> {
     auto& attempts = request.attempts;
     auto isFirst = attempts.eventGapSamples++ == 0;
     attempts.eventGap =
-        isFirst ? double(gap) : attempts.eventGap * PACE_SMOOTHING.keep + double(gap) * PACE_SMOOTHING.take;
-    if (attempts.eventGapSamples < PACE_SAMPLES || attempts.eventGap < SLOWEST_SOUND_GAP) return std::nullopt;
+        isFirst ? double(gap) : attempts.eventGap * GAP_SMOOTHING.keep + double(gap) * GAP_SMOOTHING.take;
+    if (attempts.eventGapSamples < MIN_GAP_SAMPLES || attempts.eventGap < MIN_SLOW_GAP) return std::nullopt;
     if (attempts.migrations > 0 || !request.route.resumable || request.migrationsLeft() <= 0)
         return std::nullopt;
     auto median = statistics_.median(request.route.service, &ServerStatistics::eventGap);
-    if (median <= 0 || attempts.eventGap < CRAWL_FACTOR * median) return std::nullopt;
+    if (median <= 0 || attempts.eventGap < SLOW_STREAM_MEDIANS * median) return std::nullopt;
     return fmt::format("an event every {:.0f} us, where others need {:.0f}", attempts.eventGap, median);
 }
 
