--- a/src/consensus/voter.hpp
+++ b/src/consensus/voter.hpp
@@ -268,7 +268,7 @@
     auto installSnapshot(
         const wire::InstallSnapshot& snapshot, const ReplicatedState& state, Microseconds now) -> void;
 
-    // transfer.cpp
+    // snapshot_chunks.cpp
     auto sendSnapshot(const std::string& disk, Microseconds now) -> void;
     auto sendWholeSnapshot(const std::string& disk) -> void;
     auto sendChunk(const std::string& disk, wire::SnapshotChunk chunk) -> void;
