--- a/tests/membership/fleet_fixture.hpp
+++ b/tests/membership/fleet_fixture.hpp
@@ -95,11 +95,11 @@
         return b;
     }
     // `cores` of them with a disk, one a district in turn.
-    auto bootstrap(int cores = 3, int nodes = 12) -> void {
+    auto bootstrap(int cores = 3, int nodeCount = 12) -> void {
         auto ds = std::vector<std::pair<std::string, std::string>>{
             {"punjab", "lhr-hall"}, {"punjab", "mtn-hall"}, {"sindh", "khi-hall"}};
         seeds = {"10.1.0.1:7720", "10.1.0.2:7720", "10.1.0.3:7720"};
-        for (auto i = 0; i < nodes; i++)
+        for (auto i = 0; i < nodeCount; i++)
             add(ds[std::size_t(i % 3)].first, ds[std::size_t(i % 3)].second, i < cores, true);
         for (auto& b : nodes) start(*b);
     }
@@ -274,8 +274,8 @@
             fmt::print("\n");
         }
     }
-    auto startCluster(int cores = 3, int nodes = 12) -> void {
-        bootstrap(cores, nodes);
+    auto startCluster(int cores = 3, int nodeCount = 12) -> void {
+        bootstrap(cores, nodeCount);
         CHECK(until(3 * SECOND, [&] { return leader() != nullptr; }));
         CHECK(config());
         CHECK(until(SECOND, [&] {
