--- a/src/quota/quota_account.cpp
+++ b/src/quota/quota_account.cpp
@@ -5,7 +5,7 @@
 namespace duneturn {
 namespace {
 
-/// The time that rejected clients are asked to wait, in which a part of the tenant's bucket refills.
+/// How long rejected clients are asked to wait; meanwhile a part of the tenant's bucket refills.
 constexpr Microseconds RETRY_AFTER = 1 * SECOND;
 
 }  // namespace
@@ -31,7 +31,8 @@
     account.leaseNumber = ++lastLeaseNumber_;
 }
 
-// The clock includes the time that the process was stopped, so the lease has expired when it resumes.
+// The clock also runs while the process or the machine is suspended, so that a lease that ends meanwhile is
+// found expired in the first call afterwards.
 auto QuotaAccount::expireIfDue(Microseconds now) -> void {
     if (!leaseEndsAt_ || !isLeaseOver(now) || faults.spendWithoutLease) return;
     leaseEndsAt_ = 0;
@@ -66,6 +67,7 @@
     return QuotaDecision::Wait;
 }
 
+// The request needs no token if the tenant's limit was removed while the request waited.
 auto QuotaAccount::reserveWaiting(const std::string& tenant, QuotaReservation& reservation, Microseconds now)
     -> QuotaDecision {
     reservation = {};
@@ -137,6 +139,8 @@
     return report;
 }
 
+// A grant has sequence 0 if it announces a new granter or if the report was not accepted. The last check for
+// expiry is needed because the lease counts from the sending of the report and may have ended already.
 auto QuotaAccount::take(const wire::QuotaGrant& grant, Microseconds now) -> bool {
     expireIfDue(now);
     if (grant.term < term_ && !faults.acceptStaleGrants) return false;
--- a/src/quota/quota_ledger.cpp
+++ b/src/quota/quota_ledger.cpp
@@ -20,10 +20,11 @@
       predecessorsExpireAt_(now - age + QUOTA_PREDECESSOR_EXPIRY),
       predecessorsUnknown_(!predecessors) {
     if (!predecessors) return;
-    for (auto& image : predecessors->tenants) tenantLedger(image.tenant).inherit(image, now - age, now);
+    for (auto& tenantImage : predecessors->tenants)
+        findOrAddTenant(tenantImage.tenant).inherit(tenantImage, now - age, now);
 }
 
-auto QuotaLedger::tenantLedger(const std::string& tenant) -> TenantLedger& {
+auto QuotaLedger::findOrAddTenant(const std::string& tenant) -> TenantLedger& {
     auto [found, isNew] = tenants_.try_emplace(tenant);
     auto& ledger = found->second;
     if (!isNew) return ledger;
@@ -34,7 +35,7 @@
 
 auto QuotaLedger::setTenants(const TenantTable& tenants, Microseconds now) -> void {
     for (auto& [name, tenant] : tenants.all())
-        if (tenant.isLimited()) tenantLedger(name);
+        if (tenant.isLimited()) findOrAddTenant(name);
     for (auto& [name, ledger] : tenants_) ledger.setLimit(tenants.find(name), tenants.bounds(), now);
     tick(now);
 }
@@ -61,7 +62,7 @@
     grant.life = report.life;
     grant.sequence = report.sequence;
     for (auto& usage : report.uses) {
-        auto& tenant = tenantLedger(usage.tenant);
+        auto& tenant = findOrAddTenant(usage.tenant);
         tenant.tick(now);
         auto& balance = findOrOpenBalance(holder, usage, tenant);
         applyUsage(balance, usage, tenant, now);
@@ -71,10 +72,10 @@
     return grant;
 }
 
-// There are two reasons why the ledger has no balance of an incarnation. If the report names granted tokens,
-// the balance was dropped some time after the tokens expired, and all of these already count as spent.
-// Otherwise this is its first report in this term, which names the tokens carried over from earlier terms;
-// those that were spent without an acknowledgement are outstanding until applyUsage records them.
+// If the first report names granted tokens, an older balance was dropped some time after its tokens expired;
+// their uses are not recorded again, since the expired tokens have been counted as spent. Otherwise the node
+// claims tokens carried over from earlier terms; those that it spent without an acknowledgement are
+// outstanding until applyUsage records them.
 auto QuotaLedger::findOrOpenBalance(Holder& holder, const wire::QuotaUse& usage, TenantLedger& tenant)
     -> TokenBalance& {
     auto [found, isNew] = holder.balances.try_emplace(usage.tenant);
@@ -110,20 +111,21 @@
 }
 
 // A node that was unresponsive may report that it spent or returned tokens that have expired in this ledger.
-// These count as granted again, and no longer as spent since their expiry.
+// These count as granted again, instead of as spent at the time of their expiry.
 auto QuotaLedger::reinstateExpired(TokenBalance& balance, const wire::QuotaUse& usage, TenantLedger& tenant)
     -> void {
     auto used = std::max(usage.spent, balance.spent) + std::max(usage.returned, balance.returned);
-    auto missing = used - balance.carried - balance.granted;
-    if (missing <= 0) return;
-    balance.granted += missing;
-    tenant.addOutstanding(missing);
-    auto reconciled = std::min(missing, balance.expired);
+    auto unaccounted = used - balance.carried - balance.granted;
+    if (unaccounted <= 0) return;
+    balance.granted += unaccounted;
+    tenant.addOutstanding(unaccounted);
+    auto reconciled = std::min(unaccounted, balance.expired);
     tenant.reconcileExpired(reconciled, balance.expiredAt);
     balance.expired -= reconciled;
 }
 
-// Tokens that were granted but have not reached the node yet will also serve its waiting requests.
+// Tokens that were granted but have not reached the node yet will serve some of its waiting requests. If all
+// of these get tokens, more are granted up to the number that the node wants in addition.
 auto QuotaLedger::grantAllowance(TokenBalance& balance, const wire::QuotaUse& usage, TenantLedger& tenant,
     Microseconds now) -> wire::QuotaAllowance {
     auto inFlight = std::max<std::int64_t>(balance.granted - usage.granted, 0);
@@ -188,7 +190,7 @@
     for (auto& [name, balance] : holder.balances) {
         auto outstanding = balance.outstanding();
         if (outstanding <= 0) continue;
-        tenantLedger(name).expireHeld(outstanding, now);
+        findOrAddTenant(name).expireHeld(outstanding, now);
         balance.granted -= outstanding;
         balance.charged = 0;
         balance.expired = outstanding;
--- a/src/quota/quota_ledger.hpp
+++ b/src/quota/quota_ledger.hpp
@@ -19,11 +19,12 @@
 /// The state of one tenant's quota for the operators' view.
 struct QuotaView {
     std::string tenant;
-    double limit = 0;              ///< Requests per window, including the burst.
-    double bound = 0;              ///< The number of requests that no window may exceed.
-    std::int64_t spent = 0;        ///< Tokens spent within the last window, over all nodes.
-    std::int64_t outstanding = 0;  ///< Tokens that nodes may still spend, including those of predecessors.
-    std::int64_t refused = 0;      ///< Waiting requests that were rejected in this term.
+    double limit = 0;        ///< Requests per window, including the burst.
+    double bound = 0;        ///< The number of requests that no window may exceed.
+    std::int64_t spent = 0;  ///< Tokens spent within the last window, over all nodes.
+    /// Tokens that nodes may still spend, including those of predecessors; the bound if it is lower.
+    std::int64_t outstanding = 0;
+    std::int64_t refused = 0;  ///< Waiting requests that were rejected in this term.
 };
 
 /// The ledger of a granter for one term.
@@ -32,15 +33,16 @@
 /// last window do not exceed the tenant's bound in total.
 ///
 /// The ledger is replicated to the voters as images, which are snapshots with an increasing sequence. A
-/// successor starts from an image that a majority of voters acknowledged.
+/// successor starts from the newest image that it finds at a majority of voters, which is at least as new as
+/// the newest one that a majority acknowledged.
 class QuotaLedger {
   public:
     QuotaLedger(const QuotaLedger&) = delete;  // tenants_ holds pointers to `faults`
     auto operator=(const QuotaLedger&) -> QuotaLedger& = delete;
-    /// `predecessors`: the newest image of earlier terms known to a majority of voters, and `age` the time
-    /// since a voter received it. If too few voters know an image, `predecessors` is null and `age` a lower
-    /// bound on the time since a majority last acknowledged an image; then nothing is granted until all
-    /// tokens of earlier terms have expired and left the window.
+    /// `predecessors`: the newest image of earlier terms held by any voter of a majority that knows all
+    /// recent images; `age`: the time since that voter received it. Without such a majority `predecessors` is
+    /// null and `age` a lower bound on the time since a majority last acknowledged an image; then no tokens
+    /// of limited tenants are granted until those of earlier terms have expired and left the window.
     QuotaLedger(std::int64_t term, const wire::QuotaImage* predecessors, Microseconds age, Counters& counters,
         Microseconds now);
 
@@ -74,9 +76,10 @@
     QuotaFaults faults;
 
   private:
-    /// The tokens of one tenant at one incarnation, as counters that increase within the term. Only the
-    /// expiry of tokens lowers `granted`.
+    /// The tokens of one tenant at one incarnation. The first four members count tokens within the term and
+    /// never decrease, except that the expiry of tokens lowers `granted`.
     struct TokenBalance {
+        /// `carried`: tokens from earlier terms that the node still accounts for in this one.
         std::int64_t carried = 0, granted = 0, spent = 0, returned = 0;
         std::int64_t charged = 0;  ///< Outstanding tokens that the bucket was charged for when granted.
         std::int64_t expired = 0;  ///< Tokens that expired and whose use has not been reported since.
@@ -89,11 +92,11 @@
     struct Holder {
         std::int64_t reportSequence = 0;               ///< Of the newest report.
         Microseconds answeredAt = 0;                   ///< When the newest report was answered.
-        bool hasExpired = false;                       ///< Its tokens have expired since.
+        bool hasExpired = false;                       ///< Whether its tokens have expired since then.
         std::map<std::string, TokenBalance> balances;  // by tenant
     };
     [[nodiscard]] auto makeGrant(const std::string& node) const -> wire::QuotaGrant;
-    auto tenantLedger(const std::string& tenant) -> TenantLedger&;
+    auto findOrAddTenant(const std::string& tenant) -> TenantLedger&;
     auto findOrOpenBalance(Holder& holder, const wire::QuotaUse& usage, TenantLedger& tenant)
         -> TokenBalance&;
     auto applyUsage(
@@ -116,7 +119,7 @@
     Microseconds imageMadeAt_ = 0;
     Microseconds confirmedImageSentAt_ = 0;  // 0: no image is confirmed
     Microseconds scarceTenantsUpdatedAt_ = 0;
-    std::vector<std::string> scarceTenants_;  // as of scarceTenantsUpdatedAt_
+    std::vector<std::string> scarceTenants_;  // see TenantLedger::isScarce; as of scarceTenantsUpdatedAt_
 };
 
 }  // namespace duneturn
--- a/src/quota/tenant_ledger.cpp
+++ b/src/quota/tenant_ledger.cpp
@@ -35,7 +35,7 @@
 
 auto TenantLedger::inherit(const wire::QuotaTenantImage& image, Microseconds imageAt, Microseconds now)
     -> void {
-    predecessors_ = image.outstanding;
+    unclaimedTokens_ = image.outstanding;
     for (auto age = std::size_t(0); age < image.spent.size(); age++)
         spent_.add(image.spent[age], std::min(imageAt, now) - Microseconds(age) * QUOTA_AGE_STEP);
 }
@@ -49,7 +49,7 @@
 // ---- reports of nodes
 
 auto TenantLedger::claimCarried(std::int64_t tokens) -> void {
-    predecessors_ -= std::min(predecessors_, tokens);
+    unclaimedTokens_ -= std::min(unclaimedTokens_, tokens);
     heldByNodes_ += tokens;
 }
 
@@ -72,8 +72,8 @@
 }
 
 auto TenantLedger::expirePredecessors(Microseconds expiredAt) -> void {
-    spent_.add(predecessors_, expiredAt);
-    predecessors_ = 0;
+    spent_.add(unclaimedTokens_, expiredAt);
+    unclaimedTokens_ = 0;
 }
 
 // ---- grants to nodes
@@ -119,7 +119,7 @@
 // stop counting only as time passes.
 auto TenantLedger::isExhausted() const -> bool {
     if (!limited_) return false;
-    return bucket_.available() < 1 || double(predecessors_ + spent_.total() + 1) > grantBound_;
+    return bucket_.available() < 1 || double(unclaimedTokens_ + spent_.total() + 1) > grantBound_;
 }
 
 // ---- images
--- a/src/quota/tenant_ledger.hpp
+++ b/src/quota/tenant_ledger.hpp
@@ -15,9 +15,9 @@
 
 namespace duneturn {
 
-/// Enforces the limit of one tenant in two ways. A bound on outstanding plus spent tokens is never exceeded,
-/// whatever fails, as in an escrow or bounded counter. A token bucket, normally the tighter of the two,
-/// decides how many tokens are granted in normal operation.
+/// Enforces the limit of one tenant in two ways. Outstanding plus spent tokens never exceed a bound, whatever
+/// fails: tokens are granted first and then spent without coordination, as in an escrow or bounded counter.
+/// A token bucket, normally the tighter of the two, limits the grants to waiting requests.
 class TenantLedger {
   public:
     /// Stands for the outstanding tokens of predecessors if their number is unknown; exceeds every bound.
@@ -28,16 +28,16 @@
     /// Takes over outstanding and spent tokens from an image of an earlier term. `imageAt`: the latest time
     /// at which a voter can have received the image.
     auto inherit(const wire::QuotaTenantImage& image, Microseconds imageAt, Microseconds now) -> void;
-    /// An unknown number of tokens of earlier terms may be outstanding.
-    auto inheritUnknown() -> void { predecessors_ = UNKNOWN_PREDECESSORS; }
+    /// Records that an unknown number of tokens of earlier terms may be outstanding.
+    auto inheritUnknown() -> void { unclaimedTokens_ = UNKNOWN_PREDECESSORS; }
     /// Drops spent tokens that have left the window, and refills the bucket.
     auto tick(Microseconds now) -> void;
 
     // Reports of nodes.
 
-    /// A node reports tokens that it carried over from an earlier term.
+    /// A node reports tokens that it carried over from an earlier term. They no longer count as unclaimed.
     auto claimCarried(std::int64_t tokens) -> void;
-    /// Adds outstanding tokens that this ledger has not granted.
+    /// Counts tokens at a node as outstanding without a new grant or a claim.
     auto addOutstanding(std::int64_t tokens) -> void { heldByNodes_ += tokens; }
     /// A node has spent tokens; the bucket was charged for `charged` of them when they were granted.
     auto recordSpent(std::int64_t tokens, std::int64_t charged, Microseconds now) -> void;
@@ -60,7 +60,8 @@
     auto grantToWaiting(std::int64_t tokens, Microseconds now) -> std::int64_t;
     /// Grants up to `tokens` tokens for future requests and returns the number granted.
     auto grantPrefetch(std::int64_t tokens, Microseconds now) -> std::int64_t;
-    /// Whether nodes should return tokens that no request needs.
+    /// Whether nodes should return tokens that no request needs, because the bucket is low or the outstanding
+    /// and spent tokens come near the bound.
     [[nodiscard]] auto isScarce() const -> bool;
     /// Whether waiting requests cannot expect a token soon and should be rejected.
     [[nodiscard]] auto isExhausted() const -> bool;
@@ -86,7 +87,7 @@
     [[nodiscard]] auto bound() const -> double { return bound_; }
     [[nodiscard]] auto spentInWindow() const -> std::int64_t { return spent_.total(); }
     /// Tokens that nodes may still spend, including unclaimed ones of predecessors.
-    [[nodiscard]] auto outstanding() const -> std::int64_t { return heldByNodes_ + predecessors_; }
+    [[nodiscard]] auto outstanding() const -> std::int64_t { return heldByNodes_ + unclaimedTokens_; }
     /// Waiting requests that were rejected in this term.
     [[nodiscard]] auto rejected() const -> std::int64_t { return rejected_; }
     auto recordRejected(std::int64_t requests) -> void { rejected_ += requests; }
@@ -97,7 +98,7 @@
   private:
     /// The tokens that count against the bound.
     [[nodiscard]] auto total() const -> std::int64_t { return outstanding() + spent_.total(); }
-    /// How many more tokens may count until total() reaches `bound`.
+    /// How many tokens can be added before total() exceeds `bound`.
     [[nodiscard]] auto capacityBelow(double bound) const -> std::int64_t;
     [[nodiscard]] auto reserveNeeded(Microseconds now) -> std::int64_t;
     auto grant(std::int64_t tokens, Microseconds now) -> void;
@@ -105,15 +106,15 @@
 
     bool limited_ = false, hasBucket_ = false;
     double limit_ = 0, bound_ = 0;
-    double grantBound_ = 0;  // bound_ less the share withheld for extra attempts
+    double grantBound_ = 0;  // bound_ less what is withheld from grants, see QUOTA_EXTRA_ATTEMPT_SHARE
     Microseconds window_ = 0;
-    std::int64_t heldByNodes_ = 0;   // outstanding tokens that nodes claimed or were granted in this term
-    std::int64_t predecessors_ = 0;  // outstanding tokens of earlier terms that no node has claimed
+    std::int64_t heldByNodes_ = 0;      // outstanding tokens that nodes claimed or were granted in this term
+    std::int64_t unclaimedTokens_ = 0;  // outstanding tokens of earlier terms that no node has claimed
     std::int64_t rejected_ = 0;
-    std::int64_t blockedRequests_ = 0;  // that got no token since the last image, for lack of reserve
-    std::int64_t announcedReserve_ = 0;
+    std::int64_t blockedRequests_ = 0;   // requests denied a token since the last image for lack of reserve
+    std::int64_t announcedReserve_ = 0;  // the reserve in the last image
     SlidingWindowCounter spent_{QUOTA_LEDGER_STEP};
-    SlidingWindowCounter granted_{QUOTA_LEDGER_STEP};  // within QUOTA_RESERVE_WINDOW
+    SlidingWindowCounter granted_{QUOTA_LEDGER_STEP};  // in the last QUOTA_RESERVE_WINDOW
     TokenBucket bucket_;
     GrantReserve reserve_;
 };
--- a/tests/quota/quota_simulation.cpp
+++ b/tests/quota/quota_simulation.cpp
@@ -11,13 +11,18 @@
 namespace duneturn {
 namespace {
 
-constexpr Microseconds MAX_WAIT = 250 * MILLISECOND;       // of a request for a token
-constexpr Microseconds CONFIGURE_TIME = 1 * SECOND;        // until each running node has a configuration
-constexpr Microseconds GRANTER_LOST_TIMEOUT = 1 * SECOND;  // without an answer, the leader may be asked
-constexpr Microseconds CLOCK_START = 100 * SECOND;         // the lowest reading of a node's clock
+/// How long a request waits for a token before it is rejected.
+constexpr Microseconds MAX_WAIT = 250 * MILLISECOND;
+/// How long it takes at most until each running node applies a new configuration.
+constexpr Microseconds CONFIGURE_TIME = 1 * SECOND;
+/// How long a node's granter has not answered before the node may report to the leader instead.
+constexpr Microseconds GRANTER_LOST_TIMEOUT = 1 * SECOND;
+/// The lowest reading of a node's clock.
+constexpr Microseconds CLOCK_START = 100 * SECOND;
+/// How much faster or slower than virtual time a node's clock runs at most, as a fraction.
 constexpr double CLOCK_DRIFT = 0.01;
 
-auto tableOf(const std::vector<TenantWorkload>& tenants) -> std::shared_ptr<const TenantTable> {
+auto makeTenantTable(const std::vector<TenantWorkload>& tenants) -> std::shared_ptr<const TenantTable> {
     auto members = std::string();
     for (auto& tenant : tenants)
         members += fmt::format(R"({}"{}":{{"ratePerS":{},"burst":{}}})", members.empty() ? "" : ",",
@@ -44,7 +49,7 @@
     }
     for (auto i = 0; i < settings_.voters; i++) {
         auto& voter = nodes_[std::size_t(i)];
-        // As if the voter had run for long enough to know that no earlier image exists.
+        // Dated back, so that the voter counts as running long enough to know that no earlier image exists.
         voter.replica = std::make_unique<QuotaReplica>(clock(voter) - 100 * SECOND);
         voter.replica->faults = settings_.faults;
     }
@@ -75,8 +80,8 @@
 // ---- configuration
 
 auto QuotaSimulation::configure() -> void {
-    constexpr auto EXTRA_ATTEMPT_SHARE = 0.2;  // of the tolerance, which the granter withholds
-    tenants_ = tableOf(settings_.tenants);
+    constexpr auto EXTRA_ATTEMPT_SHARE = 0.2;  // the share of the tolerance that is withheld from grants
+    tenants_ = makeTenantTable(settings_.tenants);
     auto bounds = tenants_->bounds();
     for (auto i = std::size_t(0); i < settings_.tenants.size(); i++) {
         auto& tenant = settings_.tenants[i];
@@ -127,6 +132,8 @@
 
 // ---- accounts and requests
 
+// Advances the node's requests and sends a report if one is due. If the known granter has not answered for
+// GRANTER_LOST_TIMEOUT, half of the reports go to the leader. name() is inverted to get the granter's index.
 auto QuotaSimulation::tickAccount(int index) -> void {
     auto& node = nodes_[std::size_t(index)];
     for (auto& request : node.requests) advance(node, request);
@@ -142,31 +149,31 @@
 }
 
 auto QuotaSimulation::clientNode(const TenantWorkload& tenant) -> int {
-    constexpr auto STAY = 7 * SECOND;
+    constexpr auto MOVE_INTERVAL = 7 * SECOND;
     auto count = std::uint64_t(settings_.nodes);
     if (tenant.placement == ClientPlacement::OneNode) return settings_.nodes - 1;
-    if (tenant.placement == ClientPlacement::Moving) return int(std::uint64_t(now_ / STAY) % count);
+    if (tenant.placement == ClientPlacement::Moving) return int(std::uint64_t(now_ / MOVE_INTERVAL) % count);
     return int(random_.below(count));
 }
 
 auto QuotaSimulation::makeRequests() -> void {
-    constexpr auto MAX_PROBABILITY = 0.5;  // of one draw; more requests per step take several draws
+    constexpr auto MAX_PROBABILITY = 0.5;  // of a request per draw; if more are expected, draws are repeated
     for (auto i = std::size_t(0); i < settings_.tenants.size(); i++) {
         auto& tenant = settings_.tenants[i];
         auto expected = tenant.demandPerSecond * double(settings_.step) / double(SECOND);
         for (; expected > 0; expected -= MAX_PROBABILITY)
-            if (random_.chance(std::min(expected, MAX_PROBABILITY))) arriveAt(clientNode(tenant), i);
+            if (random_.chance(std::min(expected, MAX_PROBABILITY))) receiveRequest(clientNode(tenant), i);
     }
 }
 
 auto QuotaSimulation::sendTime(const TenantWorkload& tenant) -> Microseconds {
-    constexpr auto MAX_DELAY = 30 * MILLISECOND;  // between admission and the first byte to a server
+    constexpr auto MAX_DELAY = 30 * MILLISECOND;  // between arrival and the first byte to a server
     auto soon = now_ + Microseconds(random_.below(MAX_DELAY));
     if (!random_.chance(tenant.batchedFraction)) return soon;
     return soon - soon % tenant.batchInterval + tenant.batchInterval;
 }
 
-auto QuotaSimulation::arriveAt(int index, std::size_t tenant) -> void {
+auto QuotaSimulation::receiveRequest(int index, std::size_t tenant) -> void {
     auto& node = nodes_[std::size_t(index)];
     if (node.frozenUntil > now_) return;
     auto request = Request();
@@ -189,7 +196,7 @@
     results_[request.tenant].rejected++;
 }
 
-// Retries a waiting request, or sends an admitted one when its time has come. A few requests end unsent.
+// Retries a waiting request, or sends an admitted one when its time has come. A few are cancelled instead.
 auto QuotaSimulation::advance(Node& node, Request& request) -> void {
     constexpr auto CANCEL_PROBABILITY = 0.02;
     auto& account = *node.account;
@@ -218,14 +225,14 @@
 
 namespace {
 
-/// The highest bound that may be in force at some time from `from` to `to`. After a limit was lowered, the
-/// previous bound stays allowed for BINDS_AFTER, since tokens granted under it may still be spent.
+/// The highest bound that is allowed at any time from `from` to `to`. After a change of the limit the
+/// previous bound stays allowed for PREVIOUS_BOUND_GRACE, since tokens granted under it may still be spent.
 auto allowedIn(const std::vector<std::pair<Microseconds, double>>& bounds, Microseconds from, Microseconds to)
     -> double {
-    constexpr auto BINDS_AFTER = 15 * SECOND;
+    constexpr auto PREVIOUS_BOUND_GRACE = 15 * SECOND;
     auto allowed = 0.0;
     for (auto i = std::size_t(0); i < bounds.size(); i++) {
-        auto isReplaced = i + 1 < bounds.size() && bounds[i + 1].first + BINDS_AFTER < from;
+        auto isReplaced = i + 1 < bounds.size() && bounds[i + 1].first + PREVIOUS_BOUND_GRACE < from;
         if (!isReplaced && bounds[i].first <= to) allowed = std::max(allowed, bounds[i].second);
     }
     return allowed;
@@ -241,18 +248,19 @@
         auto first = std::size_t(0);
         for (auto last = std::size_t(0); last < spends.size(); last++) {
             while (spends[last] - spends[first] >= window) first++;
-            auto ran = last - first + 1;
+            auto requestCount = last - first + 1;
             auto allowed = allowedIn(results_[i].bounds, spends[first], spends[last]);
-            if (double(ran) <= allowed) continue;
+            if (double(requestCount) <= allowed) continue;
             violations.push_back(
                 fmt::format("seed {}: tenant {} ran {} requests in the window that ends at {} us, allowed {}",
-                    settings_.seed, settings_.tenants[i].name, ran, spends[last], allowed));
+                    settings_.seed, settings_.tenants[i].name, requestCount, spends[last], allowed));
             break;
         }
     }
     return violations;
 }
 
+// The grant bound limits the requests sent in the last window plus the tokens that nodes may still spend.
 auto QuotaSimulation::checkInvariant() -> void {
     auto window = tenants_->bounds().window;
     for (auto i = std::size_t(0); i < results_.size(); i++) {
--- a/tests/quota/quota_simulation.hpp
+++ b/tests/quota/quota_simulation.hpp
@@ -154,7 +154,7 @@
     auto confirmAcknowledgedImages(Granter& granter) -> void;
     auto tickAccount(int node) -> void;
     [[nodiscard]] auto sendTime(const TenantWorkload& tenant) -> Microseconds;
-    auto arriveAt(int node, std::size_t tenant) -> void;
+    auto receiveRequest(int node, std::size_t tenant) -> void;
     auto applyDecision(Request& request, QuotaDecision decision) -> void;
     auto advance(Node& node, Request& request) -> void;
     auto makeRequests() -> void;
