--- a/src/consensus/membership.cpp
+++ b/src/consensus/membership.cpp
@@ -1,5 +1,5 @@
 // Cluster membership: the configuration in force and its changes, learners, bootstrapping and leaving a
-// cluster.
+// cluster. Also applies a committed entry to the state machine.
 #include <algorithm>
 #include <cstdint>
 #include <functional>
@@ -17,7 +17,8 @@
 
 namespace duneturn {
 
-// Takes the newest configuration in the log, committed or not, or else that of the snapshot (4.1).
+// Puts the newest configuration in the log into force, committed or not, or that of the snapshot if the log
+// has none (4.1).
 auto Voter::refreshConfiguration() -> void {
     auto entry = log_.newestConfigurationEntry();
     configuration_ = entry ? VoterConfiguration::fromEntry(*entry) : VoterConfiguration(snapshot_.voters);
@@ -26,6 +27,7 @@
 
 auto Voter::applyEntry(const wire::Entry& entry) -> void {
     if (isCommandEntry(entry)) {
+        // If the body can't be decoded, the state machine gives the outcome, which is a rejection.
         auto command = decodeCommand(entry.body);
         auto outcome = command ? replicatedState_.apply(*command) : replicatedState_.apply(entry.body);
         counters_.add("orders_applied_total");
@@ -49,6 +51,7 @@
     epoch_ = state.epoch;
     term_ = term;
     votedFor_.clear();
+    // The new log begins after a snapshot of the state with index 1.
     commitIndex_ = lastApplied_ = 1;
     snapshot_ = {1, term, std::make_shared<const std::string>(state.text()), state.voters()};
     log_.reset(snapshot_.index, snapshot_.term);
@@ -56,10 +59,10 @@
     replicatedState_ = latestState_ = state;
     appliedJoint_ = false;
     lastSynced_ = 1;
-    auto change = DiskWrite();
-    change.reset = change.hasSnapshot = true;
-    change.document = *snapshot_.document;
-    installWrite_ = write(std::move(change), now);
+    auto diskWrite = DiskWrite();
+    diskWrite.reset = diskWrite.hasSnapshot = true;
+    diskWrite.document = *snapshot_.document;
+    installWrite_ = write(std::move(diskWrite), now);
     refreshConfiguration();
     electionDeadline_ = now + ELECTION_TIMEOUT;
     logEvent("cluster_begun", "epoch={} disk={} version={}", epoch_, disk_, state.version);
@@ -81,17 +84,17 @@
     appliedJoint_ = false;
     writes_.dropDeferred();
     replicatedState_ = latestState_ = ReplicatedState();
-    auto change = DiskWrite();
-    change.reset = true;
-    write(std::move(change), now);
+    auto diskWrite = DiskWrite();
+    diskWrite.reset = true;
+    write(std::move(diskWrite), now);
     return true;
 }
 
 // An entry increases the state's version by at most one, so a version above the applied version plus the
-// number of unapplied entries lies beyond the end of this log. If this log lists the disk as a voter and that
-// later state does not, the disk was removed after the end of this log. No leader has replicated later
-// entries to it, so no majority can include it. The disk takes a new identity, so that votes and
-// acknowledgements given under the old one are never confused with new ones.
+// number of unapplied entries lies beyond the end of this log. If the disk is a voter according to this log
+// but not according to that later state, it was removed after the end of this log. No entry after that end
+// was replicated to it, so it belongs to no majority that committed one. It takes a new identity, so that
+// votes and acknowledgements given under the old one are never confused with new ones.
 auto Voter::retire(std::int64_t version, const std::string& newDiskId, Microseconds now) -> bool {
     if (blank() || leads() || !isVoter(disk_)
         || version <= replicatedState_.version + (last() - lastApplied_))
@@ -107,23 +110,24 @@
     return progress == progress_.end() ? 0 : progress->second.lastContact();
 }
 
-// Allows one change at a time, and none before an entry of the current term is committed. The latter is the
-// published correction of Raft's single-server changes (Ongaro, raft-dev, 2015) and applies to joint changes
-// too. A change that an earlier leader began is completed first.
+// Completes the configuration change that is under way, or begins one if it is due. Allows one change at a
+// time, and none before an entry of the current term is committed. The latter is the published correction of
+// Raft's single-server changes (Ongaro, raft-dev, 2015) and applies to joint changes too. A change that an
+// earlier leader began is completed first.
 auto Voter::advanceConfigurationChange(Microseconds now) -> void {
     auto mayChange = broken.changeBeforeNoop ? leads() : ready();
     if (!mayChange || isDiskFaulty() || configurationIndex_ > commitIndex_) return;
     if (joint()) {
-        auto final = VoterConfiguration(configuration_.voters());
-        logEvent("voters_change_ends", "voters={}", final.entryBody());
-        append(final.entryKind(), final.entryBody(), now);
+        auto incoming = VoterConfiguration(configuration_.voters());
+        logEvent("voters_change_ends", "voters={}", incoming.entryBody());
+        append(incoming.entryKind(), incoming.entryBody(), now);
         return;
     }
     if (!removeReplacedDisk(now)) promoteLearner(now);
 }
 
-// Removes a voter if two voters are on the same node. Earlier programs replaced a disk by adding the new one
-// after the old one, then removing the old one; this completes such a change.
+// Removes a voter if two voters are on the same node. Earlier versions of this program replaced a disk by
+// adding the new one after the old one, then removing the old one; this completes such a change.
 auto Voter::removeReplacedDisk(Microseconds now) -> bool {
     auto voters = configuration_.voters();
     for (auto i = std::size_t(0); i < voters.size(); i++)
@@ -148,14 +152,15 @@
         if (progress.catchUp().isPaused(now)) continue;
         progress.start(1);
         if (now - progress.lastSent() >= HEARTBEAT_INTERVAL) replicateTo(disk, now);
-        if (!hasCaughtUp(progress, now)) continue;
+        if (!updateCatchUp(progress, now)) continue;
         if (replaced == voters.end()) voters.push_back({node, disk});
         else replaced->disk = disk;
         if (beginConfigurationChange(voters, now)) return;
     }
 }
 
-auto Voter::hasCaughtUp(ReplicaProgress& progress, Microseconds now) -> bool {
+// Records the learner's progress, and returns whether it has caught up with the log.
+auto Voter::updateCatchUp(ReplicaProgress& progress, Microseconds now) -> bool {
     auto verdict = progress.catchUp().update(progress.match(), last(), now);
     if (verdict == CatchUp::Verdict::TooSlow) counters_.add("learner_too_slow_total");
     return verdict == CatchUp::Verdict::CaughtUp;
@@ -170,8 +175,8 @@
     });
 }
 
-// Appends the joint configuration. Returns false if a current or new voter that has answered runs a program
-// that does not support joint configurations.
+// Appends the joint configuration. Returns false, and appends nothing, if a current or new voter that has
+// answered runs a program that does not support joint configurations.
 auto Voter::beginConfigurationChange(std::vector<VoterIdentity> voters, Microseconds now) -> bool {
     auto lacksJointSupport = [&](const std::string& disk) {
         return disk != disk_ && progress_[disk].lastContact() && !progress_[disk].supportsJoint();
@@ -184,8 +189,8 @@
     }
     logEvent(
         "voters_change_begins", "from={} to={}", encodeVoters(configuration_.voters()), encodeVoters(voters));
-    auto joint = VoterConfiguration::joint(configuration_.voters(), std::move(voters));
-    append(joint.entryKind(), joint.entryBody(), now);
+    auto jointConfiguration = VoterConfiguration::joint(configuration_.voters(), std::move(voters));
+    append(jointConfiguration.entryKind(), jointConfiguration.entryBody(), now);
     return true;
 }
 
--- a/src/consensus/replication.cpp
+++ b/src/consensus/replication.cpp
@@ -23,9 +23,9 @@
     log_.append(entry);
     if (isConfigurationEntry(entry)) refreshConfiguration();
     if (isCommandEntry(entry)) latestState_.apply(body);
-    auto change = DiskWrite();
-    change.entries.push_back(std::move(entry));
-    write(std::move(change), now);
+    auto diskWrite = DiskWrite();
+    diskWrite.entries.push_back(std::move(entry));
+    write(std::move(diskWrite), now);
     replicateToAll(now);
 }
 
@@ -56,15 +56,15 @@
     progress.recordSend(now);
     if (progress.dropLostBatches(now)) counters_.add("append_batches_resent_total");
     if (progress.next() <= log_.base()) return sendSnapshot(disk, now);
-    auto before = progress.next();
+    auto batchStart = progress.next();
     do {
-        before = progress.next();
+        batchStart = progress.next();
         sendAppendEntries(disk, progress, now);
-    } while (progress.next() > before && progress.next() <= last() && progress.canSendBatch());
+    } while (progress.next() > batchStart && progress.next() <= last() && progress.canSendBatch());
 }
 
-// Sends one AppendEntries message: a batch of entries, or a heartbeat if there is nothing to send or enough
-// batches are in flight.
+// Sends one AppendEntries message: a batch of entries, or a heartbeat if there is nothing to send, the
+// replica can't read the next entry, or MAX_BATCHES_IN_FLIGHT batches are in flight.
 auto Voter::sendAppendEntries(const std::string& disk, ReplicaProgress& progress, Microseconds now) -> void {
     auto request = wire::AppendEntries();
     request.term = term_;
@@ -117,13 +117,14 @@
 }
 
 auto Voter::applyCommitted(std::int64_t index, Microseconds now) -> void {
-    auto hasEntries = lastApplied_ < index && lastApplied_ < last();
+    auto hasEntriesToApply = lastApplied_ < index && lastApplied_ < last();
     while (lastApplied_ < index && lastApplied_ < last()) {
         lastApplied_++;
         applyEntry(log_.at(lastApplied_));
     }
-    if (!hasEntries) return;
+    if (!hasEntriesToApply) return;
     if (lastApplied_ == last()) latestState_ = replicatedState_;
+    // A leader that is no longer a voter steps down once it has applied its whole log.
     if (leads() && !isVoter(disk_) && lastApplied_ == last()) {
         transferLeadership(now);
         becomeFollower(now);
@@ -131,13 +132,15 @@
     if (isCompactionDue()) compact(now);
 }
 
-// Counts and logs a message that no correct replica sends in this state. It is ignored otherwise.
+// Counts and logs a message that no correct replica sends in this state. The caller then disregards its
+// content.
 auto Voter::rejectMessage(const char* counter, const std::string& from) -> void {
     counters_.add(counter);
     logEvent("message_rejected", "from_disk={} reason={}", from, counter);
 }
 
-// Whether the entries have consecutive indices and non-decreasing terms, and this program can decode them.
+// Whether the entries have consecutive indices and non-decreasing terms up to that of the request, and this
+// program can decode them.
 auto Voter::isWellFormed(const wire::AppendEntries& request) const -> bool {
     if (request.prevLogIndex < 0 || request.commit < 0) return false;
     auto index = request.prevLogIndex;
@@ -150,6 +153,8 @@
     return true;
 }
 
+// Whether the request differs in a term from a committed entry. The terms of entries before the last one of
+// the snapshot are not compared.
 auto Voter::contradictsCommitted(const wire::AppendEntries& request) const -> bool {
     auto contradicts = [&](std::int64_t index, std::int64_t term) {
         return index >= snapshot_.index && index <= commitIndex_ && log_.termAt(index) != term;
@@ -197,36 +202,36 @@
         sendAfterWrite(writeIfUnsaved(now), from, message);
         return;
     }
-    auto change = storeEntries(request);
+    auto diskWrite = storeEntries(request);
     auto match = request.prevLogIndex + std::int64_t(request.entries.size());
     auto commit = std::min(request.commit, match);
     auto commitAdvances = commit > commitIndex_;
     if (commitAdvances) commitIndex_ = commit;
-    if (!change.entries.empty()) refreshConfiguration();
+    if (!diskWrite.entries.empty()) refreshConfiguration();
     reply.ok = true;
     reply.match = match;
     message.__set_appendEntriesReply(reply);
     auto sequence =
-        commitAdvances || !change.entries.empty() ? write(std::move(change), now) : writeIfUnsaved(now);
+        commitAdvances || !diskWrite.entries.empty() ? write(std::move(diskWrite), now) : writeIfUnsaved(now);
     sendAfterWrite(sequence, from, message);
 }
 
-// Appends the entries that the log lacks. An entry with another term than the log has at its index replaces
-// the log from there on.
+// Appends the entries that the log lacks, and returns the write that stores them. If the log has an entry
+// with the same index and another term, that entry and all later ones are removed first.
 auto Voter::storeEntries(const wire::AppendEntries& request) -> DiskWrite {
-    auto change = DiskWrite();
+    auto diskWrite = DiskWrite();
     for (auto& entry : request.entries) {
         auto index = entry.index;
         if (index <= snapshot_.index || (index <= last() && log_.termAt(index) == entry.term)) continue;
         if (index <= last()) {
             INVARIANT(index > commitIndex_ || !hasNoInjectedFault());
-            if (change.truncateFrom < 0) change.truncateFrom = index;
+            if (diskWrite.truncateFrom < 0) diskWrite.truncateFrom = index;
             log_.truncateFrom(index);
             lastSynced_ = std::min(lastSynced_, last());
         }
         INVARIANT(entry.term >= log_.lastTerm() || !hasNoInjectedFault());
         log_.append(entry);
-        change.entries.push_back(entry);
+        diskWrite.entries.push_back(entry);
     }
     auto end = request.prevLogIndex + std::int64_t(request.entries.size());
     if (broken.truncateMatching && last() > end && end > snapshot_.index) {
@@ -234,14 +239,14 @@
         log_.truncateFrom(end + 1);
         lastSynced_ = std::min(lastSynced_, last());
     }
-    return change;
+    return diskWrite;
 }
 
 auto Voter::onAppendEntriesReply(
     const std::string& from, const wire::AppendEntriesReply& reply, Microseconds now) -> void {
     if (reply.ok) endSnapshotTransfer(from, reply.match);
     if (reply.term > term_) {
-        // A non-voter must not depose a leader.
+        // A non-voter must not make a leader step down.
         if (isVoter(from)) adoptTerm(reply.term, now);
         return;
     }
--- a/src/consensus/voter.hpp
+++ b/src/consensus/voter.hpp
@@ -4,12 +4,13 @@
 // and joint consensus. The class contains no I/O: disk and network are behind VoterPort, so the simulator,
 // the model checker and the tests run the same code as production.
 //
-// A replica is identified by the identity of its disk. Voter owns the following parts, which do not depend
-// on each other, dispatches messages to their handlers and issues the writes:
+// A replica is identified by a string that is stored on its disk, the identity of the disk; a parameter
+// named `disk` holds it. Voter dispatches messages to their handlers and issues the writes. It consists of
+// these parts:
 //
 //   configuration.hpp      who votes, and what is a majority
 //   replicated_log.hpp     the log entries in memory
-//   snapshot.hpp           the state that replaces the entries before them
+//   snapshot.hpp           the state that replaces the log entries up to an index
 //   write_queue.hpp        pending writes, and the messages that must wait for them
 //   progress.hpp           the leader's view of another replica
 //   read_index.hpp         linearizable reads that wait for a majority
@@ -75,7 +76,7 @@
 class Voter {
   public:
     enum class Role {
-        Uninitialized,  // belongs to no cluster yet
+        Uninitialized,  // belongs to no cluster
         Follower,
         PreCandidate,
         Candidate,
@@ -95,8 +96,8 @@
     /// Reports that the write `sequence` (DiskWrite::seq) is durable or has failed. Call in the order of the
     /// writes.
     auto onDiskWriteDone(std::int64_t sequence, bool succeeded, Microseconds now) -> void;
-    /// Bootstraps a new cluster from this state on this disk alone, leaving any earlier cluster. The other
-    /// voters receive the state as a snapshot.
+    /// Starts a new cluster with this state, and leaves any earlier cluster. Only this disk is written; the
+    /// other voters that the state names receive it as a snapshot.
     auto bootstrap(const ReplicatedState& state, std::int64_t term, Microseconds now) -> void;
     /// Appends an entry of this kind (see configuration.hpp) to the log. Returns false, and appends nothing,
     /// unless this voter leads, its disk works and no leadership transfer is under way.
@@ -107,31 +108,34 @@
     /// Starts a linearizable read (ReadIndex). The result is reported by VoterPort::onReadDone with this id,
     /// possibly during the call.
     auto read(std::int64_t id, Microseconds now) -> void;
-    /// Sets the spare disks that may replace the disk of a voter, as pairs of node and disk.
+    /// Sets the spare disks, as pairs of node and disk. One may replace the disk of a voter on the same node,
+    /// or become a further voter while there are fewer than MIN_VOTERS.
     auto setSpareDisks(const std::vector<std::pair<std::string, std::string>>& spares) -> void {
         spareDisks_ = spares;
     }
-    /// Sets the disks that currently report to be uninitialized. Those of voters are sent a snapshot.
+    /// Sets the disks that currently report that they are uninitialized, voters or not. Those that are voters
+    /// receive a snapshot.
     auto setUninitializedVoters(const std::vector<std::string>& disks) -> void {
         uninitializedVoters_ = disks;
     }
     /// Transfers leadership (3.10) to the reachable voter with the highest match index, for a planned stop.
     /// Returns false if no such voter holds everything that is durable on this disk.
     auto transferLeadership(Microseconds now) -> bool;
-    /// Leaves the cluster and erases the disk. Without `force` only if this disk has given no vote in its
-    /// current term. Returns false, and changes nothing, otherwise and while this voter is uninitialized or
-    /// leads; with `force` a leader steps down first.
+    /// Leaves the cluster and erases the disk except for its identity. With `force`, a leader steps down
+    /// first. Returns false, and changes nothing, if this voter is uninitialized or, without `force`, if it
+    /// leads or this disk has given a vote in its current term.
     auto leaveCluster(bool force, Microseconds now) -> bool;
-    /// To be called when a committed state of this cluster with this version does not include this disk among
-    /// the voters. If this log can't have reached that version, the disk is erased and becomes an
-    /// uninitialized one with the identity `newDiskId`. Returns whether it did.
+    /// Call when a committed state of this cluster, with this version, does not include this disk among the
+    /// voters. If that version lies beyond the end of this log, erases the disk and gives it the identity
+    /// `newDiskId`, so that the voter is uninitialized; returns whether it did.
     auto retire(std::int64_t version, const std::string& newDiskId, Microseconds now) -> bool;
-    /// When the last message from a disk arrived at this leader in its term; 0 if none has.
+    /// When the last reply from a disk reached this leader in the leader's term; 0 if none has.
     auto lastContact(const std::string& disk) const -> Microseconds;
     /// When the current leadership of this voter began; for other roles, its most recent one.
     auto leaderSince() const -> Microseconds { return leaderSince_; }
 
     auto role() const -> Role;
+    /// Whether this voter belongs to no cluster.
     auto blank() const -> bool { return role() == Role::Uninitialized; }
     auto leads() const -> bool { return role() == Role::Leader; }
     /// Whether this voter leads and has applied an entry of its own term.
@@ -143,9 +147,10 @@
     auto epoch() const -> std::int64_t { return epoch_; }
     /// The disk of the leader of this term; empty if unknown.
     auto leader() const -> const std::string& { return leaderDisk_; }
-    /// The state after applying the entry applied().
+    /// The state of the state machine, which has applied the entries up to applied().
     auto replicatedState() const -> const ReplicatedState& { return replicatedState_; }
-    /// The state after applying the complete log, including uncommitted entries.
+    /// On a leader: the state after applying the complete log, including uncommitted entries. Not kept up to
+    /// date in other roles.
     auto latestState() const -> const ReplicatedState& { return latestState_; }
     /// The commit index: the last entry that is known to be committed.
     auto commit() const -> std::int64_t { return commitIndex_; }
@@ -165,7 +170,8 @@
     /// The number of log entries in memory.
     auto logSize() const -> std::size_t { return log_.size(); }
 
-    /// Faults that tests inject to prove that the oracles detect them. All are off in production.
+    /// Faults that tests inject to prove that the tests' checks (oracles) detect them. All are off in
+    /// production.
     struct Broken {
         bool ackBeforeSync = false;      // messages do not wait for the writes that they depend on
         bool voteTwice = false;          // votes twice in a term, and accepts a second leader of a term
@@ -174,9 +180,9 @@
         bool truncateCommitted = false;  // committed entries are replaced by conflicting ones
         bool ackUnsavedTerm = false;     // the term of a failed write counts as saved
         bool commitOldTerm = false;      // entries of earlier terms are committed by counting replicas
-        bool skipReadQuorum = false;     // a read is answered without a heartbeat round
-        bool changeBeforeNoop = false;   // voters change before an entry of the own term is committed
-        bool truncateMatching = false;   // an append removes matching entries behind those it carries
+        bool skipReadQuorum = false;     // a read does not wait for its heartbeat round
+        bool changeBeforeNoop = false;   // voters change before the leader has committed an entry of its term
+        bool truncateMatching = false;   // an append removes matching entries after those it carries
         auto operator==(const Broken&) const -> bool = default;
     };
     Broken broken;
@@ -206,8 +212,8 @@
     auto becomeFollower(Microseconds now) -> void;
     auto adoptTerm(std::int64_t term, Microseconds now) -> void;
     auto beginPreVote(Microseconds now) -> void;
-    /// `leadershipTransfer`: the leader requested this election, so voters need not wait until they have lost
-    /// contact with it.
+    /// `leadershipTransfer`: the leader requested this election, so voters grant their vote even while they
+    /// have contact with the leader.
     auto beginElection(bool leadershipTransfer, Microseconds now) -> void;
     auto voteRequest() const -> wire::RequestVote;
     auto becomeLeader(Microseconds now) -> void;
@@ -222,7 +228,7 @@
     auto onTimeoutNow(const std::string& from, const wire::TimeoutNow& message, Microseconds now) -> void;
     auto candidateReadsConfiguration(const wire::RequestVote& request) const -> bool;
 
-    // replication.cpp
+    // replication.cpp; applyEntry is in membership.cpp
     auto append(int kind, const std::string& body, Microseconds now) -> void;
     auto replicateTo(const std::string& disk, Microseconds now) -> void;
     auto sendAppendEntries(const std::string& disk, ReplicaProgress& progress, Microseconds now) -> void;
@@ -251,7 +257,7 @@
     auto advanceConfigurationChange(Microseconds now) -> void;
     auto removeReplacedDisk(Microseconds now) -> bool;
     auto promoteLearner(Microseconds now) -> void;
-    auto hasCaughtUp(ReplicaProgress& progress, Microseconds now) -> bool;
+    auto updateCatchUp(ReplicaProgress& progress, Microseconds now) -> bool;
     auto beginConfigurationChange(std::vector<VoterIdentity> voters, Microseconds now) -> bool;
 
     // snapshot.cpp
@@ -285,8 +291,9 @@
     RandomSource random_;
     std::unique_ptr<RoleMachine> roles_;
 
-    // The persistent state besides the log. It is durable once the newest write is done.
-    std::string disk_;  // its identity
+    // The persistent state, and the queue of writes that store it. It is durable once the newest write is
+    // done.
+    std::string disk_;  // the identity of this disk
     std::int64_t epoch_ = 0;
     std::int64_t term_ = 0;
     std::string votedFor_;  // the vote of this term; empty: none
@@ -294,8 +301,9 @@
     Snapshot snapshot_;
     ReplicatedLog log_;
     WriteQueue writes_;
-    std::int64_t lastSynced_ = 0;    // the last entry that is durable on this disk
-    std::int64_t installWrite_ = 0;  // the pending write of an installed or bootstrap snapshot; 0: none
+    std::int64_t lastSynced_ = 0;  // the index of the last entry that is durable on this disk
+    // The sequence number of the pending write of a received or bootstrap snapshot; 0: none.
+    std::int64_t installWrite_ = 0;
 
     // The state machine.
     std::int64_t lastApplied_ = 0;
@@ -316,7 +324,7 @@
     Microseconds electionDeadline_ = 0;
     Microseconds preVoteStart_ = 0;
     std::set<std::string> votes_;    // the disks that granted their vote to this candidate
-    std::int64_t ownVoteWrite_ = 0;  // the pending write of this candidate's own vote; 0: none
+    std::int64_t ownVoteWrite_ = 0;  // sequence number of the pending write of its own vote; 0: none
 
     // State of a leader.
     std::map<std::string, ReplicaProgress> progress_;  // by disk
--- a/src/control/order_client.hpp
+++ b/src/control/order_client.hpp
@@ -2,6 +2,8 @@
 // Forwards operators' commands and linearizable reads from a node to the leader. It retries them when the
 // leader changes or does not answer, and matches answers to requests. A retried command carries the same
 // idempotency key, so it is applied only once.
+//
+// In names, `order` means a command or, as in OrderClient and OrderRequest, a command or a read.
 #include <cstdint>
 #include <string>
 #include <vector>
@@ -11,9 +13,10 @@
 
 namespace duneturn {
 
-/// A command that is not acknowledged within this time has an unknown outcome.
+/// A command that is not acknowledged within this time has an unknown outcome, unless it was never sent or
+/// each send was answered with NOT_LEADER: then it was not logged.
 constexpr Microseconds ORDER_TIMEOUT = 4500 * MILLISECOND;
-/// A read that no leader has answered within this time has failed.
+/// A read fails if no leader answers it within this time.
 constexpr Microseconds READ_TIMEOUT = 4 * SECOND;
 /// A request that is unanswered for this time is sent again.
 constexpr Microseconds LEADER_RESPONSE_TIMEOUT = 1 * SECOND;
@@ -30,7 +33,7 @@
     virtual ~OrderClientPort() = default;
     /// Looks up the node that currently leads; empty if none is known.
     virtual auto findLeader(Microseconds now) -> std::string = 0;
-    /// The node that led when a leader was last seen, without a new look-up; empty if none was.
+    /// The last known leader, without a new look-up; empty if none has been known.
     virtual auto lastLeader() -> std::string = 0;
     /// Sends a request to a node, which may be this one. May call OrderClient::answered during the call.
     virtual auto sendOrder(const std::string& node, wire::OrderRequest& request, Microseconds now)
@@ -42,7 +45,8 @@
 /// The pending commands and reads of one node. Not thread-safe.
 class OrderClient {
   public:
-    /// `firstRequest`: the start of the request numbers, which must differ between incarnations of a node.
+    /// `firstRequest`: the request numbers start after this one. They must differ between incarnations of a
+    /// node; each start of its process is an incarnation.
     OrderClient(OrderClientPort& port, OrderRetry retry, std::int64_t firstRequest)
         : port_(port), retry_(retry), lastRequest_(firstRequest) {}
 
@@ -54,8 +58,8 @@
     auto read(std::int64_t id, const StateQuery& query, Microseconds now) -> void;
     /// Stops retrying for a caller that has disconnected. Reports an unknown outcome during the call.
     auto cancel(std::int64_t id) -> void;
-    /// Handles a node's answer. `incarnation`: the current incarnation of this node; an answer to an earlier
-    /// one is ignored.
+    /// Handles a node's answer. `incarnation`: the current incarnation of this node; an answer to a request
+    /// of an earlier incarnation is ignored.
     auto answered(const wire::OrderReply& reply, std::int64_t incarnation, Microseconds now) -> void;
     /// Sends what is due and finishes requests that have timed out.
     auto tick(std::int64_t incarnation, Microseconds now) -> void;
--- a/src/control/order_service.cpp
+++ b/src/control/order_service.cpp
@@ -32,9 +32,9 @@
     return {jsonString(document, "op"), jsonString(document, "key"), jsonString(document, "body")};
 }
 
-// Ignores commands of earlier terms: they may have been removed from the log, so waiting for them could be
-// in vain.
-auto OrderService::findInLog(const std::string& key, std::int64_t term) -> PendingCommand* {
+// Ignores commands of earlier terms: they may have been removed from the log, so their outcome might never
+// be known.
+auto OrderService::findUnapplied(const std::string& key, std::int64_t term) -> PendingCommand* {
     for (auto& command : commands_)
         if (command.key == key && command.term == term && !command.applied) return &command;
     return nullptr;
@@ -55,7 +55,8 @@
     if (!voter.ready()) return port_.answer(from, order_answer::notLeader());
     auto request = parse(text);
     if (request.operation.empty()) return;
-    // A retry of an accepted command. It stays accepted whichever node leads now.
+    // A retry of an accepted command, which stays accepted whichever node leads now. tick() answers with the
+    // recorded outcome once it is acknowledged.
     if (auto known = voter.replicatedState().accepted(request.key); known.status) {
         auto& command = awaitOutcome(voter, from, request.key, now);
         command.applied = true;
@@ -63,13 +64,14 @@
         command.outcome = known;
         return;
     }
-    if (auto command = findInLog(request.key, voter.term()); command && !request.key.empty()) {
+    if (auto command = findUnapplied(request.key, voter.term()); command && !request.key.empty()) {
         command->requesters.push_back(from);
         command->deadline = now + ORDER_SERVICE_TIMEOUT;
         return;
     }
     auto command = prepareCommand(voter.latestState(), request.operation, request.key, request.body, wall);
     if (command) return propose(voter, from, *command, now);
+    // The state may include uncommitted entries, so such a rejection is confirmed on committed state.
     if (command.error().dependsOnState && !broken.rejectFromLog)
         return confirmRejection(voter, from, request, now);
     reject(from, command.error());
@@ -86,7 +88,7 @@
     awaitOutcome(voter, from, command.key, now);
     auto entry = encodeForVoters(voter, command);
     if (voter.propose(entryKindOf(entry.form), entry.body, now)) return;
-    commands_.pop_back();
+    commands_.pop_back();  // the one that awaitOutcome added
     port_.answer(
         from, order_answer::notLogged("the leader can't write to its disk; the order was not logged"));
 }
@@ -108,8 +110,8 @@
 }
 
 auto OrderService::answerIfKnown(PendingCommand& command, Microseconds now) -> Outcome {
-    // The rejection of an applied command is committed, so it can be answered at once. An acknowledgement may
-    // need further majorities.
+    // The rejection of an applied command is committed, so it can be answered at once. An accepted command
+    // may need further majorities (see OrderServicePort::acknowledged).
     auto rejected = command.applied && command.outcome.status != order_answer::ACCEPTED;
     if (rejected) return command.outcome;
     if (command.applied && port_.acknowledged(command.proof, command.stateVersion, now))
@@ -205,6 +207,7 @@
 auto OrderService::readDone(Voter& voter, std::int64_t id, bool confirmed) -> void {
     auto isRead = [&](const PendingRead& read) { return read.id == id; };
     auto found = std::find_if(reads_.begin(), reads_.end(), isRead);
+    // Reads that confirm a rejection take their ids from the same sequence.
     if (found == reads_.end()) return rejectionReadDone(id, confirmed);
     if (confirmed) {
         found->confirmed = true;
--- a/src/control/order_service.hpp
+++ b/src/control/order_service.hpp
@@ -124,7 +124,7 @@
     };
 
     static auto parse(const std::string& text) -> Request;
-    auto findInLog(const std::string& key, std::int64_t term) -> PendingCommand*;
+    auto findUnapplied(const std::string& key, std::int64_t term) -> PendingCommand*;
     auto awaitOutcome(Voter& voter, const Requester& from, const std::string& key, Microseconds now)
         -> PendingCommand&;
     auto propose(Voter& voter, const Requester& from, const LoggedCommand& command, Microseconds now) -> void;
