--- a/src/membership/disaster_recovery.cpp
+++ b/src/membership/disaster_recovery.cpp
@@ -19,8 +19,8 @@
 /// How long a loss of disks must be observed before a new epoch is begun.
 static constexpr Microseconds LOSS_CONFIRMATION_PERIOD = 2 * SECOND;
 
-/// Returns the voters of the new epoch: the nodes of the old epoch's voters that are alive, with their
-/// present disks, and this node's disk.
+/// Returns the voters of the new epoch: every node that had a voter in the old epoch and is alive, with the
+/// disk that it has now, and in addition this node's disk.
 static auto votersOfNewEpoch(const NodeContext& context, const ReplicatedState& state, Microseconds now)
     -> std::vector<VoterIdentity> {
     auto voters = std::vector<VoterIdentity>();
@@ -37,7 +37,8 @@
     return voters;
 }
 
-/// Begins a new epoch on this disk from the newest known state, in a term above every term received.
+/// Begins a new epoch on this node's disk from the newest known state. Its term is above this node's term and
+/// the terms of all other nodes that count for the lease.
 static auto beginEpochFromNewest(NodeContext& context, Microseconds now) -> void {
     auto state = context.newestKnownState();
     auto& own = context.members.own();
@@ -52,17 +53,20 @@
 
 namespace {
 
-/// The fate of the voters' disks on the nodes that are alive.
+/// Which of the voters' disks are lost, according to the records of the nodes that are alive.
 struct DiskLosses {
-    std::size_t lost = 0;                   // the node is alive with a different disk
-    std::string firstLost, firstSurviving;  // names of nodes; empty if there is none
+    std::size_t lost = 0;       // voters whose node is alive with a different disk
+    std::string firstLostNode;  // the first node that has lost its voter's disk; empty if there is none
+    std::string
+        firstSurvivorNode;  // the first node with its voter's disk, initialized; empty if there is none
     /// The node that is to begin the new epoch.
-    [[nodiscard]] auto successor() const -> const std::string& {
-        return firstSurviving.empty() ? firstLost : firstSurviving;
+    [[nodiscard]] auto nodeToBeginEpoch() const -> const std::string& {
+        return firstSurvivorNode.empty() ? firstLostNode : firstSurvivorNode;
     }
-    /// Whether the remaining disks cannot form a majority, or cannot form one without `firstSurviving`.
+    /// Whether the disks that are not lost can no longer form a majority. If exactly half are lost, there
+    /// must also be a surviving disk, whose node begins the new epoch and thereby leaves the old one.
     [[nodiscard]] auto majorityLost(std::size_t voters) const -> bool {
-        return lost * 2 > voters || (lost * 2 == voters && !firstSurviving.empty());
+        return lost * 2 > voters || (lost * 2 == voters && !firstSurvivorNode.empty());
     }
 };
 
@@ -76,13 +80,14 @@
         if (!record || !context.members.isAlive(voter.node, now) || record->disk.empty()) continue;
         if (record->disk != voter.disk) {
             losses.lost++;
-            if (losses.firstLost.empty()) losses.firstLost = voter.node;
-        } else if (!record->blank && losses.firstSurviving.empty()) losses.firstSurviving = voter.node;
+            if (losses.firstLostNode.empty()) losses.firstLostNode = voter.node;
+        } else if (!record->blank && losses.firstSurvivorNode.empty()) losses.firstSurvivorNode = voter.node;
     }
     return losses;
 }
 
-/// Whether a majority of the roster counts for the lease and none of these nodes holds a newer state.
+/// Whether a majority of the roster is settled and counts for the lease, and no node of the roster that
+/// counts for the lease, settled or not, holds a newer state than this node knows.
 static auto rosterHoldsNothingNewer(const NodeContext& context, Microseconds now) -> bool {
     auto newest = versionOf(context.newestKnownState());
     auto settledNodes = std::size_t(0);
@@ -102,7 +107,7 @@
     if (context.state.version == 0) return timer.reset();
     auto voters = context.state.voters();
     auto losses = diskLosses(context, voters, now);
-    if (!losses.majorityLost(voters.size()) || losses.successor() != context.members.own().node
+    if (!losses.majorityLost(voters.size()) || losses.nodeToBeginEpoch() != context.members.own().node
         || !rosterHoldsNothingNewer(context, now))
         return timer.reset();
     if (!timer.heldFor(LOSS_CONFIRMATION_PERIOD, now)) return;
@@ -111,7 +116,8 @@
     beginEpochFromNewest(context, now);
 }
 
-/// Returns why the state of the other nodes forbids a new epoch from this survivor; empty if it does not.
+/// Returns the reason why an operator's command must not begin a new epoch from this node's state, according
+/// to the records of the nodes that are alive; empty if there is none.
 static auto objectionToSurvivor(const NodeContext& context, StateVersion namedVersion, Microseconds now)
     -> std::string {
     auto votingDisks = std::size_t(0), rosterNodes = std::size_t(0);
@@ -135,6 +141,7 @@
 auto recoverFromSurvivor(
     NodeContext& context, StateVersion namedVersion, bool majorityReachable, Microseconds now) -> Outcome {
     auto held = versionOf(context.newestKnownState());
+    // In the answers to the operator, `reign` is the epoch and `generation` the version.
     auto reject = [&](const std::string& reason) {
         context.counters.add("rescues_denied_total");
         return Outcome{409,
@@ -152,7 +159,7 @@
         "epoch_begun_by_operator", "from_epoch={} from_version={}", namedVersion.epoch, namedVersion.version);
     beginEpochFromNewest(context, now);
     auto& begun = context.voter->replicatedState();
-    // Simulations hash this text.
+    // This text must not be reworded, because simulations hash it.
     auto lost = fmt::format(
         "orders acknowledged after generation {} of reign {}", namedVersion.version, namedVersion.epoch);
     return {200,
--- a/src/membership/lease.cpp
+++ b/src/membership/lease.cpp
@@ -7,8 +7,8 @@
 
 namespace duneturn {
 
-/// A proof that is not complete by then starts over, so that a node that has failed since the first check
-/// does not block it.
+/// A MajorityProof that is not complete within this time after its first check starts over, so that a node
+/// that has failed since that check does not block it.
 static constexpr Microseconds PROOF_TIMEOUT = 1 * SECOND;
 
 auto countsForLease(const NodeContext& context, const KnownNode& node, Microseconds now) -> bool {
@@ -20,8 +20,9 @@
     auto votersConfirming = std::size_t(0), rosterConfirming = std::size_t(0);
     auto count = [&](const wire::NodeRecord& record) {
         if (versionOf(record) > versionOf(context.state)) return;
-        auto counts = record.settled || voters == VotersCounted::All;
-        if (!record.blank && context.isVoter(record) && counts) votersConfirming++;
+        // VotersCounted::All admits voters that are not settled; nodes of the roster must always be settled.
+        auto admitted = record.settled || voters == VotersCounted::All;
+        if (!record.blank && context.isVoter(record) && admitted) votersConfirming++;
         if (record.settled && context.voting.roster.count(record.node)) rosterConfirming++;
     };
     count(context.members.own());
@@ -31,26 +32,28 @@
         || rosterConfirming * 2 > context.voting.roster.size();
 }
 
-/// Whether a majority of the voters and a majority of the roster satisfy `holds`. It is called with each
-/// record and that node's KnownNode::acknowledgedSince.
+/// Whether a majority of the voters and a majority of the roster satisfy `holds`. The predicate receives a
+/// node's record and its KnownNode::acknowledgedSince; for this node, which needs no acknowledgement, `now`.
 static auto majoritiesWhere(const NodeContext& context,
     const std::function<bool(const wire::NodeRecord&, Microseconds)>& holds, Microseconds now) -> bool {
-    auto voters = std::size_t(0), roster = std::size_t(0);
+    auto votersHolding = std::size_t(0), rosterHolding = std::size_t(0);
     auto count = [&](const wire::NodeRecord& record, Microseconds acknowledgedSince) {
         if (!holds(record, acknowledgedSince)) return;
-        if (!record.blank && context.isVoter(record)) voters++;
-        if (context.voting.roster.count(record.node)) roster++;
+        if (!record.blank && context.isVoter(record)) votersHolding++;
+        if (context.voting.roster.count(record.node)) rosterHolding++;
     };
     count(context.members.own(), now);
     for (auto& [name, known] : context.members.others()) count(known.record, known.acknowledgedSince);
-    return voters * 2 > context.voting.voterDisks.size() && roster * 2 > context.voting.roster.size();
+    return votersHolding * 2 > context.voting.voterDisks.size()
+        && rosterHolding * 2 > context.voting.roster.size();
 }
 
-/// The first of the two checks: if majorities satisfy `holds`, records their incarnations in `proof`.
+/// The first of the two checks of majorityHolds: if majorities satisfy `holds`, records in `proof` the time
+/// and the incarnation of each node that does.
 static auto beginProof(const NodeContext& context, MajorityProof& proof,
     const std::function<bool(const wire::NodeRecord&)>& holds, Microseconds now) -> void {
-    auto held = [&](const wire::NodeRecord& record, Microseconds) { return holds(record); };
-    if (!majoritiesWhere(context, held, now)) return;
+    auto holdsAtAnyAge = [&](const wire::NodeRecord& record, Microseconds) { return holds(record); };
+    if (!majoritiesWhere(context, holdsAtAnyAge, now)) return;
     auto& own = context.members.own();
     proof.begun = now;
     proof.incarnations[own.node] = own.boot;
@@ -67,8 +70,8 @@
     }
     auto stillHeld = [&](const wire::NodeRecord& record, Microseconds acknowledgedSince) {
         if (!holds(record)) return false;
-        auto seen = proof.incarnations.find(record.node);
-        return seen != proof.incarnations.end() && seen->second == record.boot
+        auto incarnation = proof.incarnations.find(record.node);
+        return incarnation != proof.incarnations.end() && incarnation->second == record.boot
             && acknowledgedSince >= proof.begun;
     };
     auto proven = majoritiesWhere(context, stillHeld, now);
--- a/src/membership/node.hpp
+++ b/src/membership/node.hpp
@@ -3,10 +3,13 @@
 // state that it holds and the operator orders that it forwards. Node assembles the parts of this folder and
 // dispatches messages, timer ticks and completed disk writes to them.
 //
+//   node_port.hpp            what a node requires of its environment
 //   node_context.hpp         data shared by the parts
 //   membership_table.hpp     records of all nodes
 //   server_directory.hpp     servers and their load
-//   lease.hpp                confirmation by majorities
+//   failure_detector.hpp     timeouts and maximum ages
+//   dissemination_tree.hpp   the tree along which heartbeats and new replicated state are sent
+//   lease.hpp                leases and acknowledgements that majorities confirm
 //   membership_protocol.hpp  interface of the two membership protocols:
 //     roster_membership.hpp    fixed roster, acknowledged heartbeats
 //     gossip_membership.hpp    discovery from seeds; uses gossip_listing.hpp
@@ -70,14 +73,16 @@
     [[nodiscard]] auto withinLease(Microseconds now) const -> bool { return protocol_->withinLease(now); }
     /// Whether clients may send requests to this node.
     [[nodiscard]] auto ready(Microseconds now) const -> bool { return protocol_->ready(now); }
-    /// Whether this process was suspended for longer than FREEZE_GAP at or after `arrived`, or so shortly
-    /// before that a request read at `arrived` may have waited unread during the suspension.
+    /// Whether this process has been suspended for longer than FREEZE_GAP since `arrived`, or resumed from
+    /// such a suspension less than RESUME_GRACE before `arrived`. In the latter case a request that was read
+    /// at `arrived` may have waited unread while the process was suspended.
     [[nodiscard]] auto wasFrozenSince(Microseconds arrived, Microseconds now) const -> bool;
-    /// Begins a planned stop: transfers leadership, asks the other nodes to send no more requests, and lets
-    /// a spare disk replace this node's voter.
+    /// Begins a planned stop: transfers leadership and announces the stop, so that the other nodes send no
+    /// more requests here. With gossip membership the leader then replaces this node's voter by a spare disk,
+    /// if there is one.
     auto leave(Microseconds now) -> void;
-    /// Whether the replicated log permits this node to stop: its disk does not vote any more, or there is no
-    /// spare disk that could replace it.
+    /// Whether a planned stop need not wait for this node's vote to be transferred: its disk does not vote
+    /// any more, or no spare disk could replace it. Always true with a fixed roster.
     [[nodiscard]] auto voteHandedOver(Microseconds now) const -> bool {
         return protocol_->voteHandedOver(now);
     }
@@ -86,8 +91,9 @@
         return protocol_->hasSingletonDuty(now);
     }
 
-    /// Forwards an operator's order to the leader; answered through NodePort::done with `id`. `key`: the
-    /// idempotency key.
+    /// Forwards an operator's order, which is a command that changes the replicated state, to the leader;
+    /// answered through NodePort::done with `id`. `operation`, `body`: the command's name and its arguments.
+    /// `key`: the idempotency key.
     auto order(std::int64_t id, const std::string& operation, const std::string& key, const std::string& body,
         Microseconds now) -> void;
     /// Reads the replicated state with linearizable consistency; answered through NodePort::done.
@@ -95,19 +101,24 @@
     auto read(std::int64_t id, Microseconds now) -> void { read(id, StateQuery::document(), now); }
     /// Reports that the caller of an order or a read has disconnected.
     auto cancelOrder(std::int64_t id) -> void;
-    /// Begins a new epoch from the state held here, whose epoch and version the operator names. A last resort
-    /// when neither disks nor nodes can form a majority (disaster_recovery.hpp).
+    /// Begins a new epoch from newestKnownState(). It is rejected unless `epoch` and `version`, as the
+    /// operator gives them, are those of that state. A last resort when neither the voters' disks nor the
+    /// nodes of the roster can form a majority (disaster_recovery.hpp).
     auto rescue(std::int64_t epoch, std::int64_t version, Microseconds now) -> Outcome;
     /// The newest replicated state that this node holds or has received.
     [[nodiscard]] auto newestKnownState() const -> const ReplicatedState& {
         return context_.newestKnownState();
     }
-    /// Applies the platform's complete listing (JSON); answered through NodePort::done. The platform numbers
-    /// its listings and marks (`revision`), so that one that was delayed does not undo a newer one.
+    /// Applies the platform's complete listing of the servers (JSON); answered through NodePort::done. The
+    /// platform may number its listings and drain marks (`revision`, for a listing a field of the JSON), so
+    /// that one that was delayed does not undo a newer one.
     auto list(std::int64_t id, const std::string& body, Microseconds now) -> void;
-    /// Marks one server as draining; answered through NodePort::done.
+    /// Marks one server as draining; answered through NodePort::done. `revision`: 0 if the platform does not
+    /// number its marks.
     auto mark(std::int64_t id, const std::string& server, std::int64_t revision, Microseconds now) -> void;
 
+    /// The replicated state that this node has adopted. Unlike newestKnownState(), it does not include a
+    /// newer state that a voter has received but not adopted.
     [[nodiscard]] auto replicatedState() const -> const ReplicatedState& { return context_.state; }
     /// The other nodes by name.
     [[nodiscard]] auto nodes() const -> const std::map<std::string, KnownNode>& {
@@ -129,9 +140,10 @@
     [[nodiscard]] auto leaderNode(Microseconds now) const -> std::string {
         return context_.members.leaderNode(now);
     }
-    /// Transfers a part of this node's retry budget to another node.
+    /// Sends `credit` retries of this node's retry budget to another node; the caller deducts them here.
     auto grantCredit(const std::string& node, std::int64_t credit, Microseconds now) -> void;
-    /// Publishes this node's retry budget, and how much more it wants, in its record.
+    /// Sets this node's retry budget, and how much more it wants (`want`), in the record that its heartbeats
+    /// carry.
     auto setCredit(std::int64_t credit, std::int64_t want) -> void;
     /// Called with the amount of each retry credit that another node has granted; once per grant.
     std::function<void(std::int64_t)> onCreditGrant;
@@ -196,13 +208,13 @@
     OrderClient orderClient_;
     OperationScheduler scheduler_;
     QuotaService quota_;
-    std::map<std::string, std::int64_t>
-        lastGrantNumbers_;  // number of the last credit grant, by granting node
-    std::int64_t grantsSent_ = 0;
-    std::vector<std::string> savedHints_;
-    Microseconds hintsCheckedAt_ = 0;
+    /// The number of the last credit grant that was received, by granting node.
+    std::map<std::string, std::int64_t> lastGrantNumbers_;
+    std::int64_t grantsSent_ = 0;          // credit grants that this node has sent
+    std::vector<std::string> savedHints_;  // the peer addresses as last saved
+    Microseconds hintsCheckedAt_ = 0;      // when they were last compared with the membership table
     Microseconds nextProbeAt_ = 0;
-    Microseconds transferAttemptedAt_ = 0;
+    Microseconds transferAttemptedAt_ = 0;  // when a planned stop last tried to transfer leadership
     bool wasWithinLease_ = false;
 
   public:
--- a/src/membership/roster_membership.cpp
+++ b/src/membership/roster_membership.cpp
@@ -21,17 +21,21 @@
 
 namespace duneturn {
 
-/// Sent heartbeats whose times are kept; at 0.2 s each, more than six leases.
+/// The number of sent heartbeats whose times are kept. At one every 0.2 s they span more than six leases; the
+/// span is shorter on a node that also forwards its parent's heartbeats to its children.
 static constexpr std::size_t MAX_SENT_HEARTBEATS = 64;
-/// Peers that receive heartbeats in addition to the neighbours in the tree, in case the tree has gaps.
+/// The number of peers that receive heartbeats in addition to the neighbours in the dissemination tree, in
+/// case the tree has gaps (dissemination_tree.hpp).
 static constexpr std::size_t EXTRA_PEERS = 3;
-/// Between two requests for the replicated state; one round trip between regions.
+/// The minimum interval between two requests for the replicated state; one round trip between regions.
 static constexpr Microseconds STATE_REQUEST_INTERVAL = 50 * MILLISECOND;
-/// A mark that is not confirmed by then is rejected, and the platform sends it to another node.
+/// Time within which majorities must confirm the drain marks of a request. After that the request is answered
+/// with status 503, and the platform repeats it at another node.
 static constexpr Microseconds MARK_TIMEOUT = 3 * SECOND;
 
 // ---- own record and heartbeats
 
+/// Adds a drain mark to the own record for each server that is draining.
 auto RosterMembership::completeOwnRecord() -> void {
     auto& own = context_.members.own();
     for (auto& [name, server] : context_.directory.servers()) {
@@ -43,6 +47,7 @@
     }
 }
 
+/// With a fixed roster each server's listing has a revision; there is no numbered listing of all servers.
 auto RosterMembership::hasListing() const -> bool { return false; }
 
 auto RosterMembership::beginHeartbeat(Microseconds now) -> void {
@@ -64,17 +69,18 @@
 }
 
 auto RosterMembership::receiversOf(Receivers receivers, Microseconds now) const -> std::set<std::string> {
-    auto& own = context_.members.own().node;
+    auto& ownName = context_.members.own().node;
     auto tree = context_.tree(now);
     auto names = std::set<std::string>();
-    for (auto& child : tree.childrenOf(own)) names.insert(child);
+    for (auto& child : tree.childrenOf(ownName)) names.insert(child);
     if (receivers == Receivers::Children) return names;
-    if (auto parent = tree.parentOf(own); !parent.empty()) names.insert(parent);
+    if (auto parent = tree.parentOf(ownName); !parent.empty()) names.insert(parent);
     // Rendezvous hashing selects the extra peers of this node.
     auto others = context_.members.aliveNodes(now);
-    others.erase(std::remove(others.begin(), others.end(), own), others.end());
-    std::sort(others.begin(), others.end(),
-        [&](auto& left, auto& right) { return rendezvousRank(own, left) > rendezvousRank(own, right); });
+    others.erase(std::remove(others.begin(), others.end(), ownName), others.end());
+    std::sort(others.begin(), others.end(), [&](auto& left, auto& right) {
+        return rendezvousRank(ownName, left) > rendezvousRank(ownName, right);
+    });
     for (auto i = std::size_t(0); i < others.size() && i < EXTRA_PEERS; i++) names.insert(others[i]);
     for (auto& [name, known] : context_.members.others())
         if (context_.isVoter(known.record)) names.insert(name);
@@ -104,10 +110,10 @@
         if (auto record = context_.members.find(name); record && name != own.node)
             context_.port.send(record->peer, envelope);
     if (receivers == Receivers::All && !context_.peerHints.empty()) {
-        // One seed or hint per round reconnects the parts of a partitioned fleet, even if the nodes at these
-        // addresses have been replaced meanwhile.
-        auto& seed = context_.nextInTurn(context_.peerHints);
-        if (seed != own.peer) context_.port.send(seed, envelope);
+        // One seed or saved address per round, in turn, also receives the heartbeat. This reconnects the
+        // parts of a partitioned fleet, even if the nodes at these addresses have been replaced meanwhile.
+        auto& address = context_.nextInTurn(context_.peerHints);
+        if (address != own.peer) context_.port.send(address, envelope);
     }
     context_.counters.add("beats_sent_total");
 }
@@ -120,35 +126,35 @@
 // ---- receiving
 
 auto RosterMembership::handleHeartbeat(const wire::Envelope& envelope, Microseconds now) -> void {
-    auto& own = context_.members.own().node;
+    auto& ownName = context_.members.own().node;
     auto tree = context_.tree(now);
     mergeHeartbeat(envelope.heartbeat, envelope.node, now);
-    auto parent = tree.parentOf(own);
+    auto parent = tree.parentOf(ownName);
     auto fromParent = !parent.empty() && parent == envelope.node;
-    // What the parent sent is forwarded to the children at once, not only with the next heartbeat.
-    if (fromParent && !tree.childrenOf(own).empty()) send(Receivers::Children, now);
+    // What the parent sent is forwarded to the children at once, in an additional heartbeat of this node.
+    if (fromParent && !tree.childrenOf(ownName).empty()) send(Receivers::Children, now);
 }
 
 auto RosterMembership::mergeHeartbeat(
     const wire::Heartbeat& heartbeat, const std::string& from, Microseconds now) -> void {
     auto held = versionOf(context_.newestKnownState());
     auto newest = held;
-    auto holder = std::string();  // the address of the node that holds the newest state
+    auto newestAddress = std::string();  // peer address of the node with the newest state; empty: this node
     for (auto& record : heartbeat.records) {
         if (!isAcceptable(record) || !mergeRecord(record, now)) continue;
         if (versionOf(record) <= newest) continue;
         newest = versionOf(record);
-        holder = record.peer;
+        newestAddress = record.peer;
     }
     for (auto& listing : heartbeat.listings) mergeListing(listing, now);
     mergeLoads(heartbeat, from, now);
-    // If a record shows a newer state than is held, the state is requested from that node.
-    if (holder.empty() || now < nextStateRequestAt_) return;
+    // If a record shows a newer state than this node holds, the state is requested from that record's node.
+    if (newestAddress.empty() || now < nextStateRequestAt_) return;
     nextStateRequestAt_ = now + STATE_REQUEST_INTERVAL;
-    context_.requestState(holder, held);
+    context_.requestState(newestAddress, held);
 }
 
-/// Returns whether the record was newer than the one held and was stored.
+/// Stores another node's record if it is newer than the one held. Returns whether it was stored.
 auto RosterMembership::mergeRecord(const wire::NodeRecord& record, Microseconds now) -> bool {
     if (record.node == context_.members.own().node) {
         context_.refuteOwnRecord(record.boot, record.heartbeat, record.peer);
@@ -164,6 +170,7 @@
     auto& known = entry->second;
     if (std::pair(record.boot, record.heartbeat) <= std::pair(known.record.boot, known.record.heartbeat))
         return false;
+    // What an earlier incarnation acknowledged does not count for the new one.
     if (known.record.boot != record.boot) known.acknowledgedSince = 0;
     if (!known.lastHeartbeatAt || !context_.members.isAlive(known, now))
         context_.counters.add("node_heard_again_total");
@@ -175,6 +182,7 @@
     return true;
 }
 
+/// Looks up when this node sent the heartbeats that the other node's record acknowledges.
 auto RosterMembership::mergeAcknowledgements(KnownNode& known) -> void {
     auto& own = context_.members.own();
     for (auto& ack : known.record.acks) {
@@ -208,9 +216,12 @@
     }
     auto& server = entry->second;
     auto& held = server.listing;
-    // For equal revisions LEAVING takes precedence: the mark may have arrived before the listing.
     if (listing.revision < held.revision) return;
+    // For equal revisions LEAVING takes precedence over UP: the drain mark may have arrived before the
+    // listing.
     if (listing.revision == held.revision && held.state > listing.state) return;
+    // The same listing again only confirms the one held, unless that has no address, as after a drain mark
+    // for an unknown server.
     if (listing.revision == held.revision && held.state == listing.state && !held.address.empty()) {
         server.listedAt = std::max(server.listedAt, now - listing.age);
         return;
@@ -225,7 +236,8 @@
 auto RosterMembership::mergeLoads(const wire::Heartbeat& heartbeat, const std::string& from, Microseconds now)
     -> void {
     // Reports that waited unread while this process was suspended are older than their age field says. The
-    // age is reliable again once that node has acknowledged a heartbeat that this node sent after resuming.
+    // age is reliable again once the sending node has acknowledged a heartbeat that this node sent after
+    // resuming.
     auto source = context_.members.others().find(from);
     auto resumedAt = context_.resumedAt;
     auto agesReliable = !resumedAt
@@ -239,7 +251,7 @@
     }
 }
 
-// ---- time
+// ---- periodic work
 
 auto RosterMembership::scanDue(Microseconds) -> bool { return true; }
 auto RosterMembership::listingTimeout() const -> Microseconds { return LISTING_TIMEOUT; }
@@ -249,6 +261,8 @@
     auto& own = context_.members.own();
     if (own.settled || context_.state.version == 0) return;
     if (!majorityConfirms(context_, VotersCounted::All, now)) return;
+    // If the settled nodes alone are too few to confirm the state, for example after all nodes restarted, a
+    // listing that the platform issued after this node's start is required in addition.
     auto confirmedBySettled = majorityConfirms(context_, VotersCounted::SettledOnly, now);
     if (!confirmedBySettled && listingIssuedAt_ <= context_.startedAt) return;
     own.settled = true;
@@ -262,10 +276,10 @@
 auto RosterMembership::beginEpochIfDue(Microseconds now) -> void {
     if (!context_.members.leaderNode(now).empty()) return epochTimer_.reset();
     auto& others = context_.members.others();
-    auto anyoneHoldsState = context_.state.version > 0
+    auto anyNodeHoldsState = context_.state.version > 0
         || std::any_of(
             others.begin(), others.end(), [](auto& entry) { return entry.second.record.stateVersion > 0; });
-    if (anyoneHoldsState) recoverFromRoster(context_, epochTimer_, now);
+    if (anyNodeHoldsState) recoverFromRoster(context_, epochTimer_, now);
     else bootstrapFromRoster(context_, epochTimer_, now);
 }
 
@@ -288,16 +302,19 @@
 auto RosterMembership::actsOnReceivedState() const -> bool { return false; }
 auto RosterMembership::sendsStateTo(const wire::NodeRecord&) const -> bool { return true; }
 auto RosterMembership::lastLeader() const -> std::string { return ""; }
+/// A planned stop has nothing to wait for, because a voter is replaced only by a disk of its own node
+/// (rosterSpareDisks).
 auto RosterMembership::voteHandedOver(Microseconds) const -> bool { return true; }
 
 // ---- requests of the platform
 
-/// Returns the revision of a listing or mark from the platform: the platform's own number, or the next one if
-/// the platform does not number them. Returns -1 if a newer revision is known, because this one was delayed.
+/// Returns the revision for a listing or drain mark from the platform: the platform's own number, or one
+/// above the highest known revision if the platform does not number them (0). Returns -1 if the platform's
+/// number is not above the highest known one, because the request was delayed or repeated.
 auto RosterMembership::nextRevision(std::int64_t platformRevision) const -> std::int64_t {
-    auto top = context_.directory.highestRevision();
-    if (!platformRevision || context_.faults.acceptSupersededListing) return top + 1;
-    return platformRevision > top ? platformRevision : -1;
+    auto highest = context_.directory.highestRevision();
+    if (!platformRevision || context_.faults.acceptSupersededListing) return highest + 1;
+    return platformRevision > highest ? platformRevision : -1;
 }
 
 auto RosterMembership::rejectSuperseded(std::int64_t id) -> void {
@@ -313,7 +330,7 @@
     return mark;
 }
 
-/// Returns whether the server begins to drain with this entry.
+/// Stores one server of the platform's listing. Returns whether the server begins to drain with this entry.
 auto RosterMembership::applyEntry(
     const PlatformListing::Entry& entry, std::int64_t revision, Microseconds now) -> bool {
     auto& server = context_.directory.servers()[entry.listing.server];
@@ -337,6 +354,7 @@
         if (applyEntry(entry, revision, now))
             pending.marks.push_back(drainMark(entry.listing.server, revision));
     }
+    // A server that the listing omits begins to drain.
     for (auto& [name, server] : context_.directory.servers()) {
         if (listed.count(name) || server.listing.state != UP) continue;
         pending.marks.push_back(drainMark(name, revision));
@@ -372,6 +390,7 @@
     pendingMarks_.push_back({id, {drainMark(server, revision)}, now + MARK_TIMEOUT, {}});
 }
 
+/// Whether majorities hold all drain marks of the request, each in this or a later revision.
 auto RosterMembership::majoritiesHold(PendingMarks& pending, Microseconds now) const -> bool {
     auto holds = [&](const wire::NodeRecord& record) {
         return std::all_of(pending.marks.begin(), pending.marks.end(), [&](const wire::DrainMark& wanted) {
--- a/src/membership/state_receiver.cpp
+++ b/src/membership/state_receiver.cpp
@@ -22,10 +22,10 @@
 
 namespace {
 
-/// The longest accepted document, decompressed.
+/// The maximum size of the document in a compressed message after decompression.
 constexpr std::size_t MAX_DOCUMENT_BYTES = std::size_t(32) << 20;
-/// Between two requests for the complete state because steps did not fit. It limits how often the complete
-/// state is sent if the steps never fit.
+/// The minimum interval between two requests for the complete state after steps that did not fit. It limits
+/// how often the complete state is sent if the steps never fit.
 constexpr Microseconds FULL_STATE_REQUEST_INTERVAL = 1 * SECOND;
 
 /// Returns the state in the message; empty if it is malformed.
@@ -41,7 +41,8 @@
     return state;
 }
 
-/// Applies a step. Returns whether it could be applied and produced the version that it states.
+/// Applies a step, which is one log entry that changed the state. Returns whether it could be applied and
+/// produced the version that it states.
 auto applyStep(ReplicatedState& state, const wire::StateStep& step) -> bool {
     auto entry = wire::Entry();
     entry.kind = step.kind;
@@ -57,8 +58,8 @@
 
 // ---- complete state
 
-/// Whether a state of this version must be handled. A voter handles every message of a later epoch, even a
-/// repeated one, because it leaves its cluster only once it is permitted to.
+/// Whether a complete state of this version must be handled. A voter handles one of a later epoch even if it
+/// has received that version before: Voter::leaveCluster may have refused then and must be tried again.
 auto StateReceiver::shouldHandle(StateVersion version) const -> bool {
     if (context_.faults.acceptOldState) return true;
     if (isVoter() && version.epoch > context_.voter->epoch()) return true;
@@ -96,6 +97,7 @@
     if (!sameEpoch || (message.base > state.version && !faults.applyAnyBase))
         return tl::make_unexpected(ChangeFault::Gap);
     for (auto& step : message.steps) {
+        // Steps that the state already includes are skipped.
         if (step.version <= state.version || applyStep(state, step)) continue;
         if (!faults.applyAnyBase) return tl::make_unexpected(ChangeFault::DoesNotFit);
         state.version = step.version;
@@ -105,8 +107,8 @@
     return state;
 }
 
-/// After a gap, requests what is newer than the version held. If the steps did not fit, requests the complete
-/// state from their source, as if this node held none.
+/// Requests from the sending node what was missing: after a gap, what is newer than the version held; if the
+/// steps did not fit, the complete state, by a request that states no version.
 auto StateReceiver::requestMissing(ChangeFault fault, const std::string& from, Microseconds now) -> void {
     auto source = context_.members.find(from);
     auto isGap = fault == ChangeFault::Gap;
@@ -131,14 +133,15 @@
     if (protocol_.actsOnReceivedState() && state.epoch == voter.epoch())
         return adoptBeforeLog(state, change, now);
     if (state.epoch <= voter.epoch()) return;
-    // Two nodes may begin an epoch at the same time; a disk that voted in one of these epochs stays with it.
-    // An epoch of a higher ordinal was begun after a majority of these voters was found to be lost.
-    auto laterEpoch = state.epoch / EPOCH_STRIDE > voter.epoch() / EPOCH_STRIDE;
-    voter.leaveCluster(laterEpoch, now);
+    // Two nodes may begin an epoch at the same time. Both epochs then have the same ordinal (EPOCH_STRIDE),
+    // and a disk that voted in one of them stays with it, which leaveCluster ensures unless it is forced. An
+    // epoch of a higher ordinal was begun after a majority of this epoch's voters was found to be lost.
+    auto hasHigherOrdinal = state.epoch / EPOCH_STRIDE > voter.epoch() / EPOCH_STRIDE;
+    voter.leaveCluster(hasHigherOrdinal, now);
 }
 
-/// Adopts a newer state of the voter's own epoch before its log contains it. Retires the disk if the state
-/// does not list it among the voters.
+/// Adopts a newer state of the voter's own epoch before its log contains it. If the state does not list the
+/// disk among the voters, first tries to retire the disk (Voter::retire).
 auto StateReceiver::adoptBeforeLog(
     const ReplicatedState& state, const wire::StateChange* change, Microseconds now) -> void {
     auto& voter = *context_.voter;
@@ -147,8 +150,8 @@
     auto votes = std::any_of(voters.begin(), voters.end(),
         [&](const VoterIdentity& identity) { return identity.disk == voter.disk(); });
     if (!votes) {
-        auto newDiskId = hash64(context_.members.own().node, context_.random.next());
-        voter.retire(state.version, fmt::format("{:016x}", newDiskId), now);
+        auto newDiskNumber = hash64(context_.members.own().node, context_.random.next());
+        voter.retire(state.version, fmt::format("{:016x}", newDiskNumber), now);
     }
     adopt_(state, change);
 }
