--- a/src/routing/dispatch.cpp
+++ b/src/routing/dispatch.cpp
@@ -69,7 +69,7 @@
         uncachedPromptTokens(statistics, received, PrefixAssumption::AsRecorded);
     statistics.pendingPromptTokens += double(request.attempts.pendingPromptTokens);
     statistics.reservedTokens += double(received.unsharedTokens());
-    statistics_.ofService(request.route.service).recordOwnTokens(received.unsharedTokens());
+    statistics_.ofService(request.route.service).recordUnsharedTokens(received.unsharedTokens());
     auto capacity = rule.kvCacheTokens ? rule.kvCacheTokens : UNSTATED_MEMORY_TOKENS;
     for (auto& [part, tokens] : received.promptParts) statistics.prefixCache.add(part, tokens, capacity);
 }
--- a/src/routing/server_statistics.cpp
+++ b/src/routing/server_statistics.cpp
@@ -42,7 +42,7 @@
     requestDuration = HOLD_TIME_SMOOTHING.next(requestDuration, double(taken));
 }
 
-auto ServiceStatistics::recordOwnTokens(std::int64_t tokens) -> void {
+auto ServiceStatistics::recordUnsharedTokens(std::int64_t tokens) -> void {
     unsharedTokens = OWN_TOKENS_SMOOTHING.next(unsharedTokens, double(tokens));
 }
 
--- a/src/routing/server_statistics.hpp
+++ b/src/routing/server_statistics.hpp
@@ -66,7 +66,7 @@
     double requestsOfOthers = 0;  ///< Smoothed: what a server holds of other nodes' requests.
 
     auto recordRequestDuration(Microseconds taken) -> void;
-    auto recordOwnTokens(std::int64_t tokens) -> void;
+    auto recordUnsharedTokens(std::int64_t tokens) -> void;
     /// A request was accepted that only `region` may serve; empty: that several may.
     auto recordRequest(const std::string& region) -> void;
     auto recordRequestsOfOthers(double requests) -> void;
