--- a/src/routing/attempt_state.cpp
+++ b/src/routing/attempt_state.cpp
@@ -25,7 +25,8 @@
         for (auto event : FAILURES) on(state, event, State::Failed, execution, step);
         return *this;
     }
-    // How the request ends when its client disconnects or its deadline passes.
+    // The attempt ends when the client disconnects or the deadline passes. `atDeadline`: the step after the
+    // deadline; after a disconnect the request is always abandoned.
     auto onRequestEnd(State state, Execution execution, NextStep atDeadline) -> TableBuilder& {
         on(state, Event::ClientDisconnected, State::Failed, execution, NextStep::Abandon);
         on(state, Event::DeadlineExceeded, State::Failed, execution, atDeadline);
@@ -37,73 +38,77 @@
     Table table_ = {};
 };
 
-auto addRulesBeforeFirstByte(TableBuilder& table) -> void {
-    constexpr auto NONE = Execution::NotArrived;
-    table.on(State::Queued, Event::ServerSelected, State::Connecting, NONE, NextStep::Continue);
-    table.onRequestEnd(State::Queued, NONE, NextStep::RejectNotExecuted);
-    table.on(
+auto addRulesBeforeFirstByte(TableBuilder& builder) -> void {
+    constexpr auto NOT_ARRIVED = Execution::NotArrived;
+    builder.on(State::Queued, Event::ServerSelected, State::Connecting, NOT_ARRIVED, NextStep::Continue);
+    builder.onRequestEnd(State::Queued, NOT_ARRIVED, NextStep::RejectNotExecuted);
+    builder.on(
         State::Connecting, Event::WriteStarted, State::Writing, Execution::MayHaveRun, NextStep::Continue);
     // No byte was written, so however the connection fails, nothing can have arrived.
-    table.onFailures(State::Connecting, NONE, NextStep::RetryAny);
-    table.on(State::Connecting, Event::SendWithheld, State::Failed, NONE, NextStep::RetryAny);
-    table.on(State::Connecting, Event::ConnectionRefused, State::Failed, NONE, NextStep::RetryAny);
-    table.onRequestEnd(State::Connecting, NONE, NextStep::RejectNotExecuted);
+    builder.onFailures(State::Connecting, NOT_ARRIVED, NextStep::RetryAny);
+    builder.on(State::Connecting, Event::SendWithheld, State::Failed, NOT_ARRIVED, NextStep::RetryAny);
+    builder.on(State::Connecting, Event::ConnectionRefused, State::Failed, NOT_ARRIVED, NextStep::RetryAny);
+    builder.onRequestEnd(State::Connecting, NOT_ARRIVED, NextStep::RejectNotExecuted);
 }
 
-auto addRulesBeforeResponse(TableBuilder& table, State state) -> void {
-    constexpr auto UNKNOWN = Execution::MayHaveRun;
-    table.onFailures(state, UNKNOWN, NextStep::RetryIfRepeatable);
+auto addRulesBeforeResponse(TableBuilder& builder, State state) -> void {
+    constexpr auto MAY_HAVE_RUN = Execution::MayHaveRun;
+    builder.onFailures(state, MAY_HAVE_RUN, NextStep::RetryIfRepeatable);
     // A connection cannot be refused once a byte was written; such a report proves nothing.
-    table.on(state, Event::ConnectionRefused, State::Failed, UNKNOWN, NextStep::RetryIfRepeatable);
-    // A server may respond before it has read the complete request.
-    table.on(state, Event::NotExecutedHead, State::Declined, Execution::NotRun, NextStep::Continue);
-    table.on(state, Event::FinalHead, State::HeadReceived, Execution::Ran, NextStep::Continue);
-    table.onRequestEnd(state, UNKNOWN, NextStep::FailOutcomeUnknown);
+    builder.on(state, Event::ConnectionRefused, State::Failed, MAY_HAVE_RUN, NextStep::RetryIfRepeatable);
+    // A server may respond before it has read the complete request, so these rules hold in Writing as well.
+    builder.on(state, Event::NotExecutedHead, State::Declined, Execution::NotRun, NextStep::Continue);
+    builder.on(state, Event::FinalHead, State::HeadReceived, Execution::Ran, NextStep::Continue);
+    builder.onRequestEnd(state, MAY_HAVE_RUN, NextStep::FailOutcomeUnknown);
 }
 
-auto addRulesDuringResponse(TableBuilder& table) -> void {
+auto addRulesDuringResponse(TableBuilder& builder) -> void {
     // The head alone proves that the request was not executed, even if the rest of the response is lost.
-    table.onFailures(State::Declined, Execution::NotRun, NextStep::RetryAny);
-    table.on(State::Declined, Event::WriteFinished, State::Declined, Execution::NotRun, NextStep::Continue);
-    table.on(
+    builder.onFailures(State::Declined, Execution::NotRun, NextStep::RetryAny);
+    builder.on(State::Declined, Event::WriteFinished, State::Declined, Execution::NotRun, NextStep::Continue);
+    builder.on(
         State::Declined, Event::ResponseCompleted, State::Completed, Execution::NotRun, NextStep::Forward);
-    table.onRequestEnd(State::Declined, Execution::NotRun, NextStep::RejectNotExecuted);
+    builder.onRequestEnd(State::Declined, Execution::NotRun, NextStep::RejectNotExecuted);
 
-    table.onFailures(State::HeadReceived, Execution::Ran, NextStep::RetryIfRepeatable);
-    table.on(
+    builder.onFailures(State::HeadReceived, Execution::Ran, NextStep::RetryIfRepeatable);
+    builder.on(
         State::HeadReceived, Event::WriteFinished, State::HeadReceived, Execution::Ran, NextStep::Continue);
-    table.on(State::HeadReceived, Event::EventReceived, State::Streaming, Execution::Ran, NextStep::Forward);
-    table.on(
+    builder.on(
+        State::HeadReceived, Event::EventReceived, State::Streaming, Execution::Ran, NextStep::Forward);
+    builder.on(
         State::HeadReceived, Event::ResponseCompleted, State::Completed, Execution::Ran, NextStep::Forward);
-    table.onRequestEnd(State::HeadReceived, Execution::Ran, NextStep::FailOutcomeUnknown);
-
-    table.onFailures(State::Streaming, Execution::Ran, NextStep::ResumeIfResumable);
-    table.on(State::Streaming, Event::WriteFinished, State::Streaming, Execution::Ran, NextStep::Continue);
-    table.on(State::Streaming, Event::EventReceived, State::Streaming, Execution::Ran, NextStep::Forward);
-    table.on(State::Streaming, Event::ResponseCompleted, State::Completed, Execution::Ran, NextStep::Forward);
-    table.onRequestEnd(State::Streaming, Execution::Ran, NextStep::TruncateStream);
+    builder.onRequestEnd(State::HeadReceived, Execution::Ran, NextStep::FailOutcomeUnknown);
+
+    builder.onFailures(State::Streaming, Execution::Ran, NextStep::ResumeIfResumable);
+    builder.on(State::Streaming, Event::WriteFinished, State::Streaming, Execution::Ran, NextStep::Continue);
+    builder.on(State::Streaming, Event::EventReceived, State::Streaming, Execution::Ran, NextStep::Forward);
+    builder.on(
+        State::Streaming, Event::ResponseCompleted, State::Completed, Execution::Ran, NextStep::Forward);
+    builder.onRequestEnd(State::Streaming, Execution::Ran, NextStep::TruncateStream);
 }
 
-// Events of an attempt that has ended change nothing, but a connection with surplus bytes is closed.
-auto addRulesAfterEnd(TableBuilder& table, State state, Execution execution) -> void {
+// Late reports about an attempt that has ended are ignored, but a connection with surplus bytes is closed.
+// ServerSelected, SendWithheld and WriteStarted stay illegal: they are steps of this program, not reports.
+auto addRulesAfterEnd(TableBuilder& builder, State state, Execution execution) -> void {
     for (auto event : {Event::ConnectionRefused, Event::WriteFinished, Event::NotExecutedHead,
              Event::FinalHead, Event::EventReceived, Event::ResponseCompleted, Event::ClientDisconnected,
              Event::DeadlineExceeded})
-        table.on(state, event, state, execution, NextStep::Ignore);
-    for (auto event : FAILURES) table.on(state, event, state, execution, NextStep::Ignore);
-    table.on(state, Event::SurplusBytes, state, execution, NextStep::CloseConnection);
+        builder.on(state, event, state, execution, NextStep::Ignore);
+    for (auto event : FAILURES) builder.on(state, event, state, execution, NextStep::Ignore);
+    builder.on(state, Event::SurplusBytes, state, execution, NextStep::CloseConnection);
 }
 
 auto buildTable() -> Table {
-    auto table = TableBuilder();
-    addRulesBeforeFirstByte(table);
-    addRulesBeforeResponse(table, State::Writing);
-    table.on(State::Writing, Event::WriteFinished, State::Written, Execution::MayHaveRun, NextStep::Continue);
-    addRulesBeforeResponse(table, State::Written);
-    addRulesDuringResponse(table);
-    addRulesAfterEnd(table, State::Completed, Execution::Ran);
-    addRulesAfterEnd(table, State::Failed, Execution::MayHaveRun);
-    return table.table();
+    auto builder = TableBuilder();
+    addRulesBeforeFirstByte(builder);
+    addRulesBeforeResponse(builder, State::Writing);
+    builder.on(
+        State::Writing, Event::WriteFinished, State::Written, Execution::MayHaveRun, NextStep::Continue);
+    addRulesBeforeResponse(builder, State::Written);
+    addRulesDuringResponse(builder);
+    addRulesAfterEnd(builder, State::Completed, Execution::Ran);
+    addRulesAfterEnd(builder, State::Failed, Execution::MayHaveRun);
+    return builder.table();
 }
 
 }  // namespace
@@ -131,7 +136,8 @@
     auto& rule = attemptRule(state_, event);
     if (rule.step == NextStep::Illegal || rule.step == NextStep::Ignore) return rule;
     state_ = rule.next;
-    // Surplus bytes do not change what is known about an attempt that has ended.
+    // CloseConnection follows only from surplus bytes after the end of an attempt. These do not change what
+    // is known about it.
     if (rule.step != NextStep::CloseConnection) current_ = rule.execution;
     return rule;
 }
--- a/src/routing/attempt_state.hpp
+++ b/src/routing/attempt_state.hpp
@@ -1,8 +1,9 @@
 #pragma once
 // The state machine of one attempt, which is one send of a request to one server.
 //
-// A single table states for each state and event what is known about the execution of the request and what
-// may be done next. The router and the connection code consult the table instead of deciding case by case.
+// A single table states for each state and event what is then known about the execution of the request and
+// what may be done next. The connection code reports events; the router applies them to the table and takes
+// from it what is known. After a failure stepAfterFailure states whether the request may be sent again.
 #include <array>
 #include <cstdint>
 
@@ -33,11 +34,11 @@
     ConnectionClosed,   ///< Closed in an orderly way before the response was complete.
     MalformedResponse,  ///< The bytes received are not a valid response.
     WrongIdentity,      ///< The response names another request, or does not prove which one it belongs to.
-    ServerSilent,       ///< Nothing was received for longer than this request can wait.
+    ServerSilent,       ///< Nothing was received for too long, or the stream is much slower than others.
     NotExecutedHead,    ///< A response head by which the server states that it did not execute the request.
     FinalHead,          ///< The head of any other final response.
     EventReceived,      ///< A valid event of a stream, to be forwarded.
-    ResponseUnusable,   ///< A complete response that cannot be forwarded as it is.
+    ResponseUnusable,   ///< A response, or its head, that must not be forwarded to the client.
     ResponseCompleted,
     SurplusBytes,  ///< Bytes on the connection after the complete response.
     ClientDisconnected,
@@ -45,13 +46,13 @@
 };
 constexpr std::size_t ATTEMPT_EVENTS = 18;
 
-/// What is known about the execution of the request by the server of an attempt. The values are ordered:
-/// the greater one permits fewer next steps.
+/// What is known about the execution of the request by the server of an attempt. The values are ordered: a
+/// greater one never permits more next steps, so the greatest one of several attempts decides.
 enum class Execution : std::uint8_t {
     NotArrived,  ///< No byte of the request can have reached a server.
     NotRun,      ///< The server received the request and stated that it did not execute it.
-    MayHaveRun,  ///< Unknown.
-    Ran,         ///< The server responded to the request.
+    MayHaveRun,  ///< Unknown: bytes may have reached the server, and no valid response was received.
+    Ran,         ///< The server responded, so the request counts as executed.
 };
 
 /// What may be done after an event.
@@ -70,7 +71,7 @@
     Illegal,             ///< The event cannot occur in this state; a bug in this program.
 };
 
-/// One entry of the table.
+/// One entry of the table. An event that is not entered for a state is Illegal.
 struct AttemptRule {
     AttemptState next = AttemptState::Failed;
     Execution execution = Execution::MayHaveRun;
--- a/src/routing/edge.hpp
+++ b/src/routing/edge.hpp
@@ -1,19 +1,23 @@
 #pragma once
-// The router of one node. A request passes through these stages, each in its own files:
+// The router of one node. Its stages and their files, in about the order in which a request meets them:
 //
 //   route match         route_table, route_binding   finds the route of the request
 //   tenant              tenant_admission             identifies the tenant by the API key
 //   admission, queue    admission, quota_admission,  accepts the request, queues it by urgency, or rejects it
 //                       backlog
-//   candidate filters   candidate_filters, slow_start, outlier_ejection, server_selection
-//   scoring             scoring, server_statistics, prefix_cache
+//   candidate filters   candidate_filters,           finds the servers that may take the request now
+//                       slow_start,
+//                       outlier_ejection
+//   scoring             server_selection, scoring,   picks one of them by predicted latency or by load
+//                       server_statistics,
+//                       prefix_cache
 //   retry budget        retry_budget                 limits the retries of the whole fleet
 //   dispatch            dispatch, attempt_state      starts attempts; last check before the first byte
 //   response, streams   response_relay               validates responses and forwards them to the client
 //   retry, migration    retry, migration             continues a request at another server
 //   completion          completion, decision_log     ends requests and records the decisions for operators
 //
-// This is logic only: sockets are behind EdgePort, the time is passed in, and nothing here blocks or locks.
+// The router does no I/O: sockets are behind EdgePort, the time is passed in, and no call blocks or locks.
 #include <cstddef>
 #include <cstdint>
 #include <map>
@@ -48,8 +52,9 @@
 
 namespace duneturn {
 
-/// Moves requests through the stages. A request is identified by the id that accept returned, an attempt by
-/// the request's id and its own number. Reports about an attempt that has ended are ignored.
+/// Moves requests through the stages. A request is identified by the id that accept returned, an attempt (one
+/// send of a request to one server) by the request's id and its own number. Reports about an attempt that has
+/// ended are ignored. "Where clients name requests" means that Dialect::clientNamesRequests is set.
 class Edge {
   public:
     Edge(Node& node, EdgePort& port, Counters& counters, std::uint64_t seed, const Dialect& dialect = {});
@@ -63,11 +68,11 @@
 
     /// Accepts a complete request of a client; its Host must be among the headers. Returns the request's id.
     /// The request may have ended by then. `arrived` is when its first byte was read, if that was earlier
-    /// than `now`; the request's time limits count from there.
+    /// than `now`, else 0; the request's time limits count from there.
     auto accept(const std::string& method, const std::string& path, const Headers& headers,
         const std::string& body, Microseconds now, Microseconds arrived = 0) -> std::int64_t;
-    /// Reports that the client reads slower than the server sends, so that the pause does not count as
-    /// silence of the server.
+    /// Reports that reading from the server is paused because the client reads slower than the server sends,
+    /// so that the pause does not count as silence of the server.
     auto onClientSlow(std::int64_t id, int attempt, Microseconds now) -> void;
     /// Reports that the client has closed its connection.
     auto clientClosed(std::int64_t id, Microseconds now) -> void;
@@ -109,10 +114,11 @@
 
     // ---- Time, and the end of the process.
 
-    /// Checks deadlines, silent servers, queues and the retry budget. To be called about every 20 ms.
+    /// Checks deadlines, silent servers, queues and the retry budget, and removes ended requests. To be
+    /// called about every 20 ms.
     auto tick(Microseconds now) -> void;
-    /// Announces that the process stops. New requests are rejected, except under a Dialect with
-    /// clientNamesRequests, which accepts them until stopAccepting.
+    /// Announces that the process will stop. New requests are rejected from now on, but where clients name
+    /// requests they are accepted until stopAccepting.
     auto drain() -> void { draining_ = true; }
     /// Rejects new requests from now on.
     auto stopAccepting() -> void { rejectingNew_ = true; }
@@ -126,11 +132,11 @@
     [[nodiscard]] auto find(std::int64_t id) const -> const Request*;
     [[nodiscard]] auto activeRequests() const -> std::size_t { return requests_.size(); }
     [[nodiscard]] auto dialect() const -> const Dialect& { return dialect_; }
-    /// The credit of the retry budget, in thousandths of an attempt.
+    /// The credit of the retry budget's account for all services, in thousandths of an attempt.
     [[nodiscard]] auto credit() const -> std::int64_t { return budget_.credit(); }
-    /// The occupied slots in queues, as counted here; lets tests detect leaks.
+    /// The occupied slots in this router's queues; lets tests detect leaks.
     [[nodiscard]] auto queuedCount() const -> std::size_t { return backlog_.count(); }
-    /// The attempts in flight, as counted here; lets tests detect leaks.
+    /// This router's attempts in flight at all servers; lets tests detect leaks.
     [[nodiscard]] auto inflightCount() const -> int { return statistics_.inflight(); }
     /// Returns the requests in flight as JSON.
     [[nodiscard]] auto liveRequestsJson(Microseconds now) const -> std::string;
@@ -147,8 +153,8 @@
     enum class EventCheck {
         Valid,
         OutOfOrder,    ///< The id does not follow that of the previous event.
-        Malformed,     ///< Garbage, or an event without a usable id after events that had one.
-        NonNumericId,  ///< The id is not a number, after events whose ids were.
+        Malformed,     ///< No id, type or data, or no usable id after events that had one.
+        NonNumericId,  ///< The id is not a number, although earlier events had numeric ids.
     };
 
     // Admission (admission.cpp).
@@ -158,8 +164,8 @@
         -> std::optional<RequestRejection>;
     [[nodiscard]] auto bindNewRequest(Request& request, const Headers& headers)
         -> std::optional<RequestRejection>;
-    auto readRequest(Request& request, const Headers& headers, const std::string& body, Microseconds begunAt)
-        -> void;
+    auto readRequest(
+        Request& request, const Headers& headers, const std::string& body, Microseconds startedAt) -> void;
     auto admitResumption(Request& request, Microseconds now) -> std::optional<RequestRejection>;
     auto traceAcceptance(Request& request, Microseconds now) -> void;
     auto proceed(Request& request, Microseconds now) -> void;
@@ -170,7 +176,7 @@
 
     // Dispatch (dispatch.cpp).
     auto dispatch(Request& request, Microseconds now) -> bool;
-    auto beginAttempt(Request& request, const std::string& server, Microseconds now) -> void;
+    auto beginAttempt(Request& request, const std::string& serverName, Microseconds now) -> void;
     auto reserveEngineTokens(Request& request, ServerStatistics& statistics, const ServiceRule& rule) -> void;
     auto releaseServer(Request& request) -> void;
     auto releasePendingPrompt(Request& request) -> void;
@@ -249,8 +255,8 @@
     PrefixHistory prefixHistory_;
     DecisionLog decisions_;
     bool draining_ = false, rejectingNew_ = false;
-    // When this node's zone was evacuated; 0: it is not evacuated; -1: it is, and the next tick sets the
-    // time.
+    // When this node's zone was evacuated; 0: it is not evacuated; -1: it is, and the next tick replaces this
+    // by the time.
     Microseconds evacuatedAt_ = 0;
     std::int64_t queueRevision_ = 0;  // revision of the routes that all queued requests are bound to
     Microseconds prunedAt_ = 0;       // when the statistics of unlisted servers were last dropped
--- a/src/routing/response_relay.cpp
+++ b/src/routing/response_relay.cpp
@@ -13,11 +13,12 @@
 namespace duneturn {
 namespace {
 
-constexpr auto MISDIRECTED = 421;  // HTTP status: the address now belongs to another server
+// HTTP status 421, Misdirected Request: another server than the one that was selected answers at the address.
+constexpr auto MISDIRECTED = 421;
 // How long a server counts as full after it stated that it did not execute a request.
 constexpr auto FULL_SERVER_PAUSE = 150 * MILLISECOND;
 constexpr auto MIN_SLOW_FIRST_BYTE = 200 * MILLISECOND;  // a shorter time to the first byte is never slow
-constexpr auto SLOW_FIRST_BYTE_MEDIANS = 5;  // a time of so many times the service's median is slow
+constexpr auto SLOW_FIRST_BYTE_MEDIANS = 5;  // a longer time than this multiple of the median is slow
 // Factors by which a server's health score (outlier_ejection.hpp) is multiplied.
 constexpr auto SLOW_FIRST_BYTE_FACTOR = 0.9;
 constexpr auto NOT_EXECUTED_FACTOR = 0.8;
@@ -41,7 +42,7 @@
     return status >= 400 && status < 500 && status != 408 && status != MISDIRECTED && status != 429;
 }
 
-// Whether the status promises that the request was not executed.
+// Whether clients take the status as a promise that the request was not executed.
 auto promisesNoRun(int status) -> bool { return status == 503 || status == 429 || status == 408; }
 
 }  // namespace
@@ -63,7 +64,8 @@
         || (dialect_.clientNamesRequests && status == MISDIRECTED);
 }
 
-// Records that the head of the response was received; later parts of a response imply that as well.
+// Records that the head of the response was received, unless that is recorded already. Also called for later
+// parts of a response, which imply that its head was received.
 auto Edge::recordResponseHead(Request& request, int status, const Headers& headers) -> void {
     auto state = request.attempts.tracker.state();
     if (state != AttemptState::Writing && state != AttemptState::Written) return;
@@ -71,8 +73,8 @@
         request, isNotExecuted(status, headers) ? AttemptEvent::NotExecutedHead : AttemptEvent::FinalHead);
 }
 
-// Records the time to the first byte, and lowers the health score of a server that is slow compared with the
-// median of its service.
+// Records the time to the first byte. If that is long, and the server's smoothed time is far above the median
+// of its service, lowers the health score of the server.
 auto Edge::recordFirstByteTime(const Request& request, int status, const Headers& headers, Microseconds now)
     -> void {
     auto& statistics = statistics_.of(request.attempts.server);
@@ -92,8 +94,8 @@
     auto& relayed = request->relayed;
     attempts.lastActivityAt = now;
     recordFirstByteTime(*request, status, headers, now);
-    auto mustBeNamed = status == 200 || dialect_.clientNamesRequests;
-    if (mustBeNamed && belongsToAnotherRequest(*request, headers, status)) {
+    auto isIdentityChecked = status == 200 || dialect_.clientNamesRequests;
+    if (isIdentityChecked && belongsToAnotherRequest(*request, headers, status)) {
         onWrongIdentity(*request, now);
         return false;
     }
@@ -102,7 +104,8 @@
     auto isMisdirected = dialect_.clientNamesRequests && status == MISDIRECTED;
     if (!isMisdirected) statistics_.readAnswer(attempts.server, headers, dialect_, now);
     attempts.headReceivedOf = attempt;
-    // The version of the weights that the server itself reports is newer than the one in its listing.
+    // The version of the weights that the server itself reports replaces the one in its listing, which may be
+    // outdated.
     if (auto weights = header(headers, dialect_.weights); status == 200 && !weights.empty()) {
         attempts.weights = weights;
         auto isBound = relayed.lastEventId >= 0 && !relayed.weights.empty() && !broken.ignoreWeightsVersion;
@@ -131,7 +134,8 @@
 }
 
 // Sends the head of a stream to the client before the first event is forwarded, once per request. The head is
-// that of the server that sent the first event; the client does not see the heads of later servers.
+// that of the server that sent the first event; the client does not see the heads of later servers. A stream
+// that its client resumes stays bound to the weights version with which it began.
 auto Edge::sendHeadOnce(Request& request) -> void {
     auto& relayed = request.relayed;
     if (relayed.headSent) return;
@@ -143,7 +147,9 @@
             {dialect_.weights, relayed.weights}});
 }
 
-// Validates the id of the next event where clients name requests: ids increase, by any amount.
+// Validates the id of the next event, and records it if it is valid, where clients name requests
+// (Dialect::clientNamesRequests): there ids increase by any amount. A stream that begins with an event
+// without a numeric id counts as one without ordered ids, and the ids of its later events are not checked.
 auto Edge::validateIncreasingId(RelayedStream& relayed, const ServerSentEvent& event) const -> EventCheck {
     if (event.id.empty()) {
         if (isComment(event.raw)) return EventCheck::Valid;
@@ -165,6 +171,7 @@
 }
 
 // Checks that the next event of a stream follows the events forwarded so far, and records its id if so.
+// Unless clients name requests, each id is the previous one plus 1, and events may have no id.
 auto Edge::validateEvent(RelayedStream& relayed, const ServerSentEvent& event) const -> EventCheck {
     if (dialect_.clientNamesRequests) return validateIncreasingId(relayed, event);
     if (event.id.empty()) {
@@ -174,7 +181,7 @@
     if (!relayed.hasOrderedIds) return EventCheck::Valid;
     auto number = parseNumber(event.id);
     if (number < 0) {
-        // A stream whose ids are not numbers cannot be resumed at another server.
+        // A stream whose ids are not numbers is forwarded, but cannot be resumed at another server.
         if (relayed.lastEventId >= 0) return EventCheck::NonNumericId;
         relayed.hasOrderedIds = false;
         return EventCheck::Valid;
@@ -268,7 +275,8 @@
     if (!dialect_.clientNamesRequests) {
         statistics.ejection.lowerHealthScore(NOT_EXECUTED_FACTOR, now);
     } else if (status == MISDIRECTED) {
-        // The address now belongs to another server, but the old listing may be valid for a while.
+        // The address now belongs to another server, but the outdated listing may stay published for a while;
+        // its revision is recorded so that it is not used again.
         if (auto server = node_.servers().find(request.attempts.server); server != node_.servers().end())
             statistics.wrongAddressRevision =
                 std::max(statistics.wrongAddressRevision, server->second.listing.revision);
@@ -292,7 +300,7 @@
     auto isRepeatable = request.retryRights().repeatable;
     if (status >= 500 && isRepeatable && canRetryElsewhere(request, AttemptEvent::ResponseUnusable, now))
         return fmt::format("the server failed with status {}", status);
-    // To the client these statuses promise that the request did not run, which the server did not state.
+    // Clients take these statuses as a promise that the request did not run, but the server gave none.
     if (promisesNoRun(status) && !isRepeatable)
         return fmt::format("the server responded with status {} but may have run the request", status);
     return "";
--- a/src/routing/retry_budget.cpp
+++ b/src/routing/retry_budget.cpp
@@ -8,19 +8,23 @@
 namespace duneturn {
 namespace {
 
-constexpr auto TOKENS_PER_CREDIT = 4096;  // reading so many tokens again costs as much as one more attempt
+// Prompt tokens whose repeated processing by a server costs as much as one attempt.
+constexpr auto TOKENS_PER_ATTEMPT_COST = 4096;
 constexpr auto CREDIT_PER_GRANT = 2 * CREDIT_PER_ATTEMPT;
-constexpr auto CREDIT_RESERVE = 8 * CREDIT_PER_ATTEMPT;  // a node grants only credit beyond this
+constexpr auto CREDIT_RESERVE = 8 * CREDIT_PER_ATTEMPT;  // a node with no more than this grants nothing
 constexpr auto GRANT_INTERVAL = 200 * MILLISECOND;
-constexpr auto SHORTAGE_REPORT_TIME = 2 * SECOND;  // how long a shortage is published to other nodes
+constexpr auto SHORTAGE_REPORT_TIME = 2 * SECOND;  // for how long a node asks others for credit
 
 }  // namespace
 
+// Returns the credit that requests of a service use: that of all services, or, if the configuration sets a
+// slack, that of the service's own account, limited to this node's share of the slack.
 auto RetryBudget::account(const std::string& service, Microseconds now) -> std::int64_t& {
     if (routes_.budgetSlack < 0) return credit_;
     auto& account = accounts_[service];
     auto cap = std::int64_t(routes_.budgetSlack * double(CREDIT_PER_ATTEMPT) / double(fleet_.nodes()));
-    // The initial credit depends on the number of nodes, which is known only once the fleet has settled.
+    // The initial credit is half the cap. The cap depends on the number of nodes, which is known only once
+    // the fleet has settled.
     if (!account.opened && fleet_.settled(now)) {
         account.opened = true;
         account.credit += cap / 2;
@@ -29,12 +33,13 @@
     return account.credit;
 }
 
-// Reading a long prompt again costs more than reading a short one. Where clients name requests, the budget
-// limits the number of requests that arrive at servers, so each attempt costs the same.
+// Each attempt costs the same where clients name requests (Dialect::clientNamesRequests), since there the
+// budget limits the number of requests that arrive at servers. Elsewhere the cost grows with the tokens of
+// the sequence, which the next server has to process again.
 auto RetryBudget::cost(const Request& request) const -> std::int64_t {
     if (faults_.ignoreRetryBudget) return 0;
     if (dialect_.clientNamesRequests) return CREDIT_PER_ATTEMPT;
-    return CREDIT_PER_ATTEMPT + CREDIT_PER_ATTEMPT * request.limits.sequenceTokens / TOKENS_PER_CREDIT;
+    return CREDIT_PER_ATTEMPT + CREDIT_PER_ATTEMPT * request.limits.sequenceTokens / TOKENS_PER_ATTEMPT_COST;
 }
 
 auto RetryBudget::allows(const Request& request, Microseconds now) -> bool {
@@ -65,7 +70,7 @@
     counters_.add("first_sends_total");
     credit += std::int64_t(routes_.budgetShare * CREDIT_PER_ATTEMPT);
     if (routes_.budgetSlack < 0) credit = std::min(credit, routes_.budgetCap * CREDIT_PER_ATTEMPT);
-    account(request.route.service, now);  // limits the credit to the cap
+    account(request.route.service, now);  // limits the credit of a service's own account to its cap
 }
 
 auto RetryBudget::isCharged(Execution execution) const -> bool {
@@ -87,8 +92,8 @@
 }
 
 // Grants spare credit to nodes that lack it. The credit is subtracted here before it is sent, so a lost
-// message cannot create credit. Of several nodes that could grant, only the one that rendezvous hashing ranks
-// first does.
+// message loses credit and cannot create any. Of several nodes that could grant credit to a recipient, only
+// the one that rendezvous hashing ranks first for this recipient does.
 auto RetryBudget::grantToOthers(Node& node, Microseconds now) -> void {
     auto isFirstGranter = [&](const std::string& recipient) {
         for (auto& [name, known] : node.nodes())
--- a/src/routing/server_selection.cpp
+++ b/src/routing/server_selection.cpp
@@ -19,29 +19,34 @@
 
 // The number of servers to which rendezvous hashing assigns a prompt prefix.
 constexpr auto AFFINITY_SERVERS = std::size_t(2);
-// How much more occupied than the least occupied candidate an affinity server may be.
+// How much the occupancy of an affinity server may exceed that of the least occupied candidate. Without a
+// service rule, the same margin applies to the cost instead (see IDLE_OCCUPANCY).
 constexpr auto AFFINITY_OCCUPANCY_MARGIN = 0.4;
-// How much more occupied than other regions the client's region may be.
+// How much the lowest occupancy in the client's region may exceed the lowest one elsewhere.
 constexpr auto REGION_OCCUPANCY_MARGIN = 0.4;
-// Below this occupancy the least demanded region is preferred for long prompts.
+// Long prompts go to servers of the least demanded region only below this occupancy.
 constexpr auto LEAST_DEMANDED_OCCUPANCY_LIMIT = 0.6;
-// A region counts as in demand if more than this fraction of recent requests can go to it only.
+// A region counts as in demand if more than this fraction of recent requests can go to no other region.
 constexpr auto MIN_DEMAND_SHARE = 0.2;
-// Another region is preferred if its demand per server is below this fraction of the client's region's.
+// Another region is preferred if its demand per server is below this fraction of the client region's demand
+// per server.
 constexpr auto DEMAND_RATIO = 0.5;
-// The number of servers that all nodes together compare for a request.
-constexpr auto SAMPLED_BY_FLEET = std::size_t(12);
-constexpr auto MIN_SAMPLE = std::size_t(2);  // servers that each node compares at least
-constexpr auto MIN_CONNECTION_SHARE = std::size_t(2);
-// An affinity server may answer later than the best candidate by this fraction of the first-byte target.
+// In a fleet of up to this many nodes each node compares all candidates; in a fleet of twice as many, half of
+// the candidates.
+constexpr auto FULL_SAMPLE_NODES = std::size_t(12);
+constexpr auto MIN_SAMPLE = std::size_t(2);            // of candidates that each node compares
+constexpr auto MIN_CONNECTION_SHARE = std::size_t(2);  // of connections to a server for each node
+// An affinity server may answer later than the best candidate by the first-byte target divided by this.
 constexpr auto AFFINITY_DELAY_DIVISOR = 4;
-// The cost of a server by occupancy: an idle server has this occupancy, and lower health scores are raised to
-// the minimum, so that the cost stays above 0 and finite.
+// Without a service rule, the cost of a server is its occupancy divided by its health score. IDLE_OCCUPANCY
+// is added to the occupancy, and lower health scores are raised to the minimum, so that the cost stays above
+// 0 and finite.
 constexpr auto IDLE_OCCUPANCY = 0.05;
 constexpr auto MIN_HEALTH_SCORE = 0.05;
-constexpr auto NO_CANDIDATE = 1e18;  // more than the cost of any candidate
+constexpr auto NO_CANDIDATE = 1e18;  // the lowest statistic of no candidates; more than that of any candidate
 
-// Whether a stage's eligibility rule permits a server. Stages that depend on health or load permit all.
+// Whether a stage's eligibility rule permits a server. Stages without such a rule (those that depend on
+// health, load or earlier attempts, and Pick) permit every server.
 auto ruleAllows(SelectionStage stage, const Request& request, const KnownServer& server,
     const SelectionInputs& inputs) -> bool {
     switch (stage) {
@@ -191,7 +196,7 @@
         prefer("not full", [&](auto& candidate) { return now_ >= statisticsOf(candidate).fullUntil; });
     }
 
-    // Keeps the client's region; if that is at capacity, adds the spillover regions.
+    // Keeps the client's region. If all its servers are at capacity, keeps the spillover regions as well.
     auto preferClientRegion(double fullOccupancy) -> void {
         auto hasCapacityInRegion = [&](auto& candidate) {
             return isInClientRegion(candidate) && candidate.occupancy < fullOccupancy;
@@ -203,7 +208,8 @@
     }
 
     // Keeps the client's region, unless other regions are much less occupied, or the client's region would
-    // miss the latency target and another would answer sooner. Long prompts go to the least demanded region.
+    // miss the latency target and another would answer sooner. Before that, a long prompt goes to the least
+    // demanded region if that has a server with enough room.
     auto preferClientRegionByLoad() -> void {
         keepByRule(fmt::format("regions allowed for {}", request_.received.region), SelectionStage::Region);
         auto occupancy = [](auto& candidate) { return candidate.occupancy; };
@@ -239,10 +245,11 @@
         return lowestValue;
     }
 
-    // Returns the region to which a long prompt should go; empty if the client's region is suitable. The
-    // prefill of a long prompt delays all requests that run beside it. If many requests can only go to the
-    // client's region, and clearly fewer per server to another region, long prompts that may go to any region
-    // go to that one. All nodes receive a similar mix of requests, so they choose the same region.
+    // Returns the region that a long prompt should use instead of the client's; empty if there is none, or if
+    // the prompt's shared part has fewer than MIN_AFFINITY_PREFIX_TOKENS. The prefill of a long prompt delays
+    // all requests that run beside it, so the prompt leaves the client's region if many recent requests can
+    // go to no other region and another region has clearly fewer such requests per server. All nodes receive
+    // a similar mix of requests, so they choose the same region.
     auto leastDemandedRegion() -> std::string {
         auto& clientRegion = request_.received.region;
         if (request_.received.sharedTokens < MIN_AFFINITY_PREFIX_TOKENS || route_.homes.size() == 1)
@@ -291,8 +298,9 @@
         return least;
     }
 
-    // The indices of the candidates that rendezvous hashing assigns to the request's prompt prefix. Every
-    // node assigns the same servers, so that these have the prefix in their KV caches.
+    // The indices of the candidates that rendezvous hashing assigns to the request's prompt prefix, best
+    // first. Nodes with the same candidates assign the same servers, so that these have the prefix in their
+    // KV caches.
     auto affinityServers() const -> std::vector<std::size_t> {
         auto order = std::vector<std::size_t>(candidates_.size());
         std::iota(order.begin(), order.end(), std::size_t(0));
@@ -304,9 +312,9 @@
         return order;
     }
 
-    // A prompt with a long shared prefix goes to a server that has processed the prefix before. Any other
-    // request goes to the best of a random sample: if all nodes compared all servers, they would all select
-    // the same.
+    // A prompt with a long shared prefix goes to an affinity server, which has probably processed the prefix
+    // before, or to the best candidate if the affinity servers are busy. Any other request goes to the best
+    // of a random sample: if all nodes compared all servers, they would all select the same.
     auto pickByPrediction() -> Picked {
         if (inputs_.faults.selectRandomly)
             return {std::size_t(inputs_.random.below(candidates_.size())), "random"};
@@ -314,29 +322,30 @@
         if (!rule_->isEngine || !received.prefixKey || received.sharedTokens < MIN_AFFINITY_PREFIX_TOKENS)
             return {bestOfSample(), "lowest predicted latency of a sample"};
         auto asRecorded = [&](auto& candidate) { return predict(candidate, PrefixAssumption::AsRecorded); };
-        auto least = leastBy(asRecorded);
-        auto leastOccupied =
+        auto best = leastBy(asRecorded);
+        auto lowestOccupancy =
             candidates_[leastBy([](auto& candidate) { return candidate.occupancy; })].occupancy;
-        // The delay that is accepted for an affinity server, compared with processing the prefix elsewhere.
+        // How much later than the best candidate an affinity server may answer.
         auto acceptedDelay =
             double(route_.firstByteTarget ? route_.firstByteTarget : SECOND) / AFFINITY_DELAY_DIVISOR;
         auto affinity = affinityServers();
         for (auto i = std::size_t(0); i < affinity.size(); i++) {
             auto& candidate = candidates_[affinity[i]];
-            if (candidate.occupancy > leastOccupied + AFFINITY_OCCUPANCY_MARGIN) continue;
+            if (candidate.occupancy > lowestOccupancy + AFFINITY_OCCUPANCY_MARGIN) continue;
             if (predict(candidate, PrefixAssumption::SharedParts)
-                > asRecorded(candidates_[least]) + acceptedDelay)
+                > asRecorded(candidates_[best]) + acceptedDelay)
                 continue;
             return {affinity[i], fmt::format("prefix affinity {}", i + 1)};
         }
-        return {least, "lowest predicted latency, affinity servers are busy"};
+        return {best, "lowest predicted latency, affinity servers are busy"};
     }
 
-    // The more nodes there are, the fewer servers each compares, so that they do not all select the same one.
+    // Returns the best of some consecutive candidates, from a random one on. The more nodes there are, the
+    // fewer each compares, so that they do not all select the same one.
     auto bestOfSample() -> std::size_t {
         auto size = candidates_.size();
         auto sampleSize =
-            std::clamp(size * SAMPLED_BY_FLEET / inputs_.fleet.nodes(), std::min(MIN_SAMPLE, size), size);
+            std::clamp(size * FULL_SAMPLE_NODES / inputs_.fleet.nodes(), std::min(MIN_SAMPLE, size), size);
         auto first = std::size_t(inputs_.random.below(size)), best = first;
         auto cost = [&](std::size_t index) {
             return predict(candidates_[index], PrefixAssumption::AsRecorded);
