--- a/src/sim/machine.cpp
+++ b/src/sim/machine.cpp
@@ -1,262 +1,325 @@
-// One simulated machine and the process on it: its start and end, disk, messages, and the edge's side of
-// requests.
+// The simulated machine: start and end of its process, its disk, messages, probes and connections to servers,
+// and the responses of its edge to clients.
+#include "sim/machine.hpp"
+
 #include <algorithm>
-#include <cmath>
 #include <cstdint>
-#include <deque>
-#include <dirent.h>
 #include <functional>
 #include <memory>
-#include <queue>
 #include <string>
 #include <utility>
 #include <vector>
 
 #include <fmt/format.h>
-#include <tl/expected.hpp>
 
 #include "base/counters.hpp"
-#include "base/file.hpp"
 #include "base/hash.hpp"
-#include "base/json.hpp"
-#include "base/log.hpp"
-#include "base/random.hpp"
-#include "base/settings.hpp"
 #include "base/time.hpp"
-#include "sim/world.hpp"
-#include "state/configuration_validation.hpp"
+#include "sim/simulation.hpp"
 
 namespace duneturn {
 
-auto Machine::now() const -> Microseconds { return w.t + bootOff; }
+namespace {
+
+constexpr auto PROBE_TIMEOUT = 900 * MILLISECOND;
+constexpr auto CONNECT_TIMEOUT = SECOND;
+constexpr auto NO_SERVE_FROM = 30 * SECOND;  // when the broken variant "no-serve" begins
+/// The connections from an edge to its clients have numbers above those of the machines.
+constexpr auto FIRST_CLIENT_CONNECTION = 1000;
+constexpr auto CLIENT_CONNECTIONS = 1000000;
+
+}  // namespace
 
-auto Machine::start() -> void {
+// ---- the process
+
+auto SimMachine::now() const -> Microseconds { return simulation.now + monotonicOffset; }
+
+auto SimMachine::start() -> void {
     if (up) return;
     up = true;
     frozen = false;
-    life++;
+    incarnation++;
     inbox.clear();
     calls.clear();
-    ct = std::make_unique<Counters>();
+    counters = std::make_unique<Counters>();
+    auto seed = simulation.options.seed * 1000 + std::uint64_t(incarnation);
     node = std::make_unique<Node>(
-        st, *this, *ct, w.t + wallOff + 1, hash64(st.node, w.op.seed * 1000 + std::uint64_t(life)));
-    edge = std::make_unique<Edge>(
-        *node, *this, *ct, hash64(st.node, w.op.seed * 1000 + 500 + std::uint64_t(life)));
-    auto& b = w.op.broken;
-    node->broken.noLease = b == "no-lease";
-    node->broken.ackEarly = b == "ack-early";
-    node->broken.acceptOldState = b == "old-word";
-    edge->broken.resendAny = b == "resend-any";
-    edge->broken.joinAny = b == "join-any";
-    edge->broken.ignoreHome = b == "ignore-home";
-    edge->broken.noBudget = b == "no-budget";
-    edge->broken.noRamp = b == "no-ramp";
-    edge->broken.cutLooksWhole = b == "cut-looks-whole";
-    edge->broken.ignoreLeaving = b == "ignore-leaving";
-    edge->broken.oldRules = b == "old-rules";
-    edge->broken.resumeAny = b == "resume-any";
-    edge->broken.queueLeak = b == "queue-leak";
-    edge->broken.anyWeights = b == "any-weights";
-    node->broken.lateUp = b == "late-up";
-    edge->broken.noServe = b == "no-serve" && w.t > 30 * SECOND;
-    edge->broken.badStep = b == "bad-step";
-    node->broken.oldBoot = b == "old-boot";
-    edge->broken.pickRandom = w.op.place == "random";
-    edge->broken.pickLeast = w.op.place == "least";
-    top = {0, 0};
-    if (core) {
-        dk.under.clear();
-        dk.gate = {};
-        dk.busy = false;
-        node->addPeerHints(kept);
-        node->startCore(
-            dk.held, fmt::format("{:016x}", hash64(st.node, w.op.seed * 77 + std::uint64_t(life))), now());
-        node->voter()->broken.ackBeforeSync = b == "ack-before-sync";
-        node->voter()->broken.voteTwice = b == "vote-twice";
-        node->voter()->broken.noQuorum = b == "no-quorum";
-    }
-    w.say(fmt::format("{} starts", st.node));
-    w.ticks(i, life);
+        settings, *this, *counters, simulation.now + wallClockOffset + 1, hash64(settings.node, seed));
+    edge = std::make_unique<Edge>(*node, *this, *counters, hash64(settings.node, seed + 500));
+    configureBrokenVariant();
+    newestState = {0, 0};
+    if (core) startVoter();
+    simulation.trace(fmt::format("{} starts", settings.node));
+    simulation.scheduleTick(index, incarnation);
 }
 
-auto Machine::kill(bool power) -> void {
+// Puts the deliberate fault of this run, if any, into the new process.
+auto SimMachine::configureBrokenVariant() -> void {
+    auto& variant = simulation.options.broken;
+    node->broken.noLease = variant == "no-lease";
+    node->broken.ackEarly = variant == "ack-early";
+    node->broken.acceptOldState = variant == "old-word";
+    node->broken.lateUp = variant == "late-up";
+    node->broken.oldBoot = variant == "old-boot";
+    edge->broken.resendAny = variant == "resend-any";
+    edge->broken.joinAny = variant == "join-any";
+    edge->broken.ignoreHome = variant == "ignore-home";
+    edge->broken.noBudget = variant == "no-budget";
+    edge->broken.noRamp = variant == "no-ramp";
+    edge->broken.cutLooksWhole = variant == "cut-looks-whole";
+    edge->broken.ignoreLeaving = variant == "ignore-leaving";
+    edge->broken.oldRules = variant == "old-rules";
+    edge->broken.resumeAny = variant == "resume-any";
+    edge->broken.queueLeak = variant == "queue-leak";
+    edge->broken.anyWeights = variant == "any-weights";
+    edge->broken.noServe = variant == "no-serve" && simulation.now > NO_SERVE_FROM;
+    edge->broken.badStep = variant == "bad-step";
+    edge->broken.pickRandom = simulation.options.place == "random";
+    edge->broken.pickLeast = simulation.options.place == "least";
+}
+
+auto SimMachine::startVoter() -> void {
+    storage.pending.clear();
+    storage.gate = {};
+    storage.busy = false;
+    node->addPeerHints(peerHints);
+    auto seed = simulation.options.seed * 77 + std::uint64_t(incarnation);
+    node->startCore(storage.durable, fmt::format("{:016x}", hash64(settings.node, seed)), now());
+    auto& variant = simulation.options.broken;
+    node->voter()->broken.ackBeforeSync = variant == "ack-before-sync";
+    node->voter()->broken.voteTwice = variant == "vote-twice";
+    node->voter()->broken.noQuorum = variant == "no-quorum";
+}
+
+auto SimMachine::kill(bool power) -> void {
     if (!up) return;
     up = frozen = false;
-    w.say(fmt::format("{} {}", st.node, power ? "loses power" : "is killed"));
-    for (auto& [k, v] : ct->values())
-        if (k.ends_with("_total")) w.sumCt[k] += v;
-    // Under a kill alone the machine may still sync what the process had begun to write.
+    simulation.trace(fmt::format("{} {}", settings.node, power ? "loses power" : "is killed"));
+    for (auto& [name, value] : counters->values())
+        if (name.ends_with("_total")) simulation.counterTotals[name] += value;
+    // When only the process is killed, the machine may still sync what it had begun to write.
     if (!power)
-        while (!dk.under.empty() && !dk.full && !dk.stalled && w.rng.chance(.5)) {
-            diskApply(dk.held, dk.under.front());
-            dk.under.pop_front();
+        while (
+            !storage.pending.empty() && !storage.full && !storage.stalled && simulation.random.chance(.5)) {
+            diskApply(storage.durable, storage.pending.front());
+            storage.pending.pop_front();
         }
-    dk.under.clear();
+    storage.pending.clear();
     edge.reset();
     node.reset();
     inbox.clear();
     calls.clear();
-    for (auto& [k, tr] : w.tryOf)
-        if (std::get<0>(k) == i && std::get<1>(k) == life && !w.trs[std::size_t(tr)].over)
-            w.in(w.lat(), [this, tr = tr] { w.lostTry(tr); });
-    for (auto& c : w.conns)
-        if (c->m == i && c->life == life && c->open) w.in(w.lat(), [this, p = c.get()] { w.closeConn(p); });
+    failClients();
+}
+
+// The clients notice the end of the process, and its connections to servers close.
+auto SimMachine::failClients() -> void {
+    for (auto& [key, attempt] : simulation.attemptOf)
+        if (std::get<0>(key) == index && std::get<1>(key) == incarnation && !simulation.attempt(attempt).over)
+            simulation.schedule(
+                simulation.networkDelay(), [this, attempt = attempt] { simulation.onAttemptLost(attempt); });
+    for (auto& connection : simulation.connections)
+        if (connection->machine == index && connection->machineIncarnation == incarnation && connection->open)
+            simulation.schedule(
+                simulation.networkDelay(), [closed = connection.get()] { closed->open = false; });
+}
+
+auto SimMachine::addCall(std::function<void(const Outcome&)> callback) -> std::int64_t {
+    auto call = ++lastCall;
+    calls[call] = std::move(callback);
+    return call;
 }
 
-auto Machine::send(const std::string& addr, const wire::Envelope& e) -> void {
-    auto j = w.byAddr.find(addr);
-    if (j == w.byAddr.end()) return;
-    auto to = j->second;
-    if (to == i) return;
-    if (w.cut[std::size_t(i)][std::size_t(to)] > 0 || (w.loss > 0 && w.net.chance(w.loss))) return;
-    auto& d = *w.ms[std::size_t(to)];
-    if (!d.up) return;
-    // A connection keeps its order.
-    auto& l = w.linkAt[{i, to}];
-    l = std::max(l, w.t + w.lat());
-    auto p = std::make_shared<wire::Envelope>(e);
-    w.to(to, d.life, l - w.t, [this, to, p] {
-        auto& d = *w.ms[std::size_t(to)];
-        if (w.cut[std::size_t(i)][std::size_t(to)] > 0) return;
-        d.node->handle(*p, d.now());
+auto SimMachine::done(std::int64_t call, const Outcome& outcome) -> void {
+    auto found = calls.find(call);
+    if (found == calls.end()) return;
+    auto callback = std::move(found->second);
+    calls.erase(found);
+    auto caller = incarnation;
+    simulation.schedule(simulation.networkDelay(), [this, caller, callback = std::move(callback), outcome] {
+        if (up && incarnation == caller) callback(outcome);
     });
 }
 
-auto Machine::disk(const DiskWrite& x) -> void {
-    dk.under.push_back(x);
-    if (!dk.busy) diskStep();
+// ---- messages between nodes
+
+auto SimMachine::send(const std::string& address, const wire::Envelope& envelope) -> void {
+    auto found = simulation.machineByAddress.find(address);
+    if (found == simulation.machineByAddress.end()) return;
+    auto to = found->second;
+    if (to == index || simulation.isPartitioned(index, to)) return;
+    if (simulation.lossProbability > 0 && simulation.networkRandom.chance(simulation.lossProbability)) return;
+    auto& target = simulation.machine(to);
+    if (!target.up) return;
+    // A connection delivers in the order of sending.
+    auto& arrival = simulation.lastArrival[{index, to}];
+    arrival = std::max(arrival, simulation.now + simulation.networkDelay());
+    auto message = std::make_shared<wire::Envelope>(envelope);
+    simulation.scheduleOnMachine(to, target.incarnation, arrival - simulation.now, [this, to, message] {
+        if (simulation.isPartitioned(index, to)) return;
+        auto& receiver = simulation.machine(to);
+        receiver.node->handle(*message, receiver.now());
+    });
 }
-auto Machine::diskStep() -> void {
-    if (dk.under.empty() || dk.stalled) {
-        dk.busy = false;
+
+// ---- the disk
+
+auto SimMachine::disk(const DiskWrite& write) -> void {
+    storage.pending.push_back(write);
+    if (!storage.busy) syncNextWrite();
+}
+
+auto SimMachine::syncNextWrite() -> void {
+    storage.busy = !storage.pending.empty() && !storage.stalled;
+    if (!storage.busy) return;
+    auto writer = incarnation;
+    auto sequence = storage.pending.front().seq;
+    auto duration =
+        storage.latency / 2 + Microseconds(simulation.random.below(std::uint64_t(storage.latency)));
+    simulation.schedule(duration, [this, writer, sequence] { onWriteDue(writer, sequence); });
+}
+
+auto SimMachine::onWriteDue(std::int64_t writer, std::int64_t sequence) -> void {
+    auto& pending = storage.pending;
+    if (writer != incarnation || !up || pending.empty() || pending.front().seq != sequence) return;
+    if (storage.stalled) {
+        storage.busy = false;
         return;
     }
-    dk.busy = true;
-    auto l = life;
-    auto seq = dk.under.front().seq;
-    w.in(dk.lat / 2 + Microseconds(w.rng.below(std::uint64_t(dk.lat))), [this, l, seq] {
-        if (l != life || !up || dk.under.empty() || dk.under.front().seq != seq) return;
-        if (dk.stalled) {
-            dk.busy = false;
-            return;
-        }
-        auto ok = !dk.full && dk.gate.takes(dk.under.front());
-        if (ok) diskApply(dk.held, dk.under.front());
-        else dk.gate.fail(dk.under.front());
-        dk.under.pop_front();
-        w.to(i, l, 0, [this, seq, ok] { node->diskDone(seq, ok, now()); });
-        diskStep();
-    });
+    auto succeeded = !storage.full && storage.gate.takes(pending.front());
+    if (succeeded) diskApply(storage.durable, pending.front());
+    else storage.gate.fail(pending.front());
+    pending.pop_front();
+    simulation.scheduleOnMachine(
+        index, writer, 0, [this, sequence, succeeded] { node->diskDone(sequence, succeeded, now()); });
+    syncNextWrite();
 }
 
-auto Machine::done(std::int64_t id, const Outcome& o) -> void {
-    auto k = calls.find(id);
-    if (k == calls.end()) return;
-    auto f = std::move(k->second);
-    calls.erase(k);
-    auto l = life;
-    w.in(w.lat(), [this, l, f = std::move(f), o] {
-        if (up && life == l) f(o);
+// ---- servers
+
+auto SimMachine::probe(const std::string& name, const std::string& address) -> void {
+    auto found = simulation.serverByAddress.find(address);
+    if (found == simulation.serverByAddress.end()) return;
+    auto prober = incarnation;
+    simulation.schedule(simulation.networkDelay(), [this, number = found->second, name, prober] {
+        auto& server = simulation.server(number);
+        auto answered = server.up && !server.unresponsive;
+        auto refused = !server.up;
+        auto load = wire::ServerLoad();
+        load.prefill = server.prefill;
+        load.decode = server.decode;
+        load.slots = server.slots;
+        load.boot = server.incarnation;
+        load.up = simulation.now - server.startedAt;
+        load.cold = server.cold && simulation.now - server.startedAt < SLOW_START;
+        auto delay = answered || refused ? simulation.networkDelay() : PROBE_TIMEOUT;
+        simulation.scheduleOnMachine(index, prober, delay, [this, name, answered, refused, load] {
+            node->probeFinished(name, answered, refused, load, now());
+        });
     });
 }
 
-auto Machine::probe(const std::string& server, const std::string& addr) -> void {
-    auto j = w.sByAddr.find(addr);
-    if (j == w.sByAddr.end()) return;
-    auto s = j->second;
-    auto l = life;
-    w.in(w.lat(), [this, s, server, l] {
-        auto& v = w.ss[std::size_t(s)];
-        auto ok = v.up && !v.dark;
-        auto d = wire::ServerLoad();
-        d.prefill = v.prefill;
-        d.decode = v.decode;
-        d.slots = v.slots;
-        d.boot = v.life;
-        d.up = w.t - v.born;
-        d.cold = v.cold && w.t - v.born < 20 * SECOND;
-        w.to(i, l,
-            ok         ? w.lat()
-                : v.up ? 900 * MILLISECOND
-                       : w.lat(),
-            [this, server, ok, no = !v.up, d] { node->probeFinished(server, ok, no, d, now()); });
-    });
+auto SimMachine::startAttempt(
+    std::int64_t request, int attempt, const std::string&, const std::string& address) -> void {
+    simulation.result.sends++;
+    auto found = simulation.serverByAddress.find(address);
+    if (found == simulation.serverByAddress.end()) {
+        simulation.scheduleOnMachine(index, incarnation, simulation.networkDelay(),
+            [this, request, attempt] { edge->onConnectionRefused(request, attempt, now()); });
+        return;
+    }
+    auto created = std::make_unique<SimConnection>(SimConnection{index, incarnation, request, attempt,
+        found->second, simulation.server(found->second).incarnation, true});
+    auto connection = created.get();
+    simulation.connections.push_back(std::move(created));
+    simulation.connectionOf[{index, incarnation, request, attempt}] = connection;
+    simulation.schedule(simulation.networkDelay(), [this, connection] { connect(connection); });
 }
 
-auto Machine::startAttempt(std::int64_t x, int a, const std::string&, const std::string& addr) -> void {
-    auto j = w.sByAddr.find(addr);
-    w.r.sends++;
-    auto l = life;
-    if (j == w.sByAddr.end()) {
-        w.to(i, l, w.lat(), [this, x, a] { edge->onConnectionRefused(x, a, now()); });
+// The attempt to connect reaches the server, which is up, down (refuses) or unresponsive (times out).
+auto SimMachine::connect(SimConnection* connection) -> void {
+    auto& server = simulation.server(connection->server);
+    connection->serverIncarnation = server.incarnation;
+    auto connected = connection->machineIncarnation;
+    if (server.up && !server.unresponsive) {
+        simulation.scheduleOnMachine(index, connected, simulation.networkDelay(),
+            [this, connection] { sendOverConnection(connection); });
         return;
     }
-    auto s = j->second;
-    auto c = std::make_unique<Conn>(Conn{i, l, x, a, s, w.ss[std::size_t(s)].life, true});
-    auto p = c.get();
-    w.conns.push_back(std::move(c));
-    w.connOf[{i, l, x, a}] = p;
-    w.in(w.lat(), [this, p, x, a, s, l] {
-        auto& v = w.ss[std::size_t(s)];
-        p->slife = v.life;
-        if (!v.up || v.dark) {
-            w.to(i, l, v.up ? SECOND : w.lat(), [this, p, x, a, l] {
-                if (!p->open) return;
-                p->open = false;
-                if (auto k = w.tryOf.find({i, l, x}); k != w.tryOf.end()) w.countSend(k->second);
-                edge->onConnectionRefused(x, a, now());
-            });
-            return;
-        }
-        w.to(i, l, w.lat(), [this, p, x, a, l] {
-            auto e = edge->find(x);
-            if (!p->open || !e || !edge->beforeFirstByte(x, a, now())) {
-                p->open = false;
-                return;
-            }
-            auto tr = w.tryOf.find({i, l, x});
-            if (tr == w.tryOf.end()) return;
-            w.countSend(tr->second);
-            w.serve(p, tr->second, *e);
-        });
+    auto delay = server.up ? CONNECT_TIMEOUT : simulation.networkDelay();
+    simulation.scheduleOnMachine(index, connected, delay, [this, connection] {
+        if (!connection->open) return;
+        connection->open = false;
+        if (auto attempt = attemptOfRequest(connection->request); attempt >= 0)
+            simulation.recordSend(attempt);
+        edge->onConnectionRefused(connection->request, connection->attempt, now());
     });
 }
-auto Machine::cancelAttempt(std::int64_t x, int a) -> void {
-    auto k = w.connOf.find({i, life, x, a});
-    if (k == w.connOf.end()) return;
-    auto p = k->second;
-    w.connOf.erase(k);
-    w.in(w.lat(), [this, p] { w.closeConn(p); });
+
+auto SimMachine::sendOverConnection(SimConnection* connection) -> void {
+    auto request = edge->find(connection->request);
+    if (!connection->open || !request
+        || !edge->beforeFirstByte(connection->request, connection->attempt, now())) {
+        connection->open = false;
+        return;
+    }
+    auto attempt = attemptOfRequest(connection->request);
+    if (attempt < 0) return;
+    simulation.recordSend(attempt);
+    simulation.executeRequest(connection, attempt, *request);
+}
+
+auto SimMachine::cancelAttempt(std::int64_t request, int attempt) -> void {
+    auto found = simulation.connectionOf.find({index, incarnation, request, attempt});
+    if (found == simulation.connectionOf.end()) return;
+    auto connection = found->second;
+    simulation.connectionOf.erase(found);
+    simulation.schedule(simulation.networkDelay(), [connection] { connection->open = false; });
 }
 
-auto Machine::sendHead(std::int64_t x, int, const Headers& h) -> void {
-    auto k = w.tryOf.find({i, life, x});
-    if (k == w.tryOf.end()) return;
-    auto& T = w.trs[std::size_t(k->second)];
-    T.streaming = true;
-    for (auto& [n, v] : h)
-        if (n == "X-Weights") T.weights = v;
+// ---- responses to clients
+
+auto SimMachine::attemptOfRequest(std::int64_t request) const -> int {
+    auto found = simulation.attemptOf.find({index, incarnation, request});
+    return found == simulation.attemptOf.end() ? -1 : found->second;
 }
-auto Machine::sendPart(std::int64_t x, const std::string& s) -> void {
-    auto k = w.tryOf.find({i, life, x});
-    if (k == w.tryOf.end()) return;
-    auto& l = w.linkAt[{1000 + i, int(x % 1000000)}];
-    l = std::max(l, w.t + w.lat());
-    w.at(l, [this, tr = k->second, s] { w.event(tr, s); });
+
+// A connection delivers in the order of sending.
+auto SimMachine::scheduleToClient(std::int64_t request, std::function<void()> action) -> void {
+    auto connection = std::pair(FIRST_CLIENT_CONNECTION + index, int(request % CLIENT_CONNECTIONS));
+    auto& arrival = simulation.lastArrival[connection];
+    arrival = std::max(arrival, simulation.now + simulation.networkDelay());
+    simulation.scheduleAt(arrival, std::move(action));
 }
-auto Machine::endStream(std::int64_t x, bool whole) -> void {
-    auto k = w.tryOf.find({i, life, x});
-    if (k == w.tryOf.end()) return;
-    auto& l = w.linkAt[{1000 + i, int(x % 1000000)}];
-    l = std::max(l, w.t + w.lat());
-    w.at(l, [this, tr = k->second, whole] { w.endTry(tr, whole); });
+
+auto SimMachine::sendHead(std::int64_t request, int, const Headers& headers) -> void {
+    auto number = attemptOfRequest(request);
+    if (number < 0) return;
+    auto& attempt = simulation.attempt(number);
+    attempt.streaming = true;
+    for (auto& [name, value] : headers)
+        if (name == "X-Weights") attempt.announcedWeights = value;
 }
-auto Machine::sendReply(std::int64_t x, int status, const Headers& h, const std::string& body) -> void {
-    // accept() may reply before the world knows the exchange's number.
-    auto l = life;
-    w.in(w.lat(), [this, l, x, status, h, body] {
-        auto k = w.tryOf.find({i, l, x});
-        if (k != w.tryOf.end()) w.replyTry(k->second, status, h, body);
+
+auto SimMachine::sendPart(std::int64_t request, const std::string& bytes) -> void {
+    auto attempt = attemptOfRequest(request);
+    if (attempt < 0) return;
+    scheduleToClient(request, [this, attempt, bytes] { simulation.onStreamEvent(attempt, bytes); });
+}
+
+auto SimMachine::endStream(std::int64_t request, bool complete) -> void {
+    auto attempt = attemptOfRequest(request);
+    if (attempt < 0) return;
+    scheduleToClient(request, [this, attempt, complete] { simulation.onStreamEnd(attempt, complete); });
+}
+
+auto SimMachine::sendReply(std::int64_t request, int status, const Headers& headers, const std::string& body)
+    -> void {
+    // Edge::accept may reply before it has returned the request's number, so the attempt is looked up later.
+    auto replier = incarnation;
+    simulation.schedule(simulation.networkDelay(), [this, replier, request, status, headers, body] {
+        auto found = simulation.attemptOf.find({index, replier, request});
+        if (found != simulation.attemptOf.end()) simulation.onReply(found->second, status, headers, body);
     });
 }
 
--- a/src/sim/oracles.cpp
+++ b/src/sim/oracles.cpp
@@ -1,5 +1,6 @@
-// The judges of a simulated day: they see what servers ran, senders got and operators were
-// told, by the true clock, and nothing that the fleet says of itself.
+// The oracles of a simulation. They check what servers executed, clients received and operators were
+// answered, by the simulation's clock; they use nothing that the fleet reports about itself, except
+// readiness, held resources and counters at the end.
 #include <algorithm>
 #include <cstdint>
 #include <set>
@@ -11,271 +12,336 @@
 
 #include "base/json.hpp"
 #include "base/time.hpp"
-#include "sim/world.hpp"
+#include "sim/simulation.hpp"
 
 namespace duneturn {
 
-// What an order says must hold of every send: judged by the servers' own hour.
-auto World::orderEffects(const Exec& e) -> void {
-    auto& s = ss[std::size_t(e.s)];
-    if (s.leavingSent && t > s.leavingSent) {
-        r.lastDisobedient = std::max(r.lastDisobedient, t - s.leavingSent);
-        if (t - s.leavingSent > op.leaveLimit)
-            broke("nothing new reaches a leaving server",
-                fmt::format("{} {} us after the mark was sent", s.name, t - s.leavingSent));
-    }
-    // Emptied districts: in the order of generations; an unknown outcome may stand or not.
-    auto since = Microseconds(0);
-    auto sure = true;
-    auto version = std::int64_t(0);
-    for (auto& d : ords)
-        if ((d.op == "empty" || d.op == "give-back") && d.what == s.zone) {
-            if (d.over && d.status == 200) {
-                if (d.version > version) {
-                    version = d.version;
-                    since = d.op == "empty" ? d.born : 0;
-                    sure = true;
-                }
-            } else if ((!d.over || d.status == 504) && d.op == "give-back") sure = false;
-        }
-    if (since && sure && t > since) {
-        r.lastDisobedient = std::max(r.lastDisobedient, t - since);
-        if (t - since > 5 * SECOND)
-            broke("nothing new reaches an emptied zone",
-                fmt::format("{} in {} {} us after the order", s.name, s.zone, t - since));
-    }
-    // The probe's pool tells which configuration the sender's node obeyed.
-    if (s.service.starts_with("probe-")) {
-        auto in = inForce(t);
-        if (std::none_of(in.begin(), in.end(), [&](auto d) { return d->what == s.service; }))
-            broke("an acknowledged configuration is obeyed within 3 s",
-                fmt::format(
-                    "{} was reached; in force may be {}", s.service, in.empty() ? "none" : in[0]->what));
-    }
-}
+namespace {
+
+constexpr auto MINUTE = 60 * SECOND;
+/// The share of extra sends on first ones that the retry budget allows.
+constexpr auto EXTRA_SEND_RATIO = 0.2;
+constexpr auto EXTRA_SEND_TOLERANCE = 3;
+constexpr auto DEFAULT_BUDGET_CAP = 50;
+constexpr auto MIN_SENDS_FOR_WORST_MINUTE = 100;
+constexpr auto MAX_SCALE_FOR_LIVENESS = 4;
+constexpr auto CANARY_INTERVAL = SECOND / 2;
+constexpr auto DEFAULT_MAX_SEQUENCE = 4096;
+
+}  // namespace
 
-// The limits count from when an order was sent, so what was run while it was on its way to
-// its acknowledgement is judged when that comes.
-auto World::leavingTaken(int k) -> void {
-    auto& s = ss[std::size_t(k)];
-    for (auto& e : execs)
-        if (e.s == k && e.at - s.leavingSent > op.leaveLimit)
-            broke("nothing new reaches a leaving server",
-                fmt::format("{} {} us after the mark was sent", s.name, e.at - s.leavingSent));
+// ---- executions
+
+auto Simulation::recordSend(int attemptIndex) -> void {
+    auto& sending = attempt(attemptIndex);
+    sending.sends++;
+    sends.emplace_back(now, sending.sends > 1 || sending.resumedFrom > 0);
 }
-auto World::emptyTaken(const Order& d) -> void {
-    for (auto& e : execs)
-        if (ss[std::size_t(e.s)].zone == d.what && e.at - d.born > 5 * SECOND)
-            broke("nothing new reaches an emptied zone",
-                fmt::format("{} {} us after the order", d.what, e.at - d.born));
+
+// An execution is allowed if one of the configurations that may be in force allows all of it.
+auto Simulation::checkExecution(const SimExecution& execution) -> void {
+    auto& executed = attempt(execution.attempt);
+    auto& request = requestOf(executed);
+    auto& kind = kindOf(executed);
+    auto& server = this->server(execution.server);
+    if (executed.notExecuted)
+        reportViolation("what was denied has not run",
+            fmt::format(
+                "try {} of {} ran on {} after its denial", execution.attempt, kind.name, server.name));
+    auto rule = std::string();
+    for (auto order : possibleConfigurations(now)) {
+        rule = violatedRule(*order->configuration, execution);
+        if (rule.empty()) break;
+    }
+    if (!rule.empty())
+        reportViolation(rule,
+            fmt::format("try {} of {} from {}: run {} on {} in {}, send {}, after event {}",
+                execution.attempt, kind.name, request.region, executed.executions.size(), server.name,
+                server.region, executed.sends, execution.resumedFrom));
+    if (server.region != request.region) result.kinds[kind.name].spilled++;
+    if (executed.executions.size() > 1)
+        trace(fmt::format(
+            "try {} moves to {} after event {}", execution.attempt, server.name, execution.resumedFrom));
+    if (executed.resumedFrom)
+        trace(fmt::format(
+            "try {} resumes on {} after event {}", execution.attempt, server.name, execution.resumedFrom));
+    checkOrderEffects(execution);
 }
 
-// The configurations of which one may be obeyed at this time: what was acknowledged 3 s ago
-// or later, and of unknown outcome what could still have come after that.
-auto World::inForce(Microseconds at) const -> std::vector<const Order*> {
+// The configurations of which any one may be obeyed at a time: those not older than the newest that was
+// acknowledged over 3 s ago, and those of unknown outcome that could still have followed it.
+auto Simulation::possibleConfigurations(Microseconds at) const -> std::vector<const SimOrder*> {
+    auto acknowledged = [](const SimOrder& order) {
+        return order.operation == "config" && order.status == 200 && order.over;
+    };
     auto newest = std::int64_t(-1);
-    for (auto& d : ords)
-        if (d.op == "config" && d.status == 200 && d.over && at - d.over > 3 * SECOND)
-            newest = std::max(newest, d.version);
-    auto o = std::vector<const Order*>();
-    for (auto& d : ords) {
-        if (d.op != "config" || !d.cfg) continue;
-        auto unknown = !d.over || d.status == 504 || d.status == 503;
-        if ((d.status == 200 && d.over && d.version >= newest) || (unknown && d.base + 1 > newest))
-            o.push_back(&d);
+    for (auto& order : orders)
+        if (acknowledged(order) && at - order.over > CONFIGURATION_LIMIT)
+            newest = std::max(newest, order.version);
+    auto possible = std::vector<const SimOrder*>();
+    for (auto& order : orders) {
+        if (order.operation != "config" || !order.configuration) continue;
+        if ((acknowledged(order) && order.version >= newest)
+            || (order.outcomeUnknown() && order.base + 1 > newest))
+            possible.push_back(&order);
     }
-    return o;
+    return possible;
 }
 
-// The rule that this run breaks under configuration `c`; empty if it keeps them all.
-auto World::allows(const rapidjson::Document& c, const Exec& e) const -> std::string {
-    auto& T = trs[std::size_t(e.tr)];
-    auto& x = asks[std::size_t(T.ask)];
-    auto& k = ks[std::size_t(x.kind)];
-    auto& s = ss[std::size_t(e.s)];
-    auto runs = int(T.execs.size()) + (T.from > 0);
-    for (auto& v : c["mappings"].GetArray()) {
-        if (jsonString(v, "name") != k.name) continue;
-        if (runs > 1 && !jsonBool(v, "Resumable")) return "a stream that cannot be resumed never runs twice";
-        auto h = jsonString(v, "home");
-        if (h == "@near") h = x.region;
-        if (!h.empty() && h != s.region) return "a home region is never left";
-        auto sp = jsonStrings(v, "spill");
-        if (h.empty() && s.region != x.region && std::find(sp.begin(), sp.end(), s.region) == sp.end())
+// The rule that an execution violates under a configuration; empty if it keeps them all.
+auto Simulation::violatedRule(const rapidjson::Document& configuration, const SimExecution& execution) const
+    -> std::string {
+    auto& executed = attempts[std::size_t(execution.attempt)];
+    auto& request = requests[std::size_t(executed.request)];
+    auto& kind = kinds[std::size_t(request.kind)];
+    auto& server = servers[std::size_t(execution.server)];
+    auto resumed = executed.resumedFrom > 0;
+    auto runs = int(executed.executions.size()) + resumed;
+    for (auto& route : configuration["mappings"].GetArray()) {
+        if (jsonString(route, "name") != kind.name) continue;
+        if (runs > 1 && !jsonBool(route, "Resumable"))
+            return "a stream that cannot be resumed never runs twice";
+        auto home = jsonString(route, "home");
+        if (home == "@near") home = request.region;
+        if (!home.empty() && home != server.region) return "a home region is never left";
+        auto spillover = jsonStrings(route, "spill");
+        if (home.empty() && server.region != request.region
+            && std::find(spillover.begin(), spillover.end(), server.region) == spillover.end())
             return "work goes to another region only where allowed";
-        if (T.sends + (T.from > 0) > jsonInteger(v, "MaxTries", 1))
+        if (executed.sends + resumed > jsonInteger(route, "MaxTries", 1))
             return "a stream moves only where allowed";
-        auto m = jsonString(v, "model");
-        if (m.empty()) return "";
-        auto& md = c["models"][m];
-        if (runs - 1 > jsonInteger(md, "migrationLimit")) return "a stream moves only where allowed";
-        if (runs > 1 && e.from + std::int64_t(x.body.size() / 4) > jsonInteger(md, "maxSequence", 4096))
+        auto modelName = jsonString(route, "model");
+        if (modelName.empty()) return "";
+        auto& model = configuration["models"][modelName];
+        auto tokens = execution.resumedFrom + std::int64_t(request.body.size() / 4);
+        if (runs - 1 > jsonInteger(model, "migrationLimit")
+            || (runs > 1 && tokens > jsonInteger(model, "maxSequence", DEFAULT_MAX_SEQUENCE)))
             return "a stream moves only where allowed";
         return "";
     }
     return "an acknowledged configuration is obeyed within 3 s";
 }
 
-auto World::checkExec(const Exec& e) -> void {
-    auto& T = trs[std::size_t(e.tr)];
-    auto& x = asks[std::size_t(T.ask)];
-    auto& k = ks[std::size_t(x.kind)];
-    auto& s = ss[std::size_t(e.s)];
-    if (T.notRun)
-        broke("what was denied has not run",
-            fmt::format("try {} of {} ran on {} after its denial", e.tr, k.name, s.name));
-    // One of the configurations that may be in force must allow all of it.
-    auto no = std::string();
-    for (auto d : inForce(t)) {
-        no = allows(*d->cfg, e);
-        if (no.empty()) break;
+// Checks an execution against leaving marks, evacuations and the configuration that its node obeyed.
+auto Simulation::checkOrderEffects(const SimExecution& execution) -> void {
+    auto& server = this->server(execution.server);
+    if (server.leavingSent && now > server.leavingSent) {
+        auto elapsed = now - server.leavingSent;
+        result.lastDisobedient = std::max(result.lastDisobedient, elapsed);
+        if (elapsed > options.leaveLimit)
+            reportViolation("nothing new reaches a leaving server",
+                fmt::format("{} {} us after the mark was sent", server.name, elapsed));
     }
-    if (!no.empty())
-        broke(no,
-            fmt::format("try {} of {} from {}: run {} on {} in {}, send {}, after event {}", e.tr, k.name,
-                x.region, T.execs.size(), s.name, s.region, T.sends, e.from));
-    if (s.region != x.region) r.kinds[k.name].spilled++;
-    if (T.execs.size() > 1) say(fmt::format("try {} moves to {} after event {}", e.tr, s.name, e.from));
-    if (T.from) say(fmt::format("try {} resumes on {} after event {}", e.tr, s.name, e.from));
-    orderEffects(e);
+    checkZoneEvacuation(server);
+    if (!server.service.starts_with("probe-")) return;
+    auto possible = possibleConfigurations(now);
+    if (std::none_of(
+            possible.begin(), possible.end(), [&](auto order) { return order->subject == server.service; }))
+        reportViolation("an acknowledged configuration is obeyed within 3 s",
+            fmt::format("{} was reached; in force may be {}", server.service,
+                possible.empty() ? "none" : possible[0]->subject));
 }
 
-auto World::countSend(int tr) -> void {
-    auto& T = trs[std::size_t(tr)];
-    T.sends++;
-    sent.emplace_back(t, T.sends > 1 || T.from > 0);
+// Orders on a zone take effect in the order of their versions. An order to restore the zone whose outcome is
+// unknown may or may not be in force, so that nothing can be checked until the next one is acknowledged.
+auto Simulation::checkZoneEvacuation(const SimServer& server) -> void {
+    auto evacuatedAt = Microseconds(0);
+    auto known = true;
+    auto version = std::int64_t(0);
+    for (auto& order : orders) {
+        if ((order.operation != "empty" && order.operation != "give-back") || order.subject != server.zone)
+            continue;
+        if (order.over && order.status == 200) {
+            if (order.version <= version) continue;
+            version = order.version;
+            evacuatedAt = order.operation == "empty" ? order.sentAt : 0;
+            known = true;
+        } else if ((!order.over || order.status == 504) && order.operation == "give-back") known = false;
+    }
+    if (!evacuatedAt || !known || now <= evacuatedAt) return;
+    auto elapsed = now - evacuatedAt;
+    result.lastDisobedient = std::max(result.lastDisobedient, elapsed);
+    if (elapsed > EVACUATION_LIMIT)
+        reportViolation("nothing new reaches an emptied zone",
+            fmt::format("{} in {} {} us after the order", server.name, server.zone, elapsed));
 }
 
-// While a total loss is judged, each kind is asked for in each region twice a second.
-auto World::canary(Microseconds till) -> void {
-    auto todo = std::vector<std::pair<std::size_t, std::string>>();
-    for (auto k = std::size_t(0); k < ks.size(); k++) {
-        auto rs = ks[k].region.empty() ? std::set<std::string>(regions.begin(), regions.end())
-                                       : std::set<std::string>{ks[k].region};
-        for (auto& g : rs) todo.emplace_back(k, g);
-    }
-    if (t < till) {
-        for (auto& [k, g] : todo) ask(k, g);
-        in(SECOND / 2, [this, till] {
-            if (!ended) canary(till);
-        });
-        return;
+// The time limits count from when a mark or an order was sent. What was executed before its acknowledgement
+// arrived is checked when it arrives.
+auto Simulation::checkLeavingServer(int index) -> void {
+    auto& server = this->server(index);
+    for (auto& execution : executions)
+        if (execution.server == index && execution.at - server.leavingSent > options.leaveLimit)
+            reportViolation("nothing new reaches a leaving server",
+                fmt::format(
+                    "{} {} us after the mark was sent", server.name, execution.at - server.leavingSent));
+}
+
+auto Simulation::checkEvacuatedZone(const SimOrder& order) -> void {
+    for (auto& execution : executions)
+        if (server(execution.server).zone == order.subject && execution.at - order.sentAt > EVACUATION_LIMIT)
+            reportViolation("nothing new reaches an emptied zone",
+                fmt::format("{} {} us after the order", order.subject, execution.at - order.sentAt));
+}
+
+// ---- liveness
+
+// After a total loss, requests of each kind are sent from each region twice a second until `until`, when
+// each must have succeeded at least once.
+auto Simulation::probeRecovery(Microseconds until) -> void {
+    auto probes = std::vector<std::pair<std::size_t, std::string>>();
+    for (auto kind = std::size_t(0); kind < kinds.size(); kind++) {
+        auto& only = kinds[kind].region;
+        auto sources = only.empty() ? std::set<std::string>(regions.begin(), regions.end())
+                                    : std::set<std::string>{only};
+        for (auto& region : sources) probes.emplace_back(kind, region);
     }
-    auto worst = Microseconds(0);
-    for (auto& [k, g] : todo) {
-        auto i = backAt.find({ks[k].name, g});
-        if (i == backAt.end()) {
-            dump();
-            broke("serving is back within 12 s of a total loss",
-                fmt::format("no {} from {} yet", ks[k].name, g));
-        } else worst = std::max(worst, i->second - lostAt);
+    if (now >= until) return checkRecovery(probes);
+    for (auto& [kind, region] : probes) createRequest(kind, region);
+    schedule(CANARY_INTERVAL, [this, until] {
+        if (!ended) probeRecovery(until);
+    });
+}
+
+auto Simulation::checkRecovery(const std::vector<std::pair<std::size_t, std::string>>& probes) -> void {
+    auto longest = Microseconds(0);
+    for (auto& [kind, region] : probes) {
+        auto found = recoveredAt.find({kinds[kind].name, region});
+        if (found == recoveredAt.end()) {
+            traceState();
+            reportViolation("serving is back within 12 s of a total loss",
+                fmt::format("no {} from {} yet", kinds[kind].name, region));
+        } else longest = std::max(longest, found->second - totalLossAt);
     }
-    r.recovery = std::max(r.recovery, worst);
+    result.recovery = std::max(result.recovery, longest);
 }
 
-// Nothing is wrong any more: all nodes are ready, and an order is taken.
-auto World::calm() -> void {
-    in(3 * SECOND, [this] {
-        for (auto& m : ms)
-            if (!m->node->ready(m->now())) {
-                dump();
-                broke("all nodes are ready once nothing is wrong", m->st.node + " is not");
-            }
-        auto n = ords.size();
-        putConfig(0, newestConfig(), {});
-        in(2500 * MILLISECOND, [this, n] {
-            if (ords.size() <= n || (ords[n].status != 200 && ords[n].status != 409)) {
-                dump();
-                broke("orders are taken once nothing is wrong", fmt::format("order {} is not", n));
+// Once all faults are repaired, all nodes must be ready and orders must be accepted.
+auto Simulation::checkReadiness() -> void {
+    schedule(3 * SECOND, [this] {
+        for (auto& machine : machines)
+            if (!machine->node->ready(machine->now())) {
+                traceState();
+                reportViolation(
+                    "all nodes are ready once nothing is wrong", machine->settings.node + " is not");
             }
+        auto number = orders.size();
+        sendConfiguration(0, newestConfigurationVersion(), {});
+        schedule(2500 * MILLISECOND, [this, number] {
+            auto answered =
+                orders.size() > number && (orders[number].status == 200 || orders[number].status == 409);
+            if (answered) return;
+            traceState();
+            reportViolation("orders are taken once nothing is wrong", fmt::format("order {} is not", number));
         });
     });
 }
 
-// No exchange, queue place or send is held by anything at the day's end.
-auto World::leaks() -> void {
-    for (auto& m : ms) {
-        if (!m->up) continue;
-        auto& e = *m->edge;
-        if (e.activeRequests() || e.queuedCount() || e.inflightCount())
-            broke("nothing is leaked",
-                fmt::format("{}: {} exchanges, {} places, {} sends", m->st.node, e.activeRequests(),
-                    e.queuedCount(), e.inflightCount()));
+// At the end no edge may have a request, a queue place or a send left, and clients must have been served.
+auto Simulation::checkLeaks() -> void {
+    for (auto& machine : machines) {
+        if (!machine->up) continue;
+        auto& edge = *machine->edge;
+        if (edge.activeRequests() || edge.queuedCount() || edge.inflightCount())
+            reportViolation("nothing is leaked",
+                fmt::format("{}: {} exchanges, {} places, {} sends", machine->settings.node,
+                    edge.activeRequests(), edge.queuedCount(), edge.inflightCount()));
+    }
+    // At more than four times the example's load the servers themselves are full; see measurements.md.
+    if (options.scale > MAX_SCALE_FOR_LIVENESS) return;
+    for (auto& [source, counts] : livenessCounts) {
+        auto& [created, succeeded] = counts;
+        if (created - succeeded > std::max(1, created / 20))
+            reportViolation("each kind is served once nothing is wrong",
+                fmt::format("{}: {} of {} whole", source, succeeded, created));
     }
-    // Beyond four times the day's rates the servers themselves are full; see measurements.md.
-    if (op.scale <= 4)
-        for (auto& [k, v] : calmAsks)
-            if (v.first - v.second > std::max(1, v.first / 20))
-                broke("each kind is served once nothing is wrong",
-                    fmt::format("{}: {} of {} whole", k, v.second, v.first));
 }
 
-// Where every process stands; into the trace when the fleet does not come back.
-auto World::dump() -> void {
-    for (auto& m : ms) {
-        if (!m->up) {
-            say(m->st.node + " is down");
+// Writes the state of every process into the trace, for a fleet that does not recover.
+auto Simulation::traceState() -> void {
+    for (auto& machine : machines) {
+        if (!machine->up) {
+            trace(machine->settings.node + " is down");
             continue;
         }
-        auto v = m->node->voter();
-        say(fmt::format("{}{} {}", m->frozen ? "frozen " : "", m->node->status(m->now()),
-            v ? fmt::format(
-                "voters {} role {} disk {} bad {} reign {} term {} last {} commit {} under {}",
-                [&] {
-                    auto o = std::string();
-                    for (auto& x : v->voters()) o += x.disk.substr(0, 4) + " ";
-                    return o;
-                }(),
-                int(v->role()), v->disk(), v->diskBad(), v->epoch(), v->term(), v->last(), v->commit(),
-                m->dk.under.size())
-              : ""));
+        auto voterState = std::string();
+        if (auto voter = machine->node->voter()) {
+            auto disks = std::string();
+            for (auto& member : voter->voters()) disks += member.disk.substr(0, 4) + " ";
+            voterState =
+                fmt::format("voters {} role {} disk {} bad {} reign {} term {} last {} commit {} under {}",
+                    disks, int(voter->role()), voter->disk(), voter->diskBad(), voter->epoch(), voter->term(),
+                    voter->last(), voter->commit(), machine->storage.pending.size());
+        }
+        trace(fmt::format(
+            "{}{} {}", machine->frozen ? "frozen " : "", machine->node->status(machine->now()), voterState));
     }
 }
 
-auto World::finish() -> void {
-    // Orders and readbacks of configurations must be explained by one register. A denial by
-    // 503 was not logged, as far as its operator was told; it may be, as any of unknown outcome.
-    auto ops = hist;
-    for (auto i = std::size_t(0); i < ords.size(); i++) {
-        auto& d = ords[i];
-        if (d.op != "config" || !d.cfg || d.status == 422) continue;
-        auto h = HistOp();
-        h.who = int(i);
-        h.from = d.born;
-        h.base = d.base;
-        h.version = d.version;
-        h.what = d.what;
-        if (d.over && (d.status == 200 || d.status == 409)) h.to = d.over, h.status = d.status;
-        ops.push_back(h);
+// ---- the whole run
+
+// Orders and readbacks of configurations must be explained by one register. An order rejected with 503 was
+// not logged as far as its operator knows, but may still be, as any order of unknown outcome.
+auto Simulation::checkHistory() -> void {
+    auto operations = readbacks;
+    for (auto i = std::size_t(0); i < orders.size(); i++) {
+        auto& order = orders[i];
+        if (order.operation != "config" || !order.configuration || order.status == 422) continue;
+        auto operation = HistOp();
+        operation.who = int(i);
+        operation.from = order.sentAt;
+        operation.base = order.base;
+        operation.version = order.version;
+        operation.what = order.subject;
+        if (order.over && (order.status == 200 || order.status == 409)) {
+            operation.to = order.over;
+            operation.status = order.status;
+        }
+        operations.push_back(operation);
     }
-    if (auto no = historyCheck(ops, ""); !no.empty()) broke("orders are linearizable", no);
-    // Extra sends, over the day and over any minute of it; credit saved up is the configuration's cap.
-    auto c = rapidjson::Document();
-    parseJson(config, c);
-    auto cap = c.HasMember("budget") ? double(jsonInteger(c["budget"], "cap", 50)) : 50;
-    r.firsts = r.extras = 0;
-    for (auto& [at, more] : sent) (more ? r.extras : r.firsts)++;
-    if (r.firsts && double(r.extras) > 0.2 * double(r.firsts) + 3)
-        broke("extra tries stay near a fifth", fmt::format("{} extra on {} first", r.extras, r.firsts));
-    auto j = std::size_t(0);
-    auto fi = 0, ex = 0;
-    for (auto& [at, more] : sent) {
-        (more ? ex : fi)++;
-        for (; sent[j].first < at - 60 * SECOND; j++) (sent[j].second ? ex : fi)--;
-        if (at > 60 * SECOND && fi > 100) r.worstMinute = std::max(r.worstMinute, int(1000.0 * ex / fi));
-        if (ex > 0.2 * fi + cap + 3) {
-            broke("extra tries stay near a fifth",
-                fmt::format("{} extra on {} first in the minute before {}", ex, fi, at));
+    if (auto error = historyCheck(operations, ""); !error.empty())
+        reportViolation("orders are linearizable", error);
+}
+
+// Extra sends must keep their share of the first ones, over the run and over any minute of it. Within a
+// minute the credit that may have been saved up, the cap of the configuration's budget, comes on top.
+auto Simulation::checkRetryBudget() -> void {
+    auto configuration = rapidjson::Document();
+    parseJson(exampleConfiguration, configuration);
+    auto cap = double(DEFAULT_BUDGET_CAP);
+    if (configuration.HasMember("budget"))
+        cap = double(jsonInteger(configuration["budget"], "cap", DEFAULT_BUDGET_CAP));
+    result.firsts = result.extras = 0;
+    for (auto& [at, extra] : sends) (extra ? result.extras : result.firsts)++;
+    if (result.firsts
+        && double(result.extras) > EXTRA_SEND_RATIO * double(result.firsts) + EXTRA_SEND_TOLERANCE)
+        reportViolation("extra tries stay near a fifth",
+            fmt::format("{} extra on {} first", result.extras, result.firsts));
+    auto oldest = std::size_t(0);
+    auto firsts = 0, extras = 0;  // within the last minute
+    for (auto& [at, extra] : sends) {
+        (extra ? extras : firsts)++;
+        for (; sends[oldest].first < at - MINUTE; oldest++) (sends[oldest].second ? extras : firsts)--;
+        if (at > MINUTE && firsts > MIN_SENDS_FOR_WORST_MINUTE)
+            result.worstMinute = std::max(result.worstMinute, int(1000.0 * extras / firsts));
+        if (extras > EXTRA_SEND_RATIO * firsts + cap + EXTRA_SEND_TOLERANCE) {
+            reportViolation("extra tries stay near a fifth",
+                fmt::format("{} extra on {} first in the minute before {}", extras, firsts, at));
             break;
         }
     }
-    for (auto& m : ms)
-        if (m->up)
-            for (auto& [k, v] : m->ct->values())
-                if (k.ends_with("_total")) sumCt[k] += v;
-    if (auto x = sumCt["illegal_transitions_total"])
-        broke("the tables of states hold", fmt::format("{} illegal transitions", x));
-    r.counters = sumCt;
+}
+
+auto Simulation::checkAtEnd() -> void {
+    checkHistory();
+    checkRetryBudget();
+    for (auto& machine : machines)
+        if (machine->up)
+            for (auto& [name, value] : machine->counters->values())
+                if (name.ends_with("_total")) counterTotals[name] += value;
+    if (auto illegal = counterTotals["illegal_transitions_total"])
+        reportViolation("the tables of states hold", fmt::format("{} illegal transitions", illegal));
+    result.counters = counterTotals;
 }
 
 }  // namespace duneturn
--- /dev/null
+++ b/src/sim/simulation.hpp
@@ -0,0 +1,243 @@
+#pragma once
+// The simulated environment of a fleet: time, network, machines, model servers, clients, operators, the
+// platform, faults, and the oracles that check what servers executed, clients received and operators were
+// answered. Used only by the sources of this folder.
+//
+// Every event and every random draw has a fixed order, so that the same seed gives the same trace.
+#include <cstdint>
+#include <functional>
+#include <map>
+#include <memory>
+#include <queue>
+#include <string>
+#include <tuple>
+#include <utility>
+#include <vector>
+
+#include "base/json.hpp"
+#include "base/random.hpp"
+#include "base/time.hpp"
+#include "sim/history.hpp"
+#include "sim/machine.hpp"
+#include "sim/records.hpp"
+#include "sim/simulate.hpp"
+
+namespace duneturn {
+
+/// How many probe services there are. Each configuration that an operator sends routes the probe requests to
+/// one of them, so that the server which a probe reaches shows which configuration the node obeys.
+constexpr auto PROBE_SERVICES = 8;
+/// Wall clocks run around this time after the start of 1970.
+constexpr auto WALL_CLOCK_START = 1800000000LL * SECOND;
+/// A configuration must be obeyed this long after its acknowledgement.
+constexpr auto CONFIGURATION_LIMIT = 3 * SECOND;
+/// Nothing new may reach a zone this long after the order to evacuate it was sent.
+constexpr auto EVACUATION_LIMIT = 5 * SECOND;
+/// Every kind of request must be served again this long after a total loss.
+constexpr auto RECOVERY_LIMIT = 12 * SECOND;
+
+struct Simulation {
+    using Action = std::function<void()>;
+
+    struct Event {
+        Microseconds at;
+        std::int64_t sequence;
+        Action action;
+    };
+    /// Events at the same time happen in the order of their insertion.
+    struct HappensLater {
+        auto operator()(const Event& left, const Event& right) const -> bool {
+            return left.at != right.at ? left.at > right.at : left.sequence > right.sequence;
+        }
+    };
+
+    SimOptions options;
+    SimResult result;
+    RandomSource random{1}, networkRandom{1}, faultRandom{1};
+    Microseconds now = 0;
+    std::priority_queue<Event, std::vector<Event>, HappensLater> events;
+    std::int64_t eventCount = 0;
+
+    // Machines and the network between them.
+    std::vector<std::unique_ptr<SimMachine>> machines;
+    std::map<std::string, int> machineByAddress;
+    std::vector<std::vector<int>> partitions;  // [from][to] > 0: that many faults block the direction
+    double lossProbability = 0;                // of each message between machines
+    std::map<std::pair<int, int>, Microseconds> lastArrival;  // by connection, which delivers in order
+    std::map<std::pair<std::int64_t, std::int64_t>, std::string> leaderDisk;  // by epoch and term
+
+    // Model servers.
+    std::vector<SimServer> servers;
+    std::map<std::string, int> serverByAddress;
+    std::vector<SimExecution> executions;
+    std::vector<std::unique_ptr<SimConnection>> connections;
+    std::map<std::tuple<int, std::int64_t, std::int64_t, int>, SimConnection*>
+        connectionOf;                                  // by machine, incarnation, request, attempt
+    std::vector<std::pair<Microseconds, bool>> sends;  // to servers; whether beyond the request's first
+
+    // Clients.
+    std::vector<SimRequestKind> kinds;
+    std::vector<std::string> regions;
+    std::vector<SimRequest> requests;
+    std::vector<SimAttempt> attempts;
+    std::map<std::tuple<int, std::int64_t, std::int64_t>, int>
+        attemptOf;                         // by machine, incarnation, edge's request number
+    double loadFactor = 1, loadShift = 0;  // of the faults "crowd" and "swing"
+    bool ended = false;                    // no further requests and faults
+
+    // Operators and the platform.
+    std::string exampleConfiguration;
+    std::vector<SimOrder> orders;
+    std::vector<HistOp> readbacks;
+    int nextOrderMachine = -1;  // the node that receives the next order; -1: any
+    std::int64_t openEvacuations = 0;
+    std::int64_t platformRevision = 0;  // the newest number of a listing or mark
+
+    // What the oracles wait for.
+    Microseconds totalLossAt = 0;
+    std::map<std::pair<std::string, std::string>, Microseconds>
+        recoveredAt;                                   // by kind and region: first success since
+    Microseconds livenessFrom = 0, livenessUntil = 0;  // requests created between must mostly succeed
+    std::map<std::string, std::pair<int, int>> livenessCounts;  // by kind and region: created, succeeded
+    Microseconds quietUntil = 0;                                // no other fault before this
+    std::map<std::string, std::int64_t> counterTotals;          // over all incarnations of all machines
+
+    // ---- simulate.cpp: time, network, trace, the course of the run.
+
+    auto machine(int index) -> SimMachine& { return *machines[std::size_t(index)]; }
+    auto server(int index) -> SimServer& { return servers[std::size_t(index)]; }
+    auto attempt(int index) -> SimAttempt& { return attempts[std::size_t(index)]; }
+    auto requestOf(const SimAttempt& attempt) -> SimRequest& {
+        return requests[std::size_t(attempt.request)];
+    }
+    auto kindOf(const SimAttempt& attempt) -> const SimRequestKind& {
+        return kinds[std::size_t(requestOf(attempt).kind)];
+    }
+    auto scheduleAt(Microseconds when, Action action) -> void;
+    auto schedule(Microseconds delay, Action action) -> void;
+    /// For a process: dropped if that incarnation has ended by then, deferred while the process is frozen.
+    auto scheduleOnMachine(int index, std::int64_t incarnation, Microseconds delay, Action action) -> void;
+    /// Adds a line to the trace, whose digest identifies the run.
+    auto trace(const std::string& text) -> void;
+    auto reportViolation(const std::string& rule, const std::string& details) -> void;
+    auto networkDelay() -> Microseconds;
+    auto hasFault(const std::string& kind) const -> bool;
+    auto isPartitioned(int from, int to) const -> bool;
+    /// Ticks the process of a machine every 25 ms as long as its incarnation runs, and checks its state.
+    auto scheduleTick(int index, std::int64_t incarnation) -> void;
+    auto checkNodeState(SimMachine& machine) -> void;
+    /// The index of the leader's machine; -1 if there is none.
+    auto leader() -> int;
+    /// The index of a random machine whose process runs; -1 if 40 draws find none.
+    auto randomRunningMachine() -> int;
+    auto run() -> void;
+    auto scheduleBootstrap() -> void;
+    auto scheduleEnd() -> void;
+    auto wipeMajority() -> void;
+    auto checkLastReadback(const std::string& body) -> void;
+    auto processEvents(Microseconds until) -> void;
+
+    // ---- example.cpp: the deployment's files.
+
+    /// Reads nodes/, servers.json, config.json and day.json of the example; returns "" or an error text.
+    auto loadExample() -> std::string;
+    auto loadNodes() -> std::string;
+    auto loadServers(const rapidjson::Value& listing) -> void;
+    auto loadKinds(const rapidjson::Value& day) -> void;
+
+    // ---- servers.cpp: the model servers.
+
+    /// Executes a request whose bytes have left the edge over `connection`.
+    auto executeRequest(SimConnection* connection, int attemptIndex, const Request& request) -> void;
+    /// Calls `action` at the connection's edge after `delay`, unless the connection or the process is gone.
+    auto scheduleAtEdge(
+        SimConnection* connection, Microseconds delay, std::function<void(SimMachine&)> action) -> void;
+    auto resetConnection(SimConnection* connection) -> void;
+    /// Ends a server's incarnation. `silent`: its clients do not notice that their connections are gone.
+    auto stopServer(int index, bool silent) -> void;
+    /// Starts a stopped server as a new, cold incarnation; false if it runs.
+    auto restartServer(SimServer& server) -> bool;
+    /// The same, and the platform no longer lists it as leaving.
+    auto restartServerAsUp(SimServer& server) -> void;
+
+    // ---- clients.cpp: the clients and what they check of responses.
+
+    auto scheduleArrivals(std::size_t kind) -> void;
+    auto createRequest(std::size_t kind, const std::string& region) -> void;
+    auto requestBody(const SimRequestKind& kind, std::size_t number) -> std::string;
+    auto startAttempt(int requestIndex) -> void;
+    auto discoverNode(int requestIndex, int discoveryMachine) -> void;
+    auto sendToNode(int attemptIndex, Microseconds delay) -> void;
+    auto deliverToEdge(int attemptIndex) -> void;
+    /// Retries after 1 ms, or with `backoff` after 0.5 to 1.5 s; gives up after four attempts or 12 s.
+    auto retryRequest(int requestIndex, bool backoff) -> void;
+    auto onAttemptLost(int attemptIndex) -> void;
+    auto onStreamEvent(int attemptIndex, const std::string& raw) -> void;
+    auto checkEventContent(int attemptIndex, std::int64_t id, const std::string& data) -> void;
+    auto onStreamEnd(int attemptIndex, bool complete) -> void;
+    auto onReply(int attemptIndex, int status, const Headers& headers, const std::string& body) -> void;
+    auto onRejection(int attemptIndex, int status, const std::string& body) -> void;
+    auto finishAttempt(int attemptIndex, const std::string& outcome) -> void;
+    auto resumeOrGiveUp(int attemptIndex) -> void;
+
+    // ---- operators.cpp: orders, readbacks and the platform's listings.
+
+    /// Sends an order to a node. `onOutcome` gets its status; 504 when none came within 5 s.
+    auto sendOrder(const std::string& operation, const std::string& body, const std::string& subject,
+        std::int64_t base, std::function<void(int)> onOutcome) -> void;
+    auto onOrderOutcome(std::size_t number, const Outcome& outcome) -> void;
+    /// The example's configuration with a route for the probe requests to the service "probe-N". A
+    /// `restriction` (of the fault "rules") allows less than the example does.
+    auto probeConfiguration(int probe, const std::string& restriction = "") -> std::string;
+    auto sendConfiguration(int probe, std::int64_t base, std::function<void(int)> onOutcome,
+        const std::string& restriction = "") -> void;
+    /// The newest configuration version that was acknowledged to an operator.
+    auto newestConfigurationVersion() const -> std::int64_t;
+    /// Ends the evacuation of a zone; repeats the order every second until it is acknowledged.
+    auto restoreZone(const std::string& zone) -> void;
+    /// Reads the replicated state through a node. The callback gets whether it succeeded and the body.
+    auto readBack(std::function<void(bool, const std::string&)> onResult) -> void;
+    auto checkReadback(Microseconds sentAt, const std::string& body) -> void;
+    /// The platform's listing of the servers under a new revision.
+    auto listing() -> std::string;
+    auto sendListing(std::function<void(bool)> onResult, int tries) -> void;
+    auto scheduleListings() -> void;
+
+    // ---- faults.cpp, machine_faults.cpp, service_faults.cpp
+
+    auto scheduleFaults() -> void;
+    auto injectFault(const std::string& kind) -> void;
+    auto repairAllFaults() -> void;
+    auto unfreeze(SimMachine& machine) -> void;
+    auto restartLater(int index, Microseconds delay) -> void;
+    /// Erases the disk of a machine that is down.
+    auto loseDisk(SimMachine& machine) -> void;
+    /// Replaces a core machine by one at another address; its settings name the current seeds, while the
+    /// settings of the others still name the old address.
+    auto moveToNewAddress(SimMachine& machine) -> void;
+    auto totalLoss(const std::string& kind) -> void;
+    auto loseMajority() -> void;
+    auto rescueAt(int index) -> void;
+
+    // ---- oracles.cpp
+
+    auto recordSend(int attemptIndex) -> void;
+    auto checkExecution(const SimExecution& execution) -> void;
+    auto checkOrderEffects(const SimExecution& execution) -> void;
+    auto checkZoneEvacuation(const SimServer& server) -> void;
+    auto possibleConfigurations(Microseconds at) const -> std::vector<const SimOrder*>;
+    auto violatedRule(const rapidjson::Document& configuration, const SimExecution& execution) const
+        -> std::string;
+    auto checkLeavingServer(int index) -> void;
+    auto checkEvacuatedZone(const SimOrder& order) -> void;
+    auto checkReadiness() -> void;
+    auto checkLeaks() -> void;
+    auto probeRecovery(Microseconds until) -> void;
+    auto checkRecovery(const std::vector<std::pair<std::size_t, std::string>>& probes) -> void;
+    auto checkHistory() -> void;
+    auto checkRetryBudget() -> void;
+    auto checkAtEnd() -> void;
+    auto traceState() -> void;
+};
+
+}  // namespace duneturn
