--- a/src/sim/clients.cpp
+++ b/src/sim/clients.cpp
@@ -99,7 +99,7 @@
     if (request.attempts >= MAX_ATTEMPTS || expired) {
         request.over = true;
         auto& counts = result.kinds[kinds[std::size_t(request.kind)].name];
-        (request.resuming ? counts.cut : counts.rejected)++;
+        (request.resuming ? counts.truncated : counts.rejected)++;
         return;
     }
     schedule(backoff ? SECOND / 2 + Microseconds(random.below(SECOND)) : 1 * MILLISECOND,
@@ -197,14 +197,14 @@
     if (outcome == "cut" && finished.streaming) return resumeOrGiveUp(attemptIndex);
     request.over = true;
     if (outcome == "whole") {
-        counts.whole++;
-        counts.took.push_back(now - request.createdAt);
-        if (finished.executions.size() > 1) counts.moved++;
+        counts.complete++;
+        counts.durations.push_back(now - request.createdAt);
+        if (finished.executions.size() > 1) counts.migrated++;
         if (request.resuming) counts.resumed++;
         if (request.createdAt >= totalLossAt) recoveredAt.try_emplace({name, request.region}, now);
         if (livenessFrom && request.createdAt >= livenessFrom && request.createdAt < livenessUntil)
             livenessCounts[name + " from " + request.region].second++;
-    } else if (outcome == "cut") counts.cut++;
+    } else if (outcome == "cut") counts.truncated++;
     else counts.failed++;
 }
 
@@ -218,10 +218,10 @@
     auto& truncated = attempt(attemptIndex);
     auto& request = requestOf(truncated);
     auto& counts = result.kinds[kindOf(truncated).name];
-    counts.broke++;
+    counts.interrupted++;
     if (truncated.announcedWeights.empty() || truncated.lastEventId == 0 || request.resumes >= MAX_RESUMES) {
         request.over = true;
-        counts.cut++;
+        counts.truncated++;
         return;
     }
     request.resumes++;
@@ -257,7 +257,7 @@
             fmt::format(
                 "try {} of {}: event {} after {}", attemptIndex, kind.name, event.id, receiver.lastEventId));
     receiver.lastEventId = event.id;
-    if (event.id == 1) result.kinds[kind.name].first.push_back(now - requestOf(receiver).createdAt);
+    if (event.id == 1) result.kinds[kind.name].firstTimes.push_back(now - requestOf(receiver).createdAt);
     checkEventContent(attemptIndex, event.id, event.data);
 }
 
@@ -302,7 +302,7 @@
         auto sent = kind.plain ? request.body + request.path : request.body;
         if (reply != fakeWhole(sent, "w1") && reply != fakeWhole(sent, "w2"))
             reportViolation("a reply is the server's", fmt::format("try {} of {}", attemptIndex, kind.name));
-        result.kinds[kind.name].first.push_back(now - request.createdAt);
+        result.kinds[kind.name].firstTimes.push_back(now - request.createdAt);
         return finishAttempt(attemptIndex, "whole");
     }
     if (std::any_of(
@@ -328,7 +328,7 @@
     if (status >= 500) return retryRequest(rejected.request, true);
     request.over = true;
     auto& counts = result.kinds[kind.name];
-    (request.resuming ? counts.cut : counts.rejected)++;
+    (request.resuming ? counts.truncated : counts.rejected)++;
 }
 
 }  // namespace duneturn
--- a/src/sim/faults.cpp
+++ b/src/sim/faults.cpp
@@ -135,8 +135,8 @@
 }
 
 auto Simulation::repairAllFaults() -> void {
-    for (auto& row : partitions)
-        for (auto& faults : row) faults = 0;
+    for (auto& directions : partitions)
+        for (auto& faults : directions) faults = 0;
     lossProbability = 0;
     loadFactor = 1;
     loadShift = 0;
--- a/src/sim/history.hpp
+++ b/src/sim/history.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// Whether a history of orders and readbacks could have come from one register that is
-// changed by one order after another, each at some moment between asking and reply.
+// Checks that a history of orders and readbacks is linearizable: that it can come from one register which is
+// changed by one order after another, each taking effect at some moment between its start and its end.
 #include <cstdint>
 #include <string>
 #include <vector>
@@ -9,19 +9,22 @@
 
 namespace duneturn {
 
-struct HistOp {
+/// An order (a conditional write of the configuration) or a readback.
+struct HistoryOperation {
     bool read = false;
-    Microseconds from = 0, to = -1;  // to: -1 if no outcome was ever told
-    int status = 0;                  // of an order: 200, 409, or 0 if not known
-    std::int64_t base = 0;           // an order's
-    std::int64_t version = 0;        // that an order was told it made, or a readback read
-    std::string what;                // that an order writes, or a readback read
-    std::vector<int> applied;        // a readback's: the orders (by place) of known success, rising
-    int who = -1;                    // an order's place among orders
+    Microseconds start = 0, end = -1;  // end: -1 if the outcome never became known
+    int status = 0;                    // of an order: 200, 409, or 0 if unknown
+    std::int64_t base = 0;             // of an order: the version that it requires
+    std::int64_t version = 0;          // that an acknowledged order made, or that a readback read
+    std::string value;                 // that an order writes, or that a readback read
+    std::vector<int> appliedOrders;    // of a readback: the numbers of the applied orders, ascending
+    int order = -1;                    // of an order: its number
 };
 
-/// "" if some order of the operations explains all replies; else what could not be placed.
-/// An order of unknown outcome may take effect at any later time, or never.
-auto historyCheck(const std::vector<HistOp>& ops, const std::string& first) -> std::string;
+/// Returns "" if some sequence of the operations, from a register of version 0 with `initialValue`, explains
+/// all outcomes; otherwise a description of an operation that fits nowhere. An order of unknown outcome may
+/// take effect at any later time, or never.
+auto checkHistory(const std::vector<HistoryOperation>& operations, const std::string& initialValue)
+    -> std::string;
 
 }  // namespace duneturn
--- a/src/sim/operators.cpp
+++ b/src/sim/operators.cpp
@@ -75,7 +75,7 @@
         if (order.over) return;
         order.over = now;
         order.status = 504;
-        result.unknown++;
+        result.unknownOrders++;
         trace(fmt::format("order {}: no reply", number));
         if (onOutcome) onOutcome(504);
     });
@@ -92,11 +92,11 @@
     }
     trace(fmt::format("order {}: status {} {}", number, outcome.status, outcome.body));
     if (outcome.status == 200) {
-        result.acked++;
-        result.ackTook.push_back(now - order.sentAt);
+        result.acknowledgedOrders++;
+        result.acknowledgementTimes.push_back(now - order.sentAt);
     }
     if (outcome.status == 200 && order.operation == "empty") checkEvacuatedZone(order);
-    if (outcome.status == 504) result.unknown++;
+    if (outcome.status == 504) result.unknownOrders++;
 }
 
 auto Simulation::probeConfiguration(int probe, const std::string& restriction) -> std::string {
@@ -165,22 +165,22 @@
     });
 }
 
-// Records what was read for checkHistory(), and checks that some order can have written it.
+// Records what was read for checkLinearizability(), and checks that some order can have written it.
 auto Simulation::checkReadback(Microseconds sentAt, const std::string& body) -> void {
     auto state = ReplicatedState();
     state.load(body);
     auto service = std::string();
     for (auto& route : state.config()["mappings"].GetArray())
         if (jsonString(route, "name") == "probe") service = jsonString(route, "pool");
-    auto readback = HistOp();
+    auto readback = HistoryOperation();
     readback.read = true;
-    readback.from = sentAt;
-    readback.to = now;
+    readback.start = sentAt;
+    readback.end = now;
     readback.version = state.configVersion();
-    readback.what = service;
+    readback.value = service;
     for (auto i = std::size_t(0); i < orders.size(); i++)
         if (orders[i].operation == "config" && state.outcome(fmt::format("op-{}", i)).status == 200)
-            readback.applied.push_back(int(i));
+            readback.appliedOrders.push_back(int(i));
     readbacks.push_back(readback);
     auto canHaveWritten = [&](const SimOrder& order) {
         return order.operation == "config" && order.subject == service
--- a/src/sim/oracles.cpp
+++ b/src/sim/oracles.cpp
@@ -58,7 +58,7 @@
             fmt::format("try {} of {} from {}: run {} on {} in {}, send {}, after event {}",
                 execution.attempt, kind.name, request.region, executed.executions.size(), server.name,
                 server.region, executed.sends, execution.resumedFrom));
-    if (server.region != request.region) result.kinds[kind.name].spilled++;
+    if (server.region != request.region) result.kinds[kind.name].spilledOver++;
     if (executed.executions.size() > 1)
         trace(fmt::format(
             "try {} moves to {} after event {}", execution.attempt, server.name, execution.resumedFrom));
@@ -127,7 +127,7 @@
     auto& server = this->server(execution.server);
     if (server.leavingSent && now > server.leavingSent) {
         auto elapsed = now - server.leavingSent;
-        result.lastDisobedient = std::max(result.lastDisobedient, elapsed);
+        result.longestDisobedience = std::max(result.longestDisobedience, elapsed);
         if (elapsed > options.leaveLimit)
             reportViolation("nothing new reaches a leaving server",
                 fmt::format("{} {} us after the mark was sent", server.name, elapsed));
@@ -160,7 +160,7 @@
     }
     if (!evacuatedAt || !known || now <= evacuatedAt) return;
     auto elapsed = now - evacuatedAt;
-    result.lastDisobedient = std::max(result.lastDisobedient, elapsed);
+    result.longestDisobedience = std::max(result.longestDisobedience, elapsed);
     if (elapsed > EVACUATION_LIMIT)
         reportViolation("nothing new reaches an emptied zone",
             fmt::format("{} in {} {} us after the order", server.name, server.zone, elapsed));
@@ -213,7 +213,7 @@
                 fmt::format("no {} from {} yet", kinds[kind].name, region));
         } else longest = std::max(longest, found->second - totalLossAt);
     }
-    result.recovery = std::max(result.recovery, longest);
+    result.recoveryTime = std::max(result.recoveryTime, longest);
 }
 
 // Once all faults are repaired, all nodes must be ready and orders must be accepted.
@@ -282,24 +282,24 @@
 
 // Orders and readbacks of configurations must be explained by one register. An order rejected with 503 was
 // not logged as far as its operator knows, but may still be, as any order of unknown outcome.
-auto Simulation::checkHistory() -> void {
+auto Simulation::checkLinearizability() -> void {
     auto operations = readbacks;
     for (auto i = std::size_t(0); i < orders.size(); i++) {
         auto& order = orders[i];
         if (order.operation != "config" || !order.configuration || order.status == 422) continue;
-        auto operation = HistOp();
-        operation.who = int(i);
-        operation.from = order.sentAt;
+        auto operation = HistoryOperation();
+        operation.order = int(i);
+        operation.start = order.sentAt;
         operation.base = order.base;
         operation.version = order.version;
-        operation.what = order.subject;
+        operation.value = order.subject;
         if (order.over && (order.status == 200 || order.status == 409)) {
-            operation.to = order.over;
+            operation.end = order.over;
             operation.status = order.status;
         }
         operations.push_back(operation);
     }
-    if (auto error = historyCheck(operations, ""); !error.empty())
+    if (auto error = checkHistory(operations, ""); !error.empty())
         reportViolation("orders are linearizable", error);
 }
 
@@ -311,19 +311,19 @@
     auto cap = double(DEFAULT_BUDGET_CAP);
     if (configuration.HasMember("budget"))
         cap = double(jsonInteger(configuration["budget"], "cap", DEFAULT_BUDGET_CAP));
-    result.firsts = result.extras = 0;
-    for (auto& [at, extra] : sends) (extra ? result.extras : result.firsts)++;
-    if (result.firsts
-        && double(result.extras) > EXTRA_SEND_RATIO * double(result.firsts) + EXTRA_SEND_TOLERANCE)
+    result.firstSends = result.extraSends = 0;
+    for (auto& [at, extra] : sends) (extra ? result.extraSends : result.firstSends)++;
+    if (result.firstSends
+        && double(result.extraSends) > EXTRA_SEND_RATIO * double(result.firstSends) + EXTRA_SEND_TOLERANCE)
         reportViolation("extra tries stay near a fifth",
-            fmt::format("{} extra on {} first", result.extras, result.firsts));
+            fmt::format("{} extra on {} first", result.extraSends, result.firstSends));
     auto oldest = std::size_t(0);
     auto firsts = 0, extras = 0;  // within the last minute
     for (auto& [at, extra] : sends) {
         (extra ? extras : firsts)++;
         for (; sends[oldest].first < at - MINUTE; oldest++) (sends[oldest].second ? extras : firsts)--;
         if (at > MINUTE && firsts > MIN_SENDS_FOR_WORST_MINUTE)
-            result.worstMinute = std::max(result.worstMinute, int(1000.0 * extras / firsts));
+            result.worstMinutePermille = std::max(result.worstMinutePermille, int(1000.0 * extras / firsts));
         if (extras > EXTRA_SEND_RATIO * firsts + cap + EXTRA_SEND_TOLERANCE) {
             reportViolation("extra tries stay near a fifth",
                 fmt::format("{} extra on {} first in the minute before {}", extras, firsts, at));
@@ -333,7 +333,7 @@
 }
 
 auto Simulation::checkAtEnd() -> void {
-    checkHistory();
+    checkLinearizability();
     checkRetryBudget();
     for (auto& machine : machines)
         if (machine->up)
--- a/src/sim/servers.cpp
+++ b/src/sim/servers.cpp
@@ -40,7 +40,7 @@
           body_(std::move(body)),
           path_(std::move(path)) {}
 
-    /// `requestName` is echoed in the response's headers, unless the fault "server-wrong" is on.
+    /// `requestName` is returned in the response's headers, unless the fault "server-wrong" is on.
     auto start(const std::string& requestName) -> void {
         auto& server = this->server();
         mode_ = server.mode;
@@ -207,7 +207,7 @@
         }
         executions.push_back({attemptIndex, connection->server, resumedFrom, now});
         attempt(attemptIndex).executions.push_back(int(executions.size()) - 1);
-        result.execs++;
+        result.executions++;
         checkExecution(executions.back());
         auto execution = std::make_shared<ServerExecution>(*this, connection, kind, resumedFrom, body, path);
         execution->start(name);
@@ -216,7 +216,7 @@
         result.prompts++;
         result.cacheHits += uncached < std::int64_t(body.size() / 4);
         result.tokensRead += uncached;
-        if (attempt(attemptIndex).executions.size() > 1) result.tokensAgain += uncached;
+        if (attempt(attemptIndex).executions.size() > 1) result.tokensReadAgain += uncached;
         auto age = now - server.startedAt;
         auto cold = server.cold && age < SLOW_START;
         server.prefill++;
--- a/src/sim/service_faults.cpp
+++ b/src/sim/service_faults.cpp
@@ -86,7 +86,7 @@
 auto onMarkAccepted(Simulation& simulation, int index, Microseconds sentAt) -> void {
     auto& server = simulation.server(index);
     server.leavingSent = sentAt;
-    simulation.result.markTook.push_back(simulation.now - sentAt);
+    simulation.result.markAcknowledgementTimes.push_back(simulation.now - sentAt);
     simulation.checkLeavingServer(index);
     simulation.trace(server.name + " is listed as leaving");
     simulation.schedule(STOP_AFTER_MARK, [&simulation, index, incarnation = server.incarnation] {
--- a/src/sim/simulate.cpp
+++ b/src/sim/simulate.cpp
@@ -105,7 +105,7 @@
     auto line = fmt::format("{:>12} {}", now, text);
     result.digest = hash64(line, result.digest);
     if (!options.quiet) fmt::print("{}\n", line);
-    if (!result.broken.empty()) return;
+    if (!result.violations.empty()) return;
     result.trace.push_back(line);
     if (result.trace.size() > MAX_TRACE_LINES)
         result.trace.erase(result.trace.begin(), result.trace.begin() + std::ptrdiff_t(MAX_TRACE_LINES / 2));
@@ -113,7 +113,7 @@
 
 auto Simulation::reportViolation(const std::string& rule, const std::string& details) -> void {
     trace(fmt::format("BROKEN {}: {}", rule, details));
-    if (result.broken.size() < MAX_VIOLATIONS) result.broken.push_back(rule + ": " + details);
+    if (result.violations.size() < MAX_VIOLATIONS) result.violations.push_back(rule + ": " + details);
 }
 
 auto Simulation::networkDelay() -> Microseconds {
@@ -264,7 +264,7 @@
 auto Simulation::checkLastReadback(const std::string& body) -> void {
     auto state = ReplicatedState();
     state.load(body);
-    result.stateVersion = state.configVersion();
+    result.configurationVersion = state.configVersion();
     result.epoch = state.epoch;
     trace(fmt::format("day's end reads configuration {} of reign {}", state.configVersion(), state.epoch));
     for (auto& operation : state.scheduledOperations())
@@ -279,7 +279,7 @@
         events.pop();
         now = event.at;
         event.action();
-        if (result.broken.size() >= MAX_VIOLATIONS) break;
+        if (result.violations.size() >= MAX_VIOLATIONS) break;
     }
 }
 
--- a/src/sim/simulation.hpp
+++ b/src/sim/simulation.hpp
@@ -88,7 +88,7 @@
     // Operators and the platform.
     std::string exampleConfiguration;
     std::vector<SimOrder> orders;
-    std::vector<HistOp> readbacks;
+    std::vector<HistoryOperation> readbacks;
     int nextOrderMachine = -1;  // the node that receives the next order; -1: any
     std::int64_t openEvacuations = 0;
     std::int64_t platformRevision = 0;  // the newest number of a listing or mark
@@ -234,7 +234,7 @@
     auto checkLeaks() -> void;
     auto probeRecovery(Microseconds until) -> void;
     auto checkRecovery(const std::vector<std::pair<std::size_t, std::string>>& probes) -> void;
-    auto checkHistory() -> void;
+    auto checkLinearizability() -> void;
     auto checkRetryBudget() -> void;
     auto checkAtEnd() -> void;
     auto traceState() -> void;
