--- a/src/sim/scale.hpp
+++ b/src/sim/scale.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// Hollow nodes: the real Node and Voter of a whole fleet, without traffic, over virtual time,
-// network and disks; the control plane's cost a node and its convergence times, by the number of nodes.
+// Measures the control plane by the number of nodes: its cost per node and its convergence times. Runs the
+// real Node and Voter of a whole fleet, without requests, over virtual time, network and disks.
 #include <cstdint>
 #include <map>
 #include <string>
@@ -17,8 +17,8 @@
     std::string nodes, servers, membership, svg, earlier;
     std::uint64_t seed = 1;
     bool json = false;
-    bool probes = true;       // watchers ask the servers for their load
-    std::int64_t memory = 0;  // bytes of this machine's memory; 0: asked for
+    bool probes = true;       // nodes probe the servers for their load
+    std::int64_t memory = 0;  // bytes of this machine's memory; 0: as the system reports
 };
 
 struct ScaleOptions {
@@ -32,15 +32,15 @@
     std::vector<std::string> earlier;  // points of earlier runs, a line of JSON each, plotted beside
     bool json = false;
     bool probes = true;
-    bool faults = true;  // the losses after the quiet time and the changes
+    bool faults = true;  // whether to measure failures after the steady state and the changes
 };
 
 struct ScaleError {
     std::string why;
 };
 
-/// What was found at one number of nodes. All figures are whole numbers; their names end in the unit
-/// where it is not a count. A time is -1 where what was waited for did not come.
+/// The figures of one number of nodes, as whole numbers; their names end in the unit unless they are counts.
+/// A time is -1 if what was waited for did not happen.
 struct ScalePoint {
     std::string membership;
     std::uint64_t seed = 1;
@@ -49,9 +49,11 @@
     auto json() const -> std::string;
 };
 
+/// Validates the flags and reads the files that they name.
 auto scaleParse(const ScaleFlags& flags) -> tl::expected<ScaleOptions, ScaleError>;
 /// An upper estimate of the memory of a run at this size, in bytes.
 auto scaleMemory(int nodes, int servers, bool gossip) -> std::int64_t;
+/// Runs all measurements at one size.
 auto scalePoint(const ScaleOptions& options, ScaleOptions::Size size) -> ScalePoint;
 /// The subcommand: 0, 1 (the plot could not be written) or 2 (wrong use).
 auto scaleMain(const ScaleFlags& flags) -> int;
--- a/src/sim/scale_codec.hpp
+++ b/src/sim/scale_codec.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Envelopes to bytes and back, as the daemons frame them.
+// Encodes and decodes envelopes in the format of the daemons.
 #include <cstdint>
 #include <memory>
 #include <string>
@@ -14,12 +14,13 @@
 /// The compact protocol over a memory buffer. One codec serves one thread.
 class EnvelopeCodec {
   public:
+    /// The bytes of a framed message.
     auto encode(const wire::Envelope& envelope) -> std::shared_ptr<std::string>;
-    /// False if `bytes` hold no sound envelope.
+    /// Returns false if `bytes` are not a valid envelope.
     auto decode(const std::string& bytes, wire::Envelope& envelope) -> bool;
 
   private:
-    static constexpr std::int64_t MESSAGE_LIMIT = 8 << 20;  // the daemon's, in bytes
+    static constexpr std::int64_t MESSAGE_LIMIT = 8 << 20;  // in bytes, as in the daemon
     static constexpr int DEPTH_LIMIT = 64;
     static constexpr std::int32_t CONTAINER_LIMIT = 100000;
 
--- a/src/sim/scale_command.cpp
+++ b/src/sim/scale_command.cpp
@@ -1,4 +1,4 @@
-// The `scale` subcommand: its options, the check of what this machine can bear, its table and plot.
+// The `scale` subcommand: its options, the check of the available memory, its table and plot.
 #include <cstdint>
 #include <cstdio>
 #include <fstream>
@@ -24,53 +24,53 @@
 
 constexpr auto DEFAULT_NODES = "12,24,48,96,192,390";
 constexpr auto DEFAULT_SERVERS = "870";
-constexpr auto LEAST_NODES = 6;
-constexpr auto MOST_COUNT = 4096;
-constexpr auto MOST_DIGITS = std::size_t(6);
+constexpr auto MIN_NODES = 6;
+constexpr auto MAX_COUNT = 4096;
+constexpr auto MAX_DIGITS = std::size_t(6);
 constexpr auto EXIT_NOT_WRITTEN = 1;
 constexpr auto EXIT_WRONG_USE = 2;
 
-auto refusal(std::string why) -> tl::unexpected<ScaleError> {
+auto invalidOption(std::string why) -> tl::unexpected<ScaleError> {
     return tl::make_unexpected(ScaleError{std::move(why)});
 }
 
-/// Whole numbers with commas between, each from `least` to `most`.
+/// Parses whole numbers separated by commas, each from `least` to `most`.
 auto parseNumbers(const std::string& text, const std::string& what, int least, int most)
     -> tl::expected<std::vector<int>, ScaleError> {
     auto numbers = std::vector<int>();
     auto stream = std::stringstream(text);
-    for (auto word = std::string(); std::getline(stream, word, ',');) {
-        if (word.empty() || word.size() > MOST_DIGITS
-            || word.find_first_not_of("0123456789") != std::string::npos || std::stoi(word) < least
-            || std::stoi(word) > most)
-            return refusal(
-                fmt::format("{}: wants whole numbers from {} to {}, not \"{}\"", what, least, most, word));
-        numbers.push_back(std::stoi(word));
+    for (auto number = std::string(); std::getline(stream, number, ',');) {
+        if (number.empty() || number.size() > MAX_DIGITS
+            || number.find_first_not_of("0123456789") != std::string::npos || std::stoi(number) < least
+            || std::stoi(number) > most)
+            return invalidOption(
+                fmt::format("{}: needs whole numbers from {} to {}, not \"{}\"", what, least, most, number));
+        numbers.push_back(std::stoi(number));
     }
-    if (numbers.empty()) return refusal(what + ": wants numbers with commas");
+    if (numbers.empty()) return invalidOption(what + ": needs numbers separated by commas");
     return numbers;
 }
 
 auto machineMemory() -> std::int64_t { return std::int64_t(sysconf(_SC_PHYS_PAGES)) * sysconf(_SC_PAGESIZE); }
 
-/// The sizes to run, each of which must fit into half of the machine's memory.
+/// Parses the sizes to run; each must fit into half of the machine's memory.
 auto parseSizes(const ScaleFlags& flags, bool gossip)
     -> tl::expected<std::vector<ScaleOptions::Size>, ScaleError> {
     auto nodes =
-        parseNumbers(flags.nodes.empty() ? DEFAULT_NODES : flags.nodes, "--nodes", LEAST_NODES, MOST_COUNT);
-    if (!nodes) return refusal(nodes.error().why);
+        parseNumbers(flags.nodes.empty() ? DEFAULT_NODES : flags.nodes, "--nodes", MIN_NODES, MAX_COUNT);
+    if (!nodes) return invalidOption(nodes.error().why);
     auto servers =
-        parseNumbers(flags.servers.empty() ? DEFAULT_SERVERS : flags.servers, "--servers", 1, MOST_COUNT);
-    if (!servers) return refusal(servers.error().why);
+        parseNumbers(flags.servers.empty() ? DEFAULT_SERVERS : flags.servers, "--servers", 1, MAX_COUNT);
+    if (!servers) return invalidOption(servers.error().why);
     if (servers->size() != 1 && servers->size() != nodes->size())
-        return refusal(
-            fmt::format("--servers: wants one number, or as many as --nodes has ({})", nodes->size()));
+        return invalidOption(
+            fmt::format("--servers: needs one number, or as many as --nodes has ({})", nodes->size()));
     auto memory = flags.memory ? flags.memory : machineMemory();
     auto sizes = std::vector<ScaleOptions::Size>();
     for (auto i = std::size_t(0); i < nodes->size(); i++) {
         auto size = ScaleOptions::Size{(*nodes)[i], (*servers)[servers->size() == 1 ? 0 : i]};
         if (auto needed = scaleMemory(size.nodes, size.servers, gossip); needed > memory / 2)
-            return refusal(fmt::format(
+            return invalidOption(fmt::format(
                 "--nodes: {} nodes with {} servers may take {} MB, over half of this machine's {} MB",
                 size.nodes, size.servers, needed >> 20, memory >> 20));
         sizes.push_back(size);
@@ -78,17 +78,17 @@
     return sizes;
 }
 
-/// The lines of an earlier run with --json.
+/// Reads the lines of an earlier run with --json.
 auto readEarlier(const std::string& file) -> tl::expected<std::vector<std::string>, ScaleError> {
     auto text = readFile(file);
-    if (!text) return refusal("--earlier: " + text.error());
+    if (!text) return invalidOption("--earlier: " + text.error());
     auto lines = std::vector<std::string>();
     auto stream = std::stringstream(*text);
     for (auto line = std::string(); std::getline(stream, line);) {
         auto point = rapidjson::Document();
         if (!parseJson(line, point) || !point.IsObject() || !point.HasMember("counts")
             || !point.HasMember("costs"))
-            return refusal("--earlier: " + file + ": not the lines of an earlier run with --json");
+            return invalidOption("--earlier: " + file + ": not the lines of an earlier run with --json");
         lines.push_back(line);
     }
     return lines;
@@ -129,35 +129,36 @@
 }  // namespace
 
 auto scaleMemory(int nodes, int servers, bool gossip) -> std::int64_t {
-    auto n = std::int64_t(nodes), s = std::int64_t(servers);
-    // A row with its strings, a listing with its load, the replicated state in a few copies.
-    auto node = n * 900 + s * 900 + (2 << 20);
-    auto message = n * 250 + s * 130;
+    auto nodeCount = std::int64_t(nodes), serverCount = std::int64_t(servers);
+    // A record of each node with its strings, a listing of each server with its load, and a few copies of the
+    // replicated state.
+    auto node = nodeCount * 900 + serverCount * 900 + (2 << 20);
+    auto message = nodeCount * 250 + serverCount * 130;
     if (!gossip) {
-        node += n * n * 90;
-        message += n * n * 20;
+        node += nodeCount * nodeCount * 90;
+        message += nodeCount * nodeCount * 20;
     }
-    // Heartbeats on their way: ten to each node five times a second, under 60 ms of delay.
-    return n * node + message * n * 10 * 5 * 60 / 1000;
+    // Heartbeats in flight: ten to each node five times a second, with a delay under 60 ms.
+    return nodeCount * node + message * nodeCount * 10 * 5 * 60 / 1000;
 }
 
 auto scaleParse(const ScaleFlags& flags) -> tl::expected<ScaleOptions, ScaleError> {
     if (flags.membership != "roster" && flags.membership != "learnt")
-        return refusal("--membership: wants roster or learnt, not \"" + flags.membership + "\"");
+        return invalidOption("--membership: must be roster or learnt, not \"" + flags.membership + "\"");
     auto options = ScaleOptions();
     options.gossip = flags.membership == "learnt";
     auto sizes = parseSizes(flags, options.gossip);
-    if (!sizes) return refusal(sizes.error().why);
+    if (!sizes) return invalidOption(sizes.error().why);
     options.sizes = *sizes;
     options.seed = flags.seed;
     options.json = flags.json;
     options.probes = flags.probes;
     options.svg = flags.svg;
     if (!options.svg.empty() && !std::ofstream(options.svg, std::ios::app))
-        return refusal("--svg: " + options.svg + " cannot be written");
+        return invalidOption("--svg: " + options.svg + " cannot be written");
     if (flags.earlier.empty()) return options;
     auto earlier = readEarlier(flags.earlier);
-    if (!earlier) return refusal(earlier.error().why);
+    if (!earlier) return invalidOption(earlier.error().why);
     options.earlier = *earlier;
     return options;
 }
--- a/src/sim/scale_fleet.cpp
+++ b/src/sim/scale_fleet.cpp
@@ -25,22 +25,22 @@
 
 namespace {
 
-constexpr Microseconds TICK = 20 * MILLISECOND;  // as the daemon's
+constexpr Microseconds TICK = 20 * MILLISECOND;  // as in the daemon
 constexpr Microseconds ZONE_LATENCY = 200;
 constexpr Microseconds REGION_LATENCY = 1400;
 constexpr Microseconds WORLD_LATENCY = 55 * MILLISECOND;
-constexpr Microseconds JITTER_PART = 20;  // of a latency, added by chance at the most
-constexpr Microseconds SYNC_TIME = 500;   // of the virtual disk, and as much again by chance
+constexpr Microseconds JITTER_PART = 20;  // up to this fraction of a latency is added at random
+constexpr Microseconds SYNC_TIME = 500;   // of the virtual disk; up to the same is added at random
 constexpr Microseconds LISTING_PERIOD = SECOND;
-// What a message costs on the wire beside its frame: Ethernet, IP and TCP (with time stamps) headers
-// for each segment begun. Connections, acknowledgements of TCP and resends are not counted.
+// The overhead of a message on the wire: Ethernet, IP and TCP (with time stamps) headers of each segment.
+// Handshakes, acknowledgements and retransmissions of TCP are not counted.
 constexpr std::int64_t SEGMENT_BYTES = 1448;
 constexpr std::int64_t HEADER_BYTES = 66;
 constexpr int MODELS = 6;
-constexpr int MOST_TENANTS = 410;
+constexpr int MAX_TENANTS = 410;
 constexpr int SEEDS = 3;
 constexpr std::int64_t NANOSECONDS = 1'000'000'000;  // in a second
-// A fleet of 390 nodes stands in 25 zones of 7 regions.
+// A fleet of 390 nodes has 25 zones in 7 regions.
 constexpr double FULL_NODES = 390;
 constexpr int FULL_ZONES = 25;
 constexpr int FULL_REGIONS = 7;
@@ -70,65 +70,65 @@
 
 }  // namespace
 
-auto cpuNow() -> std::int64_t {
+auto threadCpuTime() -> std::int64_t {
     auto time = timespec();
     clock_gettime(CLOCK_THREAD_CPUTIME_ID, &time);
     return std::int64_t(time.tv_sec) * NANOSECONDS + time.tv_nsec;
 }
 
-auto Stats::add(const Stats& o) -> void {
+auto Stats::add(const Stats& added) -> void {
     for (auto figure : {&Stats::messagesIn, &Stats::messagesOut, &Stats::bytesIn, &Stats::bytesOut,
-             &Stats::wordsIn, &Stats::rowsIn, &Stats::echoesIn, &Stats::pulsesIn, &Stats::listingsIn,
-             &Stats::loadsIn, &Stats::probes, &Stats::ticks, &Stats::syncs, &Stats::lists, &Stats::tick,
-             &Stats::handle, &Stats::encode, &Stats::decode, &Stats::list, &Stats::other})
-        this->*figure += o.*figure;
+             &Stats::statesIn, &Stats::recordsIn, &Stats::acksIn, &Stats::heartbeatCountersIn,
+             &Stats::listingsIn, &Stats::loadsIn, &Stats::probes, &Stats::ticks, &Stats::syncs, &Stats::lists,
+             &Stats::tick, &Stats::handle, &Stats::encode, &Stats::decode, &Stats::list, &Stats::other})
+        this->*figure += added.*figure;
 }
 
 // ---- a node
 
 auto HollowNode::start() -> void {
     up = true;
-    life++;
+    incarnation++;
     calls.clear();
     counters = std::make_unique<Counters>();
-    auto lifeSeed = fleet.options.seed * 1000 + std::uint64_t(life);
-    node = std::make_unique<Node>(settings, *this, *counters, fleet.now + 1, hash64(settings.node, lifeSeed));
+    auto nodeSeed = fleet.options.seed * 1000 + std::uint64_t(incarnation);
+    node = std::make_unique<Node>(settings, *this, *counters, fleet.now + 1, hash64(settings.node, nodeSeed));
     if (core) {
-        writing.clear();
+        pendingWrites.clear();
         syncing = false;
         node->addPeerHints(peerHints);
-        auto diskSeed = fleet.options.seed * 77 + std::uint64_t(life);
-        node->startCore(held, fmt::format("{:016x}", hash64(settings.node, diskSeed)), fleet.now);
+        auto diskSeed = fleet.options.seed * 77 + std::uint64_t(incarnation);
+        node->startCore(durable, fmt::format("{:016x}", hash64(settings.node, diskSeed)), fleet.now);
     }
-    fleet.atNode(*this, Microseconds(fleet.rng.below(TICK)), [](HollowNode& self) { self.tick(); });
+    fleet.atNode(*this, Microseconds(fleet.random.below(TICK)), [](HollowNode& self) { self.tick(); });
 }
 
 auto HollowNode::kill() -> void {
     up = false;
-    writing.clear();
+    pendingWrites.clear();
     node.reset();
     calls.clear();
 }
 
 auto HollowNode::tick() -> void {
     stats.ticks++;
-    fleet.spend(*this, &Stats::tick, [&] { node->tick(fleet.now, fleet.now); });
-    fleet.noteConfig(*this);
+    fleet.measureCall(*this, &Stats::tick, [&] { node->tick(fleet.now, fleet.now); });
+    fleet.noteConfiguration(*this);
     fleet.atNode(*this, TICK, [](HollowNode& self) { self.tick(); });
 }
 
 auto HollowNode::encoded(const wire::Envelope& envelope) -> std::shared_ptr<std::string> {
-    auto began = cpuNow();
+    auto began = threadCpuTime();
     auto bytes = fleet.codec.encode(envelope);
-    auto spent = cpuNow() - began;
+    auto spent = threadCpuTime() - began;
     stats.encode += spent;
-    fleet.bookEncoding(spent);
+    fleet.addEncodingTime(spent);
     return bytes;
 }
 
-auto HollowNode::send(const std::string& addr, const wire::Envelope& envelope) -> void {
-    auto found = fleet.nodeByAddr.find(addr);
-    if (found == fleet.nodeByAddr.end() || found->second == index) return;
+auto HollowNode::send(const std::string& address, const wire::Envelope& envelope) -> void {
+    auto found = fleet.nodeByAddress.find(address);
+    if (found == fleet.nodeByAddress.end() || found->second == index) return;
     auto bytes = encoded(envelope);
     auto& receiver = *fleet.nodes[std::size_t(found->second)];
     auto wireBytes = bytesOnWire(std::int64_t(bytes->size()));
@@ -140,42 +140,43 @@
 
 auto HollowNode::receive(const std::string& bytes, std::int64_t wireBytes) -> void {
     auto envelope = wire::Envelope();
-    auto began = cpuNow();
-    auto sound = fleet.codec.decode(bytes, envelope);
-    stats.decode += cpuNow() - began;
+    auto began = threadCpuTime();
+    auto valid = fleet.codec.decode(bytes, envelope);
+    stats.decode += threadCpuTime() - began;
     stats.messagesIn++;
     stats.bytesIn += wireBytes;
-    if (!sound) {
-        fleet.refusedMessages++;
+    if (!valid) {
+        fleet.invalidMessages++;
         return;
     }
-    stats.wordsIn += envelope.__isset.replicatedState;
-    stats.rowsIn += std::int64_t(envelope.heartbeat.records.size());
-    for (auto& row : envelope.heartbeat.records) stats.echoesIn += std::int64_t(row.acks.size());
-    stats.pulsesIn += std::int64_t(envelope.heartbeat.heartbeatPulses.size());
+    stats.statesIn += envelope.__isset.replicatedState;
+    stats.recordsIn += std::int64_t(envelope.heartbeat.records.size());
+    for (auto& record : envelope.heartbeat.records) stats.acksIn += std::int64_t(record.acks.size());
+    stats.heartbeatCountersIn += std::int64_t(envelope.heartbeat.heartbeatPulses.size());
     stats.listingsIn += std::int64_t(envelope.heartbeat.listings.size());
     stats.loadsIn += std::int64_t(envelope.heartbeat.loads.size());
-    fleet.spend(*this, &Stats::handle, [&] { node->handle(envelope, fleet.now); });
-    fleet.noteConfig(*this);
+    fleet.measureCall(*this, &Stats::handle, [&] { node->handle(envelope, fleet.now); });
+    fleet.noteConfiguration(*this);
 }
 
 auto HollowNode::disk(const DiskWrite& write) -> void {
-    writing.push_back(write);
+    pendingWrites.push_back(write);
     diskBytes += std::int64_t(write.document.size());
     for (auto& entry : write.entries) diskBytes += std::int64_t(entry.body.size());
     if (!syncing) syncNext();
 }
 
 auto HollowNode::syncNext() -> void {
-    syncing = !writing.empty();
+    syncing = !pendingWrites.empty();
     if (!syncing) return;
-    fleet.atNode(*this, SYNC_TIME + Microseconds(fleet.rng.below(SYNC_TIME)), [](HollowNode& self) {
-        auto write = std::move(self.writing.front());
-        self.writing.pop_front();
-        diskApply(self.held, write);
+    fleet.atNode(*this, SYNC_TIME + Microseconds(fleet.random.below(SYNC_TIME)), [](HollowNode& self) {
+        auto write = std::move(self.pendingWrites.front());
+        self.pendingWrites.pop_front();
+        diskApply(self.durable, write);
         self.stats.syncs++;
-        self.fleet.spend(self, &Stats::other, [&] { self.node->diskDone(write.seq, true, self.fleet.now); });
-        self.fleet.noteConfig(self);
+        self.fleet.measureCall(
+            self, &Stats::other, [&] { self.node->diskDone(write.seq, true, self.fleet.now); });
+        self.fleet.noteConfiguration(self);
         self.syncNext();
     });
 }
@@ -183,14 +184,14 @@
 auto HollowNode::done(std::int64_t id, const Outcome& outcome) -> void {
     auto found = calls.find(id);
     if (found == calls.end()) return;
-    auto answered = std::move(found->second);
+    auto onOutcome = std::move(found->second);
     calls.erase(found);
-    fleet.atNode(*this, 0, [answered = std::move(answered), outcome](HollowNode&) { answered(outcome); });
+    fleet.atNode(*this, 0, [onOutcome = std::move(onOutcome), outcome](HollowNode&) { onOutcome(outcome); });
 }
 
-auto HollowNode::probe(const std::string& server, const std::string& addr) -> void {
-    auto found = fleet.serverByAddr.find(addr);
-    if (found == fleet.serverByAddr.end()) return;
+auto HollowNode::probe(const std::string& server, const std::string& address) -> void {
+    auto found = fleet.serverByAddress.find(address);
+    if (found == fleet.serverByAddress.end()) return;
     stats.probes++;
     auto serverZone = fleet.servers[std::size_t(found->second)].zone;
     auto serverRegion = serverZone % fleet.regions;
@@ -198,20 +199,23 @@
     auto load = wire::ServerLoad();
     load.boot = 1;
     load.slots = 16;
-    load.prefill = std::int32_t(fleet.net.below(4));
-    load.decode = std::int32_t(fleet.net.below(13));
+    load.prefill = std::int32_t(fleet.networkRandom.below(4));
+    load.decode = std::int32_t(fleet.networkRandom.below(13));
     load.up = fleet.now;
     auto roundTrip = 2 * fleet.latency(zone, region, serverZone, serverRegion);
     fleet.atNode(*this, roundTrip, [server, load](HollowNode& self) {
-        self.fleet.spend(self, &Stats::other,
+        self.fleet.measureCall(self, &Stats::other,
             [&] { self.node->probeFinished(server, true, false, load, self.fleet.now); });
     });
 }
 
 // ---- virtual time and network
 
-Fleet::Fleet(const ScaleOptions& o, ScaleOptions::Size s)
-    : options(o), size(s), rng{hash64("scale", o.seed)}, net{hash64("net", o.seed)} {}
+Fleet::Fleet(const ScaleOptions& scaleOptions, ScaleOptions::Size fleetSize)
+    : options(scaleOptions),
+      size(fleetSize),
+      random{hash64("scale", scaleOptions.seed)},
+      networkRandom{hash64("net", scaleOptions.seed)} {}
 
 auto Fleet::at(Microseconds when, std::function<void()> event) -> void {
     events_.push({std::max(when, now), ++eventCount_, std::move(event)});
@@ -219,9 +223,9 @@
 
 auto Fleet::atNode(const HollowNode& node, Microseconds delay, std::function<void(HollowNode&)> event)
     -> void {
-    in(delay, [this, index = node.index, life = node.life, event = std::move(event)] {
+    in(delay, [this, index = node.index, incarnation = node.incarnation, event = std::move(event)] {
         auto& target = *nodes[std::size_t(index)];
-        if (target.up && target.life == life) event(target);
+        if (target.up && target.incarnation == incarnation) event(target);
     });
 }
 
@@ -246,8 +250,8 @@
 }
 
 auto Fleet::latency(int fromZone, int fromRegion, int toZone, int toRegion) -> Microseconds {
-    auto least = fromZone == toZone ? ZONE_LATENCY : fromRegion == toRegion ? REGION_LATENCY : WORLD_LATENCY;
-    return least + Microseconds(net.below(std::uint64_t(least / JITTER_PART)));
+    auto base = fromZone == toZone ? ZONE_LATENCY : fromRegion == toRegion ? REGION_LATENCY : WORLD_LATENCY;
+    return base + Microseconds(networkRandom.below(std::uint64_t(base / JITTER_PART)));
 }
 
 auto Fleet::partitioned(int fromRegion, int toRegion) const -> bool {
@@ -265,36 +269,39 @@
     bytesInFlight_ += bytes;
     mostBytesInFlight_ = std::max(mostBytesInFlight_, bytesInFlight_);
     at(linkFreeAt,
-        [this, fromRegion = from.region, &to, life = to.life, bytes, arrival = std::move(arrival)] {
+        [this, fromRegion = from.region, &to, incarnation = to.incarnation, bytes,
+            arrival = std::move(arrival)] {
             bytesInFlight_ -= bytes;
-            if (to.up && to.life == life && !partitioned(fromRegion, to.region)) arrival();
+            if (to.up && to.incarnation == incarnation && !partitioned(fromRegion, to.region)) arrival();
         });
 }
 
-auto Fleet::spend(HollowNode& node, std::int64_t Stats::*into, const std::function<void()>& call) -> void {
-    // What the node holds is read over before, so that it is in the processor's caches as on a machine
-    // of its own: hundreds of nodes in one process drive each other out of them.
+auto Fleet::measureCall(HollowNode& node, std::int64_t Stats::*timeOf, const std::function<void()>& call)
+    -> void {
+    // Hundreds of nodes in one process evict each other from the processor's caches. Reading the node's
+    // data first warms the caches, as they are on a machine that runs one node.
     if (warmCaches_) {
         for (auto& [name, known] : node.node->nodes())
             readSink_ += known.lastHeartbeatAt + known.record.heartbeat;
         for (auto& [name, server] : node.node->servers()) readSink_ += server.listedAt + server.load.slots;
     }
-    auto began = cpuNow(), encodingBefore = encoding_;
+    auto began = threadCpuTime(), encodingBefore = encoding_;
     call();
-    node.stats.*into += cpuNow() - began - (encoding_ - encodingBefore);
+    node.stats.*timeOf += threadCpuTime() - began - (encoding_ - encodingBefore);
 }
 
-auto Fleet::noteConfig(HollowNode& node) -> void {
-    auto& took = tookAt_[std::size_t(node.index)];
-    if (awaitedConfig_ && took < 0 && node.up
-        && node.node->replicatedState().configVersion() >= awaitedConfig_)
-        took = now;
+auto Fleet::noteConfiguration(HollowNode& node) -> void {
+    auto& appliedAt = appliedAt_[std::size_t(node.index)];
+    if (awaitedConfiguration_ && appliedAt < 0 && node.up
+        && node.node->replicatedState().configVersion() >= awaitedConfiguration_)
+        appliedAt = now;
 }
 
 // ---- setting up
 
-// Zones grow with the nodes from 3 to 25, regions with the zones from 2 to 7, the machines with a
-// disk from 3 to 6; no two of those stand in one zone, unless there are more of them than zones.
+// The number of zones grows with the nodes from 3 to 25, that of regions with the zones from 2 to 7, that of
+// core machines (with a disk) from 3 to 6. Core machines share a zone only if there are more of them than
+// zones.
 auto Fleet::build() -> void {
     zones = std::clamp(int(std::lround(size.nodes * FULL_ZONES / FULL_NODES)), 3, FULL_ZONES);
     regions = std::clamp(int(std::lround(zones * FULL_REGIONS / double(FULL_ZONES))), 2, FULL_REGIONS);
@@ -302,7 +309,7 @@
     addNodes();
     addServers();
     linkFreeAt_.assign(nodes.size() * nodes.size(), 0);
-    tookAt_.assign(nodes.size(), -1);
+    appliedAt_.assign(nodes.size(), -1);
 }
 
 auto Fleet::addNodes() -> void {
@@ -329,7 +336,7 @@
             settings.data = "/data";
         }
         roster.push_back(settings.node);
-        nodeByAddr[settings.peer] = i;
+        nodeByAddress[settings.peer] = i;
         nodes.push_back(std::move(node));
     }
     for (auto& node : nodes) {
@@ -349,15 +356,15 @@
         server.zone = i % zones;
         server.service = i % MODELS;
         server.name = fmt::format("i-{:08x}", std::uint32_t(hash64(fmt::format("server {}", i))));
-        server.addr = fmt::format("10.{}.{}.{}:8080", 128 + server.zone, i / 250, i % 250 + 1);
-        serverByAddr[server.addr] = i;
+        server.address = fmt::format("10.{}.{}.{}:8080", 128 + server.zone, i / 250, i % 250 + 1);
+        serverByAddress[server.address] = i;
         servers.push_back(server);
     }
 }
 
-// As many tenants as the schema takes.
+// The configuration with the most tenants that the schema accepts.
 auto Fleet::largestConfiguration() -> std::string {
-    for (auto tenants = MOST_TENANTS; tenants > 0; tenants -= 10) {
+    for (auto tenants = MAX_TENANTS; tenants > 0; tenants -= 10) {
         auto text = configurationFor(tenants);
         auto document = rapidjson::Document();
         parseJson(text, document);
@@ -374,27 +381,27 @@
         list += fmt::format(
             "{}{{\"name\":\"{}\",\"address\":\"{}\",\"region\":\"region-{}\",\"district\":\"hall-{:02}\","
             "\"pool\":\"pool-{}\",\"weights\":\"v17\",\"slots\":16,\"state\":\"{}\",\"incarnation\":1}}",
-            list.empty() ? "" : ",", server.name, server.addr, server.zone % regions, server.zone,
+            list.empty() ? "" : ",", server.name, server.address, server.zone % regions, server.zone,
             server.service, server.leaving ? "leaving" : "up");
     return fmt::format("{{\"revision\":{},\"servers\":[{}]}}", ++listingRevision_, list);
 }
 
-// The platform's listing, whole, each second: pulled by the node that has the duty, or, where there
-// is a roster, told to any node.
-auto Fleet::tellListing() -> void {
-    in(LISTING_PERIOD, [this] { tellListing(); });
-    auto chosen = int(rng.below(nodes.size()));
+// Gives the platform's complete listing each second to the node that has the singleton duty, which would pull
+// it, or with a roster to a random node.
+auto Fleet::sendListing() -> void {
+    in(LISTING_PERIOD, [this] { sendListing(); });
+    auto chosen = int(random.below(nodes.size()));
     for (auto& node : nodes) {
         if (!node->up || (options.gossip ? !node->node->hasSingletonDuty(now) : node->index != chosen))
             continue;
         auto text = listing();
         point.counts["listing.jsonBytes"] = std::int64_t(text.size());
         node->stats.lists++;
-        spend(*node, &Stats::list, [&] { node->node->list(++node->callId, text, now); });
+        measureCall(*node, &Stats::list, [&] { node->node->list(++node->lastCall, text, now); });
     }
 }
 
-// ---- what the fleet believes
+// ---- the state of the fleet
 
 auto Fleet::leader() -> HollowNode* {
     for (auto i = 0; i < cores; i++) {
@@ -408,46 +415,46 @@
 
 auto Fleet::someEdge(int notRegion) -> HollowNode& {
     while (true) {
-        auto& node = *nodes[rng.below(nodes.size())];
+        auto& node = *nodes[random.below(nodes.size())];
         if (node.up && !node.core && node.region != notRegion) return node;
     }
 }
 
-// Whether all nodes that are up hold the leader's state.
-auto Fleet::sameState() -> bool {
-    auto lead = leader();
-    return lead && std::all_of(nodes.begin(), nodes.end(), [&](auto& node) {
-        return node->node->replicatedState().version == lead->node->replicatedState().version;
+// Whether all nodes have the version of the leader's state. All nodes must be up.
+auto Fleet::allHaveSameState() -> bool {
+    auto currentLeader = leader();
+    return currentLeader && std::all_of(nodes.begin(), nodes.end(), [&](auto& node) {
+        return node->node->replicatedState().version == currentLeader->node->replicatedState().version;
     });
 }
 
-// Whether all that run, and are not cut off, name the one leader.
+// Whether all running nodes outside the partitioned region know the leader.
 auto Fleet::allKnowLeader() -> bool {
-    auto lead = leader();
-    if (!lead) return false;
+    auto currentLeader = leader();
+    if (!currentLeader) return false;
     return std::all_of(nodes.begin(), nodes.end(), [&](auto& node) {
         return !node->up || node->region == partitionedRegion
-            || node->node->leaderNode(now) == lead->settings.node;
+            || node->node->leaderNode(now) == currentLeader->settings.node;
     });
 }
 
-// Whether all that run are ready, too, with the same state.
+// Whether all running nodes also are ready and have the leader's state.
 auto Fleet::converged() -> bool {
-    auto lead = leader();
-    if (!lead || !allKnowLeader()) return false;
+    auto currentLeader = leader();
+    if (!currentLeader || !allKnowLeader()) return false;
     return std::all_of(nodes.begin(), nodes.end(), [&](auto& node) {
         return !node->up
-            || (node->node->replicatedState().version == lead->node->replicatedState().version
+            || (node->node->replicatedState().version == currentLeader->node->replicatedState().version
                 && node->node->ready(now));
     });
 }
 
-// The nodes that others hear the news from, as the leader sees the tree.
+// The nodes that forward state to others, by the leader's view of the dissemination tree.
 auto Fleet::relays() -> std::set<std::string> {
     auto names = std::set<std::string>();
-    auto lead = leader();
+    auto currentLeader = leader();
     auto beliefs = rapidjson::Document();
-    if (lead && parseJson(lead->node->beliefs(now), beliefs) && beliefs.HasMember("relays"))
+    if (currentLeader && parseJson(currentLeader->node->beliefs(now), beliefs) && beliefs.HasMember("relays"))
         for (auto& relay : beliefs["relays"].GetObject())
             names.insert(std::string(relay.value.GetString(), relay.value.GetStringLength()));
     return names;
--- a/src/sim/scale_measure.cpp
+++ b/src/sim/scale_measure.cpp
@@ -1,4 +1,4 @@
-// What the `scale` subcommand plays and measures: the steady state, changes, and losses.
+// The measurements of the `scale` subcommand: steady state, changes and losses.
 #include <algorithm>
 #include <cstdint>
 #include <functional>
@@ -20,7 +20,7 @@
 namespace {
 
 constexpr Microseconds STEADY_WINDOW = 10 * SECOND;  // over which bytes and messages are counted
-constexpr Microseconds FOUNDING_LIMIT = 60 * SECOND;
+constexpr Microseconds BOOTSTRAP_LIMIT = 60 * SECOND;
 constexpr Microseconds RECOVERY_LIMIT = 60 * SECOND;
 constexpr Microseconds CONVERGENCE_LIMIT = 30 * SECOND;
 constexpr Microseconds ELECTION_LIMIT = 30 * SECOND;
@@ -28,10 +28,10 @@
 constexpr Microseconds CHANGE_LIMIT = 20 * SECOND;
 constexpr Microseconds CHANGE_PERIOD = 2 * SECOND;
 constexpr Microseconds PARTITION_TIME = 30 * SECOND;
-constexpr Microseconds PARTITION_SETTLED = 20 * SECOND;  // into it, when readiness inside is looked at
+constexpr Microseconds PARTITION_SETTLED = 20 * SECOND;  // readiness inside is measured from this time on
 constexpr int CHANGES = 3;
 constexpr int CONFIGURATION_TRIES = 5;
-constexpr int OUTCOMES = 256;  // that the state remembers
+constexpr int OUTCOMES = 256;  // how many the replicated state keeps
 constexpr Microseconds OUTCOME_GAP = 5 * MILLISECOND;
 // A probe's request and reply with their headers: assumed, since the servers are not real.
 constexpr std::int64_t PROBE_BYTES = 250 + 330;
@@ -43,19 +43,19 @@
     return std::int64_t(info.uordblks + info.hblkhd);
 }
 
-/// The longer of two times; -1 once one of them did not come.
+/// The longer of two times; -1 if one of them is -1.
 auto longest(Microseconds soFar, Microseconds time) -> Microseconds {
     return soFar < 0 || time < 0 ? -1 : std::max(soFar, time);
 }
 
 }  // namespace
 
-auto Fleet::order(HollowNode& node, const std::string& operation, const std::string& body,
-    std::function<void(const Outcome&)> answered) -> void {
-    auto id = ++node.callId;
-    node.calls[id] = std::move(answered);
-    spend(node, &Stats::other, [&] {
-        auto key = fmt::format("order-{:08x}-{}", rng.state & 0xffffffff, ++orders_);
+auto Fleet::sendOrder(HollowNode& node, const std::string& operation, const std::string& body,
+    std::function<void(const Outcome&)> onOutcome) -> void {
+    auto id = ++node.lastCall;
+    node.calls[id] = std::move(onOutcome);
+    measureCall(node, &Stats::other, [&] {
+        auto key = fmt::format("order-{:08x}-{}", random.state & 0xffffffff, ++orders_);
         node.node->order(id, operation, key, body, now);
     });
 }
@@ -64,40 +64,43 @@
 
 auto Fleet::startNodes() -> void {
     for (auto& node : nodes)
-        in(Microseconds(rng.below(500 * MILLISECOND)), [started = node.get()] {
+        in(Microseconds(random.below(500 * MILLISECOND)), [started = node.get()] {
             started->start();
-            started->settings.bootstrap = false;  // of the first start only
+            started->settings.bootstrap = false;  // applies to the first start only
         });
     runUntil(600 * MILLISECOND);
 }
 
-// The state carries the last outcomes; a fleet that has run for hours carries all of them.
+// The state keeps the last outcomes of orders. It is filled up, as it is in a fleet that has run for hours.
 auto Fleet::fillOutcomes() -> void {
-    for (auto k = 0; k < OUTCOMES; k++)
-        in(k * OUTCOME_GAP, [this, k] {
-            if (auto lead = leader())
-                order(*lead, "give-back", fmt::format("{{\"district\":\"none-{}\"}}", k), [](auto&) {});
+    for (auto i = 0; i < OUTCOMES; i++)
+        in(i * OUTCOME_GAP, [this, i] {
+            if (auto currentLeader = leader())
+                sendOrder(*currentLeader, "give-back", fmt::format("{{\"district\":\"none-{}\"}}", i),
+                    [](auto&) {});
         });
     runUntil(now + OUTCOMES * OUTCOME_GAP);
     waitFor(CONVERGENCE_LIMIT, [&] {
-        return sameState() && leader()->node->replicatedState().outcomeCount() >= std::size_t(OUTCOMES);
+        return allHaveSameState()
+            && leader()->node->replicatedState().outcomeCount() >= std::size_t(OUTCOMES);
     });
-    auto lead = leader();
-    point.counts["outcomes"] = std::int64_t(lead ? lead->node->replicatedState().outcomeCount() : 0);
+    auto currentLeader = leader();
+    point.counts["outcomes"] =
+        std::int64_t(currentLeader ? currentLeader->node->replicatedState().outcomeCount() : 0);
 }
 
-auto Fleet::putConfiguration(const std::string& configuration) -> void {
+auto Fleet::sendConfiguration(const std::string& configuration) -> void {
     auto status = 0;
-    for (auto k = 0; k < CONFIGURATION_TRIES && status != STATUS_OK; k++) {
-        if (auto lead = leader())
-            order(*lead, "config", "{\"base\":0,\"config\":" + configuration + "}",
+    for (auto i = 0; i < CONFIGURATION_TRIES && status != STATUS_OK; i++) {
+        if (auto currentLeader = leader())
+            sendOrder(*currentLeader, "config", "{\"base\":0,\"config\":" + configuration + "}",
                 [&](const Outcome& outcome) { status = outcome.status; });
         waitFor(ANSWER_LIMIT, [&] { return status != 0; });
     }
     point.counts["configStatus"] = status;
 }
 
-// False if the fleet was not founded or never became ready.
+// False if the fleet was not bootstrapped or did not become ready.
 auto Fleet::setUp() -> bool {
     auto& counts = point.counts;
     build();
@@ -107,13 +110,13 @@
     counts["regions"] = regions;
     counts["cores"] = cores;
     startNodes();
-    counts["bootstrapUs"] = waitFor(FOUNDING_LIMIT, [&] { return sameState(); });
+    counts["bootstrapUs"] = waitFor(BOOTSTRAP_LIMIT, [&] { return allHaveSameState(); });
     if (counts["bootstrapUs"] < 0) return false;
     fillOutcomes();
     auto configuration = largestConfiguration();
-    putConfiguration(configuration);
-    tellListing();
-    counts["readyUs"] = waitFor(FOUNDING_LIMIT, [&] { return converged(); });
+    sendConfiguration(configuration);
+    sendListing();
+    counts["readyUs"] = waitFor(BOOTSTRAP_LIMIT, [&] { return converged(); });
     if (counts["readyUs"] < 0) return false;
     counts["wordBytes"] = std::int64_t(leader()->node->replicatedState().text().size());
     counts["configBytes"] = std::int64_t(configuration.size());
@@ -121,9 +124,9 @@
     return true;
 }
 
-// ---- the steady state: nothing but what control says by itself
+// ---- the steady state: control traffic without changes
 
-auto Fleet::noteBusiest() -> void {
+auto Fleet::recordBusiestNode() -> void {
     constexpr auto SECONDS = STEADY_WINDOW / SECOND;
     auto raise = [&](const std::string& name, std::int64_t value) {
         auto& highest = point.counts[name];
@@ -143,8 +146,8 @@
     point.costs["all.cpuUsMax"] = mostTime / SECONDS / NANOSECONDS;
 }
 
-// Means over the nodes of one role, a second.
-auto Fleet::noteRole(const std::string& role, const Stats& sum, std::int64_t count) -> void {
+// Means per second and node over the nodes of one role.
+auto Fleet::recordRole(const std::string& role, const Stats& sum, std::int64_t count) -> void {
     auto nodeSeconds = count * (STEADY_WINDOW / SECOND);
     auto& counts = point.counts;
     counts[role + ".nodes"] = count;
@@ -152,13 +155,13 @@
     counts[role + ".bytesOut"] = sum.bytesOut / nodeSeconds;
     counts[role + ".messagesIn"] = sum.messagesIn / nodeSeconds;
     counts[role + ".messagesOut"] = sum.messagesOut / nodeSeconds;
-    counts[role + ".rowsIn"] = sum.rowsIn / nodeSeconds;
-    counts[role + ".echoesIn"] = sum.echoesIn / nodeSeconds;
-    counts[role + ".pulsesIn"] = sum.pulsesIn / nodeSeconds;
+    counts[role + ".rowsIn"] = sum.recordsIn / nodeSeconds;
+    counts[role + ".echoesIn"] = sum.acksIn / nodeSeconds;
+    counts[role + ".pulsesIn"] = sum.heartbeatCountersIn / nodeSeconds;
     counts[role + ".listingsIn"] = sum.listingsIn / nodeSeconds;
     counts[role + ".loadsIn"] = sum.loadsIn / nodeSeconds;
     counts[role + ".probes"] = sum.probes / nodeSeconds;
-    counts[role + ".wordsIn"] = sum.wordsIn / nodeSeconds;
+    counts[role + ".wordsIn"] = sum.statesIn / nodeSeconds;
     counts[role + ".syncs"] = sum.syncs / nodeSeconds;
     counts[role + ".probeBytes"] = sum.probes * PROBE_BYTES / nodeSeconds;
     auto& costs = point.costs;
@@ -170,7 +173,7 @@
     costs[role + ".cpuOtherUs"] = sum.other / nodeSeconds / NANOSECONDS;
 }
 
-auto Fleet::steadyState() -> void {
+auto Fleet::measureSteadyState() -> void {
     constexpr auto SECONDS = STEADY_WINDOW / SECOND;
     for (auto& node : nodes) node->stats = {};
     bytesBetweenZones_ = bytesBetweenRegions_ = mostBytesInFlight_ = 0;
@@ -185,8 +188,8 @@
             sums[role].add(node->stats);
             numbers[role]++;
         }
-    noteBusiest();
-    for (auto& [role, sum] : sums) noteRole(role, sum, numbers[role]);
+    recordBusiestNode();
+    for (auto& [role, sum] : sums) recordRole(role, sum, numbers[role]);
     auto& all = sums["all"];
     point.costs["listing.ingestUs"] = all.lists ? all.list / all.lists / NANOSECONDS : 0;
     auto& counts = point.counts;
@@ -219,65 +222,66 @@
     }
 }
 
-auto Fleet::allTookConfig() -> bool {
+auto Fleet::allAppliedConfiguration() -> bool {
     return std::all_of(nodes.begin(), nodes.end(), [&](auto& node) {
-        return !node->up || node->region == partitionedRegion || tookAt_[std::size_t(node->index)] >= 0;
+        return !node->up || node->region == partitionedRegion || appliedAt_[std::size_t(node->index)] >= 0;
     });
 }
 
-// One change, small and laid on the newest; its times are taken into the longest so far.
-auto Fleet::oneChange(HollowNode& lead, bool withRelayLoss, ChangeTimes& times) -> void {
-    auto base = lead.node->replicatedState().configVersion();
-    awaitedConfig_ = base + 1;
-    tookAt_.assign(nodes.size(), -1);
+// Makes one small change of the newest configuration and raises the longest times so far to its times.
+auto Fleet::measureChange(HollowNode& currentLeader, bool withRelayLoss, ChangeTimes& times) -> void {
+    auto base = currentLeader.node->replicatedState().configVersion();
+    awaitedConfiguration_ = base + 1;
+    appliedAt_.assign(nodes.size(), -1);
     auto began = now, acknowledgedAt = Microseconds(-1);
     auto status = 0;
     auto& asked = someEdge(partitionedRegion);
     if (withRelayLoss) killRelay(asked);
     auto cap = 51 + orders_ % 100;
-    order(asked, "merge", fmt::format("{{\"base\":{},\"patch\":{{\"budget\":{{\"cap\":{}}}}}}}", base, cap),
+    sendOrder(asked, "merge",
+        fmt::format("{{\"base\":{},\"patch\":{{\"budget\":{{\"cap\":{}}}}}}}", base, cap),
         [&](const Outcome& outcome) {
             acknowledgedAt = now;
             status = outcome.status;
         });
-    auto all = waitFor(CHANGE_LIMIT, [&] { return acknowledgedAt >= 0 && allTookConfig(); });
-    auto lastTook = began;
+    auto all = waitFor(CHANGE_LIMIT, [&] { return acknowledgedAt >= 0 && allAppliedConfiguration(); });
+    auto lastApplied = began;
     for (auto& node : nodes)
         if (node->up && node->region != partitionedRegion)
-            lastTook = std::max(lastTook, tookAt_[std::size_t(node->index)]);
-    auto taken = status == STATUS_OK && acknowledgedAt >= 0;
-    times.acknowledged = longest(times.acknowledged, taken ? acknowledgedAt - began : -1);
-    // Nodes may act on a change before it is acknowledged.
-    auto toLast = taken && all >= 0 ? std::max(Microseconds(0), lastTook - acknowledgedAt) : -1;
+            lastApplied = std::max(lastApplied, appliedAt_[std::size_t(node->index)]);
+    auto accepted = status == STATUS_OK && acknowledgedAt >= 0;
+    times.acknowledged = longest(times.acknowledged, accepted ? acknowledgedAt - began : -1);
+    // Nodes may apply a change before it is acknowledged.
+    auto toLast = accepted && all >= 0 ? std::max(Microseconds(0), lastApplied - acknowledgedAt) : -1;
     times.lastNode = longest(times.lastNode, toLast);
-    times.whole = std::max(times.whole, lastTook - began);
-    awaitedConfig_ = 0;
+    times.total = std::max(times.total, lastApplied - began);
+    awaitedConfiguration_ = 0;
     runUntil(std::max(now, began + CHANGE_PERIOD));
 }
 
-// Changes one after another. With `withRelayLoss` a relay dies in the moment of each.
-auto Fleet::change(const std::string& name, int count, bool withRelayLoss) -> void {
+// Makes changes one after another. With `withRelayLoss` a relay is killed at the time of each.
+auto Fleet::measureChanges(const std::string& name, int count, bool withRelayLoss) -> void {
     auto began = now;
     auto before = totals();
-    auto lead = leader();
-    auto leaderTime = lead ? lead->stats.controlTime() : 0;
+    auto currentLeader = leader();
+    auto leaderTime = currentLeader ? currentLeader->stats.controlTime() : 0;
     auto times = ChangeTimes();
     warmCaches_ = true;
-    for (auto k = 0; k < count; k++) {
+    for (auto i = 0; i < count; i++) {
         auto current = leader();
         if (!current) {
             times.acknowledged = times.lastNode = -1;
             break;
         }
-        oneChange(*current, withRelayLoss, times);
+        measureChange(*current, withRelayLoss, times);
     }
     warmCaches_ = false;
     auto& counts = point.counts;
-    counts[name + ".ackUs"] = times.acknowledged;  // from the order to its acknowledgement, the longest
+    counts[name + ".ackUs"] = times.acknowledged;  // the longest, from the order to its acknowledgement
     counts[name + ".ackToLastUs"] = times.lastNode;
-    counts[name + ".convergenceUs"] = times.whole;
+    counts[name + ".convergenceUs"] = times.total;
     if (count < CHANGES) return;
-    // The cost of a change is what lies beyond the steady state's.
+    // The cost of a change is the excess over the steady state.
     auto after = totals();
     auto seconds = double(now - began) / double(SECOND);
     auto number = double(nodes.size());
@@ -289,16 +293,16 @@
     auto steadyTime = double(costs["all.cpuUs"]) * number * seconds;
     auto spent = double(after.processorTime - before.processorTime) / double(NANOSECONDS);
     costs[name + ".cpuUsANode"] = std::int64_t((spent - steadyTime) / number / count);
-    if (!lead || lead != leader()) return;
-    auto leaderSpent = double(lead->stats.controlTime() - leaderTime) / double(NANOSECONDS);
+    if (!currentLeader || currentLeader != leader()) return;
+    auto leaderSpent = double(currentLeader->stats.controlTime() - leaderTime) / double(NANOSECONDS);
     costs[name + ".cpuUsLeader"] =
         std::int64_t((leaderSpent - double(costs["leader.cpuUs"]) * seconds) / count);
 }
 
 // ---- losses
 
-// How long there is no leader that acts, and until all that run name the same one.
-auto Fleet::election(const std::string& name, Microseconds limit) -> void {
+// How long there is no working leader, and how long until all running nodes know the new one.
+auto Fleet::measureElection(const std::string& name, Microseconds limit) -> void {
     auto began = now;
     point.counts[name + ".electionUs"] = waitFor(limit, [&] { return leader() != nullptr; });
     auto known = waitFor(limit, [&] { return allKnowLeader(); });
@@ -310,14 +314,14 @@
         if (!node->up) node->start();
 }
 
-auto Fleet::recover(const std::string& name) -> void {
+auto Fleet::measureRecovery(const std::string& name) -> void {
     startAll();
     point.counts[name + ".recoveredUs"] = waitFor(RECOVERY_LIMIT, [&] { return converged(); });
     runUntil(now + 2 * SECOND);
 }
 
-// A server begins to leave; until the last node knows.
-auto Fleet::serverLeaves() -> void {
+// From a server's leaving mark in the listing until the last node has it.
+auto Fleet::measureServerLeaving() -> void {
     auto& leaving = servers[0];
     leaving.leaving = true;
     point.counts["listing.convergenceUs"] = waitFor(CONVERGENCE_LIMIT, [&] {
@@ -328,8 +332,8 @@
     });
 }
 
-// A node dies, and starts again.
-auto Fleet::edgeRestarts() -> void {
+// An edge is killed, and restarted once all others have detected its failure.
+auto Fleet::measureEdgeRestart() -> void {
     auto& edge = someEdge(-1);
     edge.kill();
     auto& counts = point.counts;
@@ -344,32 +348,32 @@
     waitFor(CONVERGENCE_LIMIT, [&] { return converged(); });
 }
 
-auto Fleet::leaderLoss() -> void {
-    if (auto lead = leader()) lead->kill();
-    election("leaderLoss", ELECTION_LIMIT);
-    recover("leaderLoss");
+auto Fleet::measureLeaderLoss() -> void {
+    if (auto currentLeader = leader()) currentLeader->kill();
+    measureElection("leaderLoss", ELECTION_LIMIT);
+    measureRecovery("leaderLoss");
 }
 
-auto Fleet::zoneLoss() -> void {
-    if (auto lead = leader())
+auto Fleet::measureZoneLoss() -> void {
+    if (auto currentLeader = leader())
         for (auto& node : nodes)
-            if (node->zone == lead->zone) node->kill();
-    election("zoneLoss", ELECTION_LIMIT);
-    recover("zoneLoss");
+            if (node->zone == currentLeader->zone) node->kill();
+    measureElection("zoneLoss", ELECTION_LIMIT);
+    measureRecovery("zoneLoss");
 }
 
-// The leader's region, or another where half of the disks stand in the leader's own.
-auto Fleet::regionToCutOff(const HollowNode& lead) -> int {
+// The leader's region, or the next one with less than half of the core machines, so that a majority remains.
+auto Fleet::regionToPartition(const HollowNode& currentLeader) -> int {
     auto coresIn = [&](int region) {
         return std::count_if(
             nodes.begin(), nodes.end(), [&](auto& node) { return node->core && node->region == region; });
     };
-    auto region = lead.region;
-    for (auto k = 0; k < regions && coresIn(region) * 2 >= cores; k++) region = (region + 1) % regions;
+    auto region = currentLeader.region;
+    for (auto i = 0; i < regions && coresIn(region) * 2 >= cores; i++) region = (region + 1) % regions;
     return region;
 }
 
-// How many in a thousand of the cut off region's nodes are ready, late in a partition that began then.
+// How many in a thousand of the partitioned region's nodes are ready, from 20 s after the partition began.
 auto Fleet::readyInside(int region, Microseconds began) -> std::int64_t {
     auto ready = std::int64_t(0), asked = std::int64_t(0);
     while (now - began < PARTITION_TIME) {
@@ -384,23 +388,23 @@
     return asked ? ready * 1000 / asked : 0;
 }
 
-auto Fleet::regionPartition() -> void {
-    auto lead = leader();
-    if (!lead) return;
-    auto region = regionToCutOff(*lead);
+auto Fleet::measureRegionPartition() -> void {
+    auto currentLeader = leader();
+    if (!currentLeader) return;
+    auto region = regionToPartition(*currentLeader);
     auto& counts = point.counts;
-    counts["regionPartition.ofLeader"] = region == lead->region;
+    counts["regionPartition.ofLeader"] = region == currentLeader->region;
     partitionedRegion = region;
     auto began = now;
-    election("regionPartition", ELECTION_LIMIT);
-    change("regionPartition.change", 1, false);
+    measureElection("regionPartition", ELECTION_LIMIT);
+    measureChanges("regionPartition.change", 1, false);
     counts["regionPartition.readyInside1000"] = readyInside(region, began);
     partitionedRegion = -1;
     counts["regionPartition.recoveredUs"] = waitFor(RECOVERY_LIMIT, [&] { return converged(); });
 }
 
-// The heap that the end of each kind of node gives back; the disk is virtual and not counted.
-auto Fleet::memory() -> void {
+// The heap memory that is freed when a node of each role ends; its virtual disk is not counted.
+auto Fleet::measureMemory() -> void {
     auto relayNames = relays();
     auto byRole = std::map<std::string, HollowNode*>();
     for (auto& node : nodes)
@@ -416,19 +420,19 @@
 
 auto Fleet::run() -> void {
     if (!setUp()) return;
-    steadyState();
-    change("change", CHANGES, false);
-    change("changeWithRelayLoss", 1, true);
+    measureSteadyState();
+    measureChanges("change", CHANGES, false);
+    measureChanges("changeWithRelayLoss", 1, true);
     startAll();
     waitFor(CONVERGENCE_LIMIT, [&] { return converged(); });
     if (!options.faults) return;
-    serverLeaves();
-    edgeRestarts();
-    leaderLoss();
-    zoneLoss();
-    regionPartition();
-    point.counts["refusedMessages"] = refusedMessages;
-    memory();
+    measureServerLeaving();
+    measureEdgeRestart();
+    measureLeaderLoss();
+    measureZoneLoss();
+    measureRegionPartition();
+    point.counts["refusedMessages"] = invalidMessages;
+    measureMemory();
 }
 
 }  // namespace duneturn::scale
--- a/src/sim/scale_plot.cpp
+++ b/src/sim/scale_plot.cpp
@@ -50,7 +50,7 @@
     bool earlier = false;
 
     auto nodes() const -> double { return jsonNumber(figures["counts"], "nodes"); }
-    /// Negative where the run has no such figure.
+    /// Negative if the run has no such figure.
     auto value(const Curve& curve) const -> double {
         return jsonNumber(figures[curve.part.c_str()], curve.key.c_str(), -1) / curve.unit;
     }
@@ -88,7 +88,7 @@
     return points;
 }
 
-/// Numbers of nodes that the panel spans, never an empty range.
+/// The numbers of nodes that a panel spans; never an empty range.
 auto nodeRange(const std::vector<Point>& points) -> Range {
     auto range = Range{1e9, 0};
     for (auto& point : points)
@@ -153,8 +153,9 @@
         return top_
             + AREA_HEIGHT * (1 - std::log(value / values_.low) / std::log(values_.high / values_.low));
     }
-    auto text(double atX, double atY, const std::string& words, const std::string& attributes = "") -> void {
-        svg_ += fmt::format("<text x=\"{:.1f}\" y=\"{:.1f}\" {}>{}</text>\n", atX, atY, attributes, words);
+    auto text(double atX, double atY, const std::string& content, const std::string& attributes = "")
+        -> void {
+        svg_ += fmt::format("<text x=\"{:.1f}\" y=\"{:.1f}\" {}>{}</text>\n", atX, atY, attributes, content);
     }
     auto line(double fromX, double fromY, double toX, double toY, const std::string& attributes) -> void {
         svg_ += fmt::format("<line x1=\"{:.1f}\" y1=\"{:.1f}\" x2=\"{:.1f}\" y2=\"{:.1f}\" {}/>\n", fromX,
@@ -218,7 +219,7 @@
     Range nodes_, values_;
 };
 
-/// The membership that a run's points were measured with; empty of none.
+/// The membership mode of a run; empty if there are no lines.
 auto membershipOf(const std::vector<std::string>& lines) -> std::string {
     auto figures = rapidjson::Document();
     return !lines.empty() && parseJson(lines[0], figures) ? jsonString(figures, "membership") : std::string();
@@ -235,9 +236,8 @@
         2 * PANEL_WIDTH, 2 * PANEL_HEIGHT + FOOTER_HEIGHT);
     auto index = 0;
     for (auto& panel : panels()) {
-        auto column = index % 2, row = index / 2;
-        auto left = column * PANEL_WIDTH + MARGIN_LEFT;
-        auto top = row * PANEL_HEIGHT + MARGIN_TOP;
+        auto left = index % 2 * PANEL_WIDTH + MARGIN_LEFT;
+        auto top = index / 2 * PANEL_HEIGHT + MARGIN_TOP;
         PanelDrawing(svg, panel, points, left, top).draw();
         index++;
     }
--- a/src/sim/scale_plot.hpp
+++ b/src/sim/scale_plot.hpp
@@ -5,8 +5,8 @@
 
 namespace duneturn {
 
-/// An SVG page of four panels on logarithmic scales. Each point is a line of JSON as
-/// ScalePoint::json gives it; the lines of `earlier` runs are dashed.
+/// Returns an SVG page of four panels on logarithmic scales. Each point is a line of JSON from
+/// ScalePoint::json; the curves of `earlier` runs are dashed.
 auto scalePlot(const std::vector<std::string>& now, const std::vector<std::string>& earlier) -> std::string;
 
 }  // namespace duneturn
--- a/src/sim/simulation.hpp
+++ b/src/sim/simulation.hpp
@@ -36,6 +36,9 @@
 /// Every kind of request must be served again this long after a total loss.
 constexpr auto RECOVERY_LIMIT = 12 * SECOND;
 
+/// The state of one run and all that happens in it. Indices name machines, servers, requests and attempts;
+/// an index stays valid, while references into `requests`, `attempts` and `executions` do not outlive the
+/// next insertion.
 struct Simulation {
     using Action = std::function<void()>;
 
@@ -113,28 +116,39 @@
     auto kindOf(const SimAttempt& attempt) -> const SimRequestKind& {
         return kinds[std::size_t(requestOf(attempt).kind)];
     }
+    /// Schedules an action at a time, or now if that has passed.
     auto scheduleAt(Microseconds when, Action action) -> void;
+    /// Schedules an action after a delay.
     auto schedule(Microseconds delay, Action action) -> void;
     /// For a process: dropped if that incarnation has ended by then, deferred while the process is frozen.
     auto scheduleOnMachine(int index, std::int64_t incarnation, Microseconds delay, Action action) -> void;
     /// Adds a line to the trace, whose digest identifies the run.
     auto trace(const std::string& text) -> void;
+    /// Traces a violation and records it; `rule` is one of the fixed texts that tests match.
     auto reportViolation(const std::string& rule, const std::string& details) -> void;
+    /// Draws the one-way delay of a message: 0.3 to 1 ms, in one of a hundred cases up to 20 ms more.
     auto networkDelay() -> Microseconds;
     auto hasFault(const std::string& kind) const -> bool;
     auto isPartitioned(int from, int to) const -> bool;
     /// Ticks the process of a machine every 25 ms as long as its incarnation runs, and checks its state.
     auto scheduleTick(int index, std::int64_t incarnation) -> void;
+    /// Checks that a node never returns to an older state, and that each term has one leader.
     auto checkNodeState(SimMachine& machine) -> void;
     /// The index of the leader's machine; -1 if there is none.
     auto leader() -> int;
     /// The index of a random machine whose process runs; -1 if 40 draws find none.
     auto randomRunningMachine() -> int;
+    /// Runs all events up to 64 s after the end of the load, and the checks at the end.
     auto run() -> void;
+    /// Sends the first configuration until it is accepted, and then starts the clients.
     auto scheduleBootstrap() -> void;
+    /// Schedules the repair of all faults and the checks that follow it.
     auto scheduleEnd() -> void;
+    /// Injects "closing-wipe": two core machines lose power and their disks.
     auto wipeMajority() -> void;
+    /// Checks the state that is read back at the end.
     auto checkLastReadback(const std::string& body) -> void;
+    /// Runs events until a time, or until 20 violations were found.
     auto processEvents(Microseconds until) -> void;
 
     // ---- example.cpp: the deployment's files.
@@ -152,6 +166,7 @@
     /// Calls `action` at the connection's edge after `delay`, unless the connection or the process is gone.
     auto scheduleAtEdge(
         SimConnection* connection, Microseconds delay, std::function<void(SimMachine&)> action) -> void;
+    /// Reports a reset of the connection to its edge, after a network delay.
     auto resetConnection(SimConnection* connection) -> void;
     /// Ends a server's incarnation. `silent`: its clients do not notice that their connections are gone.
     auto stopServer(int index, bool silent) -> void;
@@ -162,21 +177,33 @@
 
     // ---- clients.cpp: the clients and what they check of responses.
 
+    /// Creates a request of a kind now and schedules the next one of this kind.
     auto scheduleArrivals(std::size_t kind) -> void;
+    /// Creates a request and starts its first attempt.
     auto createRequest(std::size_t kind, const std::string& region) -> void;
+    /// The body of request `number`. Prompts of a kind share one of several beginnings.
     auto requestBody(const SimRequestKind& kind, std::size_t number) -> std::string;
+    /// Asks a random node for the nodes of the client's region and sends the request to one of them.
     auto startAttempt(int requestIndex) -> void;
+    /// Receives the discovery at a node and continues at the node that it names.
     auto discoverNode(int requestIndex, int discoveryMachine) -> void;
+    /// Sends an attempt to its node after `delay`; the client gives up 70 s after that.
     auto sendToNode(int attemptIndex, Microseconds delay) -> void;
+    /// Hands an attempt to the edge of its node.
     auto deliverToEdge(int attemptIndex) -> void;
     /// Retries after 1 ms, or with `backoff` after 0.5 to 1.5 s; gives up after four attempts or 12 s.
     auto retryRequest(int requestIndex, bool backoff) -> void;
+    /// The connection of the client to its node is lost.
     auto onAttemptLost(int attemptIndex) -> void;
+    /// Checks an event that the client received: its id, its contents, and that none follows the end.
     auto onStreamEvent(int attemptIndex, const std::string& raw) -> void;
     auto checkEventContent(int attemptIndex, std::int64_t id, const std::string& data) -> void;
+    /// Checks that only a stream with its done event ends as complete.
     auto onStreamEnd(int attemptIndex, bool complete) -> void;
+    /// Checks a reply that is not a stream.
     auto onReply(int attemptIndex, int status, const Headers& headers, const std::string& body) -> void;
     auto onRejection(int attemptIndex, int status, const std::string& body) -> void;
+    /// Records the end of an attempt: "whole", "cut" or "failed".
     auto finishAttempt(int attemptIndex, const std::string& outcome) -> void;
     auto resumeOrGiveUp(int attemptIndex) -> void;
 
@@ -185,6 +212,7 @@
     /// Sends an order to a node. `onOutcome` gets its status; 504 when none came within 5 s.
     auto sendOrder(const std::string& operation, const std::string& body, const std::string& subject,
         std::int64_t base, std::function<void(int)> onOutcome) -> void;
+    /// Records the outcome of an order.
     auto onOrderOutcome(std::size_t number, const Outcome& outcome) -> void;
     /// The example's configuration with a route for the probe requests to the service "probe-N". A
     /// `restriction` (of the fault "rules") allows less than the example does.
@@ -197,31 +225,43 @@
     auto restoreZone(const std::string& zone) -> void;
     /// Reads the replicated state through a node. The callback gets whether it succeeded and the body.
     auto readBack(std::function<void(bool, const std::string&)> onResult) -> void;
+    /// Records what was read for checkLinearizability, and checks that some order can have written it.
     auto checkReadback(Microseconds sentAt, const std::string& body) -> void;
     /// The platform's listing of the servers under a new revision.
     auto listing() -> std::string;
+    /// Sends the listing through a random node, with a new one for each try.
     auto sendListing(std::function<void(bool)> onResult, int tries) -> void;
+    /// Sends a listing every second.
     auto scheduleListings() -> void;
 
     // ---- faults.cpp, machine_faults.cpp, service_faults.cpp
 
+    /// Draws the faults of the run and their times.
     auto scheduleFaults() -> void;
+    /// Injects a fault of a kind now, unless an exclusive fault needs quiet.
     auto injectFault(const std::string& kind) -> void;
     auto repairAllFaults() -> void;
+    /// Runs a frozen process again, with the events that arrived in the meantime.
     auto unfreeze(SimMachine& machine) -> void;
+    /// Starts the process of a machine after a delay, unless the run has ended by then.
     auto restartLater(int index, Microseconds delay) -> void;
     /// Erases the disk of a machine that is down.
     auto loseDisk(SimMachine& machine) -> void;
     /// Replaces a core machine by one at another address; its settings name the current seeds, while the
     /// settings of the others still name the old address.
     auto moveToNewAddress(SimMachine& machine) -> void;
+    /// Injects "total-loss" and its variants: all machines lose power at once.
     auto totalLoss(const std::string& kind) -> void;
+    /// Injects "ruin": all machines lose power, and all disks but the leader's are lost.
     auto loseMajority() -> void;
+    /// Bootstraps a new epoch from the remaining disk, and checks what a rescue must reject.
     auto rescueAt(int index) -> void;
 
     // ---- oracles.cpp
 
+    /// Records a connection begun to a server, as a first or an extra send of its attempt.
     auto recordSend(int attemptIndex) -> void;
+    /// Checks an execution when it starts.
     auto checkExecution(const SimExecution& execution) -> void;
     auto checkOrderEffects(const SimExecution& execution) -> void;
     auto checkZoneEvacuation(const SimServer& server) -> void;
