--- a/src/routing/dispatch.cpp
+++ b/src/routing/dispatch.cpp
@@ -75,11 +75,7 @@
     statistics.pendingPromptTokens += double(request.attempts.pendingPromptTokens);
     statistics.reservedTokens += double(received.unsharedTokens());
     statistics_.ofService(request.route.service).recordUnsharedTokens(received.unsharedTokens());
-<<<<<<< HEAD
     auto capacity = rule.kvCacheTokens ? rule.kvCacheTokens : DEFAULT_KV_CACHE_TOKENS;
-=======
-    auto capacity = rule.kvCacheTokens ? rule.kvCacheTokens : UNSTATED_MEMORY_TOKENS;
->>>>>>> 73ce0a984161d720e88d5c287e1753f4f5e4a61d
     for (auto& [part, tokens] : received.promptParts) statistics.prefixCache.add(part, tokens, capacity);
 }
 
--- a/src/routing/server_statistics.cpp
+++ b/src/routing/server_statistics.cpp
@@ -51,11 +51,7 @@
 }
 
 auto ServiceStatistics::recordUnsharedTokens(std::int64_t tokens) -> void {
-<<<<<<< HEAD
     unsharedTokens = UNSHARED_TOKENS_SMOOTHING.next(unsharedTokens, double(tokens));
-=======
-    unsharedTokens = OWN_TOKENS_SMOOTHING.next(unsharedTokens, double(tokens));
->>>>>>> 73ce0a984161d720e88d5c287e1753f4f5e4a61d
 }
 
 auto ServiceStatistics::recordRequest(const std::string& region) -> void {
