--- a/tests/routing/attempt_state_test.cpp
+++ b/tests/routing/attempt_state_test.cpp
@@ -109,7 +109,8 @@
                 CPPUNIT_ASSERT_MESSAGE(entry, OVER.count(rule.next) > 0);
         }
     CHECK_EQ(ATTEMPT_STATES * ATTEMPT_EVENTS, std::size_t(legal + illegal));
-    CHECK(legal > 80 && illegal > 30);
+    CHECK(legal > 80);
+    CHECK(illegal > 30);
 }
 
 // For a first attempt, the table and stepAfterFailure, which considers all attempts, give the same step.
--- a/tests/routing/edge_retry_test.cpp
+++ b/tests/routing/edge_retry_test.cpp
@@ -187,8 +187,10 @@
         for (auto i = 0; i < 150; i++) fuzz.step();
         fuzz.finish();
     }
-    CHECK(totals.repeatedRuns > 100 && totals.promises > 100);
-    CHECK(totals.completions > 100 && totals.truncations > 50);
+    CHECK(totals.repeatedRuns > 100);
+    CHECK(totals.promises > 100);
+    CHECK(totals.completions > 100);
+    CHECK(totals.truncations > 50);
     CHECK(totals.forbiddenRuns > 0);
 }
 
--- a/tests/routing/route_table_test.cpp
+++ b/tests/routing/route_table_test.cpp
@@ -81,7 +81,8 @@
             (expected < 0 ? none : found)++;
         }
     }
-    CHECK(found > 1000 && none > 1000);
+    CHECK(found > 1000);
+    CHECK(none > 1000);
 }
 
 TEST(EdgePlatform, configurationFaultsAreReportedByPath) {
--- a/tests/routing/slow_start_test.cpp
+++ b/tests/routing/slow_start_test.cpp
@@ -78,7 +78,8 @@
     };
     rig.listServers({{"x", "near", "p", "z", 90}, {"c", "near", "p", "z", 90}}, 20 * MILLISECOND);
     auto sentWhileCold = sentTo("c", 50);
-    CHECK(sentWhileCold >= 2 && sentWhileCold <= 6);
+    CHECK(sentWhileCold >= 2);
+    CHECK(sentWhileCold <= 6);
     sentTo("c", 160);
     CHECK(sentTo("c", 50) > 12);
     auto reporting = rig.sendRequest("/a/x");
