--- a/src/quota/tenant_ledger.hpp
+++ b/src/quota/tenant_ledger.hpp
@@ -111,7 +111,7 @@
     std::int64_t heldByNodes_ = 0;      // outstanding tokens that nodes claimed or were granted in this term
     std::int64_t unclaimedTokens_ = 0;  // outstanding tokens of earlier terms that no node has claimed
     std::int64_t rejected_ = 0;
-    std::int64_t blockedRequests_ = 0;   // requests denied a token since the last image for lack of reserve
+    std::int64_t blockedRequests_ = 0;   // requests without a token for lack of reserve since the last image
     std::int64_t announcedReserve_ = 0;  // the reserve in the last image
     SlidingWindowCounter spent_{QUOTA_LEDGER_STEP};
     SlidingWindowCounter granted_{QUOTA_LEDGER_STEP};  // in the last QUOTA_RESERVE_WINDOW
