--- a/src/sim/machine.cpp
+++ b/src/sim/machine.cpp
@@ -61,7 +61,7 @@
     node->broken.acceptOldState = variant == "old-word";
     node->broken.lateUp = variant == "late-up";
     node->broken.oldBoot = variant == "old-boot";
-    edge->broken.resendAny = variant == "resend-any";
+    edge->broken.retryNonRepeatable = variant == "resend-any";
     edge->broken.joinAny = variant == "join-any";
     edge->broken.ignoreHome = variant == "ignore-home";
     edge->broken.noBudget = variant == "no-budget";
