--- a/src/sim/machine.cpp
+++ b/src/sim/machine.cpp
@@ -62,7 +62,7 @@
     node->broken.lateUp = variant == "late-up";
     node->broken.oldBoot = variant == "old-boot";
     edge->broken.retryNonRepeatable = variant == "resend-any";
-    edge->broken.joinAny = variant == "join-any";
+    edge->broken.joinUnorderedEvents = variant == "join-any";
     edge->broken.ignoreHome = variant == "ignore-home";
     edge->broken.noBudget = variant == "no-budget";
     edge->broken.noRamp = variant == "no-ramp";
