--- a/src/sim/machine.cpp
+++ b/src/sim/machine.cpp
@@ -63,7 +63,7 @@
     node->broken.oldBoot = variant == "old-boot";
     edge->broken.retryNonRepeatable = variant == "resend-any";
     edge->broken.joinUnorderedEvents = variant == "join-any";
-    edge->broken.ignoreHome = variant == "ignore-home";
+    edge->broken.ignoreHomeRegion = variant == "ignore-home";
     edge->broken.noBudget = variant == "no-budget";
     edge->broken.noRamp = variant == "no-ramp";
     edge->broken.cutLooksWhole = variant == "cut-looks-whole";
