--- a/src/sim/machine.cpp
+++ b/src/sim/machine.cpp
@@ -64,7 +64,7 @@
     edge->broken.retryNonRepeatable = variant == "resend-any";
     edge->broken.joinUnorderedEvents = variant == "join-any";
     edge->broken.ignoreHomeRegion = variant == "ignore-home";
-    edge->broken.noBudget = variant == "no-budget";
+    edge->broken.ignoreRetryBudget = variant == "no-budget";
     edge->broken.noRamp = variant == "no-ramp";
     edge->broken.cutLooksWhole = variant == "cut-looks-whole";
     edge->broken.ignoreLeaving = variant == "ignore-leaving";
