--- a/src/sim/machine.cpp
+++ b/src/sim/machine.cpp
@@ -65,7 +65,7 @@
     edge->broken.joinUnorderedEvents = variant == "join-any";
     edge->broken.ignoreHomeRegion = variant == "ignore-home";
     edge->broken.ignoreRetryBudget = variant == "no-budget";
-    edge->broken.noRamp = variant == "no-ramp";
+    edge->broken.skipSlowStart = variant == "no-ramp";
     edge->broken.cutLooksWhole = variant == "cut-looks-whole";
     edge->broken.ignoreLeaving = variant == "ignore-leaving";
     edge->broken.oldRules = variant == "old-rules";
