--- a/src/sim/machine.cpp
+++ b/src/sim/machine.cpp
@@ -191,7 +191,7 @@
     else storage.gate.fail(pending.front());
     pending.pop_front();
     simulation.scheduleOnMachine(
-        index, writer, 0, [this, sequence, succeeded] { node->diskDone(sequence, succeeded, now()); });
+        index, writer, 0, [this, sequence, succeeded] { node->onDiskWriteDone(sequence, succeeded, now()); });
     syncNextWrite();
 }
 
--- a/src/sim/scale_fleet.cpp
+++ b/src/sim/scale_fleet.cpp
@@ -175,7 +175,7 @@
         diskApply(self.durable, write);
         self.stats.syncs++;
         self.fleet.measureCall(
-            self, &Stats::other, [&] { self.node->diskDone(write.seq, true, self.fleet.now); });
+            self, &Stats::other, [&] { self.node->onDiskWriteDone(write.seq, true, self.fleet.now); });
         self.fleet.noteConfiguration(self);
         self.syncNext();
     });
