--- a/src/sim/machine.cpp
+++ b/src/sim/machine.cpp
@@ -66,7 +66,7 @@
     edge->broken.ignoreHomeRegion = variant == "ignore-home";
     edge->broken.ignoreRetryBudget = variant == "no-budget";
     edge->broken.skipSlowStart = variant == "no-ramp";
-    edge->broken.cutLooksWhole = variant == "cut-looks-whole";
+    edge->broken.truncatedLooksComplete = variant == "cut-looks-whole";
     edge->broken.ignoreLeaving = variant == "ignore-leaving";
     edge->broken.oldRules = variant == "old-rules";
     edge->broken.resumeAny = variant == "resume-any";
