--- a/src/sim/machine.cpp
+++ b/src/sim/machine.cpp
@@ -67,7 +67,7 @@
     edge->broken.ignoreRetryBudget = variant == "no-budget";
     edge->broken.skipSlowStart = variant == "no-ramp";
     edge->broken.truncatedLooksComplete = variant == "cut-looks-whole";
-    edge->broken.ignoreLeaving = variant == "ignore-leaving";
+    edge->broken.ignoreDraining = variant == "ignore-leaving";
     edge->broken.oldRules = variant == "old-rules";
     edge->broken.resumeAny = variant == "resume-any";
     edge->broken.queueLeak = variant == "queue-leak";
