--- a/src/sim/machine.cpp
+++ b/src/sim/machine.cpp
@@ -74,7 +74,7 @@
     edge->broken.anyWeights = variant == "any-weights";
     edge->broken.noServe = variant == "no-serve" && simulation.now > NO_SERVE_FROM;
     edge->broken.badStep = variant == "bad-step";
-    edge->broken.pickRandom = simulation.options.place == "random";
+    edge->broken.selectRandomly = simulation.options.place == "random";
     edge->broken.pickLeast = simulation.options.place == "least";
 }
 
