--- a/src/sim/machine.cpp
+++ b/src/sim/machine.cpp
@@ -75,7 +75,7 @@
     edge->broken.noServe = variant == "no-serve" && simulation.now > NO_SERVE_FROM;
     edge->broken.badStep = variant == "bad-step";
     edge->broken.selectRandomly = simulation.options.place == "random";
-    edge->broken.pickLeast = simulation.options.place == "least";
+    edge->broken.selectLeastLoaded = simulation.options.place == "least";
 }
 
 auto SimMachine::startVoter() -> void {
