--- a/src/sim/machine.cpp
+++ b/src/sim/machine.cpp
@@ -68,7 +68,7 @@
     edge->broken.skipSlowStart = variant == "no-ramp";
     edge->broken.truncatedLooksComplete = variant == "cut-looks-whole";
     edge->broken.ignoreDraining = variant == "ignore-leaving";
-    edge->broken.oldRules = variant == "old-rules";
+    edge->broken.keepFirstConfiguration = variant == "old-rules";
     edge->broken.resumeAny = variant == "resume-any";
     edge->broken.queueLeak = variant == "queue-leak";
     edge->broken.anyWeights = variant == "any-weights";
