--- a/src/sim/machine.cpp
+++ b/src/sim/machine.cpp
@@ -69,7 +69,7 @@
     edge->broken.truncatedLooksComplete = variant == "cut-looks-whole";
     edge->broken.ignoreDraining = variant == "ignore-leaving";
     edge->broken.keepFirstConfiguration = variant == "old-rules";
-    edge->broken.resumeAny = variant == "resume-any";
+    edge->broken.resumeUnchecked = variant == "resume-any";
     edge->broken.queueLeak = variant == "queue-leak";
     edge->broken.anyWeights = variant == "any-weights";
     edge->broken.noServe = variant == "no-serve" && simulation.now > NO_SERVE_FROM;
