--- a/src/sim/machine.cpp
+++ b/src/sim/machine.cpp
@@ -101,7 +101,7 @@
     if (!power)
         while (
             !storage.pending.empty() && !storage.full && !storage.stalled && simulation.random.chance(.5)) {
-            diskApply(storage.durable, storage.pending.front());
+            applyDiskWrite(storage.durable, storage.pending.front());
             storage.pending.pop_front();
         }
     storage.pending.clear();
@@ -187,7 +187,7 @@
         return;
     }
     auto succeeded = !storage.full && storage.gate.takes(pending.front());
-    if (succeeded) diskApply(storage.durable, pending.front());
+    if (succeeded) applyDiskWrite(storage.durable, pending.front());
     else storage.gate.fail(pending.front());
     pending.pop_front();
     simulation.scheduleOnMachine(
--- a/src/sim/scale_fleet.cpp
+++ b/src/sim/scale_fleet.cpp
@@ -172,7 +172,7 @@
     fleet.atNode(*this, SYNC_TIME + Microseconds(fleet.random.below(SYNC_TIME)), [](HollowNode& self) {
         auto write = std::move(self.pendingWrites.front());
         self.pendingWrites.pop_front();
-        diskApply(self.durable, write);
+        applyDiskWrite(self.durable, write);
         self.stats.syncs++;
         self.fleet.measureCall(
             self, &Stats::other, [&] { self.node->onDiskWriteDone(write.seq, true, self.fleet.now); });
