--- a/src/sim/machine.hpp
+++ b/src/sim/machine.hpp
@@ -26,7 +26,7 @@
     DiskState durable;              // what survives a loss of power
     std::deque<DiskWrite> pending;  // written, not yet synced
     Microseconds latency = NORMAL_DISK_LATENCY;
-    DiskGate gate;
+    DiskWriteFence gate;
     bool full = false, stalled = false;
     bool busy = false;  // a write is being synced
 };
