--- a/src/sim/machine.cpp
+++ b/src/sim/machine.cpp
@@ -71,7 +71,7 @@
     edge->broken.keepFirstConfiguration = variant == "old-rules";
     edge->broken.resumeUnchecked = variant == "resume-any";
     edge->broken.leakQueueSlots = variant == "queue-leak";
-    edge->broken.anyWeights = variant == "any-weights";
+    edge->broken.ignoreWeightsVersion = variant == "any-weights";
     edge->broken.noServe = variant == "no-serve" && simulation.now > NO_SERVE_FROM;
     edge->broken.badStep = variant == "bad-step";
     edge->broken.selectRandomly = simulation.options.place == "random";
