--- a/src/sim/scale_fleet.cpp
+++ b/src/sim/scale_fleet.cpp
@@ -406,7 +406,7 @@
 auto Fleet::leader() -> HollowNode* {
     for (auto i = 0; i < cores; i++) {
         auto& node = *nodes[std::size_t(i)];
-        if (node.up && node.node->voter()->ready() && now - node.node->voter()->quorumAt() < SECOND
+        if (node.up && node.node->voter()->ready() && now - node.node->voter()->lastQuorumContact() < SECOND
             && node.region != partitionedRegion)
             return &node;
     }
