--- a/src/sim/machine.cpp
+++ b/src/sim/machine.cpp
@@ -72,7 +72,7 @@
     edge->broken.resumeUnchecked = variant == "resume-any";
     edge->broken.leakQueueSlots = variant == "queue-leak";
     edge->broken.ignoreWeightsVersion = variant == "any-weights";
-    edge->broken.noServe = variant == "no-serve" && simulation.now > NO_SERVE_FROM;
+    edge->broken.rejectEverything = variant == "no-serve" && simulation.now > NO_SERVE_FROM;
     edge->broken.badStep = variant == "bad-step";
     edge->broken.selectRandomly = simulation.options.place == "random";
     edge->broken.selectLeastLoaded = simulation.options.place == "least";
