--- a/src/sim/machine.cpp
+++ b/src/sim/machine.cpp
@@ -73,7 +73,7 @@
     edge->broken.leakQueueSlots = variant == "queue-leak";
     edge->broken.ignoreWeightsVersion = variant == "any-weights";
     edge->broken.rejectEverything = variant == "no-serve" && simulation.now > NO_SERVE_FROM;
-    edge->broken.badStep = variant == "bad-step";
+    edge->broken.illegalPhaseChange = variant == "bad-step";
     edge->broken.selectRandomly = simulation.options.place == "random";
     edge->broken.selectLeastLoaded = simulation.options.place == "least";
 }
