--- a/src/sim/machine.cpp
+++ b/src/sim/machine.cpp
@@ -301,7 +301,7 @@
         if (name == "X-Weights") attempt.announcedWeights = value;
 }
 
-auto SimMachine::sendPart(std::int64_t request, const std::string& bytes) -> void {
+auto SimMachine::sendStreamBytes(std::int64_t request, const std::string& bytes) -> void {
     auto attempt = attemptOfRequest(request);
     if (attempt < 0) return;
     scheduleToClient(request, [this, attempt, bytes] { simulation.onStreamEvent(attempt, bytes); });
--- a/src/sim/machine.hpp
+++ b/src/sim/machine.hpp
@@ -75,7 +75,7 @@
         const std::string& address) -> void override;
     auto cancelAttempt(std::int64_t request, int attempt) -> void override;
     auto sendHead(std::int64_t request, int status, const Headers& headers) -> void override;
-    auto sendPart(std::int64_t request, const std::string& bytes) -> void override;
+    auto sendStreamBytes(std::int64_t request, const std::string& bytes) -> void override;
     auto endStream(std::int64_t request, bool complete) -> void override;
     auto sendReply(std::int64_t request, int status, const Headers& headers, const std::string& body)
         -> void override;
