--- a/src/sim/machine.cpp
+++ b/src/sim/machine.cpp
@@ -259,7 +259,7 @@
 auto SimMachine::sendOverConnection(SimConnection* connection) -> void {
     auto request = edge->find(connection->request);
     if (!connection->open || !request
-        || !edge->beforeFirstByte(connection->request, connection->attempt, now())) {
+        || !edge->confirmSend(connection->request, connection->attempt, now())) {
         connection->open = false;
         return;
     }
