--- a/src/sim/oracles.cpp
+++ b/src/sim/oracles.cpp
@@ -270,8 +270,8 @@
             for (auto& member : voter->voters()) disks += member.disk.substr(0, 4) + " ";
             voterState =
                 fmt::format("voters {} role {} disk {} bad {} reign {} term {} last {} commit {} under {}",
-                    disks, int(voter->role()), voter->disk(), voter->diskBad(), voter->epoch(), voter->term(),
-                    voter->last(), voter->commit(), machine->storage.pending.size());
+                    disks, int(voter->role()), voter->disk(), voter->isDiskFaulty(), voter->epoch(),
+                    voter->term(), voter->last(), voter->commit(), machine->storage.pending.size());
         }
         trace(fmt::format(
             "{}{} {}", machine->frozen ? "frozen " : "", machine->node->status(machine->now()), voterState));
