--- a/src/sim/machine.cpp
+++ b/src/sim/machine.cpp
@@ -59,7 +59,7 @@
     node->broken.noLease = variant == "no-lease";
     node->broken.ackEarly = variant == "ack-early";
     node->broken.acceptOldState = variant == "old-word";
-    node->broken.lateUp = variant == "late-up";
+    node->broken.acceptSupersededListing = variant == "late-up";
     node->broken.oldBoot = variant == "old-boot";
     edge->broken.retryNonRepeatable = variant == "resend-any";
     edge->broken.joinUnorderedEvents = variant == "join-any";
