--- a/src/sim/machine.cpp
+++ b/src/sim/machine.cpp
@@ -57,7 +57,7 @@
 auto SimMachine::configureBrokenVariant() -> void {
     auto& variant = simulation.options.broken;
     node->broken.noLease = variant == "no-lease";
-    node->broken.ackEarly = variant == "ack-early";
+    node->broken.ackBeforeMajorities = variant == "ack-early";
     node->broken.acceptOldState = variant == "old-word";
     node->broken.acceptSupersededListing = variant == "late-up";
     node->broken.oldBoot = variant == "old-boot";
