--- a/src/sim/machine.cpp
+++ b/src/sim/machine.cpp
@@ -60,7 +60,7 @@
     node->broken.ackBeforeMajorities = variant == "ack-early";
     node->broken.acceptOldState = variant == "old-word";
     node->broken.acceptSupersededListing = variant == "late-up";
-    node->broken.oldBoot = variant == "old-boot";
+    node->broken.reuseIncarnation = variant == "old-boot";
     edge->broken.retryNonRepeatable = variant == "resend-any";
     edge->broken.joinUnorderedEvents = variant == "join-any";
     edge->broken.ignoreHomeRegion = variant == "ignore-home";
