--- a/src/sim/machine.cpp
+++ b/src/sim/machine.cpp
@@ -56,7 +56,7 @@
 // Puts the deliberate fault of this run, if any, into the new process.
 auto SimMachine::configureBrokenVariant() -> void {
     auto& variant = simulation.options.broken;
-    node->broken.noLease = variant == "no-lease";
+    node->broken.ignoreLease = variant == "no-lease";
     node->broken.ackBeforeMajorities = variant == "ack-early";
     node->broken.acceptOldState = variant == "old-word";
     node->broken.acceptSupersededListing = variant == "late-up";
