--- a/src/sim/faults.cpp
+++ b/src/sim/faults.cpp
@@ -23,7 +23,7 @@
 constexpr auto SYNC_DELAY_LATENCY = 700 * MILLISECOND;
 
 // Faults that are injected at most once a run and without others nearby: the fleet promises to survive each
-// of them, but perhaps not with a further loss beside.
+// of them, but not necessarily together with another loss.
 auto isExclusive(const std::string& kind) -> bool {
     return kind == "ruin" || kind.starts_with("total-loss") || kind.ends_with("-after-ack");
 }
@@ -103,7 +103,7 @@
         }
     }
     if (exclusive.empty()) return;
-    // With other kinds beside, some runs have no exclusive fault.
+    // If other kinds of faults were given too, some runs have no exclusive fault.
     auto choice = faultRandom.below(exclusive.size() + (kinds.empty() ? 0 : 1));
     if (choice == exclusive.size()) return;
     scheduleAt(from + (until - from) / 2 - QUIET_BEFORE_LOSS, [this, kind = exclusive[choice]] {
