--- a/src/sim/example.cpp
+++ b/src/sim/example.cpp
@@ -31,7 +31,8 @@
     if (!directory) return folder + ": cannot be read";
     auto files = std::vector<std::string>();
     while (auto entry = readdir(directory))
-        if (std::string name = entry->d_name; name.ends_with(".json")) files.push_back(folder + "/" + name);
+        if (std::string name = entry->d_name; name.ends_with(".json"))
+            files.push_back(fmt::format("{}/{}", folder, name));
     closedir(directory);
     std::sort(files.begin(), files.end());
     if (files.size() < MIN_NODES) return folder + ": needs at least three settings files";
--- a/src/sim/machine_faults.cpp
+++ b/src/sim/machine_faults.cpp
@@ -191,13 +191,13 @@
 }
 
 auto machineFaults() -> const std::map<std::string, FaultHandler>& {
-    static const auto FAULTS =
+    static const auto handlers =
         std::map<std::string, FaultHandler>{{"crash", crash}, {"power", losePower}, {"crash-many", crashMany},
             {"freeze", freeze}, {"district-loss", loseZone}, {"cut-node", partitionNode},
             {"core-split", partitionCore}, {"cut-district", partitionZone}, {"one-way", partitionOneWay},
             {"lossy", loseMessages}, {"clock", jumpClock}, {"disk-slow", slowDisk}, {"disk-full", fillDisk},
             {"disk-stall", stallDisk}, {"disk-wipe", loseOneDisk}, {"replace-core", loseOneDisk}};
-    return FAULTS;
+    return handlers;
 }
 
 }  // namespace duneturn
--- a/src/sim/scale_plot.cpp
+++ b/src/sim/scale_plot.cpp
@@ -236,8 +236,9 @@
         2 * PANEL_WIDTH, 2 * PANEL_HEIGHT + FOOTER_HEIGHT);
     auto index = 0;
     for (auto& panel : panels()) {
-        auto left = index % 2 * PANEL_WIDTH + MARGIN_LEFT;
-        auto top = index / 2 * PANEL_HEIGHT + MARGIN_TOP;
+        auto column = index % 2, line = index / 2;
+        auto left = column * PANEL_WIDTH + MARGIN_LEFT;
+        auto top = line * PANEL_HEIGHT + MARGIN_TOP;
         PanelDrawing(svg, panel, points, left, top).draw();
         index++;
     }
--- a/src/sim/service_faults.cpp
+++ b/src/sim/service_faults.cpp
@@ -208,14 +208,14 @@
 
 // Allows less for a while, which running requests must obey, and then as much as before.
 auto restrictRules(Simulation& simulation, const FaultTarget& target) -> void {
-    static const auto RESTRICTIONS =
+    static const auto restrictions =
         std::vector<std::string>{"no-resume", "one-try", "home", "no-spill", "no-move"};
     auto send = [&simulation](const std::string& restriction) {
         auto probe = int(simulation.random.below(std::uint64_t(PROBE_SERVICES)));
         simulation.trace("rules " + (restriction.empty() ? "as ever" : restriction));
         simulation.sendConfiguration(probe, simulation.newestConfigurationVersion(), {}, restriction);
     };
-    send(RESTRICTIONS[simulation.faultRandom.below(RESTRICTIONS.size())]);
+    send(restrictions[simulation.faultRandom.below(restrictions.size())]);
     simulation.schedule(5 * SECOND + target.duration, [&simulation, send] {
         if (!simulation.ended) send("");
     });
@@ -237,14 +237,14 @@
 }  // namespace
 
 auto serviceFaults() -> const std::map<std::string, FaultHandler>& {
-    static const auto FAULTS = std::map<std::string, FaultHandler>{{"server-crash", crashServer},
+    static const auto handlers = std::map<std::string, FaultHandler>{{"server-crash", crashServer},
         {"server-cold", crashServer}, {"server-dark", makeServerUnresponsive},
         {"server-stall", setServerMode}, {"server-slow", setServerMode}, {"server-wrong", setServerMode},
         {"server-cut", setServerMode}, {"server-skip", setServerMode}, {"server-deny", setServerMode},
         {"server-roll", changeServerWeights}, {"leave", markLeaving}, {"late-listing", delayListing},
         {"empty", evacuateZone}, {"plan", scheduleEvacuation}, {"config", changeConfiguration},
         {"race", raceConfigurations}, {"rules", restrictRules}, {"crowd", loadSurge}, {"swing", loadShift}};
-    return FAULTS;
+    return handlers;
 }
 
 }  // namespace duneturn
