--- a/src/routing/completion.cpp
+++ b/src/routing/completion.cpp
@@ -103,7 +103,7 @@
     request.attempts.current++;
     applyAttemptEvent(request, AttemptEvent::ClientDisconnected);
     countOutcome(request, "sender_gone");
-    finish(request, "the client has disconnected", now);
+    finish(request, "the sender has gone", now);
 }
 
 auto Edge::abortAll(Microseconds now) -> void {
--- a/src/routing/response_relay.cpp
+++ b/src/routing/response_relay.cpp
@@ -233,7 +233,7 @@
     applyAttemptEvent(request, AttemptEvent::ResponseCompleted);
     port_.endStream(request.id, true);
     countOutcome(request, request.attempts.sent > 1 ? "whole_moved" : "whole");
-    finish(request, "complete", now);
+    finish(request, "whole", now);
 }
 
 auto Edge::onStreamEnd(std::int64_t id, int attempt, Microseconds now) -> void {
@@ -320,7 +320,7 @@
     port_.sendReply(request.id, status, forwarded, body);
     auto success = request.attempts.sent > 1 ? "whole_moved" : "whole";
     countOutcome(request, status < 400 ? success : "server_error");
-    finish(request, fmt::format("response with status {}", status), now);
+    finish(request, fmt::format("reply {}", status), now);
     if (dialect_.clientNamesRequests) dispatchQueuedRequests(now);
 }
 
