--- a/src/control/order_client.cpp
+++ b/src/control/order_client.cpp
@@ -78,8 +78,8 @@
 
 auto OrderClient::timeoutOutcome(const PendingRequest& pending) -> Outcome {
     if (pending.kind == Kind::Read)
-        return order_answer::readUnconfirmed("no leader answered the read in time");
-    if (pending.unansweredSends == 0) return order_answer::notLogged("no leader accepted the order in time");
+        return order_answer::readUnconfirmed("no leader confirmed the readback in time");
+    if (pending.unansweredSends == 0) return order_answer::notLogged("no leader took the order in time");
     return outcomeUnknown();
 }
 
--- a/src/control/order_service.cpp
+++ b/src/control/order_service.cpp
@@ -89,8 +89,7 @@
     auto entry = encodeForVoters(voter, command);
     if (voter.propose(entryKindOf(entry.form), entry.body, now)) return;
     commands_.pop_back();  // the one that awaitOutcome added
-    port_.answer(
-        from, order_answer::notLogged("the leader can't write to its disk; the order was not logged"));
+    port_.answer(from, order_answer::notLogged("the leader's disk takes nothing; the order was not logged"));
 }
 
 auto OrderService::applied(const std::string& key, std::int64_t stateVersion, const Outcome& outcome)
@@ -171,8 +170,7 @@
         rejections_.erase(rejections_.begin() + std::ptrdiff_t(i));
         if (confirmed) prepareAgain(voter, finished, wall, now);
         else
-            port_.answer(
-                finished.from, order_answer::notLogged("no majority confirmed the rejection in time"));
+            port_.answer(finished.from, order_answer::notLogged("no majority confirmed the refusal in time"));
     }
 }
 
@@ -223,7 +221,7 @@
 auto OrderService::answerIfKnown(PendingRead& read, Microseconds now) -> Outcome {
     if (read.confirmed && port_.acknowledged(read.proof, read.stateVersion, now)) return read.outcome;
     if (now < read.deadline) return {};
-    return order_answer::readUnconfirmed("no majority confirmed the read in time");
+    return order_answer::readUnconfirmed("no majority confirmed the readback in time");
 }
 
 auto OrderService::tickReads(Microseconds now) -> void {
--- a/src/membership/disaster_recovery.cpp
+++ b/src/membership/disaster_recovery.cpp
@@ -131,11 +131,11 @@
     for (auto& [name, known] : context.members.others())
         if (context.members.isAlive(known, now)) consider(known.record);
     if (votingDisks * 2 > context.voting.voterDisks.size())
-        return "a majority of the voters' disks is available; they will elect a leader";
+        return "a majority of the disks stands; they elect a leader";
     if (rosterNodes * 2 > context.voting.roster.size())
-        return "a majority of the roster is available; it recovers automatically";
+        return "a majority of the nodes stands; they rebuild by themselves";
     if (newerNode.empty()) return "";
-    return "node " + newerNode + " holds a newer replicated state, which will be sent to this node";
+    return newerNode + " holds a newer word; it comes here by itself";
 }
 
 auto recoverFromSurvivor(
@@ -148,10 +148,11 @@
             bodyOf({{"error", jsonQuote(reason)}, {"reign", fmt::to_string(held.epoch)},
                 {"generation", fmt::to_string(held.version)}})};
     };
-    if (!context.voter) return reject("this node has no disk; send the command to a core node");
-    if (held.version == 0) return reject("this node holds no replicated state");
-    if (namedVersion != held) return reject("this node holds a different version of the replicated state");
-    if (majorityReachable) return reject("a leader is known or a majority is reachable");
+    if (!context.voter)
+        return reject("no disk here; give this to a core, which takes the newest word it hears of");
+    if (held.version == 0) return reject("nothing is held here");
+    if (namedVersion != held) return reject("this is not what is held here");
+    if (majorityReachable) return reject("a majority stands: there is a leader");
     if (auto objection = objectionToSurvivor(context, namedVersion, now); !objection.empty())
         return reject(objection);
     context.counters.add("rescued_total");
--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -24,7 +24,7 @@
 constexpr auto EVACUATION_GRACE = 4 * SECOND;
 // Estimates the tokens of a body whose client does not state them.
 constexpr auto BYTES_PER_TOKEN = std::size_t(4);
-constexpr auto QUOTA_EXCEEDED = "the tenant's quota is exceeded";
+constexpr auto QUOTA_EXCEEDED = "its tenant is beyond its limit";
 // After this many failed dispatches in one pass the other queued requests of the route are skipped.
 constexpr auto MAX_DISPATCH_FAILURES = 2;
 
@@ -71,14 +71,14 @@
     // if none is queued.
     if (backlog_.isEmpty(request.route.service) && dispatch(request, now)) return;
     if (request.phase() != Phase::Finished && !enqueue(request, now))
-        fail(request, 503, "no server has capacity and the request cannot be queued", now);
+        fail(request, 503, "the servers are full and so is the queue", now);
 }
 
 auto Edge::serveRequestsAwaitingQuota(Microseconds now) -> void {
     auto onWaitEnded = [&](Request& request, QuotaWaitOutcome outcome) {
         if (outcome == QuotaWaitOutcome::Admitted) return proceed(request, now);
         if (outcome == QuotaWaitOutcome::Rejected) return fail(request, 429, QUOTA_EXCEEDED, now);
-        fail(request, 503, "no quota token was granted in time", now);
+        fail(request, 503, "its tenant's quota could not be asked for in time", now);
     };
     quota_.serveWaiting(onWaitEnded, now);
 }
@@ -114,13 +114,13 @@
             name.empty() || name.size() > MAX_REQUEST_NAME_BYTES)
             return RequestRejection{400, "the header " + dialect_.request + " is missing or too long"};
     if (rejectingNew_ || (draining_ && !dialect_.clientNamesRequests))
-        return RequestRejection{503, "this node is shutting down"};
+        return RequestRejection{503, "this node is stopping"};
     if (broken.rejectEverything) return RequestRejection{503, "rejected by fault injection"};
     if (!node_.withinLease(now))
-        return RequestRejection{503, "this node is outside its lease: no recent contact with a majority"};
+        return RequestRejection{503, "this node has not heard a majority within its lease"};
     auto isEvacuated = evacuatedAt_ > 0 && now - evacuatedAt_ > EVACUATION_GRACE;
     if (isEvacuated && !dialect_.clientNamesRequests)
-        return RequestRejection{503, "the zone of this node is evacuated"};
+        return RequestRejection{503, "this district is emptied"};
     return std::nullopt;
 }
 
@@ -196,7 +196,7 @@
     }
     if (budget_.allows(request, now)) return std::nullopt;
     budget_.recordShortage(now);
-    return RequestRejection{503, "the retry budget is exhausted"};
+    return RequestRejection{503, "the fleet's budget for extra sends is spent"};
 }
 
 // Queues a request; in a full queue it displaces a less urgent one. False if it is not queued, because the
@@ -207,7 +207,7 @@
         auto displaced = backlog_.leastUrgentBelow(request);
         if (!displaced) return false;
         counters_.add("displaced_total");
-        fail(*displaced, 503, "displaced from the full queue by a more urgent request", now);
+        fail(*displaced, 503, "more urgent work took its place in the queue", now);
     }
     auto queuedBefore = backlog_.enter(request, now);
     note(request, fmt::format("+{} us queued behind {}", now - request.received.acceptedAt, queuedBefore));
@@ -229,7 +229,7 @@
     auto failures = std::map<RouteAndHomes, int>();
     for (auto request : backlog_.inDispatchOrder()) {
         if (now >= request->queueEntry.until) {
-            fail(*request, 503, "no server had capacity within the queue timeout", now);
+            fail(*request, 503, "no server had room in time", now);
             continue;
         }
         // Where a few requests found no capacity, the others of the same route would not find any either.
--- a/src/routing/migration.cpp
+++ b/src/routing/migration.cpp
@@ -63,12 +63,12 @@
     if (faults_.resumeUnchecked) return "";
     auto& route = request.route;
     if (!route.resumable)
-        return "streams of this route are not resumable; send the request again without Last-Event-Id";
+        return "streams of this mapping cannot be resumed; send it anew without Last-Event-Id";
     if (lastId < 0) return "Last-Event-Id is not the number of an event";
-    if (weights.empty()) return "the header X-Weights, with the value received with the stream, is missing";
-    if (route.migrationLimit < 1 || route.maxAttempts < 2) return "streams of this route may not migrate";
+    if (weights.empty()) return "X-Weights, as it came with the stream, is missing";
+    if (route.migrationLimit < 1 || route.maxAttempts < 2) return "streams of this mapping may not move";
     if (request.limits.sequenceTokens > route.maxSequenceTokens)
-        return "the stream exceeds the maximum sequence length";
+        return "the stream is past the maximum sequence length";
     return "";
 }
 
--- a/src/routing/response_relay.cpp
+++ b/src/routing/response_relay.cpp
@@ -200,7 +200,7 @@
     statistics_.of(request.attempts.server).ejection.lowerHealthScore(MALFORMED_EVENT_FACTOR, now);
     counters_.add(check == EventCheck::OutOfOrder ? "events_out_of_line_total" : "events_unsound_total");
     if (dialect_.clientNamesRequests && !request.relayed.headSent)
-        return retryElsewhere(request, AttemptEvent::MalformedResponse, "the first event is malformed", now);
+        return retryElsewhere(request, AttemptEvent::MalformedResponse, "its first event is unsound", now);
     auto receivedId = event.id.empty() ? "garbage" : event.id;
     fail(request, 502, fmt::format("the event after {} came as {}", lastId, receivedId), now);
 }
@@ -299,10 +299,10 @@
     if (!dialect_.clientNamesRequests) return "";
     auto isRepeatable = request.retryRights().repeatable;
     if (status >= 500 && isRepeatable && canRetryElsewhere(request, AttemptEvent::ResponseUnusable, now))
-        return fmt::format("the server failed with status {}", status);
+        return fmt::format("the server failed with {}", status);
     // Clients take these statuses as a promise that the request did not run, but the server gave none.
     if (promisesNoRun(status) && !isRepeatable)
-        return fmt::format("the server responded with status {} but may have run the request", status);
+        return fmt::format("the server replied {} but may have run it", status);
     return "";
 }
 
--- a/src/routing/route_binding.cpp
+++ b/src/routing/route_binding.cpp
@@ -15,9 +15,9 @@
 namespace {
 
 constexpr auto SHARE_SEED = 11;  // each use of hash64 has a seed of its own
-constexpr auto ROUTE_REMOVED = "the request's route is no longer configured";
-constexpr auto KEY_REQUIRED = "exactly one API key header with a valid key is required";
-constexpr auto NO_COMMON_HOME = "the route and the tenant have no home region in common";
+constexpr auto ROUTE_REMOVED = "its mapping is no longer configured";
+constexpr auto KEY_REQUIRED = "one header with a key that is in force is needed";
+constexpr auto NO_COMMON_HOME = "its mapping and its tenant have no home region in common";
 
 // Why a configuration does not allow a request.
 enum class BindingFault { NoConfiguration, NoRoute, KeyRejected, NoCommonHome };
@@ -71,8 +71,8 @@
 
 auto rejectionOfNewRequest(BindingFault fault) -> RequestRejection {
     switch (fault) {
-    case BindingFault::NoConfiguration: return {503, "this node has no configuration yet"};
-    case BindingFault::NoRoute: return {404, "no route for this path"};
+    case BindingFault::NoConfiguration: return {503, "no configuration yet"};
+    case BindingFault::NoRoute: return {404, "no mapping for this path"};
     case BindingFault::KeyRejected: return {KEY_REJECTED_STATUS, KEY_REQUIRED};
     case BindingFault::NoCommonHome: return {503, NO_COMMON_HOME};
     }
@@ -122,7 +122,7 @@
     if ((wasSent || !dialect.clientNamesRequests) && isDifferentRoute(binding->route, request.route))
         return RequestRejection{503, ROUTE_REMOVED};
     if (wasSent && nameOf(binding->tenant) != request.tenant.name)
-        return RequestRejection{503, "the API key now belongs to another tenant"};
+        return RequestRejection{503, "its key now belongs to another tenant"};
     applyBinding(request, std::move(*binding), routes);
     request.limits.migrationDisabled =
         request.limits.migrationDisabled || request.limits.sequenceTokens > request.route.maxSequenceTokens;
